--- a/loadbalancer/deployment.py
+++ b/loadbalancer/deployment.py
@@ -10,12 +10,12 @@
 from typing import Any, Iterable, Mapping
 
 from loadbalancer.policy.settings import (
+    DeduplicationScope,
     Effect,
-    Limits,
+    PolicyLimits,
+    PolicySettings,
     RequestClass,
-    Rules,
-    Scope,
-    Settings,
+    SafetyRules,
     Tenant,
 )
 
@@ -24,9 +24,9 @@
     "idempotency_key": Effect.KEYED,
     "non_idempotent": Effect.UNSAFE,
 }
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 #: Where the settings do not say it: short, since a request that crosses a close ends as a reset.
-IDLE_CLOSE_S = 15.0
+DEFAULT_IDLE_TIMEOUT_S = 15.0
 
 
 def _get(box: Mapping[str, Any], key: str, where: str = "") -> Any:
@@ -47,57 +47,57 @@
     effect = _word(EFFECTS, _get(box, "effect", at), "classes.effect")
     return RequestClass(
         name=str(box.get("name", "")),
-        aim=_get(box, "aim-s", at),
-        give_up=_get(box, "give-up-s", at),
-        worth=_get(box, "worth", at),
-        late_share=box.get("late-share", 0.0),
-        aim_stretch=box.get("aim-stretch", 0.0),
+        latency_objective=_get(box, "aim-s", at),
+        client_timeout=_get(box, "give-up-s", at),
+        priority_weight=_get(box, "worth", at),
+        late_value=box.get("late-share", 0.0),
+        objective_per_work=box.get("aim-stretch", 0.0),
         effect=effect,
-        dedup_scope=_word(SCOPES, box.get("dedup-scope", "all"), "classes.dedup-scope"),
-        dedup_window=box.get("dedup-window-s", 0.0),
+        deduplication_scope=_word(SCOPES, box.get("dedup-scope", "all"), "classes.dedup-scope"),
+        deduplication_window=box.get("dedup-window-s", 0.0),
         stream=bool(box.get("stream", False)),
     )
 
 
-def read_settings(box: Mapping[str, Any]) -> Settings:
+def read_settings(box: Mapping[str, Any]) -> PolicySettings:
     """The start-up settings of the wire as the module's own."""
     limits, rules = _get(box, "policy-limits"), _get(box, "rules")
     domain = box.get("domain", {})
-    return Settings(
+    return PolicySettings(
         classes=tuple(_class(c) for c in _get(box, "classes")),
-        me=_get(box, "me"),
-        n_instances=_get(box, "n-instances"),
+        instance_index=_get(box, "me"),
+        instance_count=_get(box, "n-instances"),
         zone=box.get("locality", 0),
-        n_zones=len(box.get("zones") or [""]),
+        zone_count=len(box.get("zones") or [""]),
         tenants=tuple(
             Tenant(str(t.get("name", "")), t.get("fraction", 0.0), t.get("quota-per-s", 0.0))
             for t in box.get("tenants", ())
         ),
-        over_share_worth=box.get("over-share-worth", 1.0),
+        over_quota_weight=box.get("over-share-worth", 1.0),
         list_on_request=_get(box, "registry-mode") == "subscribe",
         report_fields=tuple(box.get("report", {}).get("fields", ())),
-        worth_by_work=box.get("counted-by") == "work",
+        weight_by_work=box.get("counted-by") == "work",
         warm_keys=bool(domain.get("warm-keys", False)),
-        passes_deadline=bool(domain.get("passes-deadline", True)),
+        propagates_deadline=bool(domain.get("passes-deadline", True)),
         prices=dict(box.get("prices", {})),
-        limits=Limits(
+        limits=PolicyLimits(
             max_attempts=_get(limits, "max-attempts", "policy-limits."),
-            cancelling=bool(limits.get("cancelling", False)),
+            cancellation=bool(limits.get("cancelling", False)),
             probes=bool(limits.get("probes", False)),
-            peers=bool(limits.get("peers", False)),
-            second_copies=bool(limits.get("second-copies", False)),
+            peer_messages=bool(limits.get("peers", False)),
+            hedging=bool(limits.get("second-copies", False)),
             retry_after=bool(limits.get("retry-after", False)),
             max_retry_after=limits.get("max-retry-after-s", 0.0),
             connect_timeout=limits.get("connect-timeout-s", 0.25),
         ),
-        rules=Rules(
+        rules=SafetyRules(
             answer_slack=_get(rules, "answer-slack-s", "rules."),
-            ask_within=rules.get("ask-within-s", 10.0),
+            list_poll_interval=rules.get("ask-within-s", 10.0),
             drain_grace=_get(rules, "drain-grace-s", "rules."),
-            cold_from=_get(rules, "cold-from", "rules."),
-            cold_time=_get(rules, "cold-s", "rules."),
+            slow_start_capacity=_get(rules, "cold-from", "rules."),
+            slow_start_duration=_get(rules, "cold-s", "rules."),
             overload_factor=_get(rules, "overload-factor", "rules."),
-            fall_time=_get(rules, "fall-s", "rules."),
+            overload_duration=_get(rules, "fall-s", "rules."),
         ),
     )
 
@@ -106,13 +106,13 @@
 class Deployment:
     """The settings, and what sockets need beside them: names by their numbers, and connections' times."""
 
-    settings: Settings
+    settings: PolicySettings
     zones: Mapping[str, int]
     kinds: Mapping[str, int]
     classes: Mapping[str, int]
     tenants: Mapping[str, int]
-    idle_close: float  # seconds after which a backend closes an idle connection
-    idle_most: int | None = (
+    idle_timeout: float  # seconds after which a backend closes an idle connection
+    max_idle_connections: int | None = (
         None  # idle connections kept to one backend; the platform's figure if it is not given
     )
 
@@ -129,5 +129,5 @@
         kinds=numbers(box.get("kinds", ())),
         classes=numbers(c.name for c in settings.classes),
         tenants=numbers(t.name for t in settings.tenants),
-        idle_close=float(box["policy-limits"].get("idle-close-s", IDLE_CLOSE_S)),
+        idle_timeout=float(box["policy-limits"].get("idle-close-s", DEFAULT_IDLE_TIMEOUT_S)),
     )
--- a/loadbalancer/discovery/endpoint_source.py
+++ b/loadbalancer/discovery/endpoint_source.py
@@ -5,14 +5,14 @@
 from typing import Protocol
 
 from loadbalancer.policy.events import (
-    ServerEntry,
+    EndpointEntry,
 )
 
 #: An entry for the module, and where the member listens.
-Entry = tuple[ServerEntry, tuple[str, int]]
+Entry = tuple[EndpointEntry, tuple[str, int]]
 
 
-class ListTaker(Protocol):
+class EndpointListener(Protocol):
     """Who is told of members."""
 
     def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
@@ -22,7 +22,7 @@
         """The call failed, after waiting in line where `busy`; what was listed before stands."""
 
 
-class Source(Protocol):
+class EndpointSource(Protocol):
     """Where a pool's members come from."""
 
     def watch(self, on: bool) -> None:
--- a/loadbalancer/discovery/entry_conversion.py
+++ b/loadbalancer/discovery/entry_conversion.py
@@ -9,16 +9,16 @@
 from loadbalancer.config.types import MemberTable
 from loadbalancer.discovery.endpoint_source import Entry
 from loadbalancer.policy.events import (
-    DOMAIN,
-    ServerEntry,
-    ServerState,
+    STICKY_DOMAIN_PREFIX,
+    EndpointEntry,
+    EndpointState,
 )
 
 #: Rank of the standby members of set 0: behind every set of serving ones.
 STANDBY_RANK = 1_000_000
 
 
-class Numbers:
+class NameNumbering:
     """Numbers for names as they are met; the first ones are given."""
 
     def __init__(self, names: Iterable[str]) -> None:
@@ -28,7 +28,7 @@
         return self._numbers.setdefault(name, len(self._numbers))
 
 
-class Converter:
+class EntryConverter:
     """Lists of members into entries; it remembers which ones it has seen, for those that appear later are new."""
 
     def __init__(
@@ -36,7 +36,7 @@
     ) -> None:
         """`new_are_cold`: one that was not in the first list counts as started when it appeared, unless it says
         when. `clock`: Unix time in seconds."""
-        self._zone, self._new_are_cold, self._clock = Numbers(zones), new_are_cold, clock
+        self._zone, self._new_are_cold, self._clock = NameNumbering(zones), new_are_cold, clock
         self._started: dict[str, float] | None = None  # of those in the last list
         self._redirects: dict[str, str] = {}
 
@@ -56,10 +56,10 @@
         self._started = started
         return entries
 
-    def _entry(self, member: MemberTable, started: float) -> ServerEntry:
-        state = ServerState.DRAINING if member.state == "draining" else ServerState.READY
+    def _entry(self, member: MemberTable, started: float) -> EndpointEntry:
+        state = EndpointState.DRAINING if member.state == "draining" else EndpointState.READY
         rank = member.set + (STANDBY_RANK if member.state == "standby" else 0)
-        return ServerEntry(
+        return EndpointEntry(
             member.id,
             self._zone(member.zone),
             member.cell,
@@ -77,7 +77,11 @@
     """Ids of members by the names that sticky sessions have for them, and domains, marked as such, by theirs. A stopped
     one has a name only where its sessions go elsewhere."""
     members = list(members)
-    names = {m.domain: DOMAIN + m.domain for m in members if m.domain is not None and m.state != "stopped"}
+    names = {
+        m.domain: STICKY_DOMAIN_PREFIX + m.domain
+        for m in members
+        if m.domain is not None and m.state != "stopped"
+    }
     names |= {m.route or m.id: m.id for m in members if m.state != "stopped"}
     for member in members:
         if member.state == "stopped" and member.redirect in names:
--- a/loadbalancer/discovery/overrides.py
+++ b/loadbalancer/discovery/overrides.py
@@ -18,20 +18,20 @@
 from dataclasses import dataclass, field, replace
 from typing import Callable, Literal, Mapping, Protocol
 
-from loadbalancer.discovery.endpoint_source import Entry, ListTaker
+from loadbalancer.discovery.endpoint_source import EndpointListener, Entry
 from loadbalancer.policy.events import (
-    ServerEntry,
-    ServerState,
+    EndpointEntry,
+    EndpointState,
 )
 
-Word = Literal["cordon", "drain"]
+OverrideState = Literal["cordon", "drain"]
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class AdminOverride:
     """What is said of one member of a pool. `until`: Unix seconds, 0 for no end. `address`: of an added one."""
 
-    word: Word | None = None
+    word: OverrideState | None = None
     weight: float | None = None
     until: float = 0.0
     by: str = ""
@@ -47,7 +47,7 @@
         return self.word is None and self.weight is None and self.address is None
 
 
-class Told(ListTaker, Protocol):
+class OverriddenListListener(EndpointListener, Protocol):
     """Who gets the list that both layers make."""
 
     def cordon(self, server: str, out: bool) -> None:
@@ -57,13 +57,15 @@
 @dataclass(slots=True)
 class _Layers:
     listed: dict[str, Entry] = field(default_factory=dict)  # as the source has said last
-    marks: dict[str, Mark] = field(default_factory=dict)
+    marks: dict[str, AdminOverride] = field(default_factory=dict)
 
 
-class Overlay:
+class EndpointOverrides:
     """The layers of one pool, between its source and its module. It is the taker of the source's lists."""
 
-    def __init__(self, told: Told, marks: Mapping[str, Mark], now: Callable[[], float]) -> None:
+    def __init__(
+        self, told: OverriddenListListener, marks: Mapping[str, AdminOverride], now: Callable[[], float]
+    ) -> None:
         self.told, self._now = told, now
         self._layers = _Layers(marks={name: mark for name, mark in marks.items() if not mark.is_over(now())})
         self._out: set[str] = set()  # cordoned, as the module knows it
@@ -71,7 +73,7 @@
         self._heard: dict[str, Entry] | None = None  # of a frozen source
 
     @property
-    def marks(self) -> Mapping[str, Mark]:
+    def marks(self) -> Mapping[str, AdminOverride]:
         return self._layers.marks
 
     def listed(self) -> Mapping[str, Entry]:
@@ -81,7 +83,7 @@
     def knows(self, member: str) -> bool:
         return member in self._layers.listed or self._added(member) is not None
 
-    def _added(self, member: str) -> Mark | None:
+    def _added(self, member: str) -> AdminOverride | None:
         mark = self._layers.marks.get(member)
         return mark if mark is not None and mark.address is not None else None
 
@@ -90,10 +92,10 @@
     def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
         listed = {} if whole else dict(self._layers.listed if self._heard is None else self._heard)
         for entry, address in entries:
-            if entry.state == ServerState.GONE:
-                listed.pop(entry.server, None)
+            if entry.state == EndpointState.GONE:
+                listed.pop(entry.endpoint, None)
             else:
-                listed[entry.server] = entry, address
+                listed[entry.endpoint] = entry, address
         if self.frozen:
             self._heard = listed
             return
@@ -105,7 +107,7 @@
 
     # The operators' side.
 
-    def mark(self, member: str, mark: Mark) -> None:
+    def mark(self, member: str, mark: AdminOverride) -> None:
         """Say this of a member, in place of what was said before."""
         if mark.says_nothing():
             self._layers.marks.pop(member, None)
@@ -143,17 +145,17 @@
         }
         for name, mark in layers.marks.items():
             if name not in found and mark.address is not None:
-                found[name] = self._under(ServerEntry(name, started=mark.since), mark), mark.address
+                found[name] = self._under(EndpointEntry(name, started=mark.since), mark), mark.address
         return list(found.values())
 
     @staticmethod
-    def _under(entry: ServerEntry, mark: Mark | None) -> ServerEntry:
+    def _under(entry: EndpointEntry, mark: AdminOverride | None) -> EndpointEntry:
         if mark is None:
             return entry
         if mark.weight is not None:
             entry = entry._replace(weight=mark.weight)
-        if mark.word == "drain" and entry.state == ServerState.READY:
-            entry = entry._replace(state=ServerState.DRAINING)
+        if mark.word == "drain" and entry.state == EndpointState.READY:
+            entry = entry._replace(state=EndpointState.DRAINING)
         return entry
 
     def _tell(self, stale: bool = False) -> None:
@@ -167,21 +169,21 @@
         self._out = out
 
 
-def said(
-    before: Mark | None,
+def merge_override(
+    before: AdminOverride | None,
     now: float,
     by: str,
     reason: str,
     until: float = 0.0,
     *,
-    word: Word | None = None,
+    word: OverrideState | None = None,
     weight: float | None = None,
     address: tuple[str, int] | None = None,
     lift: bool = False,
-) -> Mark:
+) -> AdminOverride:
     """What stands of a member after one more word: the rest of what was said before stays. `lift`: cordon and drain
     end."""
-    base = before or Mark()
+    base = before or AdminOverride()
     return replace(
         base,
         word=None if lift else word or base.word,
--- a/loadbalancer/discovery/platform_overrides.py
+++ b/loadbalancer/discovery/platform_overrides.py
@@ -17,7 +17,7 @@
 VERSION = 1
 
 
-class MarksError(ValueError):
+class OverridesError(ValueError):
     """What is no list of marks."""
 
 
@@ -33,21 +33,21 @@
     try:
         box = orjson.loads(data)
     except ValueError:
-        raise MarksError("not JSON; cut or foreign") from None
+        raise OverridesError("not JSON; cut or foreign") from None
     if not isinstance(box, dict) or "version" not in box:
-        raise MarksError("not a file of marks")
+        raise OverridesError("not a file of marks")
     if box["version"] != VERSION:
-        raise MarksError(f"of version {box['version']!r}; this program knows {VERSION}")
+        raise OverridesError(f"of version {box['version']!r}; this program knows {VERSION}")
     out = box.get("out")
     if not isinstance(out, dict) or not all(isinstance(at, (int, float)) for at in out.values()):
-        raise MarksError("its marks are no times by id")
+        raise OverridesError("its marks are no times by id")
     marks = {str(member): float(at) for member, at in out.items()}
     if encode(marks) != data:
-        raise MarksError("its check sum does not fit")
+        raise OverridesError("its check sum does not fit")
     return marks
 
 
-class Told(Protocol):
+class OverrideListener(Protocol):
     """Who is told of each change."""
 
     def cordon(self, server: str, out: bool) -> None: ...
@@ -58,7 +58,7 @@
 Kept = Mapping[str, float] | OSError | None
 
 
-class Keeper(Protocol):
+class OverrideStore(Protocol):
     """Where marks outlive the process."""
 
     def keep(self, change: Change, done: Callable[[Kept], None]) -> None:
@@ -81,7 +81,7 @@
             marks.pop(self.member, None)
 
 
-class Marks:
+class PlatformOverrides:
     """The members that are left out, and the ids that may be.
 
     What is in force is what is kept, and over it, in their order, the changes asked for since: a call counts at
@@ -90,13 +90,13 @@
 
     def __init__(
         self,
-        told: Told,
-        keeper: Keeper | None,
+        told: OverrideListener,
+        keeper: OverrideStore | None,
         clock: Callable[[], float],
-        complain: Callable[[str, object], None] = lambda what, problem: None,
+        logger: Callable[[str, object], None] = lambda what, problem: None,
     ) -> None:
         """`keeper`: None where marks end with the process. `clock`: Unix seconds."""
-        self.told, self._keeper, self._clock, self._complain = told, keeper, clock, complain
+        self.told, self._keeper, self._clock, self._logger = told, keeper, clock, logger
         self.out: dict[str, float] = {}
         self._kept: dict[str, float] = {}
         self._asked: list[_Asked] = []
@@ -131,11 +131,11 @@
 
     def _result(self, asked: _Asked, kept: Kept, done: Callable[[str | None], None]) -> None:
         if isinstance(kept, OSError) and asked.answered:
-            self._complain("a mark is in force here and not kept", f"{asked.member}: {kept}")
+            self._logger("a mark is in force here and not kept", f"{asked.member}: {kept}")
             return
         problem = None
         if kept is None:
-            self._complain("marks are kept late", asked.member)
+            self._logger("marks are kept late", asked.member)
         else:
             if asked in self._asked:
                 self._asked.remove(asked)
--- a/loadbalancer/discovery/static_list.py
+++ b/loadbalancer/discovery/static_list.py
@@ -9,9 +9,9 @@
 
 from loadbalancer.config.reader import ConfigError, read_members_file
 from loadbalancer.config.types import MemberTable
-from loadbalancer.discovery.endpoint_source import ListTaker
-from loadbalancer.discovery.entry_conversion import Converter, session_names
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.discovery.endpoint_source import EndpointListener
+from loadbalancer.discovery.entry_conversion import EntryConverter, session_names
+from loadbalancer.resource_limits import RateLimitedLogger
 
 #: How often a members file is looked at. A change counts once two looks have seen the same file.
 LOOK_S = 0.5
@@ -22,10 +22,10 @@
 Stamp = tuple[int, int, int]
 
 
-class ListedMembers:
+class StaticEndpoints:
     """Members as the configuration has them; a reload hands over the next list."""
 
-    def __init__(self, taker: ListTaker, sessions: Sessions, convert: Converter) -> None:
+    def __init__(self, taker: EndpointListener, sessions: Sessions, convert: EntryConverter) -> None:
         self.taker, self.sessions, self.convert = taker, sessions, convert
 
     def take(self, members: Sequence[MemberTable]) -> None:
@@ -48,7 +48,7 @@
     return status.st_mtime_ns, status.st_size, status.st_ino
 
 
-class MembersFile(ListedMembers):
+class MembersFile(StaticEndpoints):
     """Members in a file, read anew when it has changed and is still.
 
     Guards against a file that is caught half written: it is read once two looks have found it the same, whole or
@@ -56,10 +56,15 @@
     renaming is never half written; one written in place can state how many members follow (`members = 12`)."""
 
     def __init__(
-        self, taker: ListTaker, sessions: Sessions, convert: Converter, path: Path, complain: Complaints
+        self,
+        taker: EndpointListener,
+        sessions: Sessions,
+        convert: EntryConverter,
+        path: Path,
+        logger: RateLimitedLogger,
     ) -> None:
         super().__init__(taker, sessions, convert)
-        self.path, self.complain = path, complain
+        self.path, self.logger = path, logger
         self._loop = asyncio.get_running_loop()
         self._taken: Stamp | None = None  # of what was read last
         self._seen: Stamp | None = None  # at the last look
@@ -82,7 +87,7 @@
         still, self._seen = now == self._seen, now
         if now is None:
             if self._taken is not None:
-                self.complain("members file is gone", f"{self.path}; its members stay as they were")
+                self.logger("members file is gone", f"{self.path}; its members stay as they were")
                 self._taken = None
         elif still and now != self._taken and self._reading is None:
             self._taken = now
@@ -92,12 +97,12 @@
         try:
             members = await self._loop.run_in_executor(None, read_members_file, self.path)
         except ConfigError as error:
-            self.complain("members file not taken", f"{error.problems[0]}; its members stay as they were")
+            self.logger("members file not taken", f"{error.problems[0]}; its members stay as they were")
         else:
             if stamp(self.path) != wanted:  # it changed while it was read; the next look sees that
                 self._taken = None
             elif not self._closed:
-                self.complain("members file taken", f"{self.path}: {len(members)} members")
+                self.logger("members file taken", f"{self.path}: {len(members)} members")
                 self.take(members)
         finally:
             self._reading = None
--- a/loadbalancer/discovery/watch.py
+++ b/loadbalancer/discovery/watch.py
@@ -11,15 +11,15 @@
 import httptools
 
 from loadbalancer.deployment import Deployment
-from loadbalancer.discovery.endpoint_source import Entry, ListTaker
+from loadbalancer.discovery.endpoint_source import EndpointListener, Entry
 from loadbalancer.discovery.json_stream import JsonValues
 from loadbalancer.policy.events import (
-    ServerEntry,
-    ServerState,
+    EndpointEntry,
+    EndpointState,
 )
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.resource_limits import RateLimitedLogger
 
-STATES = {"SERVING": ServerState.READY, "DRAINING": ServerState.DRAINING, "DELETED": ServerState.GONE}
+STATES = {"SERVING": EndpointState.READY, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
 #: A watch sends at least an empty line every 2 s; one silent for longer is dead, though its connection
 #: may stay open. No longer than needed: drains are told behind it.
 SILENT_S = 2.5
@@ -56,7 +56,7 @@
     if state not in STATES:
         raise EntryError(f"state: {state!r}")
     host, _, port = str(box.get("addr", "")).rpartition(":")
-    if STATES[state] == ServerState.GONE:
+    if STATES[state] == EndpointState.GONE:
         address = ("", 0)
     else:
         try:
@@ -64,8 +64,8 @@
         except ValueError:
             raise EntryError(f"addr: {box.get('addr')!r}") from None
     return (
-        ServerEntry(
-            server=server,
+        EndpointEntry(
+            endpoint=server,
             zone=deployment.zones.get(box.get("zone", ""), -1),
             cell=_number(box, "cell", 0, int),
             kind=deployment.kinds.get(box.get("kind", ""), -1),
@@ -84,7 +84,7 @@
     return kind(value)
 
 
-def read_list(box: Any, deployment: Deployment, complain: Complaints) -> tuple[int, bool, list[Entry]]:
+def read_list(box: Any, deployment: Deployment, logger: RateLimitedLogger) -> tuple[int, bool, list[Entry]]:
     """Version, whether it is whole, and the entries that can be read; ValueError if it is no list."""
     if not isinstance(box, dict) or not isinstance(box.get("servers"), list):
         raise ValueError("not a list of servers")
@@ -96,17 +96,21 @@
         try:
             entries.append(read_entry(item, deployment))
         except (EntryError, TypeError) as problem:
-            complain("unreadable entry in a list", problem)
+            logger("unreadable entry in a list", problem)
     return version, box.get("full") is True, entries
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps one watch, where it is wanted."""
 
     def __init__(
-        self, proxy: ListTaker, deployment: Deployment, address: tuple[str, int], complain: Complaints
+        self,
+        proxy: EndpointListener,
+        deployment: Deployment,
+        address: tuple[str, int],
+        logger: RateLimitedLogger,
     ) -> None:
-        self.proxy, self.deployment, self.address, self.complain = proxy, deployment, address, complain
+        self.proxy, self.deployment, self.address, self.logger = proxy, deployment, address, logger
         self.pushed = not deployment.settings.list_on_request
         self.version: int | None = None  # of the list that is held
         self.current: Watch | None = None
@@ -120,9 +124,9 @@
         """Begin with the list from before; where lists are pushed nobody else asks for the watch. `held`: seconds that
         the first watch waits for `release`, at most."""
         try:
-            self.version, _, entries = read_list(known, self.deployment, self.complain)
+            self.version, _, entries = read_list(known, self.deployment, self.logger)
         except ValueError as problem:
-            self.complain("no list from before", problem)
+            self.logger("no list from before", problem)
             entries = []
         self.proxy.take_list(entries, whole=True, stale=True)
         if self.pushed and held:
@@ -166,7 +170,7 @@
         if self.pushed:
             self.watch(True)
         else:
-            wait = MOVE_SPREAD_S * self.deployment.settings.others * random.random()
+            wait = MOVE_SPREAD_S * self.deployment.settings.other_instances_share * random.random()
             self._loop.call_later(wait, self._again)
 
     def close(self) -> None:
@@ -195,7 +199,7 @@
         """The watch has ended, whatever the reason; what was listed before stands. `busy`: it had waited in line."""
         if watch is not self.current or not self.wanted:
             return
-        self.complain("watch failed", why)
+        self.logger("watch failed", why)
         self.close()
         if self.pushed:
             self._loop.call_later(AGAIN_S * random.random(), self._again)
@@ -217,7 +221,7 @@
         if watch is not self.current:
             return
         try:
-            version, full, entries = read_list(value, self.deployment, self.complain)
+            version, full, entries = read_list(value, self.deployment, self.logger)
         except ValueError as problem:
             self.missed(watch, f"unreadable list: {problem}")
             return
@@ -231,7 +235,7 @@
 class Watch(asyncio.Protocol):
     """One watch: an answer that stays open, one JSON object behind another."""
 
-    def __init__(self, discovery: Discovery) -> None:
+    def __init__(self, discovery: DiscoveryClient) -> None:
         self.discovery = discovery
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
--- a/loadbalancer/fleet/membership/events.py
+++ b/loadbalancer/fleet/membership/events.py
@@ -5,20 +5,20 @@
 from dataclasses import dataclass
 from typing import Union
 
-from loadbalancer.fleet.membership.member_state import Fact
+from loadbalancer.fleet.membership.member_state import MemberState
 from loadbalancer.fleet.settings import Address
 from loadbalancer.fleet.wire import Message, Packet
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class PacketReceived:
     """A message that a key of the fleet has sealed, and that has not come before."""
 
     packet: Packet
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class TimerExpired:
     """Time has come to `due`. All that had arrived by then was handed in before."""
 
 
@@ -28,22 +28,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class ProcessReplaced:
     """Another process has taken this one's place."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPacket:
     """Send one datagram. `to`: the receiver's life, 0 for any."""
 
     address: Address
     to: int
     message: Message
-    facts: tuple[Fact, ...]
+    facts: tuple[MemberState, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
+class SynchronizeState:
     """Give all that is known to one peer over TCP, in pieces, and hear all of its."""
 
     name: str
@@ -52,12 +52,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
+class MembershipNotice:
     """For the log."""
 
     kind: str
     text: str
 
 
-Event = Union[Arrived, Tick, Leave, Passed]
-Action = Union[Tell, Exchange, Noted]
+Event = Union[PacketReceived, TimerExpired, Leave, ProcessReplaced]
+Action = Union[SendPacket, SynchronizeState, MembershipNotice]
--- a/loadbalancer/fleet/membership/failure_detector.py
+++ b/loadbalancer/fleet/membership/failure_detector.py
@@ -6,9 +6,9 @@
 import random
 
 from loadbalancer.fleet import wire as form
-from loadbalancer.fleet.membership.member_state import Standing
+from loadbalancer.fleet.membership.member_state import MemberStatus
 from loadbalancer.fleet.membership.member_table import Peer
-from loadbalancer.fleet.membership.member_updates import Members
+from loadbalancer.fleet.membership.member_updates import MemberUpdates
 from loadbalancer.fleet.settings import Identity, Settings
 
 #: Requests of others that are open here at most; past it one asked gives way to the next.
@@ -40,7 +40,7 @@
         self.told = False  # that there is no answer yet
 
 
-class Probes(Members):
+class FailureDetector(MemberUpdates):
     """One probe at a time, in turns over all that live, each round in another order."""
 
     def __init__(self, identity: Identity, settings: Settings, source: random.Random) -> None:
@@ -67,7 +67,7 @@
         self._probe, self._help_at, self._turn_at = None, math.inf, self.now
         self._for.clear()
         for peer in self.table:
-            if peer.fact.standing == Standing.SUSPECT:
+            if peer.fact.status == MemberStatus.SUSPECT:
                 peer.suspected_at = min(self.now, peer.suspected_at + late)  # one may be of this moment
         self._rows_at = self.now
 
@@ -119,7 +119,7 @@
         chosen = self.random.sample(others, min(self.timers.helpers, len(others)))
         probe.asked = len(chosen)
         for one in chosen:
-            self._tell_peer(one, form.Ask(probe.number, probe.peer.fact.name))
+            self._tell_peer(one, form.IndirectProbe(probe.number, probe.peer.fact.name))
         # And the direct way again, with our own word: it may be that we are not known there.
         self._tell_peer(probe.peer, form.Ping(probe.number, self.table.digest, self.phase), self.me)
 
@@ -163,7 +163,7 @@
         if asker is not None:
             self._tell_peer(asker, form.Ack(asked.number, self.table.digest, self.phase))
 
-    def _on_ask(self, packet: form.Packet, message: form.Ask) -> None:
+    def _on_ask(self, packet: form.Packet, message: form.IndirectProbe) -> None:
         target = self.table.get(message.target)
         if target is None or self.table.get(packet.sender) is None:
             return
--- a/loadbalancer/fleet/membership/gossip.py
+++ b/loadbalancer/fleet/membership/gossip.py
@@ -10,7 +10,7 @@
 import math
 from typing import Iterator
 
-from loadbalancer.fleet.membership.member_state import Fact, weigh
+from loadbalancer.fleet.membership.member_state import MemberState, encoded_size
 from loadbalancer.fleet.wire import FACTS_MOST
 
 #: Times the logarithm (base 2) of the fleet that a word is told.
@@ -24,11 +24,11 @@
 class _Word:
     __slots__ = ("fact", "size", "told")
 
-    def __init__(self, fact: Fact) -> None:
-        self.fact, self.size, self.told = fact, weigh(fact), 0
+    def __init__(self, fact: MemberState) -> None:
+        self.fact, self.size, self.told = fact, encoded_size(fact), 0
 
 
-class Rumours:
+class GossipQueue:
     """By how often they were told, the latest come first among those told alike."""
 
     def __init__(self) -> None:
@@ -38,10 +38,10 @@
     def __len__(self) -> int:
         return len(self._at)
 
-    def __iter__(self) -> Iterator[Fact]:
+    def __iter__(self) -> Iterator[MemberState]:
         return (word.fact for level in self._levels for word in level.values())
 
-    def add(self, fact: Fact) -> None:
+    def add(self, fact: MemberState) -> None:
         """In the place of what was to be told of that name."""
         self.drop(fact.name)
         if len(self._at) >= WAITING_MOST:
@@ -55,7 +55,7 @@
         if level is not None:
             del self._levels[level][name]
 
-    def take(self, fleet: int, spared: int = 0, but: str = "") -> list[Fact]:
+    def take(self, fleet: int, spared: int = 0, but: str = "") -> list[MemberState]:
         """Those that go along with one message, which holds `spared` bytes of others already; each counts as told.
         `but`: the name that the receiver hears of by other means."""
         most = self.times(fleet)
--- a/loadbalancer/fleet/membership/member_state.py
+++ b/loadbalancer/fleet/membership/member_state.py
@@ -17,9 +17,9 @@
 from msgspec import Meta, Struct, msgpack
 
 #: Longest name of an instance and of a zone, in characters.
-NAME_MOST = 48
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
-Zone = Annotated[str, Meta(max_length=NAME_MOST)]
+MAX_NAME_LENGTH = 48
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+Zone = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
 Host = Annotated[str, Meta(max_length=64)]
 Port = Annotated[int, Meta(ge=0, le=65535)]
 #: 63 bits, so that any codec carries them.
@@ -28,7 +28,7 @@
 Count = Annotated[int, Meta(ge=0, lt=1 << 40)]
 
 
-class Standing(enum.IntEnum):
+class MemberStatus(enum.IntEnum):
     """What is held of an instance, the worse the greater."""
 
     ALIVE = 0
@@ -37,25 +37,25 @@
     LEFT = 3
 
 
-LIVING = (Standing.ALIVE, Standing.SUSPECT)
+LIVING = (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
 
-class Fact(Struct, frozen=True, array_like=True):
+class MemberState(Struct, frozen=True, array_like=True):
     """One word on one instance. Later builds append fields; this one passes over them."""
 
     name: Name
     boot: Boot
     life: Count
     incarnation: Count
-    standing: Standing
+    status: MemberStatus
     host: Host
     port: Port
     zone: Zone = ""
-    by: Annotated[str, Meta(max_length=NAME_MOST)] = ""  # who suspects, or holds it dead
+    reported_by: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""  # who suspects, or holds it dead
 
     @property
     def rank(self) -> tuple[int, int, int, int]:
-        return self.life, self.boot, self.incarnation, self.standing
+        return self.life, self.boot, self.incarnation, self.status
 
     @property
     def address(self) -> tuple[str, int]:
@@ -65,7 +65,7 @@
 _encoder = msgpack.Encoder()
 
 
-def weigh(fact: Fact) -> int:
+def encoded_size(fact: MemberState) -> int:
     """Bytes that it takes in a message."""
     return len(_encoder.encode(fact))
 
--- a/loadbalancer/fleet/membership/member_table.py
+++ b/loadbalancer/fleet/membership/member_table.py
@@ -13,7 +13,7 @@
 import math
 from typing import Iterator
 
-from loadbalancer.fleet.membership.member_state import DIGESTS, LIVING, Fact, Standing, digest_of
+from loadbalancer.fleet.membership.member_state import DIGESTS, LIVING, MemberState, MemberStatus, digest_of
 
 NAMES_MOST = 4_096
 #: The phase of a life that has just begun, until it says more (comeback.py).
@@ -40,7 +40,7 @@
         "try_at",
     )
 
-    def __init__(self, fact: Fact, now: float) -> None:
+    def __init__(self, fact: MemberState, now: float) -> None:
         self.fact = fact
         self.since = now  # that it stands as it does
         self.heard_at = -math.inf  # a message of its own
@@ -54,10 +54,10 @@
 
     @property
     def living(self) -> bool:
-        return self.fact.standing in LIVING
+        return self.fact.status in LIVING
 
 
-class Table:
+class MemberTable:
     """Of the others; the instance itself is counted in by `me`."""
 
     def __init__(self) -> None:
@@ -82,18 +82,18 @@
     def digest(self) -> int:
         return self._sum
 
-    def count_me(self, fact: Fact, before: Fact | None, now: float) -> None:
+    def count_me(self, fact: MemberState, before: MemberState | None, now: float) -> None:
         """The instance itself, in the place of what it was."""
         if before is not None:
             self._add(before, -1, now)
         self._add(fact, 1, now)
 
-    def _add(self, fact: Fact, sign: int, now: float) -> None:
-        if fact.standing in LIVING:
+    def _add(self, fact: MemberState, sign: int, now: float) -> None:
+        if fact.status in LIVING:
             self._sum = (self._sum + sign * digest_of(fact.name, fact.boot, fact.incarnation)) % DIGESTS
             self.changed_at = now
 
-    def take(self, fact: Fact, now: float) -> Peer | None:
+    def take(self, fact: MemberState, now: float) -> Peer | None:
         """The row that changes by this word; None where it says nothing new."""
         peer = self.peers.get(fact.name)
         if peer is None:
@@ -102,24 +102,24 @@
             return None
         before = peer.fact
         if (before.boot, before.incarnation) != (fact.boot, fact.incarnation) or peer.living != (
-            fact.standing in LIVING
+            fact.status in LIVING
         ):
             self._add(before, -1, now)
             self._add(fact, 1, now)
-        if before.standing != fact.standing or before.boot != fact.boot:
+        if before.status != fact.status or before.boot != fact.boot:
             peer.since = now
         if before.boot != fact.boot:
             peer.digest, peer.digest_at, peer.heard_at, peer.phase = -1, -math.inf, -math.inf, COMING
         was_living = peer.living
         peer.fact = fact
-        if fact.standing != Standing.SUSPECT:
+        if fact.status != MemberStatus.SUSPECT:
             peer.accusers.clear()
         if peer.living != was_living:
             self._enter(peer) if peer.living else self._leave(peer)
         return peer
 
-    def _first(self, fact: Fact, now: float) -> Peer | None:
-        if fact.standing not in LIVING:
+    def _first(self, fact: MemberState, now: float) -> Peer | None:
+        if fact.status not in LIVING:
             return None
         if len(self.peers) >= NAMES_MOST:
             self.refused += 1
--- a/loadbalancer/fleet/membership/member_updates.py
+++ b/loadbalancer/fleet/membership/member_updates.py
@@ -8,11 +8,11 @@
 from typing import Iterator, Sequence
 
 from loadbalancer.fleet import wire as form
-from loadbalancer.fleet.membership.events import Action, Exchange, Noted, Tell
-from loadbalancer.fleet.membership.gossip import Rumours
-from loadbalancer.fleet.membership.member_state import Fact, Standing, weigh
-from loadbalancer.fleet.membership.member_table import Peer, Table
-from loadbalancer.fleet.membership.suspicion import Health, lasts
+from loadbalancer.fleet.membership.events import Action, MembershipNotice, SendPacket, SynchronizeState
+from loadbalancer.fleet.membership.gossip import GossipQueue
+from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus, encoded_size
+from loadbalancer.fleet.membership.member_table import MemberTable, Peer
+from loadbalancer.fleet.membership.suspicion import LocalHealth, suspicion_timeout
 from loadbalancer.fleet.settings import Address, Identity, Settings
 
 #: Of the living, how many check a suspicion that they hear of, on the average: enough to confirm it, and not all.
@@ -23,7 +23,7 @@
 MEND_FLEET = 40
 
 
-class Members:
+class MemberUpdates:
     """The table, what is passed on, and the timers of rows."""
 
     def __init__(self, identity: Identity, settings: Settings, source: random.Random) -> None:
@@ -32,9 +32,9 @@
         self.now = self.born = -math.inf
         self.actions: list[Action] = []
         self.opening: list[Action] = []  # of a place that was taken over, before any event
-        self.table = Table()
-        self.rumours = Rumours()
-        self.health = Health(settings.timers.health_most)
+        self.table = MemberTable()
+        self.rumours = GossipQueue()
+        self.health = LocalHealth(settings.timers.health_most)
         self.counts: Counter[str] = Counter()
         self.me = self._fact(1, 0)
         self.phase = 0  # of coming back, as it is told to others
@@ -46,16 +46,16 @@
         self._gossip_at = -math.inf  # when words that wait are passed on without a probe
         self._wanted: list[Peer] = []  # to be probed before their turn
 
-    def _fact(self, life: int, incarnation: int, standing: Standing = Standing.ALIVE) -> Fact:
+    def _fact(self, life: int, incarnation: int, standing: MemberStatus = MemberStatus.ALIVE) -> MemberState:
         mine = self.identity
-        return Fact(mine.name, mine.boot, life, incarnation, standing, *mine.address, mine.zone)
+        return MemberState(mine.name, mine.boot, life, incarnation, standing, *mine.address, mine.zone)
 
     @property
     def fleet(self) -> int:
         """How many live, this instance among them."""
         return len(self.table.living) + 1
 
-    def facts(self) -> Iterator[Fact]:
+    def facts(self) -> Iterator[MemberState]:
         """All that one who exchanges with us hears: this instance first where it is in."""
         if self.inside:
             yield self.me
@@ -65,43 +65,48 @@
     # Saying.
 
     def _note(self, kind: str, text: str) -> None:
-        self.actions.append(Noted(kind, text))
+        self.actions.append(MembershipNotice(kind, text))
 
     def _hello(self) -> form.Hello:
         return form.Hello(*self.identity.address)
 
     def _tell(
-        self, address: Address, to: int, message: form.Message, first: Sequence[Fact] = (), name: str = ""
+        self,
+        address: Address,
+        to: int,
+        message: form.Message,
+        first: Sequence[MemberState] = (),
+        name: str = "",
     ) -> None:
         """With as many words as fit. `first`: those that go in any case. A hello says nothing to whoever hears it."""
-        facts: tuple[Fact, ...] = ()
-        if isinstance(message, form.Here):
+        facts: tuple[MemberState, ...] = ()
+        if isinstance(message, form.AliveNotice):
             facts = (self.me,) if self.inside else ()
-        elif not isinstance(message, (form.Hello, form.Clash)):
-            facts = (*first, *self.rumours.take(self.fleet, sum(map(weigh, first)), name))
-        self.actions.append(Tell(address, to, message, facts))
+        elif not isinstance(message, (form.Hello, form.NameConflictNotice)):
+            facts = (*first, *self.rumours.take(self.fleet, sum(map(encoded_size, first)), name))
+        self.actions.append(SendPacket(address, to, message, facts))
 
-    def _tell_peer(self, peer: Peer, message: form.Message, *further: Fact) -> None:
+    def _tell_peer(self, peer: Peer, message: form.Message, *further: MemberState) -> None:
         """The suspected and the dead hear first what is held of them."""
         fact = peer.fact
-        first = (fact, *further) if fact.standing != Standing.ALIVE else further
+        first = (fact, *further) if fact.status != MemberStatus.ALIVE else further
         self._tell(fact.address, fact.boot, message, first, fact.name)
 
     def _spread(self, count: int) -> None:
         """What is new goes to some at once, and does not wait for the next probe."""
         living = self.table.living
         for peer in self.random.sample(living, min(count, len(living))):
-            self._tell_peer(peer, form.Told())
+            self._tell_peer(peer, form.GossipReply())
 
     def _correct(self, packet: form.Packet) -> None:
         """Who speaks and does not live in this view hears so, that he may refute it. Guards, by its pause, against two
         that hold one another dead and neither of which refutes it: they would tell each other without end."""
         peer = self.table.get(packet.sender)
-        if peer is None or peer.fact.boot != packet.boot or peer.fact.standing == Standing.ALIVE:
+        if peer is None or peer.fact.boot != packet.boot or peer.fact.status == MemberStatus.ALIVE:
             return
         if self.now - peer.corrected_at >= self.timers.timeout:
             peer.corrected_at = self.now
-            self._tell_peer(peer, form.Told())
+            self._tell_peer(peer, form.GossipReply())
 
     def _exchange(self, name: str, boot: int, address: Address) -> None:
         """Not more often than the size of a whole exchange allows; one that is joining may hear several."""
@@ -109,48 +114,48 @@
         if not self.inside or self.now - self._mended_at >= rest:
             self._mended_at = self.now
             self.counts["exchanges"] += 1
-            self.actions.append(Exchange(name, boot, address))
+            self.actions.append(SynchronizeState(name, boot, address))
 
     # Taking a word.
 
-    def _take(self, fact: Fact) -> None:
+    def _take(self, fact: MemberState) -> None:
         known = self.table.get(fact.name)
         if (
             known is not None
-            and fact.standing == Standing.SUSPECT
-            and known.fact.standing == Standing.SUSPECT
+            and fact.status == MemberStatus.SUSPECT
+            and known.fact.status == MemberStatus.SUSPECT
             and fact.rank == known.fact.rank
         ):
             self._confirm(known, fact)
             return
-        was = known.fact.standing if known is not None else None
+        was = known.fact.status if known is not None else None
         peer = self.table.take(fact, self.now)
         if peer is None:
             return
         self.rumours.add(fact)
         self._turned(peer, was)
 
-    def _turned(self, peer: Peer, was: Standing | None) -> None:
+    def _turned(self, peer: Peer, was: MemberStatus | None) -> None:
         """A row has changed. `was`: None for a name that is new."""
-        standing, name = peer.fact.standing, peer.fact.name
-        if standing == Standing.SUSPECT:
+        standing, name = peer.fact.status, peer.fact.name
+        if standing == MemberStatus.SUSPECT:
             peer.suspected_at = self.now
-            peer.accusers = {peer.fact.by}
+            peer.accusers = {peer.fact.reported_by}
             self.counts["suspected"] += 1
             self._check_too(peer)
-        elif standing == Standing.DEAD:
+        elif standing == MemberStatus.DEAD:
             self.counts["died"] += 1
             peer.try_after = self.timers.try_first
             peer.try_at = self.now + peer.try_after * (0.5 + self.random.random())
-            self._note("an instance is held dead", f"{name}, by {peer.fact.by or 'others'}")
-        elif standing == Standing.LEFT:
+            self._note("an instance is held dead", f"{name}, by {peer.fact.reported_by or 'others'}")
+        elif standing == MemberStatus.LEFT:
             self._note("an instance has left", name)
         elif was is None:
             self._note("an instance has joined", f"{name} at {peer.fact.host}:{peer.fact.port}")
-        elif was in (Standing.DEAD, Standing.LEFT):
+        elif was in (MemberStatus.DEAD, MemberStatus.LEFT):
             self.counts["returned"] += 1
             self._note("an instance is back", name)
-            if was == Standing.DEAD:
+            if was == MemberStatus.DEAD:
                 self._hope()
         self._rows_at = min(self._rows_at, self._row_due(peer))
 
@@ -160,31 +165,31 @@
             return
         self._hoped_at = self.now
         for peer in self.table:
-            if peer.fact.standing == Standing.DEAD:
+            if peer.fact.status == MemberStatus.DEAD:
                 peer.try_after = self.timers.try_first
                 peer.try_at = min(peer.try_at, self.now + self.timers.try_first * self.random.random())
                 self._rows_at = min(self._rows_at, peer.try_at)
 
     def _check_too(self, peer: Peer) -> None:
         """Hearing of a suspicion, some look for themselves at once: it is confirmed, or refuted, in a period."""
-        if peer.fact.by != self.identity.name and self.random.random() < CHECKERS / self.fleet:
+        if peer.fact.reported_by != self.identity.name and self.random.random() < CHECKERS / self.fleet:
             self._wanted.append(peer)
 
-    def _confirm(self, peer: Peer, fact: Fact) -> None:
+    def _confirm(self, peer: Peer, fact: MemberState) -> None:
         """Another one suspects too; a few of them are passed on."""
-        if fact.by in peer.accusers or len(peer.accusers) > self.timers.confirmations:
+        if fact.reported_by in peer.accusers or len(peer.accusers) > self.timers.confirmations:
             return
-        peer.accusers.add(fact.by)
+        peer.accusers.add(fact.reported_by)
         self.rumours.add(fact)
         self._rows_at = min(self._rows_at, self._row_due(peer))
 
     def _suspect(self, peer: Peer) -> None:
         """A probe of our own has failed."""
         old = peer.fact
-        self._take(self._say(old, Standing.SUSPECT))
+        self._take(self._say(old, MemberStatus.SUSPECT))
 
-    def _say(self, old: Fact, standing: Standing) -> Fact:
-        return Fact(
+    def _say(self, old: MemberState, standing: MemberStatus) -> MemberState:
+        return MemberState(
             old.name,
             old.boot,
             old.life,
@@ -199,12 +204,12 @@
     # Time.
 
     def _row_due(self, peer: Peer) -> float:
-        standing = peer.fact.standing
-        if standing == Standing.SUSPECT:
-            return peer.suspected_at + lasts(self.timers, self.fleet, len(peer.accusers) - 1)
-        if standing == Standing.DEAD:
+        standing = peer.fact.status
+        if standing == MemberStatus.SUSPECT:
+            return peer.suspected_at + suspicion_timeout(self.timers, self.fleet, len(peer.accusers) - 1)
+        if standing == MemberStatus.DEAD:
             return min(peer.try_at, peer.since + self.timers.forget)
-        return peer.since + self.timers.forget if standing == Standing.LEFT else math.inf
+        return peer.since + self.timers.forget if standing == MemberStatus.LEFT else math.inf
 
     def _next_row_step(self) -> float:
         gossip = self._gossip_at if len(self.rumours) and self.table.living else math.inf
@@ -226,14 +231,14 @@
             return
         self._rows_at = math.inf
         for peer in list(self.table):
-            if peer.fact.standing != Standing.ALIVE:
+            if peer.fact.status != MemberStatus.ALIVE:
                 if self._row_due(peer) <= self.now:
                     self._row_step(peer)
                 self._rows_at = min(self._rows_at, self._row_due(peer))
 
     def _row_step(self, peer: Peer) -> None:
-        if peer.fact.standing == Standing.SUSPECT:
-            self._take(self._say(peer.fact, Standing.DEAD))
+        if peer.fact.status == MemberStatus.SUSPECT:
+            self._take(self._say(peer.fact, MemberStatus.DEAD))
         elif self.now >= peer.since + self.timers.forget:
             self.table.forget(peer.fact.name)
             peer.since = math.inf
--- a/loadbalancer/fleet/membership/name_conflicts.py
+++ b/loadbalancer/fleet/membership/name_conflicts.py
@@ -14,40 +14,40 @@
 import random
 
 from loadbalancer.fleet import wire as form
-from loadbalancer.fleet.membership.failure_detector import Probes
-from loadbalancer.fleet.membership.member_state import LIVING, Fact, Standing
+from loadbalancer.fleet.membership.failure_detector import FailureDetector
+from loadbalancer.fleet.membership.member_state import LIVING, MemberState, MemberStatus
 from loadbalancer.fleet.settings import Address, Identity, Settings
 
 #: Times the timeout that another life of our name has for an answer.
 ANSWER = 8.0
 
 
-class Namesakes(Probes):
+class NameConflicts(FailureDetector):
     """What is said of this instance's own name."""
 
     def __init__(self, identity: Identity, settings: Settings, source: random.Random) -> None:
         super().__init__(identity, settings, source)
         self.out = False  # another process has the name
-        self._rival: Fact | None = None  # another life, until it is known whether it lives
+        self._rival: MemberState | None = None  # another life, until it is known whether it lives
         self._rival_until = math.inf
 
-    def _said_of_me(self, fact: Fact) -> None:
+    def _said_of_me(self, fact: MemberState) -> None:
         mine = self.me
         if fact.boot == self.identity.boot:
-            if fact.standing != Standing.ALIVE and self.inside and fact.incarnation >= mine.incarnation:
+            if fact.status != MemberStatus.ALIVE and self.inside and fact.incarnation >= mine.incarnation:
                 self.counts["refuted"] += 1
                 self.health.worse()
                 self._become(mine.life, fact.incarnation + 1)
             return
         if (fact.life, fact.boot) < (mine.life, mine.boot) and self.inside:
             return  # a life that is over
-        if fact.standing not in LIVING or fact.address == self.identity.address:
+        if fact.status not in LIVING or fact.address == self.identity.address:
             self._succeed(fact)
         elif self._rival is None or fact.rank > self._rival.rank:
             self._rival, self._rival_until = fact, self.now + ANSWER * self.timers.timeout
             self._tell(fact.address, fact.boot, self._clash(False))
 
-    def _succeed(self, over: Fact) -> None:
+    def _succeed(self, over: MemberState) -> None:
         """The other life of our name is over; ours comes after it."""
         self._rival, self._rival_until = None, math.inf
         life = max(self.me.life, over.life + 1)
@@ -63,22 +63,22 @@
         if self._rival is not None and self.now >= self._rival_until:
             self._succeed(self._rival)
 
-    def _clash(self, answer: bool) -> form.Clash:
-        return form.Clash(self.me.life, *self.identity.address, self.inside, answer)
+    def _clash(self, answer: bool) -> form.NameConflictNotice:
+        return form.NameConflictNotice(self.me.life, *self.identity.address, self.inside, answer)
 
     def _meet_namesake(self, packet: form.Packet) -> None:
         """A message of another process under our name."""
         message = packet.message
         if packet.boot == self.identity.boot:
             return
-        if isinstance(message, form.Clash) and packet.to == self.identity.boot:
+        if isinstance(message, form.NameConflictNotice) and packet.to == self.identity.boot:
             self._on_clash(packet, message)
         elif isinstance(message, form.Hello) and self.inside:
             address = message.host, message.port
             if address != self.identity.address:  # else it was sent before we began
                 self._stay(packet.boot, address, True)
 
-    def _on_clash(self, packet: form.Packet, message: form.Clash) -> None:
+    def _on_clash(self, packet: form.Packet, message: form.NameConflictNotice) -> None:
         if packet.sender != self.identity.name:
             return
         self._rival, self._rival_until = None, math.inf
@@ -136,7 +136,7 @@
         self._spread(self.timers.helpers)
 
     def _spread_leaving(self) -> None:
-        gone = self._fact(self.me.life, self.me.incarnation, Standing.LEFT)
+        gone = self._fact(self.me.life, self.me.incarnation, MemberStatus.LEFT)
         self.table.count_me(gone, self.me, self.now)
         self.me, self.inside = gone, False
         self.rumours.add(gone)
--- a/loadbalancer/fleet/membership/suspicion.py
+++ b/loadbalancer/fleet/membership/suspicion.py
@@ -18,7 +18,7 @@
     return least, least * timers.patience
 
 
-def lasts(timers: Timers, fleet: int, confirmed: int) -> float:
+def suspicion_timeout(timers: Timers, fleet: int, confirmed: int) -> float:
     """Seconds from its begin that a suspicion lasts which `confirmed` others share."""
     least, most = bounds(timers, fleet)
     wanted = min(timers.confirmations, fleet - 2)
@@ -28,7 +28,7 @@
     return max(least, most - (most - least) * part)
 
 
-class Health:
+class LocalHealth:
     """How far an instance doubts itself: 0 not at all."""
 
     def __init__(self, most: int) -> None:
--- a/loadbalancer/fleet/membership/view.py
+++ b/loadbalancer/fleet/membership/view.py
@@ -28,9 +28,16 @@
 from typing import Any, Callable, Sequence
 
 from loadbalancer.fleet import wire as form
-from loadbalancer.fleet.membership.events import Action, Arrived, Event, Leave, Passed, Tick
-from loadbalancer.fleet.membership.member_state import Fact, Standing
-from loadbalancer.fleet.membership.name_conflicts import Namesakes
+from loadbalancer.fleet.membership.events import (
+    Action,
+    Event,
+    Leave,
+    PacketReceived,
+    ProcessReplaced,
+    TimerExpired,
+)
+from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.membership.name_conflicts import NameConflicts
 from loadbalancer.fleet.settings import Identity, Settings
 
 #: A seed that is not known to live is called this many times more rarely once an instance is no longer young.
@@ -38,7 +45,7 @@
 YOUNG_S = 30.0
 
 
-class View(Namesakes):
+class MembershipView(NameConflicts):
     """One instance's. `handle` takes what happened; `due` is when it wants a Tick."""
 
     def __init__(self, identity: Identity, settings: Settings, seed: int) -> None:
@@ -46,20 +53,20 @@
         self.gone = False
         self._hello_at = self._join_by = -math.inf
         self._react: dict[type, Callable[[Any], None]] = {
-            Arrived: self._on_arrived,
-            Tick: self._on_tick,
+            PacketReceived: self._on_arrived,
+            TimerExpired: self._on_tick,
             Leave: self._on_leave,
-            Passed: self._on_passed,
+            ProcessReplaced: self._on_passed,
         }
         self._hear: dict[type, Callable[[form.Packet, Any], None]] = {
             form.Hello: self._on_hello,
-            form.Here: self._on_here,
+            form.AliveNotice: self._on_here,
             form.Ping: self._on_ping,
             form.Ack: self._on_ack,
-            form.Ask: self._on_ask,
+            form.IndirectProbe: self._on_ask,
             form.Nack: self._on_nack,
-            form.Told: self._on_told,
-            form.Clash: self._on_clash,
+            form.GossipReply: self._on_told,
+            form.NameConflictNotice: self._on_clash,
             form.Piece: self._on_piece,
         }
 
@@ -92,7 +99,7 @@
             return min(due, self._next_probe_step(), self._next_row_step())
         return due if self.out or self._rival is not None else min(due, self._join_by)
 
-    def resume(self, now: float, life: int, facts: Sequence[Fact]) -> list[Action]:
+    def resume(self, now: float, life: int, facts: Sequence[MemberState]) -> list[Action]:
         """Take the place of the process before, which has passed it on (`pass_on`): the next life of the name, known
         to all at once, and no death in between."""
         self._begin(now)
@@ -103,13 +110,13 @@
         self._enter(life + 1)
         return self.actions
 
-    def pass_on(self) -> tuple[int, list[Fact]]:
+    def pass_on(self) -> tuple[int, list[MemberState]]:
         """What a successor goes on from: the number of this life, and the others."""
         return self.me.life, [peer.fact for peer in self.table]
 
     # Time.
 
-    def _on_tick(self, event: Tick) -> None:
+    def _on_tick(self, event: TimerExpired) -> None:
         self._look_for_rival()
         if not self.inside and not self.out and self._rival is None and self.now >= self._join_by:
             self._enter(self.me.life)
@@ -133,7 +140,7 @@
 
     # What arrives.
 
-    def _on_arrived(self, event: Arrived) -> None:
+    def _on_arrived(self, event: PacketReceived) -> None:
         packet = event.packet
         if self.gone:
             return
@@ -159,13 +166,13 @@
         elif (peer := self.table.get(packet.sender)) is not None and packet.to != 0:
             self._tell(peer.fact.address, packet.boot, self._here())
 
-    def _here(self) -> form.Here:
-        return form.Here(*self.identity.address, self.phase)
+    def _here(self) -> form.AliveNotice:
+        return form.AliveNotice(*self.identity.address, self.phase)
 
     def _on_hello(self, packet: form.Packet, message: form.Hello) -> None:
         self._tell((message.host, message.port), packet.boot, self._here())
 
-    def _on_here(self, packet: form.Packet, message: form.Here) -> None:
+    def _on_here(self, packet: form.Packet, message: form.AliveNotice) -> None:
         """One that is there and does not live in this view, or lives in another life: hear all of it."""
         peer = self.table.get(packet.sender)
         if peer is not None and peer.fact.boot == packet.boot:
@@ -174,7 +181,7 @@
             self._exchange(packet.sender, packet.boot, (message.host, message.port))
         self._correct(packet)
 
-    def _on_told(self, packet: form.Packet, message: form.Told) -> None:
+    def _on_told(self, packet: form.Packet, message: form.GossipReply) -> None:
         self._correct(packet)
 
     def _on_piece(self, packet: form.Packet, message: form.Piece) -> None:
@@ -183,7 +190,7 @@
             self._enter(self.me.life)
         self._correct(packet)
 
-    def _weigh(self, fact: Fact, exchanged: bool) -> None:
+    def _weigh(self, fact: MemberState, exchanged: bool) -> None:
         if fact.name == self.identity.name:
             self._said_of_me(fact)
             return
@@ -192,10 +199,10 @@
             exchanged
             and known is not None
             and known.living
-            and fact.standing == Standing.DEAD
+            and fact.status == MemberStatus.DEAD
             and (fact.life, fact.boot) == (known.fact.life, known.fact.boot)
         ):
-            fact = self._say(fact, Standing.SUSPECT)  # rule 3
+            fact = self._say(fact, MemberStatus.SUSPECT)  # rule 3
         self._take(fact)
 
     # Leaving.
@@ -205,6 +212,6 @@
             self._spread_leaving()
         self.gone = True
 
-    def _on_passed(self, event: Passed) -> None:
+    def _on_passed(self, event: ProcessReplaced) -> None:
         """A successor has the place; it says so itself."""
         self.gone = True
--- a/loadbalancer/fleet/orchestration/fleet_size.py
+++ b/loadbalancer/fleet/orchestration/fleet_size.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class SizeEstimate:
     """A number with its age and its standing. `standing`: "configured", "settled", "moving" (towards it, or the view
     has not settled), "cut off"."""
 
@@ -36,7 +36,7 @@
     age_s: float  # since a settled view last bore it out
 
 
-class Share:
+class FleetSize:
     """One instance's."""
 
     def __init__(self, configured: int, believe_s: float = BELIEVE_S, step_s: float = STEP_S) -> None:
@@ -48,7 +48,7 @@
         self._seen, self._seen_at = 0, 0.0  # a settled view that is not believed yet
         self._moved_at = -math.inf
 
-    def look(self, now: float, living: int, settled: bool) -> Count:
+    def look(self, now: float, living: int, settled: bool) -> SizeEstimate:
         """`living`: instances in the view, this one among them. `settled`: it has, and they agree."""
         if not settled:
             if self.standing != "configured":
@@ -59,7 +59,7 @@
         else:
             self.standing = "cut off"
         self._move(now)
-        return Count(self.number, self.standing, max(0.0, now - self._borne_at))
+        return SizeEstimate(self.number, self.standing, max(0.0, now - self._borne_at))
 
     def _believes(self, now: float, living: int) -> bool:
         if 2 * living > self.settled:
--- a/loadbalancer/fleet/orchestration/recovery.py
+++ b/loadbalancer/fleet/orchestration/recovery.py
@@ -36,7 +36,7 @@
 KNOW_S = 0.6
 
 
-class Phase(enum.IntEnum):
+class RecoveryPhase(enum.IntEnum):
     """As instances tell it one another; 0 is a build that says nothing, and counts as full."""
 
     UNKNOWN = 0
@@ -48,11 +48,11 @@
 
 
 def is_full(phase: int) -> bool:
-    return phase in (Phase.UNKNOWN, Phase.FULL)
+    return phase in (RecoveryPhase.UNKNOWN, RecoveryPhase.FULL)
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class RecoveryObservation:
     """What an instance sees of itself and the others. `full`, `coming`: names of others that live, by what they say;
     `silent`: how many others live that have not said."""
 
@@ -67,35 +67,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learn:
+class LearnFromPeers:
     """Ask these survivors for what they have learnt, the first ones first."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class ConnectionPace:
     """Open so many connections a second at most; None ends it."""
 
     per_member_s: float | None
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
+class PhaseChanged:
     """A phase has begun. `took`: seconds of the one before; `why` that ended."""
 
-    phase: Phase
+    phase: RecoveryPhase
     took: float
     why: str
 
 
 @dataclass
-class Comeback:
+class RecoveryCoordinator:
     """One start of one instance."""
 
     name: str
     began: float
-    phase: Phase = Phase.FINDING
+    phase: RecoveryPhase = RecoveryPhase.FINDING
     kind: str = ""
     since: float = 0.0
     times: list[tuple[str, float, str]] = field(
@@ -115,33 +115,40 @@
         """Those asked have answered, or will not."""
         self._told = True
 
-    def look(self, now: float, seen: Seen) -> list[Learn | Pace | Turned]:
+    def look(
+        self, now: float, seen: RecoveryObservation
+    ) -> list[LearnFromPeers | ConnectionPace | PhaseChanged]:
         """Call it some times a second until the phase is full, and as often as one likes after that."""
-        found: list[Learn | Pace | Turned] = []
-        if self.phase == Phase.FINDING and seen.inside:
+        found: list[LearnFromPeers | ConnectionPace | PhaseChanged] = []
+        if self.phase == RecoveryPhase.FINDING and seen.inside:
             self.kind = kind_of(seen)
-            found.append(self._turn(now, Phase.STATE, "a place in the view"))
+            found.append(self._turn(now, RecoveryPhase.STATE, "a place in the view"))
             if self.kind == "mass":
-                found.append(Pace(1.0))
-        if self.phase in (Phase.STATE, Phase.LEARNING, Phase.WARMING) and self.kind != "mass":
+                found.append(ConnectionPace(1.0))
+        if (
+            self.phase in (RecoveryPhase.STATE, RecoveryPhase.LEARNING, RecoveryPhase.WARMING)
+            and self.kind != "mass"
+        ):
             self.kind = kind_of(seen)
             if self.kind == "mass":
-                found.append(Pace(1.0))  # ahead of its first request
-        if self.phase == Phase.STATE and seen.may_act:
-            found.append(self._turn(now, Phase.LEARNING, "may act"))
-        if self.phase == Phase.LEARNING:
+                found.append(ConnectionPace(1.0))  # ahead of its first request
+        if self.phase == RecoveryPhase.STATE and seen.may_act:
+            found.append(self._turn(now, RecoveryPhase.LEARNING, "may act"))
+        if self.phase == RecoveryPhase.LEARNING:
             found += self._learning(now, seen)
-        if self.phase == Phase.WARMING:
+        if self.phase == RecoveryPhase.WARMING:
             found += self._warming(now, seen)
         return found
 
-    def _turn(self, now: float, phase: Phase, why: str) -> Turned:
+    def _turn(self, now: float, phase: RecoveryPhase, why: str) -> PhaseChanged:
         took = now - self.since
         self.times.append((self.phase.name.lower(), round(took, 3), why))
         self.phase, self.since = phase, now
-        return Turned(phase, took, why)
+        return PhaseChanged(phase, took, why)
 
-    def _learning(self, now: float, seen: Seen) -> list[Learn | Pace | Turned]:
+    def _learning(
+        self, now: float, seen: RecoveryObservation
+    ) -> list[LearnFromPeers | ConnectionPace | PhaseChanged]:
         if not self._asked:
             if seen.silent and not seen.full and now < self.since + KNOW_S:
                 return []
@@ -149,7 +156,7 @@
                 return []  # survivors are few, and each of us has a turn
             self._asked = True
             if seen.full:
-                return [Learn(choose(self.name, seen.full))]
+                return [LearnFromPeers(choose(self.name, seen.full))]
             return self._warm(now, seen, "nobody is there who could tell")
         if self._told:
             return self._warm(now, seen, "survivors have told")
@@ -157,12 +164,16 @@
             return self._warm(now, seen, "survivors have not told in time")
         return []
 
-    def _warm(self, now: float, seen: Seen, why: str) -> list[Learn | Pace | Turned]:
-        turned = self._turn(now, Phase.WARMING, why)
+    def _warm(
+        self, now: float, seen: RecoveryObservation, why: str
+    ) -> list[LearnFromPeers | ConnectionPace | PhaseChanged]:
+        turned = self._turn(now, RecoveryPhase.WARMING, why)
         self._last, self._window_at = (seen.served, seen.ended), now
         return [turned]
 
-    def _warming(self, now: float, seen: Seen) -> list[Learn | Pace | Turned]:
+    def _warming(
+        self, now: float, seen: RecoveryObservation
+    ) -> list[LearnFromPeers | ConnectionPace | PhaseChanged]:
         if now < self._window_at + WINDOW_S:
             return []
         served, ended = seen.served - self._last[0], seen.ended - self._last[1]
@@ -173,7 +184,7 @@
             why = "full service" if whole else "not full in time"
             if whole:
                 self.full_after = now - self.began - FULL_S  # it had begun before it was sure
-            return [self._turn(now, Phase.FULL, why), Pace(None)]
+            return [self._turn(now, RecoveryPhase.FULL, why), ConnectionPace(None)]
         return []
 
     def report(self, now: float) -> dict[str, Any]:
@@ -187,7 +198,7 @@
         }
 
 
-def kind_of(seen: Seen) -> str:
+def kind_of(seen: RecoveryObservation) -> str:
     if not seen.full and not seen.coming and not seen.silent:
         return "alone" if seen.kept else "first"
     return "mass" if seen.coming and len(seen.coming) >= len(seen.full) else "lone"
--- a/loadbalancer/fleet/orchestration/rolling_restart.py
+++ b/loadbalancer/fleet/orchestration/rolling_restart.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class MemberRestart:
     """One instance, as the view has it now."""
 
     boot: int
@@ -28,13 +28,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class RestartMember:
     """Restart this one."""
 
     name: str
 
 
-class Restart:
+class RollingRestart:
     """One pass over the fleet."""
 
     def __init__(self, me: str, names: Sequence[str], group: int, now: float) -> None:
@@ -50,7 +50,7 @@
     def over(self) -> bool:
         return bool(self.halted) or not self.groups
 
-    def look(self, now: float, lives: Mapping[str, Life]) -> list[Begin]:
+    def look(self, now: float, lives: Mapping[str, MemberRestart]) -> list[RestartMember]:
         if self.over:
             return []
         group = self.groups[0]
@@ -67,9 +67,11 @@
             return []
         self._before = {name: lives[name].boot for name in group}
         self._since = now
-        return [Begin(name) for name in group]
+        return [RestartMember(name) for name in group]
 
-    def _wait(self, now: float, group: Sequence[str], lives: Mapping[str, Life]) -> list[Begin]:
+    def _wait(
+        self, now: float, group: Sequence[str], lives: Mapping[str, MemberRestart]
+    ) -> list[RestartMember]:
         late = [name for name in group if not self._is_back(name, lives)]
         if not late:
             self.done += self.groups.pop(0)
@@ -78,6 +80,6 @@
             self.halted = f"not back in {GROUP_S:.0f} s: {', '.join(late)}"
         return []
 
-    def _is_back(self, name: str, lives: Mapping[str, Life]) -> bool:
+    def _is_back(self, name: str, lives: Mapping[str, MemberRestart]) -> bool:
         life = lives.get(name)
         return life is not None and life.living and life.full and life.boot != self._before[name]
--- a/loadbalancer/fleet/orchestration/rollout.py
+++ b/loadbalancer/fleet/orchestration/rollout.py
@@ -54,7 +54,7 @@
     old_bad: float = 0.0
 
 
-class Plan(Struct, array_like=True):
+class RolloutPlan(Struct, array_like=True):
     """As it stands."""
 
     id: str
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class StageReport:
     """What an instance says of itself: `runs` "old", "new", or "" while it changes; `has`: it has the file and finds it
     good; `refused`: why not. Requests since the stage began: all, and those refused or failed."""
 
@@ -79,7 +79,7 @@
     bad: int
 
     @classmethod
-    def read(cls, text: str, plan: str) -> Report | None:
+    def read(cls, text: str, plan: str) -> StageReport | None:
         """From a card; None for one of another plan, or none."""
         parts = text.split("|", 5)
         if len(parts) != 6 or parts[0] != plan:
@@ -94,12 +94,12 @@
         return f"{plan}|{self.runs}|{int(self.has)}|{self.requests}|{self.bad}|"[:60] + self.refused[:60]
 
 
-def order(plan: Plan, names: Collection[str]) -> list[str]:
+def order(plan: RolloutPlan, names: Collection[str]) -> list[str]:
     """Who takes it up first; another draw for each plan."""
     return sorted(names, key=lambda name: blake3(f"{plan.id}/{name}".encode()).digest())
 
 
-def step_of(plan: Plan, names: Collection[str]) -> list[str]:
+def step_of(plan: RolloutPlan, names: Collection[str]) -> list[str]:
     """Those that run the new file in this stage."""
     whole = order(plan, names)
     if plan.stage in ("all", "done"):
@@ -109,20 +109,24 @@
     return whole[:1] if plan.stage == "one" else []
 
 
-def wants_new(plan: Plan, name: str, names: Collection[str], runs: str) -> bool:
+def wants_new(plan: RolloutPlan, name: str, names: Collection[str], runs: str) -> bool:
     """Whether an instance is to run the new file now. A halted plan leaves each as it is."""
     if plan.stage == "halted":
         return runs == "new"
     return name in step_of(plan, {*names, name})
 
 
-def bad_share(reports: Collection[Report]) -> tuple[float, int]:
+def bad_share(reports: Collection[StageReport]) -> tuple[float, int]:
     requests = sum(one.requests for one in reports)
     return sum(one.bad for one in reports) / max(1, requests), requests
 
 
 def follows(
-    plan: Plan, reports: Mapping[str, Report], living: Collection[str], dead: Collection[str], lasted: float
+    plan: RolloutPlan,
+    reports: Mapping[str, StageReport],
+    living: Collection[str],
+    dead: Collection[str],
+    lasted: float,
 ) -> StageBody | None:
     """The stage that follows; None where it is to go on. `lasted`: seconds since this one began. `dead`: names that the
     fleet counts with and that do not live."""
@@ -139,7 +143,7 @@
 
 
 def _checked(
-    plan: Plan, heard: Mapping[str, Report], living: Collection[str], lasted: float
+    plan: RolloutPlan, heard: Mapping[str, StageReport], living: Collection[str], lasted: float
 ) -> StageBody | None:
     for name, report in sorted(heard.items()):
         if report.refused:
@@ -153,7 +157,11 @@
 
 
 def _stepped(
-    plan: Plan, heard: Mapping[str, Report], living: Collection[str], dead: Collection[str], lasted: float
+    plan: RolloutPlan,
+    heard: Mapping[str, StageReport],
+    living: Collection[str],
+    dead: Collection[str],
+    lasted: float,
 ) -> StageBody | None:
     step = step_of(plan, {*living, *dead})
     new = [heard[name] for name in step if name in heard and heard[name].runs == "new"]
--- a/loadbalancer/fleet/replay_window.py
+++ b/loadbalancer/fleet/replay_window.py
@@ -19,7 +19,7 @@
 NAMES_MOST = 8_192
 
 
-class Window:
+class ReplayWindow:
     """The numbers of one sender's life."""
 
     __slots__ = ("latest", "seen")
@@ -41,11 +41,11 @@
         return True
 
 
-class Replays:
+class ReplayProtection:
     """All senders'. Bounded: the name that was longest silent is forgotten first."""
 
     def __init__(self) -> None:
-        self._names: OrderedDict[str, OrderedDict[int, Window]] = OrderedDict()
+        self._names: OrderedDict[str, OrderedDict[int, ReplayWindow]] = OrderedDict()
 
     def take(self, sender: str, boot: int, number: int) -> bool:
         """Whether the message is new; from then on it is not."""
@@ -58,7 +58,7 @@
             self._names.move_to_end(sender)
         window = lives.get(boot)
         if window is None:
-            window = lives[boot] = Window()
+            window = lives[boot] = ReplayWindow()
             if len(lives) > LIVES_MOST:
                 lives.popitem(last=False)
         return window.take(number)
--- a/loadbalancer/fleet/replication/commit_tracking.py
+++ b/loadbalancer/fleet/replication/commit_tracking.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holds:
+class CommitStatus:
     """`missing`: who has not confirmed. `until`: seconds left by which their time is over; None where it never is."""
 
     holds: bool
@@ -24,7 +24,7 @@
     until: float | None
 
 
-class Confirming:
+class CommitTracker:
     """One change that stands."""
 
     def __init__(
@@ -34,7 +34,9 @@
         self.version, self.accepted_at, self.lessees = version, accepted_at, lessees
         self.lasts, self.serves = lasts, serves
 
-    def look(self, now: float, at: Mapping[str, int], known: Collection[str], left: Collection[str]) -> Holds:
+    def look(
+        self, now: float, at: Mapping[str, int], known: Collection[str], left: Collection[str]
+    ) -> CommitStatus:
         """`at`: the versions that instances say they act on. `known`: names of the view, but for those that have left
         (`left`)."""
         wanted = (set(known) if self.lessees is None or self.serves else set(self.lessees)) - set(left)
@@ -42,6 +44,6 @@
         remains = max(0.0, self.accepted_at + self.lasts - now)
         over = remains == 0.0 and not self.serves
         if self.lessees is None and not self.serves and not over:
-            return Holds(False, missing, remains)
+            return CommitStatus(False, missing, remains)
         holds = not missing or over
-        return Holds(holds, missing, 0.0 if holds else None if self.serves else remains)
+        return CommitStatus(holds, missing, 0.0 if holds else None if self.serves else remains)
--- a/loadbalancer/fleet/replication/epochs.py
+++ b/loadbalancer/fleet/replication/epochs.py
@@ -4,10 +4,10 @@
 
 from typing import Any, Sequence
 
-from loadbalancer.discovery.overrides import Mark
+from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.orchestration.rollout import PlanBody, StageBody
 from loadbalancer.fleet.replication.replicated_state import (
-    Change,
+    Command,
     FreezeBody,
     MarkBody,
     MoveBody,
@@ -43,7 +43,7 @@
         }
 
 
-def describe(change: Change) -> str:
+def describe(change: Command) -> str:
     """A change in a line."""
     try:
         body = read_body(change)
@@ -67,7 +67,7 @@
     return "nothing"
 
 
-def _word(mark: Mark | None) -> str:
+def _word(mark: AdminOverride | None) -> str:
     if mark is None:
         return "lifted"
     return mark.word or (f"weight {mark.weight:g}" if mark.weight is not None else "added")
--- a/loadbalancer/fleet/replication/lease.py
+++ b/loadbalancer/fleet/replication/lease.py
@@ -33,7 +33,7 @@
     heard: dict[str, int] = field(default_factory=dict)  # the greatest version that each voter has named
 
 
-class Fence:
+class Lease:
     """One instance's. Times in seconds on the clock of rule 2."""
 
     def __init__(self, stale_most: float, serves: bool) -> None:
--- a/loadbalancer/fleet/replication/messages.py
+++ b/loadbalancer/fleet/replication/messages.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-from loadbalancer.fleet.replication.replicated_state import Change
+from loadbalancer.fleet.replication.replicated_state import Command
 
 Number = Annotated[int, Meta(ge=0, lt=1 << 40)]
 #: The round, and who asks in it: no two proposers share a ballot.
@@ -29,13 +29,13 @@
     ok: bool
     held: Ballot
     accepted: Ballot
-    change: Change | None
+    change: Command | None
 
 
 class Accept(Struct, frozen=True, array_like=True, tag=22):
     slot: Number
     ballot: Ballot
-    change: Change
+    change: Command
 
 
 class Accepted(Struct, frozen=True, array_like=True, tag=23):
@@ -52,24 +52,24 @@
 
 class Decided(Struct, frozen=True, array_like=True, tag=24):
     version: Number
-    change: Change
+    change: Command
 
 
-class At(Struct, frozen=True, array_like=True, tag=25):
+class VersionAnnouncement(Struct, frozen=True, array_like=True, tag=25):
     """This instance acts on this version. `card`: what else it runs under, for people."""
 
     version: Number
     card: dict[Annotated[str, Meta(max_length=64)], Annotated[str, Meta(max_length=64)]] = {}
 
 
-class Renew(Struct, frozen=True, array_like=True, tag=26):
+class LeaseRequest(Struct, frozen=True, array_like=True, tag=26):
     """May I go on?"""
 
     number: Number
     version: Number
 
 
-class Renewed(Struct, frozen=True, array_like=True, tag=27):
+class LeaseGrant(Struct, frozen=True, array_like=True, tag=27):
     """`top`: the greatest version that this voter knows of, also one that is not decided yet."""
 
     number: Number
@@ -77,14 +77,14 @@
     clock: float
 
 
-class Greet(Struct, frozen=True, array_like=True, tag=28):
+class VoterGreeting(Struct, frozen=True, array_like=True, tag=28):
     """This is where my votes are kept. `generation`: how often that store was opened."""
 
     store: Annotated[str, Meta(max_length=40)]
     generation: Number
 
 
-class Greeted(Struct, frozen=True, array_like=True, tag=29):
+class VoterGreetingReply(Struct, frozen=True, array_like=True, tag=29):
     """`ok`: nothing is known that speaks against it; else `why`."""
 
     store: Annotated[str, Meta(max_length=40)]
@@ -93,7 +93,7 @@
     why: Annotated[str, Meta(max_length=200)] = ""
 
 
-class Want(Struct, frozen=True, array_like=True, tag=30):
+class StateRequest(Struct, frozen=True, array_like=True, tag=30):
     """All changes past `version`; or, where those are not held any more, the state. `digest` and `offset`: a state of
     which so much has come already."""
 
@@ -102,15 +102,15 @@
     offset: Number = 0
 
 
-class Entries(Struct, frozen=True, array_like=True, tag=31):
+class LogEntries(Struct, frozen=True, array_like=True, tag=31):
     """Changes in order, the first that of version `first`. `last`: nothing follows."""
 
     first: Number
-    changes: tuple[Change, ...]
+    changes: tuple[Command, ...]
     last: bool
 
 
-class Slice(Struct, frozen=True, array_like=True, tag=32):
+class SnapshotChunk(Struct, frozen=True, array_like=True, tag=32):
     """Bytes of a whole state from `offset` on, of `size` in all."""
 
     version: Number
@@ -120,32 +120,43 @@
     data: bytes
 
 
-class Asked(Struct, frozen=True, array_like=True, tag=33):
+class QueryRequest(Struct, frozen=True, array_like=True, tag=33):
     """What operators want to read of this instance, from another; `what` as operators' calls have it."""
 
     what: Annotated[str, Meta(max_length=200)]
 
 
-class Answered(Struct, frozen=True, array_like=True, tag=34):
+class QueryResponse(Struct, frozen=True, array_like=True, tag=34):
     """JSON."""
 
     body: bytes
 
 
-Ruling = Union[Prepare, Promise, Accept, Accepted, Decided, At, Renew, Renewed, Greet, Greeted]
-Streamed = Union[Want, Entries, Slice, Asked, Answered]
+ReplicationMessage = Union[
+    Prepare,
+    Promise,
+    Accept,
+    Accepted,
+    Decided,
+    VersionAnnouncement,
+    LeaseRequest,
+    LeaseGrant,
+    VoterGreeting,
+    VoterGreetingReply,
+]
+StreamMessage = Union[StateRequest, LogEntries, SnapshotChunk, QueryRequest, QueryResponse]
 
 
-class Vote(Struct, array_like=True):
+class AcceptorState(Struct, array_like=True):
     """What a voter keeps on disk for the next version before it answers."""
 
     slot: int
     promised: Ballot
     accepted: Ballot
-    change: Change | None
+    change: Command | None
 
 
-class Met(Struct, array_like=True):
+class ObservedStore(Struct, array_like=True):
     """A voter's store as another one has met it."""
 
     store: str
--- a/loadbalancer/fleet/replication/replica.py
+++ b/loadbalancer/fleet/replication/replica.py
@@ -4,7 +4,7 @@
 Rules:
 
 1. A version is decided once a majority of the roster of the version before it has accepted one change under one ballot.
-2. A voter answers only once its answer is kept (`Keep`), and votes for the version next to the last that it knows.
+2. A voter answers only once its answer is kept (`Persist`), and votes for the version next to the last that it knows.
 3. A proposer takes up what it finds accepted under the greatest ballot; its own change waits for a later version.
 4. A voter whose store was lost, or is older than others have met, does not vote until the roster has it anew (rule 5).
 5. Its new store is put on the roster by a change that a majority accepts without it.
@@ -21,107 +21,113 @@
 from typing import Callable, Mapping, Union
 
 from loadbalancer.fleet.replication import messages as form
-from loadbalancer.fleet.replication.messages import NO_BALLOT, Ballot, Met, Ruling, Vote
+from loadbalancer.fleet.replication.messages import (
+    NO_BALLOT,
+    AcceptorState,
+    Ballot,
+    ObservedStore,
+    ReplicationMessage,
+)
 from loadbalancer.fleet.replication.replicated_state import (
-    NOTHING,
-    Change,
+    NO_OPERATION,
+    Command,
+    ReplicatedState,
     RosterBody,
-    Said,
     StateError,
     write_body,
 )
 
 #: Seconds after which a question that was not answered is asked again, and a ballot is given up.
-AGAIN_S, BALLOT_S = 0.1, 0.6
+RETRY_INTERVAL_S, BALLOT_TIMEOUT_S = 0.1, 0.6
 #: Between two ballots of one proposer: drawn, and longer with each, so that two do not chase one another.
-BACK_S, BACK_MOST_S = 0.02, 0.4
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.4
 #: What is accepted and not decided for so long is finished by who holds it, after a draw of as much again.
-HANGS_S = 0.5
+UNDECIDED_TIMEOUT_S = 0.5
 #: Changes of this instance that wait for their turn.
-WAITING_MOST = 256
+MAX_QUEUED_COMMANDS = 256
 #: Changes that are held for who is behind; past it the whole state is given.
-KEPT = 1024
+RETAINED_COMMANDS = 1024
 #: Seconds between two words on the version to some others, where nothing changes.
-TELL_S = 1.0
+ANNOUNCE_INTERVAL_S = 1.0
 #: Between two calls to greet a voter that has not answered: nothing can be decided by this one before.
-GREET_S = 0.1
+GREETING_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
     """An operator's change. `if_version`: only if it comes right after this one. `until`: when it is given up."""
 
-    change: Change
+    change: Command
     until: float
     if_version: int = -1
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     sender: str
-    message: Ruling
+    message: ReplicationMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Tock:
+class TimerExpired:
     """Time has come to `due`. `living`: the names that the view holds alive, without this one's."""
 
     living: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Caught:
+class CommandsReceived:
     """Changes past the version of this instance, in order, that another one has decided upon."""
 
     first: int
-    changes: tuple[Change, ...]
+    changes: tuple[Command, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class CaughtWhole:
+class SnapshotReceived:
     """A whole state, checked by its digest."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     to: str
-    message: Ruling
+    message: ReplicationMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class Persist:
     """Put on disk; then say. `vote`, `met`: None leaves what was there."""
 
-    vote: Vote | None
-    met: tuple[str, Met] | None
-    then: tuple[Say, ...]
+    vote: AcceptorState | None
+    met: tuple[str, ObservedStore] | None
+    then: tuple[SendMessage, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Took:
+class CommandApplied:
     """A change is in force here from now on, and is to be kept. `touched`: as state.py has it."""
 
     version: int
-    change: Change
+    change: Command
     touched: tuple[tuple[str, ...], ...]
 
 
 @dataclass(frozen=True, slots=True)
-class TookWhole:
+class SnapshotInstalled:
     """All of the state is another."""
 
 
 @dataclass(frozen=True, slots=True)
-class Catch:
+class RequestStateTransfer:
     """Ask this one for what is lacking."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class CommandCompleted:
     """What became of a change of this instance. `version`: 0 where it does not stand; `why` says why, or that it is not
     known. `lessees`: who may act on older versions yet; None where that is not known."""
 
@@ -131,8 +137,10 @@
     lessees: frozenset[str] | None = None
 
 
-Event = Union[Propose, Heard, Tock, Caught, CaughtWhole]
-Action = Union[Say, Keep, Took, TookWhole, Catch, Ended]
+Event = Union[Propose, MessageReceived, TimerExpired, CommandsReceived, SnapshotReceived]
+Action = Union[
+    SendMessage, Persist, CommandApplied, SnapshotInstalled, RequestStateTransfer, CommandCompleted
+]
 
 
 @dataclass
@@ -144,18 +152,18 @@
     ballot: Ballot
     began: float
     again_at: float
-    change: Change | None = None  # once it may be accepted
-    promises: dict[str, tuple[Ballot, Change | None]] = field(default_factory=dict)
+    change: Command | None = None  # once it may be accepted
+    promises: dict[str, tuple[Ballot, Command | None]] = field(default_factory=dict)
     accepts: set[str] = field(default_factory=set)
     lessees: set[str] = field(default_factory=set)
     more: bool = False
 
 
-def nobody(now: float) -> tuple[tuple[str, ...], bool]:
+def no_leaseholders(now: float) -> tuple[tuple[str, ...], bool]:
     return (), False
 
 
-class Versions:
+class PaxosReplica:
     """One instance's. `lessees` tells who was let go on of late by this voter, and whether that is all."""
 
     def __init__(
@@ -163,16 +171,16 @@
         name: str,
         store: str,
         generation: int,
-        said: Said,
+        said: ReplicatedState,
         source: random.Random,
-        lessees: Callable[[float], tuple[tuple[str, ...], bool]] = nobody,
+        lessees: Callable[[float], tuple[tuple[str, ...], bool]] = no_leaseholders,
     ) -> None:
         """`store`: empty for one that keeps nothing, and never votes."""
         self.name, self.store, self.generation = name, store, generation
         self.said, self.random, self._lessees = said, source, lessees
-        self.log: dict[int, Change] = {}
-        self.vote = Vote(said.version + 1, NO_BALLOT, NO_BALLOT, None)
-        self.met: dict[str, Met] = {}
+        self.log: dict[int, Command] = {}
+        self.vote = AcceptorState(said.version + 1, NO_BALLOT, NO_BALLOT, None)
+        self.met: dict[str, ObservedStore] = {}
         self.top = said.version  # the greatest version that is known to be decided somewhere
         self.stuck = ""  # why it can't go on
         self.greeted: set[str] = set()
@@ -189,7 +197,7 @@
         self._round = 0
         self._ballot: _Ballot | None = None
         self._begin_at = -math.inf
-        self._back = BACK_S
+        self._back = MIN_BACKOFF_S
         self._hangs_at = math.inf
         self._tell_at = self._greet_at = self._caught_at = -math.inf
         self._restored = False  # a change that puts our new store on the roster is under way
@@ -199,24 +207,24 @@
             form.Accept: self._on_accept,
             form.Accepted: self._on_accepted,
             form.Decided: self._on_decided,
-            form.At: self._on_at,
-            form.Greet: self._on_greet,
-            form.Greeted: self._on_greeted,
+            form.VersionAnnouncement: self._on_at,
+            form.VoterGreeting: self._on_greet,
+            form.VoterGreetingReply: self._on_greeted,
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.now = max(self.now, now)
         self.actions = []
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             react = self._react.get(type(event.message))
             if react is not None:
                 react(event.sender, event.message)
-        elif isinstance(event, Tock):
+        elif isinstance(event, TimerExpired):
             self.living = event.living
             self._step()
         elif isinstance(event, Propose):
             self._propose(event)
-        elif isinstance(event, Caught):
+        elif isinstance(event, CommandsReceived):
             for number, change in enumerate(event.changes):
                 if event.first + number == self.said.version + 1 and not self.stuck:
                     self._take(change)
@@ -228,7 +236,7 @@
     def due(self) -> float:
         wanted = [self._tell_at]
         if self._ballot is not None:
-            wanted.append(min(self._ballot.again_at, self._ballot.began + BALLOT_S))
+            wanted.append(min(self._ballot.again_at, self._ballot.began + BALLOT_TIMEOUT_S))
         elif (self._queue or self._hangs_at < math.inf) and not self.behind:
             wanted.append(max(self._begin_at, self._hangs_at if not self._queue else -math.inf))
         if self._queue:
@@ -249,8 +257,8 @@
     def behind(self) -> bool:
         return bool(self.stuck) or self.top > self.said.version
 
-    def _say(self, to: str, message: Ruling) -> None:
-        self.actions.append(Say(to, message))
+    def _say(self, to: str, message: ReplicationMessage) -> None:
+        self.actions.append(SendMessage(to, message))
 
     # Time.
 
@@ -259,7 +267,7 @@
             self._give_up(one)
         ballot = self._ballot
         if ballot is not None:
-            if self.now >= ballot.began + BALLOT_S:
+            if self.now >= ballot.began + BALLOT_TIMEOUT_S:
                 self._end_ballot()
             elif self.now >= ballot.again_at:
                 self._ask(ballot)
@@ -282,14 +290,14 @@
             self._ballot = None
         end = "; it may stand yet" if open_yet else "; it does not stand"
         why = f"no majority has answered in its time{end}"
-        self.actions.append(Ended(one.change.id, 0, why))
+        self.actions.append(CommandCompleted(one.change.id, 0, why))
 
     def _tell(self) -> None:
-        self._tell_at = self.now + TELL_S * (0.75 + 0.5 * self.random.random())
+        self._tell_at = self.now + ANNOUNCE_INTERVAL_S * (0.75 + 0.5 * self.random.random())
         for name in self.random.sample(self.living, min(3, len(self.living))):
-            self._say(name, form.At(self.said.version, self.card))
+            self._say(name, form.VersionAnnouncement(self.said.version, self.card))
 
-    def recover(self, change: Change) -> list[Action]:
+    def recover(self, change: Command) -> list[Action]:
         """An operator's word after a majority was lost for good: in force here without anybody's vote, and told to all
         that can be reached. Harm: who comes back with more has another history, and must begin anew."""
         self.actions = []
@@ -301,12 +309,16 @@
     def tell_voters(self) -> list[Action]:
         """The same to those that drive a roll-out."""
         return [
-            Say(name, form.At(self.said.version, self.card)) for name in self.said.roster if name != self.name
+            SendMessage(name, form.VersionAnnouncement(self.said.version, self.card))
+            for name in self.said.roster
+            if name != self.name
         ]
 
     def tell_all(self) -> list[Action]:
         """Say to all at once which version this instance acts on."""
-        return [Say(name, form.At(self.said.version, self.card)) for name in self.living]
+        return [
+            SendMessage(name, form.VersionAnnouncement(self.said.version, self.card)) for name in self.living
+        ]
 
     # Proposing.
 
@@ -314,10 +326,12 @@
         try:
             self.said.check(event.change)
         except StateError as problem:
-            self.actions.append(Ended(event.change.id, 0, f"{problem}; it does not stand"))
+            self.actions.append(CommandCompleted(event.change.id, 0, f"{problem}; it does not stand"))
             return
-        if len(self._queue) >= WAITING_MOST:
-            self.actions.append(Ended(event.change.id, 0, f"{WAITING_MOST} changes wait; it does not stand"))
+        if len(self._queue) >= MAX_QUEUED_COMMANDS:
+            self.actions.append(
+                CommandCompleted(event.change.id, 0, f"{MAX_QUEUED_COMMANDS} changes wait; it does not stand")
+            )
             return
         self._queue.append(event)
         if self._ballot is None and self.now >= self._begin_at and not self.behind:
@@ -328,7 +342,7 @@
         if own is not None and own.if_version >= 0 and own.if_version != slot - 1:
             self._queue.popleft()
             why = f"the state is at version {slot - 1}, not {own.if_version}; it does not stand"
-            self.actions.append(Ended(own.change.id, 0, why))
+            self.actions.append(CommandCompleted(own.change.id, 0, why))
             return
         self._round = max(self._round, self.vote.promised[0], self.vote.accepted[0]) + 1
         self._ballot = _Ballot(own, slot, (self._round, self.name), self.now, self.now)
@@ -337,7 +351,7 @@
 
     def _ask(self, ballot: _Ballot) -> None:
         """Those voters that have not answered."""
-        ballot.again_at = self.now + AGAIN_S
+        ballot.again_at = self.now + RETRY_INTERVAL_S
         done = ballot.accepts if ballot.change is not None else ballot.promises.keys()
         for name in self.said.roster:
             if name in done:
@@ -358,7 +372,7 @@
         self._ballot = None
         self._round = max(self._round, held[0])
         self._begin_at = self.now + self._back * (0.5 + self.random.random())
-        self._back = min(BACK_MOST_S, 2 * self._back)
+        self._back = min(MAX_BACKOFF_S, 2 * self._back)
         if self._hangs_at < math.inf:
             self._hangs_at = max(self._hangs_at, self._begin_at)
 
@@ -382,7 +396,7 @@
         if found != NO_BALLOT and change is not None:
             ballot.change = change  # rule 3
         else:
-            ballot.change = ballot.own.change if ballot.own is not None else NOTHING
+            ballot.change = ballot.own.change if ballot.own is not None else NO_OPERATION
         self._ask(ballot)
 
     def _on_accepted(self, sender: str, message: form.Accepted) -> None:
@@ -407,7 +421,7 @@
 
     def _decide(self, ballot: _Ballot) -> None:
         assert ballot.change is not None
-        self._ballot, self._back, self._begin_at = None, BACK_S, -math.inf
+        self._ballot, self._back, self._begin_at = None, MIN_BACKOFF_S, -math.inf
         decided = form.Decided(ballot.slot, ballot.change)
         for name in dict.fromkeys((*self.said.roster, *self.living)):
             if name != self.name:
@@ -426,7 +440,7 @@
                 if number in self.log:
                     self._say(sender, form.Decided(number, self.log[number]))
             if slot not in self.log:
-                self._say(sender, form.At(version, self.card))
+                self._say(sender, form.VersionAnnouncement(version, self.card))
         elif slot > version + 1:
             self._lacks(sender, slot - 1)
         return slot == version + 1 and not self.stuck and self.votes
@@ -449,16 +463,16 @@
         if ok:
             vote.promised = vote.accepted = message.ballot
             vote.change = message.change
-            self._hangs_at = self.now + HANGS_S * (1 + self.random.random())
+            self._hangs_at = self.now + UNDECIDED_TIMEOUT_S * (1 + self.random.random())
         names, more = self._lessees(self.now)
         answer = form.Accepted(message.slot, message.ballot, ok, vote.promised, names, more)
         self._answer(ok, sender, answer)
 
-    def _answer(self, changed: bool, to: str, message: Ruling) -> None:
+    def _answer(self, changed: bool, to: str, message: ReplicationMessage) -> None:
         """Rule 2."""
         if changed:
-            vote = Vote(self.vote.slot, self.vote.promised, self.vote.accepted, self.vote.change)
-            self.actions.append(Keep(vote, None, (Say(to, message),)))
+            vote = AcceptorState(self.vote.slot, self.vote.promised, self.vote.accepted, self.vote.change)
+            self.actions.append(Persist(vote, None, (SendMessage(to, message),)))
         else:
             self._say(to, message)
 
@@ -469,7 +483,7 @@
 
     # Learning.
 
-    def _take(self, change: Change, lessees: frozenset[str] | None = None) -> None:
+    def _take(self, change: Command, lessees: frozenset[str] | None = None) -> None:
         """The next version is decided."""
         try:
             touched = self.said.apply(change)
@@ -481,12 +495,12 @@
         self.top = max(self.top, version)
         self._risked = {name: slot for name, slot in self._risked.items() if slot > version}
         self.log[version] = change
-        self.log.pop(version - KEPT, None)
+        self.log.pop(version - RETAINED_COMMANDS, None)
         self._fresh()
-        self.actions.append(Took(version, change, tuple(touched)))
+        self.actions.append(CommandApplied(version, change, tuple(touched)))
         if self._queue and self._queue[0].change.id == change.id:
             self._queue.popleft()
-            self.actions.append(Ended(change.id, version, "", lessees))
+            self.actions.append(CommandCompleted(change.id, version, "", lessees))
         for kind, *names in touched:
             if kind == "roster":
                 self._listed(names[0])
@@ -495,13 +509,13 @@
         """The roster says another thing of a voter: its store is the one that counts from here on."""
         store = self.said.roster.get(name)
         if store:
-            self.met[name] = Met(store, 0)
+            self.met[name] = ObservedStore(store, 0)
         if name == self.name and store == self.store:
             self.lost, self._restored = "", False
 
     def _fresh(self) -> None:
         """Nothing is voted on yet for the next version."""
-        self.vote = Vote(self.said.version + 1, NO_BALLOT, NO_BALLOT, None)
+        self.vote = AcceptorState(self.said.version + 1, NO_BALLOT, NO_BALLOT, None)
         self._hangs_at = math.inf
         if self._ballot is not None and self._ballot.slot <= self.said.version:
             self._ballot = None
@@ -514,22 +528,22 @@
         self.log.clear()
         self.top, self.stuck = max(self.top, self.said.version), ""
         self._fresh()
-        self.actions.append(TookWhole())
+        self.actions.append(SnapshotInstalled())
         for name in self.said.roster:
             self._listed(name)
 
     def _on_decided(self, sender: str, message: form.Decided) -> None:
         if message.version == self.said.version + 1 and not self.stuck:
             self._take(message.change)
-            self._say(sender, form.At(self.said.version, self.card))
+            self._say(sender, form.VersionAnnouncement(self.said.version, self.card))
             if self._ballot is None and self._queue and not self.behind:
                 self._begin(self._queue[0])
         elif message.version > self.said.version:
             self._lacks(sender, message.version)
         else:
-            self._say(sender, form.At(self.said.version, self.card))
+            self._say(sender, form.VersionAnnouncement(self.said.version, self.card))
 
-    def _on_at(self, sender: str, message: form.At) -> None:
+    def _on_at(self, sender: str, message: form.VersionAnnouncement) -> None:
         self.at[sender] = max(message.version, self.at.get(sender, 0))
         self.cards[sender] = message.card
         if message.version > self.said.version:
@@ -538,14 +552,14 @@
     def _lacks(self, sender: str, version: int) -> None:
         """Rule 7."""
         self.top = max(self.top, version)
-        if self.now >= self._caught_at + AGAIN_S and not self.stuck:
+        if self.now >= self._caught_at + RETRY_INTERVAL_S and not self.stuck:
             self._caught_at = self.now
-            self.actions.append(Catch(sender))
+            self.actions.append(RequestStateTransfer(sender))
 
     # Stores that are lost.
 
     def _greet(self) -> None:
-        self._greet_at = self.now + GREET_S
+        self._greet_at = self.now + GREETING_INTERVAL_S
         mine = self.said.roster.get(self.name)
         if mine is None:
             return
@@ -555,14 +569,14 @@
             self._restore()
         for name in self.said.roster:
             if name != self.name and name not in self.greeted:
-                self._say(name, form.Greet(self.store, self.generation))
+                self._say(name, form.VoterGreeting(self.store, self.generation))
 
     def _restore(self) -> None:
         """Rule 5; this instance has all changes that the others know of by now."""
         if len(self.greeted) < self.said.majority:
             return
         self._restored = True
-        change = Change(
+        change = Command(
             f"{self.name}-{self.store}-{self.said.version}",
             "roster",
             write_body(RosterBody(self.name, self.store)),
@@ -571,7 +585,7 @@
         )
         self._queue.append(Propose(change, self.now + 10.0))
 
-    def _on_greet(self, sender: str, message: form.Greet) -> None:
+    def _on_greet(self, sender: str, message: form.VoterGreeting) -> None:
         """Whether votes of this store may count: it is the one on the roster, or was met, and is not older."""
         if not self.store or sender not in self.said.roster:
             return
@@ -585,15 +599,15 @@
             and is_older(message.generation, known.generation)
         ):
             why = f"an older copy of store {message.store}: others have met a later one"
-        answer = form.Greeted(message.store, message.generation, not why, why)
-        met = Met(message.store, message.generation)
+        answer = form.VoterGreetingReply(message.store, message.generation, not why, why)
+        met = ObservedStore(message.store, message.generation)
         if why or known == met:
             self._say(sender, answer)
             return
         self.met[sender] = met
-        self.actions.append(Keep(None, (sender, met), (Say(sender, answer),)))
+        self.actions.append(Persist(None, (sender, met), (SendMessage(sender, answer),)))
 
-    def _on_greeted(self, sender: str, message: form.Greeted) -> None:
+    def _on_greeted(self, sender: str, message: form.VoterGreetingReply) -> None:
         if message.store != self.store or message.generation != self.generation:
             return
         self.greeted.add(sender)
@@ -604,9 +618,9 @@
 def is_older(generation: int, met: int) -> bool:
     """Whether a store that was opened so is older than, or beside, the one that was met: the number of openings, and a
     draw at each, which tells two openings of one copy apart."""
-    count, before = generation >> DRAW_BITS, met >> DRAW_BITS
+    count, before = generation >> GENERATION_NONCE_BITS, met >> GENERATION_NONCE_BITS
     return count < before or (count == before and generation != met)
 
 
 #: Bits of a generation that are drawn at each opening.
-DRAW_BITS = 20
+GENERATION_NONCE_BITS = 20
--- a/loadbalancer/fleet/replication/replicated_state.py
+++ b/loadbalancer/fleet/replication/replicated_state.py
@@ -19,9 +19,9 @@
 from blake3 import blake3
 from msgspec import Meta, Struct
 
-from loadbalancer.discovery.overrides import Mark
-from loadbalancer.fleet.orchestration.rollout import OPEN, Plan, PlanBody, StageBody
-from loadbalancer.routing.traffic_migration import Move
+from loadbalancer.discovery.overrides import AdminOverride
+from loadbalancer.fleet.orchestration.rollout import OPEN, PlanBody, RolloutPlan, StageBody
+from loadbalancer.routing.traffic_migration import Migration
 
 #: Bytes of one change, so that it goes into a datagram with all that is said about it.
 CHANGE_MOST = 800
@@ -33,7 +33,7 @@
 Name = Annotated[str, Meta(min_length=1, max_length=48)]
 
 
-class Change(Struct, frozen=True, array_like=True):
+class Command(Struct, frozen=True, array_like=True):
     """`id`: of whoever proposed it, no other has it. `body`: by kind, MessagePack."""
 
     id: Annotated[str, Meta(max_length=80)]
@@ -49,14 +49,14 @@
     `of`: only where it was version `of` that has said what stands; 0 in any case."""
 
     pool: Text
-    marks: dict[str, Mark | None]
+    marks: dict[str, AdminOverride | None]
     lasts: float = 0.0
     of: int = 0
 
 
 class MoveBody(Struct, frozen=True, array_like=True):
     pool: Text
-    move: Move | None
+    move: Migration | None
     lasts: float = 0.0
     of: int = 0
 
@@ -89,28 +89,28 @@
 }  # fmt: skip
 
 
-class Whole(Struct, array_like=True):
+class Snapshot(Struct, array_like=True):
     """A state in one piece. Its bytes are the same at all instances of one version."""
 
     version: int
     marks: dict[
-        str, dict[str, tuple[Mark, float, int]]
+        str, dict[str, tuple[AdminOverride, float, int]]
     ]  # with how long it lasts, and the version that said so
-    moves: dict[str, tuple[Move, float, int]]
+    moves: dict[str, tuple[Migration, float, int]]
     frozen: list[str]
     roster: dict[str, str]
-    plan: Plan | None = None
+    plan: RolloutPlan | None = None
 
 
-class Said:
+class ReplicatedState:
     """The state. `touched` tells what a change has changed: ("mark", pool, member), ("move", pool) and the like."""
 
     def __init__(self, roster: Mapping[str, str]) -> None:
         self.version = 0
-        self.marks: dict[str, dict[str, tuple[Mark, float, int]]] = {}
-        self.moves: dict[str, tuple[Move, float, int]] = {}
+        self.marks: dict[str, dict[str, tuple[AdminOverride, float, int]]] = {}
+        self.moves: dict[str, tuple[Migration, float, int]] = {}
         self.frozen: set[str] = set()
-        self.plan: Plan | None = None  # the latest roll-out
+        self.plan: RolloutPlan | None = None  # the latest roll-out
         self.roster: dict[str, str] = dict(roster)
         self._count = 0
         self._takes: Mapping[type, Callable[[Any], list[tuple[str, ...]]]] = {
@@ -127,7 +127,7 @@
     def majority(self) -> int:
         return len(self.roster) // 2 + 1
 
-    def apply(self, change: Change) -> list[tuple[str, ...]]:
+    def apply(self, change: Command) -> list[tuple[str, ...]]:
         """Take up the next change. StateError, and nothing has changed, where this build can't read it."""
         body = read_body(change)
         self.version += 1
@@ -164,7 +164,7 @@
         return [("roster", name) for name in body.roster]
 
     def _take_plan(self, body: PlanBody) -> list[tuple[str, ...]]:
-        self.plan = Plan(body.id, body.digest, body.origin, body.soak, version=self.version)
+        self.plan = RolloutPlan(body.id, body.digest, body.origin, body.soak, version=self.version)
         return [("plan",)]
 
     def _stage(self, body: StageBody) -> list[tuple[str, ...]]:
@@ -178,7 +178,7 @@
         stands = self.marks.get(body.pool, {}).get(member)
         return not body.of or (stands is not None and stands[2] == body.of)
 
-    def _mark(self, pool: str, member: str, mark: Mark | None, lasts: float) -> None:
+    def _mark(self, pool: str, member: str, mark: AdminOverride | None, lasts: float) -> None:
         marks = self.marks.setdefault(pool, {})
         self._count -= marks.pop(member, None) is not None
         if mark is not None:
@@ -187,7 +187,7 @@
         elif not marks:
             del self.marks[pool]
 
-    def check(self, change: Change) -> None:
+    def check(self, change: Command) -> None:
         """StateError where it may not be proposed now."""
         body = read_body(change)
         if isinstance(body, MarkBody) and self._count + len(body.marks) > MARKS_MOST:
@@ -208,7 +208,7 @@
         marks = {pool: dict(sorted(those.items())) for pool, those in sorted(self.marks.items())}
         roster, moves = dict(sorted(self.roster.items())), dict(sorted(self.moves.items()))
         return msgspec.msgpack.encode(
-            Whole(self.version, marks, moves, sorted(self.frozen), roster, self.plan)
+            Snapshot(self.version, marks, moves, sorted(self.frozen), roster, self.plan)
         )
 
     def digest(self) -> str:
@@ -217,7 +217,7 @@
     def take_whole(self, data: bytes) -> None:
         """StateError, and nothing has changed, for bytes that are no state."""
         try:
-            found = msgspec.msgpack.decode(data, type=Whole)
+            found = msgspec.msgpack.decode(data, type=Snapshot)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
             raise StateError(f"no state: {problem}") from None
         self.version, self.marks, self.moves = found.version, found.marks, found.moves
@@ -225,7 +225,7 @@
         self._count = sum(map(len, found.marks.values()))
 
 
-def read_body(change: Change) -> Any:
+def read_body(change: Command) -> Any:
     kind = BODIES.get(change.kind)
     if kind is None:
         raise StateError(f"a change of kind {change.kind!r}, which this build does not know")
@@ -247,4 +247,4 @@
     return data
 
 
-NOTHING = Change("", "nothing", b"")
+NO_OPERATION = Command("", "nothing", b"")
--- a/loadbalancer/fleet/replication/state_transfer.py
+++ b/loadbalancer/fleet/replication/state_transfer.py
@@ -8,9 +8,9 @@
 
 from blake3 import blake3
 
-from loadbalancer.fleet.replication.messages import Entries, Slice, Want
-from loadbalancer.fleet.replication.replica import Caught, CaughtWhole, Versions
-from loadbalancer.fleet.replication.replicated_state import Change
+from loadbalancer.fleet.replication.messages import LogEntries, SnapshotChunk, StateRequest
+from loadbalancer.fleet.replication.replica import CommandsReceived, PaxosReplica, SnapshotReceived
+from loadbalancer.fleet.replication.replicated_state import Command
 
 #: Bytes of changes, or of a state, in one message.
 PART = 12 << 10
@@ -18,35 +18,35 @@
 WHOLE_MOST = 128 << 20
 
 
-class Giver:
+class StateSender:
     """What one instance gives to those that are behind it. A state is encoded once for a version."""
 
-    def __init__(self, versions: Versions) -> None:
+    def __init__(self, versions: PaxosReplica) -> None:
         self.versions = versions
         self._version, self._data, self._digest = -1, b"", ""
 
-    def answer(self, want: Want) -> Iterator[Entries | Slice]:
+    def answer(self, want: StateRequest) -> Iterator[LogEntries | SnapshotChunk]:
         """In order; whoever sends them may stop at any time."""
         log, now = self.versions.log, self.versions.said.version
         if want.version >= now:
-            yield Entries(want.version + 1, (), True)
+            yield LogEntries(want.version + 1, (), True)
         elif want.version + 1 in log and not want.offset:
             yield from self._entries(want.version + 1, now)
         else:
             yield from self._slices(want)
 
-    def _entries(self, first: int, last: int) -> Iterator[Entries]:
-        part: list[Change] = []
+    def _entries(self, first: int, last: int) -> Iterator[LogEntries]:
+        part: list[Command] = []
         size = 0
         for version in range(first, last + 1):
             change = self.versions.log[version]
             part.append(change)
             size += len(change.body) + 120
             if size >= PART or version == last:
-                yield Entries(version - len(part) + 1, tuple(part), version == last)
+                yield LogEntries(version - len(part) + 1, tuple(part), version == last)
                 part, size = [], 0
 
-    def _slices(self, want: Want) -> Iterator[Slice]:
+    def _slices(self, want: StateRequest) -> Iterator[SnapshotChunk]:
         said = self.versions.said
         if self._version != said.version:
             self._version, self._data = said.version, said.encode()
@@ -54,25 +54,27 @@
         data, digest, version = self._data, self._digest, self._version
         offset = want.offset if want.digest == digest else 0
         for at in range(offset, len(data), PART):
-            yield Slice(version, digest, at, len(data), data[at : at + PART])
+            yield SnapshotChunk(version, digest, at, len(data), data[at : at + PART])
 
 
-class Taker:
+class StateReceiver:
     """What has come to one that is behind. It outlasts a cut: `want` says where it goes on."""
 
     def __init__(self) -> None:
         self._digest, self._size = "", 0
         self._data = bytearray()
 
-    def want(self, version: int) -> Want:
-        return Want(version, self._digest, len(self._data))
+    def want(self, version: int) -> StateRequest:
+        return StateRequest(version, self._digest, len(self._data))
 
-    def take(self, message: Entries | Slice) -> tuple[Union[Caught, CaughtWhole, None], bool]:
+    def take(
+        self, message: LogEntries | SnapshotChunk
+    ) -> tuple[Union[CommandsReceived, SnapshotReceived, None], bool]:
         """What is whole by now, if anything, and whether this was the last. ValueError for what does not fit; what had
         come is thrown away then."""
-        if isinstance(message, Entries):
+        if isinstance(message, LogEntries):
             self._forget()
-            return Caught(message.first, message.changes), message.last
+            return CommandsReceived(message.first, message.changes), message.last
         if message.digest != self._digest:
             self._forget()
             self._digest, self._size = message.digest, message.size
@@ -87,7 +89,7 @@
         self._forget()
         if not whole:
             raise ValueError("a state that does not have its digest")
-        return CaughtWhole(data), True
+        return SnapshotReceived(data), True
 
     def _forget(self) -> None:
         self._digest, self._size = "", 0
--- a/loadbalancer/fleet/report.py
+++ b/loadbalancer/fleet/report.py
@@ -5,16 +5,16 @@
 import math
 from typing import Any
 
-from loadbalancer.fleet.membership.member_state import Standing
+from loadbalancer.fleet.membership.member_state import MemberStatus
 from loadbalancer.fleet.membership.member_table import Peer
-from loadbalancer.fleet.membership.suspicion import lasts
-from loadbalancer.fleet.membership.view import View
+from loadbalancer.fleet.membership.suspicion import suspicion_timeout
+from loadbalancer.fleet.membership.view import MembershipView
 
 #: Of a large fleet, so many that were heard since and agree are enough to call a view settled.
 WITNESSES = 3
 
 
-def agreeing(view: View) -> tuple[int, int]:
+def agreeing(view: MembershipView) -> tuple[int, int]:
     """How many of the living have told the digest that we hold since it was last changed, and how many another."""
     same = other = 0
     for peer in view.table.living:
@@ -26,19 +26,19 @@
     return same, other
 
 
-def is_settled(view: View, now: float) -> bool:
+def is_settled(view: MembershipView, now: float) -> bool:
     """Unchanged for `hold`, nobody is suspected, and those heard of late hold the same. One that is alone is settled
     with itself."""
     if not view.inside or now - view.table.changed_at < view.timers.hold:
         return False
     living = view.table.living
-    if any(peer.fact.standing == Standing.SUSPECT for peer in living):
+    if any(peer.fact.status == MemberStatus.SUSPECT for peer in living):
         return False
     same, other = agreeing(view)
     return other == 0 and same >= min(len(living), WITNESSES)
 
 
-def rows(view: View, now: float) -> list[dict[str, Any]]:
+def rows(view: MembershipView, now: float) -> list[dict[str, Any]]:
     """A row for each name, this instance first, then the living, then the rest."""
     mine = view.me
     found = [
@@ -56,19 +56,19 @@
             "suspicion": None,
         }
     ]
-    order = sorted(view.table, key=lambda peer: (peer.fact.standing, peer.fact.name))
+    order = sorted(view.table, key=lambda peer: (peer.fact.status, peer.fact.name))
     return found + [_row(view, peer, now) for peer in order]
 
 
-def _row(view: View, peer: Peer, now: float) -> dict[str, Any]:
+def _row(view: MembershipView, peer: Peer, now: float) -> dict[str, Any]:
     fact = peer.fact
     suspicion = None
-    if fact.standing == Standing.SUSPECT:
-        left = peer.suspected_at + lasts(view.timers, view.fleet, len(peer.accusers) - 1) - now
+    if fact.status == MemberStatus.SUSPECT:
+        left = peer.suspected_at + suspicion_timeout(view.timers, view.fleet, len(peer.accusers) - 1) - now
         suspicion = f"by {', '.join(sorted(peer.accusers))}; dead in {max(0.0, left):.1f} s"
     return {
         "instance": fact.name,
-        "state": fact.standing.name.lower(),
+        "state": fact.status.name.lower(),
         "address": f"{fact.host}:{fact.port}",
         "zone": fact.zone or None,
         "life": fact.life,
@@ -85,9 +85,9 @@
     return round(now - at, 1) if math.isfinite(at) else None
 
 
-def status(view: View, now: float) -> dict[str, Any]:
+def status(view: MembershipView, now: float) -> dict[str, Any]:
     """The view in figures. `digest`: over name, boot and incarnation of all that live."""
-    standings = [peer.fact.standing for peer in view.table]
+    standings = [peer.fact.status for peer in view.table]
     same, other = agreeing(view)
     return {
         "instance": view.identity.name,
@@ -96,9 +96,9 @@
         "digest": f"{view.table.digest:016x}",
         "unchanged_s": _age(view.table.changed_at, now),
         "living": view.fleet if view.inside else len(view.table.living),
-        "suspected": standings.count(Standing.SUSPECT),
-        "dead": standings.count(Standing.DEAD),
-        "left": standings.count(Standing.LEFT),
+        "suspected": standings.count(MemberStatus.SUSPECT),
+        "dead": standings.count(MemberStatus.DEAD),
+        "left": standings.count(MemberStatus.LEFT),
         "should_be": view.settings.instances,
         "agree": same,
         "differ": other,
--- a/loadbalancer/fleet/transport.py
+++ b/loadbalancer/fleet/transport.py
@@ -13,10 +13,18 @@
 from collections import Counter
 from typing import AsyncIterator, Callable, Iterable, Iterator, Protocol, get_args
 
-from loadbalancer.fleet.membership.events import Action, Arrived, Event, Exchange, Noted, Tell, Tick
-from loadbalancer.fleet.membership.member_state import Fact, weigh
-from loadbalancer.fleet.replay_window import Replays
-from loadbalancer.fleet.replication.messages import Ruling, Streamed
+from loadbalancer.fleet.membership.events import (
+    Action,
+    Event,
+    MembershipNotice,
+    PacketReceived,
+    SendPacket,
+    SynchronizeState,
+    TimerExpired,
+)
+from loadbalancer.fleet.membership.member_state import MemberState, encoded_size
+from loadbalancer.fleet.replay_window import ReplayProtection
+from loadbalancer.fleet.replication.messages import ReplicationMessage, StreamMessage
 from loadbalancer.fleet.settings import Address
 from loadbalancer.fleet.wire import (
     DATAGRAM_MOST,
@@ -43,7 +51,7 @@
 
 
 #: Kinds of messages that are not the view's.
-RULINGS, STREAMED = get_args(Ruling), (*get_args(Streamed), Piece)
+RULINGS, STREAMED = get_args(ReplicationMessage), (*get_args(StreamMessage), Piece)
 
 
 class Protocoled(Protocol):
@@ -52,10 +60,10 @@
     @property
     def due(self) -> float: ...
     def handle(self, now: float, event: Event) -> list[Action]: ...
-    def facts(self) -> Iterable[Fact]: ...
+    def facts(self) -> Iterable[MemberState]: ...
 
 
-class Link:
+class FleetTransport:
     """One instance's sockets. `claimed`: the UDP and the TCP socket of the process before, if it has passed them."""
 
     def __init__(
@@ -71,7 +79,7 @@
         """OSError where `bind` can't be had."""
         self.view, self.name, self.boot, self.sealer, self.note = view, name, boot, sealer, note
         self.counts: Counter[str] = Counter()
-        self.replays = Replays()
+        self.replays = ReplayProtection()
         self._loop = asyncio.get_running_loop()
         self._numbers = 0
         self._bind = bind
@@ -165,27 +173,27 @@
         self._timer = None
         while self._reading and self._read() == READ_MOST:
             pass
-        self.hand(Tick())
+        self.hand(TimerExpired())
 
     def _do(self, actions: Iterable[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, SendPacket):
                 self._send(action)
-            elif isinstance(action, Exchange):
+            elif isinstance(action, SynchronizeState):
                 if self._own is None:
                     self._own = self._loop.create_task(self._exchange(action))
                     self._own.add_done_callback(self._own_ended)
-            elif isinstance(action, Noted):
+            elif isinstance(action, MembershipNotice):
                 self.note(action.kind, action.text)
 
-    def _packet(self, to: int, message: Message, facts: tuple[Fact, ...]) -> bytes:
+    def _packet(self, to: int, message: Message, facts: tuple[MemberState, ...]) -> bytes:
         self._numbers += 1
         return self.sealer.seal(Packet(self.name, self.boot, to, self._numbers, message, facts))
 
-    def _send(self, tell: Tell) -> None:
+    def _send(self, tell: SendPacket) -> None:
         self.tell(tell.address, tell.to, tell.message, tell.facts)
 
-    def tell(self, address: Address, to: int, message: Message, facts: tuple[Fact, ...] = ()) -> None:
+    def tell(self, address: Address, to: int, message: Message, facts: tuple[MemberState, ...] = ()) -> None:
         """One datagram."""
         data = self._packet(to, message, facts)
         if len(data) > DATAGRAM_MOST:
@@ -221,7 +229,7 @@
         """A datagram goes to whom its message is for."""
         if not isinstance(packet.message, RULINGS):
             if not isinstance(packet.message, STREAMED):
-                self.hand(Arrived(packet))
+                self.hand(PacketReceived(packet))
         elif self.ruling is not None and packet.to == self.boot:
             self.ruling(packet.sender, packet.message)
 
@@ -248,7 +256,7 @@
         if not task.cancelled() and task.exception() is not None:
             self.counts["exchanges failed"] += 1
 
-    async def _exchange(self, wanted: Exchange) -> None:
+    async def _exchange(self, wanted: SynchronizeState) -> None:
         """Give all, then hear all."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -383,18 +391,18 @@
             boot = boot or packet.boot
             if packet.boot != boot or packet.message.number != number:
                 raise ConnectionError("a piece of another exchange")
-            self.hand(Arrived(packet))
+            self.hand(PacketReceived(packet))
             if packet.message.last:
                 return boot
         raise ConnectionError(f"over {PIECES_MOST} pieces")
 
 
-def pieces(facts: Iterable[Fact]) -> list[tuple[Fact, ...]]:
+def pieces(facts: Iterable[MemberState]) -> list[tuple[MemberState, ...]]:
     """Facts in parts that fit into a piece each; one empty part for none."""
-    parts: list[list[Fact]] = [[]]
+    parts: list[list[MemberState]] = [[]]
     room = PIECE_FACTS
     for fact in facts:
-        size = weigh(fact)
+        size = encoded_size(fact)
         if size > room:
             parts.append([])
             room = PIECE_FACTS
--- a/loadbalancer/fleet/wire.py
+++ b/loadbalancer/fleet/wire.py
@@ -18,8 +18,8 @@
 from blake3 import blake3
 from msgspec import Meta, Raw, Struct
 
-from loadbalancer.fleet.membership.member_state import Count, Fact, Host, Name, Port
-from loadbalancer.fleet.replication.messages import Ruling, Streamed
+from loadbalancer.fleet.membership.member_state import Count, Host, MemberState, Name, Port
+from loadbalancer.fleet.replication.messages import ReplicationMessage, StreamMessage
 
 MARK, VERSION = b"mS", 1
 MAC = 16
@@ -52,7 +52,7 @@
     port: Port
 
 
-class Here(Struct, frozen=True, array_like=True, tag=1):
+class AliveNotice(Struct, frozen=True, array_like=True, tag=1):
     """I am, in this life: to a hello, and to what was meant for another life."""
 
     host: Host
@@ -74,7 +74,7 @@
     phase: Annotated[int, Meta(ge=0, le=255)] = 0
 
 
-class Ask(Struct, frozen=True, array_like=True, tag=4):
+class IndirectProbe(Struct, frozen=True, array_like=True, tag=4):
     """Probe `target` for me."""
 
     number: Count
@@ -87,11 +87,11 @@
     number: Count
 
 
-class Told(Struct, frozen=True, array_like=True, tag=6):
+class GossipReply(Struct, frozen=True, array_like=True, tag=6):
     """Nothing but the facts that go along."""
 
 
-class Clash(Struct, frozen=True, array_like=True, tag=7):
+class NameConflictNotice(Struct, frozen=True, array_like=True, tag=7):
     """We go by one name. `inside`: I count as one of the fleet. `answer`: you have said so; nothing follows."""
 
     life: Count
@@ -109,7 +109,19 @@
 
 
 #: What the view is told, and what the versioned state is (ballots.py).
-Message = Union[Hello, Here, Ping, Ack, Ask, Nack, Told, Clash, Piece, Ruling, Streamed]
+Message = Union[
+    Hello,
+    AliveNotice,
+    Ping,
+    Ack,
+    IndirectProbe,
+    Nack,
+    GossipReply,
+    NameConflictNotice,
+    Piece,
+    ReplicationMessage,
+    StreamMessage,
+]
 
 
 class Packet(Struct, frozen=True, array_like=True):
@@ -121,7 +133,7 @@
     to: Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
     number: Annotated[int, Meta(ge=1, lt=1 << 62)]
     message: Message
-    facts: tuple[Fact, ...] = ()
+    facts: tuple[MemberState, ...] = ()
 
 
 class _Envelope(Struct, array_like=True):
@@ -138,7 +150,7 @@
 _encoder = msgspec.msgpack.Encoder()
 _envelope = msgspec.msgpack.Decoder(_Envelope)
 _message = msgspec.msgpack.Decoder(Message)
-_fact = msgspec.msgpack.Decoder(Fact)
+_fact = msgspec.msgpack.Decoder(MemberState)
 
 
 #: What the decoder raises for bytes that it can't read; text that is no UTF-8 and deep nesting are not its own errors.
--- a/loadbalancer/frontends/admission_gate.py
+++ b/loadbalancer/frontends/admission_gate.py
@@ -31,7 +31,7 @@
 CREDIT = 16
 
 
-class Visit:
+class AdmittedConnection:
     """One connection, as its address counts it."""
 
     __slots__ = (
@@ -47,7 +47,7 @@
         "header",
     )
 
-    def __init__(self, gate: Gate, address: str) -> None:
+    def __init__(self, gate: AdmissionGate, address: str) -> None:
         self.gate, self.address = gate, address
         self.rows: Rows = ()  # of its address, while it counts
         self.once = False  # ends after one answer
@@ -59,7 +59,7 @@
         self.header: ProxyHeader | None = None  # still to come
 
 
-class Gate:
+class AdmissionGate:
     """One listener's admission."""
 
     def __init__(self, admission: Admission, behind: Iterable[Network] = ()) -> None:
@@ -69,7 +69,7 @@
         # So many requests may be open of any address and prefix, whatever they have done: nothing is to be worked out.
         self._sure = admission.caps.requests * LEAST_SHARE
 
-    def is_like(self, other: Gate) -> bool:
+    def is_like(self, other: AdmissionGate) -> bool:
         """Whether both have the same rules."""
         mine, its = self.admission, other.admission
         return (self.behind, mine.caps, mine.known, mine.floor, mine.exempt) == (
@@ -80,15 +80,15 @@
             its.exempt,
         )
 
-    def arrive(self, peer: str, most: int, taken: int) -> tuple[Visit, Ruling]:
+    def arrive(self, peer: str, most: int, taken: int) -> tuple[AdmittedConnection, Ruling]:
         """A connection has come. One that still has to say whose it is gets in."""
-        visit = Visit(self, peer)
+        visit = AdmittedConnection(self, peer)
         if peer in self.behind:
             visit.header = ProxyHeader()
             return visit, Ruling(ADMIT)
         return visit, self.enter(visit, most, taken)
 
-    def enter(self, visit: Visit, most: int, taken: int) -> Ruling:
+    def enter(self, visit: AdmittedConnection, most: int, taken: int) -> Ruling:
         """Judge a connection whose address is certain; it counts unless it is refused."""
         now = time.monotonic()
         rows = self.admission.rows(visit.address, now)
@@ -102,7 +102,9 @@
             opened(rows)
         return ruling
 
-    def unwrap(self, visit: Visit, data: bytes, most: int, taken: int) -> tuple[bytes, Ruling | None]:
+    def unwrap(
+        self, visit: AdmittedConnection, data: bytes, most: int, taken: int
+    ) -> tuple[bytes, Ruling | None]:
         """What comes after the PROXY header, and the ruling once it is whole. ProxyHeaderError where it is none."""
         assert visit.header is not None
         try:
@@ -117,7 +119,7 @@
         visit.header = None
         return rest, self.enter(visit, most, taken)
 
-    def may_ask(self, visit: Visit) -> bool:
+    def may_ask(self, visit: AdmittedConnection) -> bool:
         """Whether one more request of this address may be open; it counts from here on."""
         if not visit.rows:
             return True
@@ -129,7 +131,7 @@
         began(visit.rows)
         return True
 
-    def answered(self, visit: Visit, good: bool) -> None:
+    def answered(self, visit: AdmittedConnection, good: bool) -> None:
         """A request is no more; `good`: it was whole and has its answer."""
         if not visit.rows:
             return
@@ -139,22 +141,22 @@
         if visit.good >= CREDIT or not visit.credited:
             self._credit(visit)
 
-    def _credit(self, visit: Visit) -> None:
+    def _credit(self, visit: AdmittedConnection) -> None:
         """The first answer counts at once, so that a crowd behind one address gets in; the others by the dozen."""
         if visit.good:
             self.admission.mark(visit.rows, GOOD * visit.good, time.monotonic())
             visit.good, visit.credited = 0, True
 
-    def wasted(self, visit: Visit) -> None:
+    def wasted(self, visit: AdmittedConnection) -> None:
         self.admission.mark(visit.rows, WASTED, time.monotonic())
 
-    def silent(self, visit: Visit) -> None:
+    def silent(self, visit: AdmittedConnection) -> None:
         self.admission.mark(visit.rows, SILENT, time.monotonic())
 
-    def garbage(self, visit: Visit) -> None:
+    def garbage(self, visit: AdmittedConnection) -> None:
         self.admission.mark(visit.rows, GARBAGE, time.monotonic())
 
-    def left(self, visit: Visit) -> None:
+    def left(self, visit: AdmittedConnection) -> None:
         """The connection has ended: the one place where all it holds is given back."""
         self._credit(visit)
         while visit.requests:
--- a/loadbalancer/frontends/connection.py
+++ b/loadbalancer/frontends/connection.py
@@ -13,10 +13,10 @@
 from typing import TYPE_CHECKING, cast
 
 from loadbalancer.admission.pressure import QUIET_S
-from loadbalancer.resource_limits import Budget
+from loadbalancer.resource_limits import BufferBudget
 
 if TYPE_CHECKING:
-    from loadbalancer.frontends.admission_gate import Visit
+    from loadbalancer.frontends.admission_gate import AdmittedConnection
     from loadbalancer.frontends.listener import Listener
 
 #: A request has this long to come whole, and a new connection to send one, counted from connecting. Guards
@@ -43,7 +43,7 @@
     sock: socket.socket
     transport: asyncio.Transport | None
     overflow: bool  # past the limit: held to be turned away
-    visit: Visit | None = None  # where the listener has a gate
+    visit: AdmittedConnection | None = None  # where the listener has a gate
     phase: Phase
     asked: int = 0  # whole requests that have come
     quiet: bool = False  # it has been idle for so long that it counts as not used again
@@ -52,7 +52,7 @@
     secure: bool = False  # over TLS
     names: tuple[str, ...] = ()  # in the client's certificate
     _charged: int = 0  # bytes, to the budget below
-    _charged_to: Budget | None = None
+    _charged_to: BufferBudget | None = None
     _left: int = 0  # bytes that the client had not taken when last looked at
 
     def retire(self) -> bool:
@@ -118,7 +118,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def charge(self, budget: Budget | None) -> None:
+    def charge(self, budget: BufferBudget | None) -> None:
         """The client does not take what was written: that counts as buffered."""
         assert self.transport is not None
         self.blocked = time.monotonic()
@@ -136,7 +136,7 @@
     def uncharge(self) -> None:
         self.blocked = 0.0
         if self._charged_to is not None:
-            self._charged_to.give(self._charged)
+            self._charged_to.release(self._charged)
         self._charged, self._charged_to = 0, None
 
     # Admission.
--- a/loadbalancer/frontends/dialect.py
+++ b/loadbalancer/frontends/dialect.py
@@ -10,12 +10,12 @@
 
 from loadbalancer.proxy.open_requests import OpenRequest
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.resource_limits import Budget
-from loadbalancer.streaming.streams import Stream, Taker
+from loadbalancer.resource_limits import BufferBudget
+from loadbalancer.streaming.streams import Stream, StreamConsumer
 from loadbalancer.streaming.uploads import Upload
 
 if TYPE_CHECKING:  # loaded where keys are remembered
-    from loadbalancer.proxy.idempotent_requests import Ledger, Terms
+    from loadbalancer.proxy.idempotent_requests import IdempotencyLedger, KeyTerms
 
 
 class RejectError(Exception):
@@ -30,7 +30,7 @@
     """Where a request goes, as far as its head tells: whose budget is charged, and the largest body."""
 
     @property
-    def budget(self) -> Budget: ...
+    def budget(self) -> BufferBudget: ...
     @property
     def body_most(self) -> int: ...  # bytes
     @property
@@ -86,16 +86,16 @@
             self.lines.append(b"%b: %b\r\n" % (name, value))
 
 
-class Remembered(NamedTuple):
+class IdempotencyTerms(NamedTuple):
     """A key that the ledger remembers, as the store has it, and what tells its request from another."""
 
-    ledger: Ledger
+    ledger: IdempotencyLedger
     key: bytes
     digest: bytes
-    terms: Terms
+    terms: KeyTerms
 
 
-class Ask(NamedTuple):
+class RoutedRequest(NamedTuple):
     """A request that is whole and well formed."""
 
     proxy: Proxy
@@ -110,7 +110,7 @@
     member: str | None = None  # where it should go, by a sticky session
     old: bool = False  # it came in HTTP/1.0
     bound: bool = False  # its session may not move
-    remembered: Remembered | None = None  # its key is, by the ledger
+    remembered: IdempotencyTerms | None = None  # its key is, by the ledger
 
     def begin(self) -> None:
         """Hand it to its pool, by way of the ledger where its key is remembered."""
@@ -153,14 +153,14 @@
     def place(self, head: Head) -> Destination:
         """Called when the head is whole, before any of the body is kept."""
 
-    def read(self, head: Head, body: bytearray | None, client: ClientSide) -> Union[Ask, Reply]:
+    def read(self, head: Head, body: bytearray | None, client: ClientSide) -> Union[RoutedRequest, Reply]:
         """Called when the body is whole, or when it turns out to be one that is sent on as it comes."""
 
     def proxies(self) -> Iterable[Proxy]:
         """All pools that a request can reach."""
 
 
-class ClientSide(Taker, Protocol):
+class ClientSide(StreamConsumer, Protocol):
     """The connection, as an open request knows it (proxy/proxy.py: Client)."""
 
     def answer(
--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -15,12 +15,12 @@
 from loadbalancer.fastcgi.cgi import CgiError, from_params, write_answer
 from loadbalancer.fastcgi.records import Status, Type, encode, encode_stream
 from loadbalancer.frontends.connection import REQUEST_S, FrontConnection, Phase
-from loadbalancer.frontends.dialect import Ask, Head, RejectError, Reply
+from loadbalancer.frontends.dialect import Head, RejectError, Reply, RoutedRequest
 from loadbalancer.frontends.http1 import BODILESS, LINGER_S, READ_STALL_S, REASONS
 from loadbalancer.frontends.listener import Listener
 from loadbalancer.proxy.final_answers import own_status
 from loadbalancer.proxy.open_requests import OpenRequest
-from loadbalancer.resource_limits import Budget
+from loadbalancer.resource_limits import BufferBudget
 from loadbalancer.streaming.streams import Stream
 
 
@@ -103,7 +103,7 @@
 
     def release_body(self) -> None:
         if self.body is not None and self.head.destination is not None:
-            self.head.destination.budget.give(len(self.body))
+            self.head.destination.budget.release(len(self.body))
         self.body = None
 
 
@@ -120,7 +120,7 @@
         self.requests: dict[int, FcgiRequest] = {}  # begun and not answered
         self.since = time.monotonic()
         self.phase = Phase.IDLE
-        self.budget: Budget | None = None  # of the pool that the last request went to
+        self.budget: BufferBudget | None = None  # of the pool that the last request went to
         self.paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -214,7 +214,7 @@
             request.body = None  # it is the open request's now
             self._take(request, item)
 
-    def _take(self, request: FcgiRequest, item: Ask) -> None:
+    def _take(self, request: FcgiRequest, item: RoutedRequest) -> None:
         proxy = item.proxy
         if self.overflow:
             status, why = 503, "too many connections"
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -18,7 +18,7 @@
 
 from loadbalancer.admission.rulings import RETURN_S
 from loadbalancer.frontends.connection import REQUEST_S, FrontConnection, Phase
-from loadbalancer.frontends.dialect import Ask, RejectError, Reply
+from loadbalancer.frontends.dialect import RejectError, Reply, RoutedRequest
 from loadbalancer.frontends.listener import Listener
 from loadbalancer.proxy.final_answers import own_status
 from loadbalancer.proxy.open_requests import OpenRequest
@@ -67,7 +67,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.request: OpenRequest | None = None  # being served
-        self.waiting: deque[Union[Ask, Reply]] = deque()
+        self.waiting: deque[Union[RoutedRequest, Reply]] = deque()
         self.since = time.monotonic()  # of the phase
         self.phase: Phase = IDLE
         self.heard = self.since  # when more of a body last came
@@ -170,7 +170,7 @@
         head = self.head
         head.close = head.old or not self.parser.should_keep_alive()
         item = head.reader.read(head, self.body, self)
-        if isinstance(item, Ask):
+        if isinstance(item, RoutedRequest):
             self.body = None  # it is the request's now
         else:
             self._release_body()
@@ -240,7 +240,7 @@
         except RejectError as problem:
             item = None
             self._reject(problem.status, problem.why)
-        if not isinstance(item, Ask) or not item.proxy.may_upload():
+        if not isinstance(item, RoutedRequest) or not item.proxy.may_upload():
             upload.close()
             self.upload = None
             if item is not None:
@@ -290,7 +290,7 @@
         rest = data[problem.args[0] :] if problem.args else b""
         if not rest:
             return
-        if self.waiting and isinstance(self.waiting[-1], Ask) and self.waiting[-1].request.upgrade:
+        if self.waiting and isinstance(self.waiting[-1], RoutedRequest) and self.waiting[-1].request.upgrade:
             self._keep_early(rest)
         else:
             self.data_received(rest)
@@ -372,7 +372,7 @@
         return own_status(status) if self.listener.reader.names_itself else []
 
     def _turn_away(
-        self, item: Ask, status: int, why: bytes, close: bool = True, lines: Sequence[bytes] = ()
+        self, item: RoutedRequest, status: int, why: bytes, close: bool = True, lines: Sequence[bytes] = ()
     ) -> None:
         """Answered before it was taken: it has not run."""
         item.proxy.turned_away(item.request, item.cls, status)
@@ -517,13 +517,13 @@
             self.phase = IDLE
             self.rest()
 
-    def _drop(self, item: Ask | Reply) -> None:
-        if isinstance(item, Ask):
+    def _drop(self, item: RoutedRequest | Reply) -> None:
+        if isinstance(item, RoutedRequest):
             item.proxy.drop(item.request)
 
     def _release_body(self) -> None:
         if self.body is not None and self.head.destination is not None:
-            self.head.destination.budget.give(len(self.body))
+            self.head.destination.budget.release(len(self.body))
         self.body = None
 
     # Flow control, and the end.
--- a/loadbalancer/frontends/listener.py
+++ b/loadbalancer/frontends/listener.py
@@ -18,13 +18,13 @@
 from loadbalancer.frontends.connection import FrontConnection, Phase
 from loadbalancer.frontends.dialect import Reader
 from loadbalancer.frontends.sockets import LOCAL, UNIX, bind, release
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.resource_limits import RateLimitedLogger
 
 if TYPE_CHECKING:  # loaded where a listener has rules of its own
-    from loadbalancer.frontends.admission_gate import Gate, Visit
-    from loadbalancer.frontends.reserve_descriptors import Spares
+    from loadbalancer.frontends.admission_gate import AdmissionGate, AdmittedConnection
+    from loadbalancer.frontends.reserve_descriptors import ReserveDescriptors
 if TYPE_CHECKING:  # loaded where a listener speaks TLS
-    from loadbalancer.frontends.tls_listener import TlsDoor
+    from loadbalancer.frontends.tls_listener import TlsAcceptor
 
 #: New connections taken in one go at least, whatever presses: so many times `accept` empties the kernel's queue.
 ACCEPT_LEAST = STEPS[-1].accepts
@@ -59,7 +59,7 @@
 )
 
 
-class Serve(Protocol):
+class ConnectionFactory(Protocol):
     """Makes the protocol's side of a connection."""
 
     def __call__(
@@ -70,16 +70,18 @@
 class Listener:
     """One listening socket, and the connections of clients that came by it."""
 
-    def __init__(self, reader: Reader, slots: tuple[int, int], complain: Complaints, serve: Serve) -> None:
+    def __init__(
+        self, reader: Reader, slots: tuple[int, int], logger: RateLimitedLogger, serve: ConnectionFactory
+    ) -> None:
         """`slots`: connections that it may hold, and more of them that it may hold to turn them away."""
-        self.reader, self.complain, self._serve = reader, complain, serve
+        self.reader, self.logger, self._serve = reader, logger, serve
         self.most, self.overflow_most = slots
         self.connections: set[FrontConnection] = set()
         self.overflowing = 0
         self.pressure = Pressure()
-        self.gate: Gate | None = None  # rules for addresses
-        self.spares: Spares | None = None  # descriptors to refuse with when there are no others
-        self.tls: TlsDoor | None = None  # by which new connections come
+        self.gate: AdmissionGate | None = None  # rules for addresses
+        self.spares: ReserveDescriptors | None = None  # descriptors to refuse with when there are no others
+        self.tls: TlsAcceptor | None = None  # by which new connections come
         self.speaks_http = True  # a refusal on the spot can be worded
         # Those on which no request is open, the oldest first: no whole request has come; idle after the first one;
         # idle after more; answered for the last time.
@@ -133,7 +135,7 @@
             except BlockingIOError:
                 return False
             except OSError as problem:
-                self.complain("accept", problem)
+                self.logger("accept", problem)
                 self._evict()
                 self._refuse_with_spare()
                 self._rest()
@@ -180,7 +182,7 @@
                 return
         if self.taken >= self.most and not self._find_room(visit):
             overflow = True
-            self.complain("too many connections", len(self.connections))
+            self.logger("too many connections", len(self.connections))
             if self.overflowing >= self.overflow_most:
                 self._forget_visit(visit)
                 self._turn_away(sock)
@@ -195,7 +197,7 @@
         self._starting.add(task)  # the loop alone would not keep it
         task.add_done_callback(self._starting.discard)
 
-    def _find_room(self, visit: Visit | None) -> bool:
+    def _find_room(self, visit: AdmittedConnection | None) -> bool:
         """Whether one more gets in where all slots are taken: somebody else's idle connection makes room. Known clients
         also get in past the limit, on the descriptors that are there for turning others away, and then for one
         another."""
@@ -211,25 +213,25 @@
         """Slots, with those of connections that are being opened."""
         return len(self.connections) + self._opening - self.overflowing
 
-    def _obeys(self, visit: Visit, ruling: Ruling) -> bool:
+    def _obeys(self, visit: AdmittedConnection, ruling: Ruling) -> bool:
         """Carry a ruling out as far as it can be: False where the connection is refused."""
         if ruling.verdict == SWAP and not self._evict():
             self._forget_visit(visit)
         elif ruling.verdict != REFUSE:
             return True
-        self.complain(f"refused: {ruling.why}", visit.address)
+        self.logger(f"refused: {ruling.why}", visit.address)
         return False
 
-    def _forget_visit(self, visit: Visit | None) -> None:
+    def _forget_visit(self, visit: AdmittedConnection | None) -> None:
         if visit is not None:
             visit.gate.left(visit)
 
-    def unwrap(self, connection: FrontConnection, visit: Visit, data: bytes) -> bytes:
+    def unwrap(self, connection: FrontConnection, visit: AdmittedConnection, data: bytes) -> bytes:
         """What comes after a connection's PROXY header; nothing where it is not whole, or the client is refused."""
         try:
             rest, ruling = visit.gate.unwrap(visit, data, self.most, self.taken)
         except ValueError as problem:
-            self.complain(f"no PROXY header from {visit.address}", problem)
+            self.logger(f"no PROXY header from {visit.address}", problem)
             connection.abort()
             return b""
         if ruling is not None and not self._obeys(visit, ruling):
@@ -237,7 +239,9 @@
             return b""
         return rest
 
-    async def _start(self, sock: socket.socket, overflow: bool, peer: str, visit: Visit | None) -> None:
+    async def _start(
+        self, sock: socket.socket, overflow: bool, peer: str, visit: AdmittedConnection | None
+    ) -> None:
         def serve() -> FrontConnection:
             connection = self._serve(self, sock, overflow, peer)
             connection.visit = visit
--- a/loadbalancer/frontends/platform_http.py
+++ b/loadbalancer/frontends/platform_http.py
@@ -10,13 +10,13 @@
 from typing import Iterable
 
 from loadbalancer.deployment import Deployment
-from loadbalancer.frontends.dialect import Ask, ClientSide, Head, RejectError, Reply
+from loadbalancer.frontends.dialect import ClientSide, Head, RejectError, Reply, RoutedRequest
 from loadbalancer.policy.settings import (
     Effect,
 )
 from loadbalancer.proxy.open_requests import OpenRequest
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.resource_limits import HELD_MOST, STREAM_MOST
+from loadbalancer.resource_limits import MAX_HELD_BODY_BYTES, MAX_STREAMED_BODY_BYTES
 
 REMAINING = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 UNITS = {b"m": 1e-3, b"u": 1e-6}
@@ -80,12 +80,12 @@
     single = noted - {b"cookie"}
     ignores_upgrade = False
     names_itself = False
-    body_most = HELD_MOST
+    body_most = MAX_HELD_BODY_BYTES
 
     def __init__(self, proxy: Proxy, deployment: Deployment) -> None:
         self.proxy, self.deployment = proxy, deployment
         self.budget = proxy.budget
-        self.upload_most = STREAM_MOST if proxy.takes_uploads else 0
+        self.upload_most = MAX_STREAMED_BODY_BYTES if proxy.takes_uploads else 0
         self.draining = False  # new clients are no longer wanted
 
     def proxies(self) -> Iterable[Proxy]:
@@ -103,7 +103,7 @@
     def place(self, head: Head) -> PlatformReader:
         return self
 
-    def read(self, head: Head, body: bytearray | None, client: ClientSide) -> Ask | Reply:
+    def read(self, head: Head, body: bytearray | None, client: ClientSide) -> RoutedRequest | Reply:
         method, url, noted = head.method, head.url, head.noted
         if url == b"/ready" and method == b"GET":
             ready = self.ready()
@@ -114,7 +114,7 @@
             raise RejectError(400, "no path or no host")
         return self.read_platform(head, body, client)
 
-    def read_platform(self, head: Head, body: bytearray | None, client: ClientSide) -> Ask:
+    def read_platform(self, head: Head, body: bytearray | None, client: ClientSide) -> RoutedRequest:
         """The platform's headers, once the request line is known to be good."""
         noted, deployment = head.noted, self.deployment
         if not noted.get(b"x-txn"):
@@ -122,7 +122,10 @@
         cls = deployment.classes.get(noted.get(b"x-lane", b"").decode("latin-1"))
         if cls is None:
             raise RejectError(400, "no or unknown X-Lane")
-        effect, give_up = deployment.settings.classes[cls].effect, deployment.settings.classes[cls].give_up
+        effect, give_up = (
+            deployment.settings.classes[cls].effect,
+            deployment.settings.classes[cls].client_timeout,
+        )
         if effect == Effect.KEYED and not noted.get(b"idempotency-key"):
             raise RejectError(400, "no Idempotency-Key")  # a repeat could not be told from another request
         if (head.method == b"GET") != (effect == Effect.SAFE):
@@ -132,7 +135,7 @@
         key = KEY.search(noted[b"cookie"]) if b"cookie" in noted else None
         estimate = noted.get(b"x-estimate", b"")
         sent = pass_on(head, body, head.method == b"POST")
-        return Ask(
+        return RoutedRequest(
             self.proxy,
             OpenRequest(client, hash(noted[b"x-txn"]), sent, body),
             cls,
--- a/loadbalancer/frontends/plugin_hooks.py
+++ b/loadbalancer/frontends/plugin_hooks.py
@@ -14,7 +14,7 @@
 TAG = b"x-tag-"
 
 
-class Hooks(NamedTuple):
+class PluginHooks(NamedTuple):
     """One route's plug-ins, with all they need."""
 
     runner: Runner
--- a/loadbalancer/frontends/reserve_descriptors.py
+++ b/loadbalancer/frontends/reserve_descriptors.py
@@ -11,7 +11,7 @@
 SPARES = 8
 
 
-class Spares:
+class ReserveDescriptors:
     """Owns them; `take` closes one, so that the next thing opened finds its number free."""
 
     def __init__(self, most: int = SPARES, opening: Callable[[], int] | None = None) -> None:
--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -13,24 +13,32 @@
 from loadbalancer.admission.networks import Networks
 from loadbalancer.config.plan import ByMethod, ListenerPlan
 from loadbalancer.config.types import StickyTable
-from loadbalancer.frontends.dialect import Ask, ClientSide, Destination, Head, RejectError, Remembered, Reply
+from loadbalancer.frontends.dialect import (
+    ClientSide,
+    Destination,
+    Head,
+    IdempotencyTerms,
+    RejectError,
+    Reply,
+    RoutedRequest,
+)
 from loadbalancer.frontends.platform_http import PlatformReader, pass_on
 from loadbalancer.frontends.sockets import LOCAL
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
 from loadbalancer.proxy.open_requests import OpenRequest
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.resource_limits import Budget
+from loadbalancer.resource_limits import BufferBudget
 from loadbalancer.routing.rewrites import Rewrites
 from loadbalancer.routing.routes import Rule
 from loadbalancer.routing.targets import Target, TargetError, read_target
-from loadbalancer.routing.traffic_migration import Moves
+from loadbalancer.routing.traffic_migration import Migrations
 
 if TYPE_CHECKING:  # loaded where a route has plug-ins
-    from loadbalancer.frontends.plugin_hooks import Hooks
+    from loadbalancer.frontends.plugin_hooks import PluginHooks
 if TYPE_CHECKING:  # loaded where keys are remembered
-    from loadbalancer.proxy.idempotent_requests import Ledger, Terms
+    from loadbalancer.proxy.idempotent_requests import IdempotencyLedger, KeyTerms
 
 #: Headers that tell of the way to us; a stranger's are not believed and not passed on.
 FORWARDED = frozenset((
@@ -44,14 +52,16 @@
 VIA = b"Via: 1.1 micastand\r\n"
 
 
-class Remembers(NamedTuple):
+class RecordsKeys(NamedTuple):
     """What one route's keyed requests are remembered by."""
 
-    ledger: Ledger
-    terms: Terms
+    ledger: IdempotencyLedger
+    terms: KeyTerms
     tenant: str
 
-    def of(self, to: RouteTarget, head: PlainHead, cls: int, body: bytearray | None) -> Remembered | None:
+    def of(
+        self, to: RouteTarget, head: PlainHead, cls: int, body: bytearray | None
+    ) -> IdempotencyTerms | None:
         """None where the request brings no key, or its class is not the one that is remembered."""
         from loadbalancer.store.ledger import digest, is_key, scope
 
@@ -59,13 +69,13 @@
         if key is None:
             return None
         found = digest(head.method, head.url, body)
-        return Remembered(self.ledger, scope(self.tenant, to.name, key), found, self.terms)
+        return IdempotencyTerms(self.ledger, scope(self.tenant, to.name, key), found, self.terms)
 
 
-class Moved(NamedTuple):
+class RedirectTarget(NamedTuple):
     """A pool of which a part goes elsewhere, as one route sees it."""
 
-    moves: Moves
+    moves: Migrations
     away: RouteTarget | None  # the route over the other pool; None once nothing is moved any more
     draw: Callable[[], float]
     clock: Callable[[], float]  # Unix time in seconds
@@ -100,17 +110,17 @@
     members: Mapping[str, str]  # ids by the names that members have in sticky sessions; kept up by the pool
     body_most: int
     upload_most: int = 0
-    hooks: Hooks | None = None  # plug-ins of the route
+    hooks: PluginHooks | None = None  # plug-ins of the route
     rewrites: Rewrites | None = None
-    remembers: Remembers | None = None
+    remembers: RecordsKeys | None = None
     upgrade: frozenset[bytes] = frozenset()  # protocols that its requests may go over to
     attempts: int = 0  # of one request; 0: as the pool has it
-    repeat_on: frozenset[Result] | None = None  # ends of attempts after which another may follow
+    repeat_on: frozenset[AttemptResult] | None = None  # ends of attempts after which another may follow
     repeat_statuses: frozenset[int] | None = None
-    moved: Moved | None = None  # where operators send a part of the pool's traffic elsewhere
+    moved: RedirectTarget | None = None  # where operators send a part of the pool's traffic elsewhere
 
     @property
-    def budget(self) -> Budget:
+    def budget(self) -> BufferBudget:
         return self.proxy.budget
 
 
@@ -121,15 +131,15 @@
     status: int
 
 
-class Nowhere(NamedTuple):
+class NoRouteTarget(NamedTuple):
     """The destination of what no pool will see."""
 
-    budget: Budget = Budget(0)
+    budget: BufferBudget = BufferBudget(0)
     body_most: int = 0
     upload_most: int = 0
 
 
-NOWHERE = Nowhere()
+NOWHERE = NoRouteTarget()
 AnyTarget = Union[RouteTarget, FixedTarget]
 
 
@@ -260,7 +270,7 @@
 
     # The whole request.
 
-    def read(self, head: Head, body: bytearray | None, client: ClientSide) -> Ask | Reply:
+    def read(self, head: Head, body: bytearray | None, client: ClientSide) -> RoutedRequest | Reply:
         assert isinstance(head, PlainHead)
         if head.reply is not None:
             return Reply(*head.reply, head.close)
@@ -280,8 +290,8 @@
         return classes.choose(head.method.decode("latin-1"), has_key)
 
     def _hooked(
-        self, head: PlainHead, to: RouteTarget, hooks: Hooks, body: bytearray | None, client: ClientSide
-    ) -> Ask | Reply:
+        self, head: PlainHead, to: RouteTarget, hooks: PluginHooks, body: bytearray | None, client: ClientSide
+    ) -> RoutedRequest | Reply:
         """The request as its plug-ins leave it. They may choose class and tenant, and headers that are neither framing
         nor ours; the deadline is never longer than it was."""
         cls = self._class(head, to)
@@ -295,7 +305,7 @@
 
     def _left(self, to: RouteTarget, cls: int) -> float:
         """Seconds that a request of the class has."""
-        give_up = to.proxy.balancer.settings.classes[cls].give_up
+        give_up = to.proxy.balancer.settings.classes[cls].client_timeout
         return give_up if to.deadline is None else min(to.deadline, give_up)
 
     def _ask(
@@ -306,7 +316,7 @@
         client: ClientSide,
         cls: int,
         left: float,
-    ) -> Ask:
+    ) -> RoutedRequest:
         noted = head.noted
         sent = pass_on(head, body, head.method in WITH_LENGTH)
         request = OpenRequest(client, 0, sent, body, head.method == b"HEAD")
@@ -321,7 +331,7 @@
                 base=(b"https://" if head.secure else b"http://") + head.target.authority.encode("latin-1"),
             )
         member = find_session(to.sticky, noted.get(b"cookie", b""), head.target.path) if to.sticky else None
-        return Ask(
+        return RoutedRequest(
             to.proxy,
             request,
             cls,
--- a/loadbalancer/frontends/tls_listener.py
+++ b/loadbalancer/frontends/tls_listener.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any, Callable
 
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.resource_limits import RateLimitedLogger
 from loadbalancer.tls.handshakes import Bounds, Handshakes, Turn
 from loadbalancer.tls.keeper import ServerKeys
 from loadbalancer.tls.pairs import subjects_of
@@ -16,12 +16,12 @@
 SHUTDOWN_S = 1.0
 
 
-class TlsDoor:
+class TlsAcceptor:
     """Of one listener. It owns the turns and one timer; `close` drops those that wait."""
 
-    def __init__(self, keys: ServerKeys, complain: Complaints) -> None:
+    def __init__(self, keys: ServerKeys, logger: RateLimitedLogger) -> None:
         table = keys.table
-        self.keys, self.complain = keys, complain
+        self.keys, self.logger = keys, logger
         self._seconds = float(table.handshake_time)
         self.handshakes = Handshakes(
             Bounds(
@@ -42,7 +42,7 @@
         ready: asyncio.Future[None] = self._loop.create_future()
 
         def drop(why: str) -> None:
-            self.complain("handshake refused", f"{why}: {peer}")
+            self.logger("handshake refused", f"{why}: {peer}")
             if not ready.done():
                 ready.set_exception(ConnectionRefusedError(why))
 
@@ -63,7 +63,7 @@
         except OSError as problem:
             self.failed += 1
             if turn.under_way:
-                self.complain("handshake failed", f"{problem}: {peer}")
+                self.logger("handshake failed", f"{problem}: {peer}")
             raise
         finally:
             self.handshakes.ended(turn, time.monotonic())
--- a/loadbalancer/hot_restart/override_writer.py
+++ b/loadbalancer/hot_restart/override_writer.py
@@ -17,7 +17,7 @@
 LATE_S = 0.7
 
 
-class ThreadedKeeper:
+class OverrideWriter:
     """Owns the thread, which starts with the first change."""
 
     def __init__(self, save: Callable[[Change], Mapping[str, float]]) -> None:
--- a/loadbalancer/hot_restart/phases.py
+++ b/loadbalancer/hot_restart/phases.py
@@ -37,7 +37,7 @@
     LEAVING = 4
 
 
-class Seen(NamedTuple):
+class Observation(NamedTuple):
     """What a process knows of itself and of the others."""
 
     age: float  # seconds since its start
@@ -49,7 +49,7 @@
     used: int  # descriptors in use
 
 
-def phase(seen: Seen) -> Phase:
+def phase(seen: Observation) -> Phase:
     """A process that has lost its elder, or whose successor has died, is alone again."""
     if seen.ending:
         return Phase.LEAVING
@@ -65,7 +65,7 @@
     return min(RESERVE, int(sockets * RESERVE_SHARE))
 
 
-def share(now: Phase, seen: Seen, sockets: int) -> int:
+def share(now: Phase, seen: Observation, sockets: int) -> int:
     """Descriptors that a process may hold, of `sockets` for all of them.
 
     Nobody takes what another claims, so the sum stays within `sockets` but for what a process held when the other
--- a/loadbalancer/hot_restart/shared_files.py
+++ b/loadbalancer/hot_restart/shared_files.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Callable, Iterator, Mapping
 
-from loadbalancer.discovery.platform_overrides import MarksError, decode, encode
+from loadbalancer.discovery.platform_overrides import OverridesError, decode, encode
 from loadbalancer.hot_restart.startup_pacing import LIFE
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.resource_limits import RateLimitedLogger
 
 MARKS, LOCK = "micastand-marks", "micastand-marks.lock"
 #: Who changes the marks holds the lock for as long as a busy disk takes over a rename; one that is stopped in the
@@ -27,11 +27,11 @@
 MARKS_MOST = 4 << 20
 
 
-class MarksFile:
+class OverridesFile:
     """The marks, where the next process finds them: written beside the old file and renamed over it."""
 
-    def __init__(self, folder: Path, complain: Complaints) -> None:
-        self.path, self._lock, self.complain = folder / MARKS, folder / LOCK, complain
+    def __init__(self, folder: Path, logger: RateLimitedLogger) -> None:
+        self.path, self._lock, self.logger = folder / MARKS, folder / LOCK, logger
         self._stamp: tuple[int, int, int] | None = None
 
     def read(self) -> dict[str, float] | None:
@@ -43,13 +43,13 @@
         except FileNotFoundError:
             return None
         except OSError as problem:
-            self.complain("marks not read", problem)
+            self.logger("marks not read", problem)
             return None
         self._stamp = status.st_mtime_ns, status.st_size, status.st_ino
         try:
             return decode(data)
-        except MarksError as problem:
-            self.complain("marks not believed", f"{self.path}: {problem}")
+        except OverridesError as problem:
+            self.logger("marks not believed", f"{self.path}: {problem}")
             return None
 
     def changed(self) -> dict[str, float] | None:
@@ -98,7 +98,7 @@
             os.close(descriptor)
 
 
-class Life:
+class ProcessFile:
     """This process among those of the same proxy."""
 
     def __init__(self, folder: Path) -> None:
--- a/loadbalancer/hot_restart/startup_pacing.py
+++ b/loadbalancer/hot_restart/startup_pacing.py
@@ -20,7 +20,7 @@
 LIFE = "micastand-life-"
 
 
-class Pace:
+class StartupPacing:
     """A finder of modules that finds none, and rests instead."""
 
     def __init__(self, rest: float) -> None:
@@ -38,9 +38,9 @@
             sys.meta_path.remove(self)
 
 
-def begin(environment: Mapping[str, str]) -> Pace:
+def begin(environment: Mapping[str, str]) -> StartupPacing:
     """Rest between modules from now on."""
-    pace = Pace(BESIDE if _is_beside(environment) else ALONE)
+    pace = StartupPacing(BESIDE if _is_beside(environment) else ALONE)
     sys.meta_path.insert(0, pace)
     return pace
 
--- a/loadbalancer/management/server.py
+++ b/loadbalancer/management/server.py
@@ -12,8 +12,8 @@
 import httptools
 
 from loadbalancer.frontends.sockets import bind
-from loadbalancer.management.calls import Said
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.management.calls import Response
+from loadbalancer.resource_limits import RateLimitedLogger
 
 #: Connections at once. Guards the descriptors against callers that come and say nothing: past it the oldest that has
 #: not sent a whole call gives way.
@@ -37,7 +37,7 @@
 }  # fmt: skip
 
 
-class Caller(asyncio.Protocol):
+class CallerConnection(asyncio.Protocol):
     """One connection, and the one call on it."""
 
     def __init__(self, server: ManagementServer) -> None:
@@ -89,7 +89,7 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self.whole:
-                self._say(Said(400, b"this is not HTTP/1.1\n"))
+                self._say(Response(400, b"this is not HTTP/1.1\n"))
                 return
         if self.whole:
             if not self.asked:
@@ -97,24 +97,24 @@
                 self._within(ANSWER_S, self._late)
                 self._call()
         elif self.received > CALL_MOST:
-            self._say(Said(413, b"a call is shorter than this\n"))
+            self._say(Response(413, b"a call is shorter than this\n"))
 
     def _call(self) -> None:
         try:
             path = httptools.parse_url(self.url).path or b""
         except httptools.HttpParserInvalidURLError:
-            self._say(Said(400, b"no path can be read\n"))
+            self._say(Response(400, b"no path can be read\n"))
             return
         desk = self.server.desk if self.server.door is None else self.server.door(self.authorization)
-        if isinstance(desk, Said):
+        if isinstance(desk, Response):
             self._say(desk)
         else:
             desk.answer(self.method, path.decode("latin-1"), self._say, self.body)
 
     def _late(self) -> None:
-        self._say(Said(408, b"the call did not come to its end\n"))
+        self._say(Response(408, b"the call did not come to its end\n"))
 
-    def _say(self, said: Said) -> None:
+    def _say(self, said: Response) -> None:
         """Answer, once, and end the connection."""
         assert self.transport is not None
         self.answered = True
@@ -143,24 +143,27 @@
             self.transport.abort()
 
 
-class Answers(Protocol):
+class CallHandler(Protocol):
     """Who knows what calls mean."""
 
-    def answer(self, method: str, path: str, say: Callable[[Said], None], body: bytes = b"") -> None: ...
+    def answer(self, method: str, path: str, say: Callable[[Response], None], body: bytes = b"") -> None: ...
 
 
 class ManagementServer:
     """The listening socket and its callers."""
 
     def __init__(
-        self, desk: Answers, complain: Complaints, door: Callable[[str | None], Answers | Said] | None = None
+        self,
+        desk: CallHandler,
+        logger: RateLimitedLogger,
+        door: Callable[[str | None], CallHandler | Response] | None = None,
     ) -> None:
         """`door`: whose desk a call comes to by its Authorization, or what it hears in its place; all come to `desk`
         if it is not given."""
-        self.desk, self.complain, self.door = desk, complain, door
+        self.desk, self.logger, self.door = desk, logger, door
         self._loop = asyncio.get_running_loop()
         self._sock: socket.socket | None = None
-        self._callers: dict[Caller, None] = {}  # the oldest first
+        self._callers: dict[CallerConnection, None] = {}  # the oldest first
         self._starting: set[asyncio.Task[None]] = set()
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
@@ -182,18 +185,18 @@
             except BlockingIOError:
                 return
             except OSError as problem:
-                self.complain("accept for management", problem)
+                self.logger("accept for management", problem)
                 self._rest()
                 return
             sock.setblocking(False)
             self._make_room()
-            caller = Caller(self)
+            caller = CallerConnection(self)
             self._callers[caller] = None
             task = self._loop.create_task(self._start(caller, sock))
             self._starting.add(task)  # the loop alone would not keep it
             task.add_done_callback(self._starting.discard)
 
-    async def _start(self, caller: Caller, sock: socket.socket) -> None:
+    async def _start(self, caller: CallerConnection, sock: socket.socket) -> None:
         try:
             await self._loop.connect_accepted_socket(lambda: caller, sock)
         except OSError:
@@ -211,7 +214,7 @@
             goes.abort()
             self.left(goes)
 
-    def left(self, caller: Caller) -> None:
+    def left(self, caller: CallerConnection) -> None:
         self._callers.pop(caller, None)
 
     def _rest(self) -> None:
--- a/loadbalancer/platform/main.py
+++ b/loadbalancer/platform/main.py
@@ -11,11 +11,11 @@
 import uvloop
 
 from loadbalancer.deployment import read_deployment
-from loadbalancer.discovery.watch import Discovery
+from loadbalancer.discovery.watch import DiscoveryClient
 from loadbalancer.frontends.listener import drain
 from loadbalancer.management import platform_names as names
-from loadbalancer.platform.node import Configuration, Node
-from loadbalancer.resource_limits import Complaints, Limits
+from loadbalancer.platform.node import Node, NodeConfiguration
+from loadbalancer.resource_limits import RateLimitedLogger, ResourceLimits
 
 #: New objects between two collections. What the proxy drops has no cycles, so few are needed, and each
 #: one holds up all requests.
@@ -35,7 +35,7 @@
     return int(text)
 
 
-def read_configuration(path: str, environment: Mapping[str, str] = os.environ) -> Configuration:
+def read_configuration(path: str, environment: Mapping[str, str] = os.environ) -> NodeConfiguration:
     with open(path, "rb") as file:
         box = orjson.loads(file.read())
     if not isinstance(box, dict):
@@ -46,12 +46,12 @@
     limits = box.get("limits", {})
     management = environment.get(names.MANAGEMENT_VARIABLE) or box.get(names.MANAGEMENT_KEY)
     descriptor = environment.get(names.ACCEPT_VARIABLE)
-    return Configuration(
+    return NodeConfiguration(
         read_deployment(box["settings"]),
         _address(box["listen"], "listen"),
         _address(box["discovery"], "discovery"),
         int(str(box.get("seed", "0")), 16),
-        Limits(
+        ResourceLimits(
             float(limits.get("memory_mb", 128)),
             int(limits.get("sockets", 1024)),
             names.MANAGEMENT_SOCKETS if management else 0,
@@ -64,41 +64,43 @@
 
 
 #: What a file that is no configuration raises when it is read.
-UNREADABLE = (OSError, ValueError, TypeError, KeyError, AttributeError)
+CONFIGURATION_ERRORS = (OSError, ValueError, TypeError, KeyError, AttributeError)
 
 
-class Reloader:
+class ConfigurationReloader:
     """Takes over, at SIGHUP, what a running proxy can: where discovery is.
 
     The file is read and checked whole first. Guards against one that is half written, wrong or gone:
     it is logged, and what runs stays as it is."""
 
-    def __init__(self, path: str, running: Configuration, discovery: Discovery, complain: Complaints) -> None:
-        self.path, self.running, self.discovery, self.complain = path, running, discovery, complain
+    def __init__(
+        self, path: str, running: NodeConfiguration, discovery: DiscoveryClient, logger: RateLimitedLogger
+    ) -> None:
+        self.path, self.running, self.discovery, self.logger = path, running, discovery, logger
 
     def __call__(self) -> None:
         try:
             new = read_configuration(self.path)
-        except UNREADABLE as problem:
-            self.complain("new configuration not taken", problem)
+        except CONFIGURATION_ERRORS as problem:
+            self.logger("new configuration not taken", problem)
             return
         old = self.running
         if (new.deployment, new.listen, new.told) != (old.deployment, old.listen, old.told):
-            self.complain("new configuration", "settings, listen and limits count from the next start")
+            self.logger("new configuration", "settings, listen and limits count from the next start")
         self.discovery.move(new.discovery)
         host, port = new.discovery
-        self.complain("new configuration taken", f"discovery at {host}:{port}")
+        self.logger("new configuration taken", f"discovery at {host}:{port}")
 
 
-async def serve(configuration: Configuration, path: str) -> None:
-    complain = Complaints()
-    node = Node(configuration, complain)
+async def serve(configuration: NodeConfiguration, path: str) -> None:
+    logger = RateLimitedLogger()
+    node = Node(configuration, logger)
     upgrade = None
     if configuration.management is not None or configuration.accept_fd is not None:
-        from loadbalancer.platform.upgrade import Operated  # loaded where it is configured
+        from loadbalancer.platform.upgrade import PlatformUpgrade  # loaded where it is configured
 
-        upgrade = Operated(node, os.environ)
-    node.take_signals(Reloader(path, configuration, node.discovery, complain))
+        upgrade = PlatformUpgrade(node, os.environ)
+    node.take_signals(ConfigurationReloader(path, configuration, node.discovery, logger))
     node.discovery.start(configuration.known)
     if upgrade is None:
         node.accept()
@@ -108,7 +110,7 @@
     gc.freeze()
     gc.set_threshold(GC_OBJECTS)
     await node.stopping.wait()
-    longest = max(c.give_up for c in configuration.deployment.settings.classes)
+    longest = max(c.client_timeout for c in configuration.deployment.settings.classes)
     if upgrade is None:
         await drain([node.listener], longest)
         return
@@ -128,7 +130,7 @@
         _stop("GW_CONFIG names no configuration")
     try:
         configuration = read_configuration(path)
-    except UNREADABLE as problem:
+    except CONFIGURATION_ERRORS as problem:
         _stop(f"configuration {path}: {problem}")
     try:
         uvloop.run(serve(configuration, path))
--- a/loadbalancer/platform/operations.py
+++ b/loadbalancer/platform/operations.py
@@ -7,13 +7,13 @@
 
 import orjson
 
-from loadbalancer.discovery.platform_overrides import Marks
+from loadbalancer.discovery.platform_overrides import PlatformOverrides
 from loadbalancer.management import platform_names as names
-from loadbalancer.management.calls import Words
-from loadbalancer.metrics import End
+from loadbalancer.management.calls import CallPaths
+from loadbalancer.metrics import RequestResult
 from loadbalancer.proxy.proxy import Proxy
 
-WORDS = Words(names.HEALTH, names.STATS, names.CORDON, names.UNCORDON)
+PATHS = CallPaths(names.HEALTH, names.STATS, names.CORDON, names.UNCORDON)
 #: A read within this long of the one before gets the same figures: they may be half a second old, and counting them
 #: takes a pass over the fleet.
 FRESH_S = 0.1
@@ -24,9 +24,9 @@
     ended = proxy.figures.ended
     handled = {
         name: {
-            "passed": ended[number][End.PASSED],
-            "dropped": ended[number][End.DROPPED],
-            "bad_gateway": ended[number][End.FAILED],
+            "passed": ended[number][RequestResult.PASSED],
+            "dropped": ended[number][RequestResult.DROPPED],
+            "bad_gateway": ended[number][RequestResult.FAILED],
         }
         for name, number in classes.items()
     }
@@ -39,11 +39,11 @@
     }
 
 
-class Operations:
+class PlatformOperations:
     """What the platform's operators can do to one proxy."""
 
     def __init__(
-        self, proxy: Proxy, classes: Mapping[str, int], marks: Marks, serves: Callable[[], bool]
+        self, proxy: Proxy, classes: Mapping[str, int], marks: PlatformOverrides, serves: Callable[[], bool]
     ) -> None:
         self.proxy, self.classes, self.marks, self._serves = proxy, classes, marks, serves
         self._read_at = -FRESH_S
--- a/loadbalancer/platform/simulator.py
+++ b/loadbalancer/platform/simulator.py
@@ -14,53 +14,53 @@
 from loadbalancer.deployment import read_settings
 from loadbalancer.policy.actions import (
     Cancel,
-    CloseIdle,
+    CloseIdleConnections,
     Fail,
-    Fetch,
-    Log,
-    Message,
-    Probe,
-    Refuse,
+    FetchEndpoints,
+    LogMessage,
+    ProbeEndpoint,
+    Reject,
     Send,
+    SendPeerMessage,
     SetTimer,
-    Watch,
+    WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
+    AttemptResult,
+    ClientCancelled,
+    EndpointEntry,
+    EndpointList,
+    EndpointState,
     Event,
     FirstByte,
     Outcome,
     PeerMessage,
     ProbeResult,
     Request,
-    Result,
-    ServerEntry,
-    ServerList,
-    ServerState,
     TimerFired,
-    Withdrawn,
 )
 
 MODES = {
-    "ready": ServerState.READY,
-    "draining": ServerState.DRAINING,
-    "gone": ServerState.GONE,
+    "ready": EndpointState.READY,
+    "draining": EndpointState.DRAINING,
+    "gone": EndpointState.GONE,
 }
 RESULTS = {
-    "served": Result.SERVED,
-    "server_error": Result.ERROR,
-    "turned_away": Result.FULL,
-    "no_answer": Result.TIMEOUT,
-    "no_connection": Result.NO_CONNECTION,
-    "connection_lost": Result.RESET,
-    "called_off": Result.CANCELLED,
-    "not_sent": Result.NOT_SENT,
+    "served": AttemptResult.SERVED,
+    "server_error": AttemptResult.ERROR,
+    "turned_away": AttemptResult.FULL,
+    "no_answer": AttemptResult.TIMEOUT,
+    "no_connection": AttemptResult.NO_CONNECTION,
+    "connection_lost": AttemptResult.RESET,
+    "called_off": AttemptResult.CANCELLED,
+    "not_sent": AttemptResult.NOT_SENT,
 }
 
 
-def _entry(box: Mapping[str, Any]) -> ServerEntry:
-    return ServerEntry(
-        server=box["backend"],
+def _entry(box: Mapping[str, Any]) -> EndpointEntry:
+    return EndpointEntry(
+        endpoint=box["backend"],
         zone=box.get("area", 0),
         cell=box.get("bay", 0),
         kind=box.get("shape", 0),
@@ -101,7 +101,7 @@
     "response": _outcome,
     "ingress": _request,
     "timeout-fired": lambda box: TimerFired(box["mark"]),
-    "withdrawn": lambda box: Withdrawn(box["job"]),
+    "withdrawn": lambda box: ClientCancelled(box["job"]),
     "ack-first": lambda box: FirstByte(
         box["job"], box.get("shot", 0), box["backend"], box.get("duration-s", 0.0)
     ),
@@ -113,35 +113,35 @@
 
 ACTIONS: dict[type, Callable[[int, Any], dict[str, Any]]] = {
     Send: lambda p, a: {
-        "verb": "route", "proxy": p, "job": a.request, "cap-s": a.timeout, "backend": a.server
+        "verb": "route", "proxy": p, "job": a.request, "cap-s": a.timeout, "backend": a.endpoint
     },
     SetTimer: lambda p, a: {
-        "verb": "wake-me", "proxy": p, "mark": a.token, "after-s": a.after
+        "verb": "wake-me", "proxy": p, "mark": a.token, "after-s": a.delay
     },
     Fail: lambda p, a: {"verb": "report-failure", "proxy": p, "job": a.request},
-    Refuse: lambda p, a: {
+    Reject: lambda p, a: {
         "verb": "turn-away", "proxy": p, "job": a.request, "wait-s": a.retry_after
     },
     Cancel: lambda p, a: {
         "verb": "revoke", "proxy": p, "job": a.request, "shot": a.attempt
     },
-    Watch: lambda p, a: {"verb": "watch", "proxy": p, "want": a.on},
-    Fetch: lambda p, a: {"verb": "resolve", "proxy": p},
-    Probe: lambda p, a: {"verb": "test", "proxy": p, "backend": a.server},
-    CloseIdle: lambda p, a: {"verb": "shut-idle", "proxy": p, "backend": a.server},
-    Message: lambda p, a: {
+    WatchEndpoints: lambda p, a: {"verb": "watch", "proxy": p, "want": a.enabled},
+    FetchEndpoints: lambda p, a: {"verb": "resolve", "proxy": p},
+    ProbeEndpoint: lambda p, a: {"verb": "test", "proxy": p, "backend": a.endpoint},
+    CloseIdleConnections: lambda p, a: {"verb": "shut-idle", "proxy": p, "backend": a.endpoint},
+    SendPeerMessage: lambda p, a: {
         "verb": "tell", "proxy": p, "to": a.to, "octets": base64.b64encode(a.payload).decode()
     },
-    Log: lambda p, a: {"verb": "remark", "proxy": p, "text": a.text},
+    LogMessage: lambda p, a: {"verb": "remark", "proxy": p, "text": a.text},
 }  # fmt: skip
 
 
-class Link:
+class SimulatorSession:
     """Routes batches to the instances that this process hosts."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
-        self.tables: dict[int, tuple[ServerEntry, ...]] = {}
+        self.tables: dict[int, tuple[EndpointEntry, ...]] = {}
 
     def reply(self, batch: Mapping[str, Any]) -> dict[str, Any]:
         pending: dict[int, list[Event]] = {}
@@ -182,11 +182,11 @@
             self.instances.pop(box["proxy"], None)
             pending.pop(box["proxy"], None)
 
-    def _list(self, box: Mapping[str, Any]) -> ServerList:
+    def _list(self, box: Mapping[str, Any]) -> EndpointList:
         form = box["form"]
         if form == "broken":
-            return ServerList(failed=True)
-        return ServerList(self.tables[box["table"]], form != "patch", False, form == "stale_copy")
+            return EndpointList(failed=True)
+        return EndpointList(self.tables[box["table"]], form != "patch", False, form == "stale_copy")
 
 
 def _fault(proxy: int, problem: Exception) -> dict[str, Any]:
@@ -213,7 +213,7 @@
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
-    link = Link()
+    link = SimulatorSession()
     for line in source:
         if line.strip():
             sink.write(orjson.dumps(link.reply(_read(line))) + b"\n")
--- a/loadbalancer/platform/upgrade.py
+++ b/loadbalancer/platform/upgrade.py
@@ -11,36 +11,36 @@
 from pathlib import Path
 from typing import Mapping
 
-from loadbalancer.discovery.platform_overrides import Marks
-from loadbalancer.hot_restart.override_writer import ThreadedKeeper
-from loadbalancer.hot_restart.phases import ACCEPTING, Phase, Seen, phase, share
-from loadbalancer.hot_restart.shared_files import Life, MarksFile
+from loadbalancer.discovery.platform_overrides import PlatformOverrides
+from loadbalancer.hot_restart.override_writer import OverrideWriter
+from loadbalancer.hot_restart.phases import ACCEPTING, Observation, Phase, phase, share
+from loadbalancer.hot_restart.shared_files import OverridesFile, ProcessFile
 from loadbalancer.management import platform_names as names
-from loadbalancer.management.calls import Desk
+from loadbalancer.management.calls import ManagementSession
 from loadbalancer.management.server import ManagementServer
 from loadbalancer.platform.node import Node
-from loadbalancer.platform.operations import WORDS, Operations
-from loadbalancer.resource_limits import Limits
+from loadbalancer.platform.operations import PATHS, PlatformOperations
+from loadbalancer.resource_limits import ResourceLimits
 
 #: How often the folder is looked at: what the other process says counts within this.
 LOOK_S = 0.1
 
 
-class Operated:
+class PlatformUpgrade:
     """Owns the management address, the marks, and this process's place among those of one proxy."""
 
     def __init__(self, node: Node, environment: Mapping[str, str]) -> None:
         """OSError where the operators' address can't be had."""
         configuration = node.configuration
-        self.node, self.complain = node, node.complain
+        self.node, self.logger = node, node.logger
         self._began = time.monotonic()
         self._loop = asyncio.get_running_loop()
-        self._file: MarksFile | None = None
-        self._life: Life | None = None
+        self._file: OverridesFile | None = None
+        self._life: ProcessFile | None = None
         self._elders: frozenset[str] = frozenset()
         self._open_folder(environment.get(names.FOLDER_VARIABLE), configuration.accept_fd is not None)
-        self._keeper = ThreadedKeeper(self._file.save) if self._file is not None else None
-        self.marks = Marks(node.proxy, self._keeper, time.time, self.complain)
+        self._keeper = OverrideWriter(self._file.save) if self._file is not None else None
+        self.marks = PlatformOverrides(node.proxy, self._keeper, time.time, self.logger)
         node.proxy.marks = self.marks
         if self._file is not None:
             self.marks.follow(self._file.read() or {})
@@ -48,8 +48,10 @@
         self._processes = 1
         self.server: ManagementServer | None = None
         if configuration.management is not None:
-            operations = Operations(node.proxy, configuration.deployment.classes, self.marks, self.serves)
-            self.server = ManagementServer(Desk(WORDS, operations), self.complain)
+            operations = PlatformOperations(
+                node.proxy, configuration.deployment.classes, self.marks, self.serves
+            )
+            self.server = ManagementServer(ManagementSession(PATHS, operations), self.logger)
             self.server.listen(configuration.management)
 
     def start(self) -> None:
@@ -63,13 +65,13 @@
         """Guards against a folder that takes no file: the process then runs as if it were alone."""
         if not folder:
             return
-        self._file = MarksFile(Path(folder), self.complain)
+        self._file = OverridesFile(Path(folder), self.logger)
         if shared:
             try:
-                self._life = Life(Path(folder))
+                self._life = ProcessFile(Path(folder))
                 self._elders = frozenset(self._life.others())
             except OSError as problem:
-                self.complain("no upgrade can be seen", problem)
+                self.logger("no upgrade can be seen", problem)
 
     # What others ask.
 
@@ -111,11 +113,11 @@
         try:
             others = self._life.others()
         except OSError as problem:
-            self.complain("the shared folder can't be read", problem)
+            self.logger("the shared folder can't be read", problem)
             return
         self._elders &= others.keys()
         proxy, ending = node.proxy, node.stopping.is_set()
-        seen = Seen(
+        seen = Observation(
             time.monotonic() - self._began,
             bool(proxy.listed),
             proxy.fresh,
@@ -126,13 +128,13 @@
         )
         self._become(phase(seen), seen)
 
-    def _become(self, now: Phase, seen: Seen) -> None:
+    def _become(self, now: Phase, seen: Observation) -> None:
         limits, processes = self.node.configuration.limits, 1 + len(seen.others)
         held = share(now, seen, limits.sockets)
         if now != self.phase:
-            self.complain(f"upgrade: {now.name.lower()}", f"{held} of {limits.sockets} descriptors")
+            self.logger(f"upgrade: {now.name.lower()}", f"{held} of {limits.sockets} descriptors")
         if (held, processes) != (self._share, self._processes):
-            mine = Limits(limits.memory_mb / processes, held, limits.kept)
+            mine = ResourceLimits(limits.memory_mb / processes, held, limits.reserved_descriptors)
             self.node.resize(mine)
         self.phase, self._share, self._processes = now, held, processes
         assert self._life is not None
--- a/loadbalancer/policy/actions.py
+++ b/loadbalancer/policy/actions.py
@@ -9,7 +9,7 @@
     """Start an attempt; attempts of a request are numbered from 0 in this order."""
 
     request: int
-    server: str
+    endpoint: str
     timeout: float
 
 
@@ -17,7 +17,7 @@
     request: int
 
 
-class Refuse(NamedTuple):
+class Reject(NamedTuple):
     request: int
     retry_after: float = 0.0
 
@@ -29,32 +29,44 @@
 
 class SetTimer(NamedTuple):
     token: int
-    after: float
+    delay: float
 
 
-class Watch(NamedTuple):
-    on: bool = True
+class WatchEndpoints(NamedTuple):
+    enabled: bool = True
 
 
-class Fetch(NamedTuple):
+class FetchEndpoints(NamedTuple):
     pass
 
 
-class Probe(NamedTuple):
-    server: str
+class ProbeEndpoint(NamedTuple):
+    endpoint: str
 
 
-class CloseIdle(NamedTuple):
-    server: str
+class CloseIdleConnections(NamedTuple):
+    endpoint: str
 
 
-class Message(NamedTuple):
+class SendPeerMessage(NamedTuple):
     to: int
     payload: bytes
 
 
-class Log(NamedTuple):
+class LogMessage(NamedTuple):
     text: str
 
 
-Action = Union[Send, Fail, Refuse, Cancel, SetTimer, Watch, Fetch, Probe, CloseIdle, Message, Log]
+Action = Union[
+    Send,
+    Fail,
+    Reject,
+    Cancel,
+    SetTimer,
+    WatchEndpoints,
+    FetchEndpoints,
+    ProbeEndpoint,
+    CloseIdleConnections,
+    SendPeerMessage,
+    LogMessage,
+]
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -8,10 +8,10 @@
 from __future__ import annotations
 
 from loadbalancer.policy.events import (
+    AttemptResult,
     Outcome,
-    Result,
 )
-from loadbalancer.policy.pending_requests import Pending
+from loadbalancer.policy.pending_requests import PendingRequest
 from loadbalancer.policy.state import State
 
 LIMIT_LEAST = 32.0  # in flight; what one of many proxies has there says nothing of the fleet
@@ -45,17 +45,19 @@
             return False
         return self.spread.random() >= LIMIT_KEPT
 
-    def _note_flight(self, pending: Pending, event: Outcome) -> None:
+    def _note_flight(self, pending: PendingRequest, event: Outcome) -> None:
         """One more for each limit's worth of answers in time, while half of it is used; and as much less for
         late ones that it stands still where LIMIT_SHARE of them are. While next to none is late each answer
         adds one, so that what a fleet carries well is known when it is needed."""
-        took = event.took if event.first is None else event.first
-        if event.result == Result.CANCELLED:  # for its silence, where another was to answer in its place
-            if pending.streaming or took < LIMIT_SILENT * pending.cls.aim:
+        took = event.elapsed if event.time_to_first_byte is None else event.time_to_first_byte
+        if (
+            event.result == AttemptResult.CANCELLED
+        ):  # for its silence, where another was to answer in its place
+            if pending.streaming or took < LIMIT_SILENT * pending.cls.latency_objective:
                 return
-        elif event.result not in (Result.SERVED, Result.TIMEOUT, Result.FULL):
+        elif event.result not in (AttemptResult.SERVED, AttemptResult.TIMEOUT, AttemptResult.FULL):
             return
-        late = event.result != Result.SERVED or took > LIMIT_FROM * pending.cls.aim
+        late = event.result != AttemptResult.SERVED or took > LIMIT_FROM * pending.cls.latency_objective
         self.late_share += LIMIT_STEP * (late - self.late_share)
         if late:
             self.limit -= (1 - LIMIT_SHARE) / LIMIT_SHARE / self.limit
@@ -65,7 +67,7 @@
 
     def _values(self) -> list[float]:
         """Worth of a class for the work it takes; where worth goes by work, it is that already."""
-        if self.settings.worth_by_work:
-            return [c.worth for c in self.settings.classes]
+        if self.settings.weight_by_work:
+            return [c.priority_weight for c in self.settings.classes]
         pairs = zip(self.settings.classes, self.usual, strict=True)
-        return [c.worth / (work or 1.0) for c, work in pairs]
+        return [c.priority_weight / (work or 1.0) for c, work in pairs]
