--- a/loadbalancer/policy/endpoint_list.py
+++ b/loadbalancer/policy/endpoint_list.py
@@ -5,19 +5,19 @@
 import math
 
 from loadbalancer.policy.actions import (
-    CloseIdle,
+    CloseIdleConnections,
     SetTimer,
 )
-from loadbalancer.policy.endpoints import Pool, Server
+from loadbalancer.policy.endpoints import Endpoint, EndpointPool
 from loadbalancer.policy.events import (
     Cordon,
-    ServerEntry,
-    ServerList,
-    ServerState,
+    EndpointEntry,
+    EndpointList,
+    EndpointState,
 )
 from loadbalancer.policy.selection import Draw
 from loadbalancer.policy.settings import (
-    Scope,
+    DeduplicationScope,
 )
 from loadbalancer.policy.slow_start import MANY
 from loadbalancer.policy.state import RAMP_S
@@ -38,20 +38,20 @@
 class Listing(Draw):
     """The servers, as listed and as taken out by hand."""
 
-    def _on_list(self, event: ServerList) -> None:
+    def _on_list(self, event: EndpointList) -> None:
         if event.failed:
             self._ask_again(event.busy)
             return
-        if event.whole:
-            named = {entry.server for entry in event.entries}
+        if event.complete:
+            named = {entry.endpoint for entry in event.entries}
             for server in self.servers.values():
                 if server.id not in named:
-                    server.state = ServerState.GONE
+                    server.state = EndpointState.GONE
         for entry in event.entries:
             self._list_entry(entry)
         self._lay_out()
         if event.stale and self.settings.list_on_request:
-            wait = ASK_SPREAD_S * self.settings.others * self.random.random()
+            wait = ASK_SPREAD_S * self.settings.other_instances_share * self.random.random()
             self.actions.append(SetTimer(LIST_TOKEN, wait))
         elif not event.stale:
             self.failed_calls = self.busy_calls = 0
@@ -69,11 +69,11 @@
         jitter = SPREAD_FROM + (SPREAD_MOST - SPREAD_FROM) * self.random.random()
         self.actions.append(SetTimer(LIST_TOKEN, wait * jitter))
 
-    def _list_entry(self, entry: ServerEntry) -> None:
-        server = self.servers.get(entry.server)
+    def _list_entry(self, entry: EndpointEntry) -> None:
+        server = self.servers.get(entry.endpoint)
         before = -math.inf if server is None else server.started
         if server is None:
-            server = self.servers[entry.server] = Server(entry, entry.server in self.cordoned)
+            server = self.servers[entry.endpoint] = Endpoint(entry, entry.endpoint in self.cordoned)
         else:
             server.listed(entry)
         if server.started != before:
@@ -84,21 +84,21 @@
 
         One that is put back counts as cold: it may have been restarted meanwhile, and the list be late to
         say so. Where the list has said so already, that start counts."""
-        name = event.server
+        name = event.endpoint
         server = self.servers.get(name)
-        if event.out:
+        if event.cordoned:
             self.cordoned.setdefault(name, self.now)
             self.returned.pop(name, None)
-            self.actions.append(CloseIdle(name))
+            self.actions.append(CloseIdleConnections(name))
         elif name in self.cordoned:
             since = self.cordoned.pop(name)
             if server is not None:
                 self.returned[name] = self.now
-                server.cold_need = 0.0
+                server.pacing_debt = 0.0
                 if server.started < since:
-                    server.woken = self.now
+                    server.warm_started_at = self.now
         if server is not None:
-            server.barred = event.out
+            server.cordoned = event.cordoned
             self._lay_out()
 
     def avoids(self, name: str) -> bool:
@@ -106,38 +106,40 @@
 
         Load, a cold start's pace and the ramp do not count: they put off a request, not the server."""
         server = self.servers.get(name)
-        if server is None or server.barred or server.state != ServerState.READY:
+        if server is None or server.cordoned or server.state != EndpointState.READY:
             return True
         if not self._responds(server):
             return True
-        return self._faded(server.errors, server.errors_at) > self._error_limit()
+        return self._faded(server.error_rate, server.error_rate_at) > self._error_limit()
 
     def _lay_out(self) -> None:
         """The pools that draws are made from; only lists and operators change them."""
         for name in [
-            s.id for s in self.servers.values() if s.state == ServerState.GONE and not (s.out or s.giving)
+            s.id
+            for s in self.servers.values()
+            if s.state == EndpointState.GONE and not (s.in_flight or s.responding)
         ]:
             del self.servers[name]
             self.returned.pop(name, None)
-        self.ready = [s for s in self.servers.values() if s.state == ServerState.READY and not s.barred]
+        self.ready = [s for s in self.servers.values() if s.state == EndpointState.READY and not s.cordoned]
         mean = sum(s.weight for s in self.ready) / max(1, len(self.ready))
         # Exception: after a deploy or the return of a lost zone most of the fleet is young. Held back for
         # the whole ramp, it would leave all load to the few old servers; so then the pace of cold servers is
         # all that holds them back.
         young = sum(s.started > 0 and self.now - s.started < RAMP_S for s in self.ready)
         self.ramp = 0.0 if young > YOUNG_MOST * len(self.ready) else RAMP_S
-        cold = [s.started for s in self.ready if self.now - s.started < self.rules.cold_time]
+        cold = [s.started for s in self.ready if self.now - s.started < self.rules.slow_start_duration]
         if len(cold) > MANY * len(self.ready):
-            self.many_until = max(cold) + self.rules.cold_time
-        groups: dict[tuple[Scope, int], list[Server]] = {}
+            self.many_until = max(cold) + self.rules.slow_start_duration
+        groups: dict[tuple[DeduplicationScope, int], list[Endpoint]] = {}
         self.domains = {}
         for server in self.ready:
             server.size = server.weight / mean
             self.speed.setdefault(server.kind, 1.0)
-            groups.setdefault((Scope.ZONE, server.zone), []).append(server)
-            groups.setdefault((Scope.CELL, server.cell), []).append(server)
+            groups.setdefault((DeduplicationScope.ZONE, server.zone), []).append(server)
+            groups.setdefault((DeduplicationScope.CELL, server.cell), []).append(server)
         for server in self.servers.values():
-            if server.domain and server.state != ServerState.GONE:
+            if server.domain and server.state != EndpointState.GONE:
                 self.domains.setdefault(server.domain, []).append(server)
-        self.pool = Pool(self.ready)
-        self.groups = {place: Pool(servers) for place, servers in groups.items()}
+        self.pool = EndpointPool(self.ready)
+        self.groups = {place: EndpointPool(servers) for place, servers in groups.items()}
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -7,14 +7,16 @@
 from itertools import accumulate
 
 from loadbalancer.policy.events import (
-    Result,
-    ServerEntry,
+    AttemptResult,
+    EndpointEntry,
 )
 
-FAILED = 2  # failures in a row, slow answers are none, and a server is left out of the draw for a while
+FAILING_AFTER = (
+    2  # failures in a row, slow answers are none, and a server is left out of the draw for a while
+)
 
 
-class Server:
+class Endpoint:
     """What this proxy knows of one server."""
 
     __slots__ = (
@@ -26,60 +28,72 @@
         "kind",
         "state",
         "started",
-        "out",
-        "giving",
-        "util",
-        "util_at",
-        "errors",
-        "errors_at",
-        "by_class",
+        "in_flight",
+        "responding",
+        "utilization",
+        "utilization_at",
+        "error_rate",
+        "error_rate_at",
+        "error_rate_by_class",
         "answered",
-        "cold_need",
-        "rank",
-        "used",
+        "pacing_debt",
+        "priority",
+        "last_used",
         "domain",
         "redirect",
-        "woken",
-        "failed",
-        "barred",
-        "pace",
-        "pace_at",
-        "cold_at",
+        "warm_started_at",
+        "consecutive_failures",
+        "cordoned",
+        "time_per_attempt",
+        "time_per_attempt_at",
+        "pacing_updated_at",
     )
 
-    def __init__(self, entry: ServerEntry, barred: bool = False) -> None:
-        self.id = entry.server
-        self.barred = barred  # taken out by an operator
-        self.out: dict[tuple[int, int], float] = {}  # attempts in flight, oldest first: time sent
-        self.giving: set[tuple[int, int]] = set()  # attempts whose answers have begun
+    def __init__(self, entry: EndpointEntry, barred: bool = False) -> None:
+        self.id = entry.endpoint
+        self.cordoned = barred  # taken out by an operator
+        self.in_flight: dict[tuple[int, int], float] = {}  # attempts in flight, oldest first: time sent
+        self.responding: set[tuple[int, int]] = set()  # attempts whose answers have begun
         self.size = 1.0  # weight relative to the mean
-        self.started = self.used = self.woken = -math.inf  # woken: when a set that had not served began to
+        self.started = self.last_used = (
+            self.warm_started_at
+        ) = -math.inf  # woken: when a set that had not served began to
         self.listed(entry)
 
-    def listed(self, entry: ServerEntry) -> None:
+    def listed(self, entry: EndpointEntry) -> None:
         if entry.started != self.started:  # another process: what is known is of the old one
-            self.util = self.util_at = self.errors = self.errors_at = 0.0
-            self.by_class: dict[int, tuple[float, float]] = {}  # its error share of each class, and when
+            self.utilization = self.utilization_at = self.error_rate = self.error_rate_at = 0.0
+            self.error_rate_by_class: dict[
+                int, tuple[float, float]
+            ] = {}  # its error share of each class, and when
             self.answered = False
-            self.failed = 0  # attempts in a row that were not served
-            self.pace, self.pace_at = 0.0, -math.inf  # time an answer takes for each of our own ahead of it
-            self.cold_need, self.cold_at = 0.0, 0.0  # of its pace, until it may be sent another; as of when
+            self.consecutive_failures = 0  # attempts in a row that were not served
+            self.time_per_attempt, self.time_per_attempt_at = (
+                0.0,
+                -math.inf,
+            )  # time an answer takes for each of our own ahead of it
+            self.pacing_debt, self.pacing_updated_at = (
+                0.0,
+                0.0,
+            )  # of its pace, until it may be sent another; as of when
         self.zone, self.cell, self.started, self.state = entry.zone, entry.cell, entry.started, entry.state
-        self.kind, self.rank = entry.kind, entry.rank
+        self.kind, self.priority = entry.kind, entry.priority
         self.domain, self.redirect = entry.domain, entry.redirect
         self.weight = entry.weight if 0 < entry.weight < math.inf else 1.0
 
-    def note_row(self, result: Result, slowness: float) -> None:
+    def note_row(self, result: AttemptResult, slowness: float) -> None:
         """Counts failures in a row; one that turns away is up."""
-        if result == Result.SERVED:
-            self.failed = 0
-        elif result == Result.NO_CONNECTION:  # nothing there: the next request need not find it out again
-            self.failed = max(self.failed + 1, FAILED)
-        elif result != Result.FULL:
-            self.failed += slowness >= 1.0 or result != Result.TIMEOUT
+        if result == AttemptResult.SERVED:
+            self.consecutive_failures = 0
+        elif (
+            result == AttemptResult.NO_CONNECTION
+        ):  # nothing there: the next request need not find it out again
+            self.consecutive_failures = max(self.consecutive_failures + 1, FAILING_AFTER)
+        elif result != AttemptResult.FULL:
+            self.consecutive_failures += slowness >= 1.0 or result != AttemptResult.TIMEOUT
 
 
-class Pool:
+class EndpointPool:
     """Servers to draw from, by kind, each with the chance that its listed size and its kind's speed give.
 
     Exception to the even draw: where a proxy has next to nothing in flight at a server, only the draw
@@ -87,14 +101,14 @@
 
     __slots__ = ("servers", "kinds", "sets")
 
-    def __init__(self, servers: list[Server]) -> None:
+    def __init__(self, servers: list[Endpoint]) -> None:
         self.servers = servers
-        ranks = sorted({s.rank for s in servers})
+        ranks = sorted({s.priority for s in servers})
         # Where there are several sets, a pool of each, the one that serves first in front.
-        self.sets: list[Pool] = []
+        self.sets: list[EndpointPool] = []
         if len(ranks) > 1:
-            self.sets = [Pool([s for s in servers if s.rank == rank]) for rank in ranks]
-        by_kind: dict[int, list[Server]] = {}
+            self.sets = [EndpointPool([s for s in servers if s.priority == rank]) for rank in ranks]
+        by_kind: dict[int, list[Endpoint]] = {}
         for server in servers:
             by_kind.setdefault(server.kind, []).append(server)
         self.kinds = [
@@ -105,7 +119,7 @@
         """All sizes, each by its kind's speed."""
         return sum(sums[-1] * speed[kind] for kind, _, sums in self.kinds)
 
-    def draw(self, chance: float, speed: dict[int, float]) -> Server:
+    def draw(self, chance: float, speed: dict[int, float]) -> Endpoint:
         left = chance * self.total(speed)
         for kind, those, sums in self.kinds:  # noqa: B007
             part = sums[-1] * speed[kind]
--- a/loadbalancer/policy/events.py
+++ b/loadbalancer/policy/events.py
@@ -9,7 +9,7 @@
 from typing import Mapping, NamedTuple, Union
 
 
-class Result(IntEnum):
+class AttemptResult(IntEnum):
     """How an attempt or a probe ended."""
 
     SERVED = 0
@@ -24,40 +24,40 @@
 
 
 #: Results that prove that the attempt never ran on its server.
-NEVER_RAN = frozenset((Result.FULL, Result.NO_CONNECTION, Result.NOT_SENT))
+NEVER_RAN = frozenset((AttemptResult.FULL, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT))
 
 
-class ServerState(IntEnum):
+class EndpointState(IntEnum):
     READY = 0
     DRAINING = 1
     GONE = 2
 
 
 #: A sticky session that is with any server of a domain names it so.
-DOMAIN = "@"
+STICKY_DOMAIN_PREFIX = "@"
 
 
-class ServerEntry(NamedTuple):
-    server: str
+class EndpointEntry(NamedTuple):
+    endpoint: str
     zone: int = 0
     cell: int = 0
     kind: int = 0
-    state: ServerState = ServerState.READY
+    state: EndpointState = EndpointState.READY
     weight: float = 1.0
     started: float = 0.0  # 0: long ago
-    rank: int = 0  # of its set: one serves while no lower one has a usable server
+    priority: int = 0  # of its set: one serves while no lower one has a usable server
     domain: str = ""  # servers of one domain share their sticky sessions
     redirect: str = (
         ""  # where its sessions go while it is not usable: a server, or DOMAIN and a domain's name
     )
 
 
-class ServerList(NamedTuple):
+class EndpointList(NamedTuple):
     """A list, or a change to it. `failed`: the call failed, the list before stands; `busy`: after it
     had waited in line with others'."""
 
-    entries: tuple[ServerEntry, ...] = ()
-    whole: bool = True
+    entries: tuple[EndpointEntry, ...] = ()
+    complete: bool = True
     failed: bool = False
     stale: bool = False  # what was held before a restart
     busy: bool = False
@@ -66,26 +66,30 @@
 class Cordon(NamedTuple):
     """An operator leaves a server out, whatever lists say of it, or has it used again."""
 
-    server: str
-    out: bool
+    endpoint: str
+    cordoned: bool
 
 
 class Request(NamedTuple):
     request: int
-    cls: int
-    left: float  # seconds until the client abandons this try
+    class_index: int
+    time_remaining: float  # seconds until the client abandons this try
     tenant: int = 0
     key: str | None = None
-    hint: float | None = None  # expected work in seconds of a standard core
+    work_hint: float | None = None  # expected work in seconds of a standard core
     retry: bool = False
     write: bool = False
-    member: str | None = None  # the server that a sticky session wants, or DOMAIN and the name of a domain
-    coming: bool = (
-        False  # its body still comes: no server can begin, and no time counts, before `Body` says so
+    sticky_endpoint: str | None = (
+        None  # the server that a sticky session wants, or DOMAIN and the name of a domain
     )
-    bound: bool = False  # its session may not move: where `member` is known and not usable, it is given up
-    most: int = 0  # attempts that its route allows, under the settings' limit; 0: as many as that
-    repeat_on: frozenset[Result] | None = (
+    body_pending: bool = (
+        False  # its body still comes: no server can begin, and no time counts, before `BodyProgress` says so
+    )
+    sticky_required: bool = (
+        False  # its session may not move: where `member` is known and not usable, it is given up
+    )
+    max_attempts: int = 0  # attempts that its route allows, under the settings' limit; 0: as many as that
+    retry_on: frozenset[AttemptResult] | None = (
         None  # ends of attempts after which its route lets another follow; None: as the settings have it
     )
 
@@ -93,30 +97,30 @@
 class Outcome(NamedTuple):
     request: int
     attempt: int
-    server: str
-    result: Result
-    took: float
-    ended: bool = False  # the request has its final answer
+    endpoint: str
+    result: AttemptResult
+    elapsed: float
+    request_ended: bool = False  # the request has its final answer
     report: Mapping[str, float] | None = None
-    first: float | None = None  # seconds to the head of the answer, where one came
+    time_to_first_byte: float | None = None  # seconds to the head of the answer, where one came
 
 
 class FirstByte(NamedTuple):
     request: int
     attempt: int
-    server: str
-    took: float
+    endpoint: str
+    elapsed: float
 
 
-class Body(NamedTuple):
+class BodyProgress(NamedTuple):
     """Of a request whose body came after it."""
 
     request: int
-    whole: bool  # its last byte has come: now its times count
-    held: bool  # all that has come is still kept, so it could be sent again
+    complete: bool  # its last byte has come: now its times count
+    replayable: bool  # all that has come is still kept, so it could be sent again
 
 
-class Withdrawn(NamedTuple):
+class ClientCancelled(NamedTuple):
     request: int
 
 
@@ -125,9 +129,9 @@
 
 
 class ProbeResult(NamedTuple):
-    server: str
-    result: Result
-    took: float
+    endpoint: str
+    result: AttemptResult
+    elapsed: float
     report: Mapping[str, float] | None = None
 
 
@@ -137,5 +141,14 @@
 
 
 Event = Union[
-    ServerList, Cordon, Request, Body, Outcome, FirstByte, Withdrawn, TimerFired, ProbeResult, PeerMessage
+    EndpointList,
+    Cordon,
+    Request,
+    BodyProgress,
+    Outcome,
+    FirstByte,
+    ClientCancelled,
+    TimerFired,
+    ProbeResult,
+    PeerMessage,
 ]
--- a/loadbalancer/policy/hedging.py
+++ b/loadbalancer/policy/hedging.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from loadbalancer.policy.events import (
+    AttemptResult,
     Outcome,
-    Result,
 )
-from loadbalancer.policy.pending_requests import QUANTILE_LEAST, Attempt, Pending, Quantile
+from loadbalancer.policy.pending_requests import QUANTILE_LEAST, Attempt, PendingRequest, StreamingQuantile
 from loadbalancer.policy.state import State
 
 
@@ -22,22 +22,26 @@
         learnt = self.silences[number] if self.silences else None
         if learnt is not None and learnt.count > QUANTILE_LEAST:
             return learnt.value
-        return self.limits.hedge_after
+        return self.limits.hedge_delay
 
-    def _note_silence(self, pending: Pending, event: Outcome) -> None:
+    def _note_silence(self, pending: PendingRequest, event: Outcome) -> None:
         """An attempt that was cancelled, or ran out of time, took longer than it is seen to: it counts where
         that is over the quantile already. Left out, those that copies cut short would pull it down."""
-        if not self.limits.hedge_share:
+        if not self.limits.hedge_quantile:
             return
         if not self.silences:
-            self.silences = [Quantile(self.limits.hedge_share) for _ in self.settings.classes]
-        took = event.took if event.first is None else event.first
+            self.silences = [StreamingQuantile(self.limits.hedge_quantile) for _ in self.settings.classes]
+        took = event.elapsed if event.time_to_first_byte is None else event.time_to_first_byte
         learnt = self.silences[pending.number]
-        cut = event.result == Result.TIMEOUT or event.result == Result.CANCELLED and not pending.streaming
-        if took > 0 and (cut and took >= learnt.value or event.result == Result.SERVED):
+        cut = (
+            event.result == AttemptResult.TIMEOUT
+            or event.result == AttemptResult.CANCELLED
+            and not pending.streaming
+        )
+        if took > 0 and (cut and took >= learnt.value or event.result == AttemptResult.SERVED):
             learnt.note(took)
 
-    def _note_cut(self, pending: Pending, attempt: Attempt) -> None:
+    def _note_cut(self, pending: PendingRequest, attempt: Attempt) -> None:
         """One that is given up because another answered: its own outcome finds no request any more."""
         if self.silences and not pending.coming:
             learnt, took = self.silences[pending.number], self.now - attempt.sent
--- a/loadbalancer/policy/load_shedding.py
+++ b/loadbalancer/policy/load_shedding.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from loadbalancer.policy.actions import (
-    Log,
+    LogMessage,
 )
 from loadbalancer.policy.concurrency_limit import LIMIT_LEAST, Limiting
 from loadbalancer.policy.events import (
+    AttemptResult,
     Outcome,
     Request,
-    Result,
 )
-from loadbalancer.policy.pending_requests import Pending
+from loadbalancer.policy.pending_requests import PendingRequest
 from loadbalancer.policy.settings import (
     RequestClass,
 )
@@ -39,11 +39,11 @@
 
         What can only be late earns nothing, so it goes before all classes."""
         over = bool(self.settings.tenants) and self._over_share(event.tenant)
-        if self.in_flight >= LIMIT_LEAST and self._is_full(event.cls, late or over):
+        if self.in_flight >= LIMIT_LEAST and self._is_full(event.class_index, late or over):
             return True
         if self.shed_level > 0:
             values = self._values()
-            mine = values[event.cls] * (self.settings.over_share_worth if over else 1.0)
+            mine = values[event.class_index] * (self.settings.over_quota_weight if over else 1.0)
             rank = -1 if late else sum(value < mine for value in values)
             if self.random.random() < min(SHED_MOST, self.shed_level - (1 + SHED_GAP) * (rank - over)):
                 return True
@@ -67,21 +67,28 @@
 
         Only admitted requests are taken from it: the tries that clients repeat after a refusal must not
         push a tenant over its share."""
-        rate = self.settings.tenants[tenant].quota_per_s / self.settings.n_instances
+        rate = self.settings.tenants[tenant].quota_per_s / self.settings.instance_count
         room = self.tenant_room[tenant] + rate * (self.now - self.tenant_at[tenant])
         self.tenant_at[tenant] = self.now
         self.tenant_room[tenant] = min(room, rate + 1.0)
         return self.tenant_room[tenant] < 1.0
 
-    def _note_load(self, pending: Pending, event: Outcome) -> None:
+    def _note_load(self, pending: PendingRequest, event: Outcome) -> None:
         """What speaks for overload is that even the typical attempt takes long, not that some fail.
 
         Protects against refusing, and so calling up clients' retries, where only some servers are sick.
         Additive steps that fade: none where LATE_SHARE of the attempts take long."""
-        if event.result in (Result.CANCELLED, Result.NOT_SENT, Result.NO_CONNECTION, Result.UNUSABLE):
+        if event.result in (
+            AttemptResult.CANCELLED,
+            AttemptResult.NOT_SENT,
+            AttemptResult.NO_CONNECTION,
+            AttemptResult.UNUSABLE,
+        ):
             return
-        took = event.took if event.first is None else event.first  # the rest is up to the peers, not the load
-        late = event.result == Result.FULL or took > LATE_FROM * pending.cls.aim
+        took = (
+            event.elapsed if event.time_to_first_byte is None else event.time_to_first_byte
+        )  # the rest is up to the peers, not the load
+        late = event.result == AttemptResult.FULL or took > LATE_FROM * pending.cls.latency_objective
         # Over its true life: the low figure of a first second would make each step too long, and a start at
         # which all connections are new would count as overload for seconds.
         rate = max(1.0, self._rate(BORN_S))
@@ -91,4 +98,4 @@
         self.shed_level = min(top, max(0.0, self.shed_level + step))
         if self.shed_level > 0.5 and self.now > self.shed_logged + 10:
             self.shed_logged = self.now
-            self.actions.append(Log(f"shedding: attempts take too long, level {self.shed_level:.1f}"))
+            self.actions.append(LogMessage(f"shedding: attempts take too long, level {self.shed_level:.1f}"))
--- a/loadbalancer/policy/pending_requests.py
+++ b/loadbalancer/policy/pending_requests.py
@@ -4,7 +4,7 @@
 
 import math
 
-from loadbalancer.policy.endpoints import Server
+from loadbalancer.policy.endpoints import Endpoint
 from loadbalancer.policy.events import (
     Request,
 )
@@ -25,13 +25,13 @@
 class Attempt:
     __slots__ = ("server", "sent", "queue", "open", "may_have_run", "unsent")
 
-    def __init__(self, server: Server, sent: float, queue: int) -> None:
+    def __init__(self, server: Endpoint, sent: float, queue: int) -> None:
         self.server, self.sent, self.open, self.may_have_run = server, sent, True, True
         self.unsent = False  # it has ended before anything of it left
         self.queue = queue  # own attempts at the server when it was sent, itself among them
 
 
-class Patience:
+class FirstTryDetector:
     """The times left that requests of a class come with, in kinds; the most common are first tries.
 
     Every later try follows an earlier one, so none of its kinds is as common. The longest will not do: where
@@ -66,7 +66,7 @@
         return mine is most or most[1] < PATIENCE_LEAST
 
 
-class Quantile:
+class StreamingQuantile:
     """The time that a share of a class's answers stays under, followed by steps that balance where it is."""
 
     __slots__ = ("share", "value", "count")
@@ -84,7 +84,7 @@
         self.value *= math.exp(QUANTILE_STEP * step)
 
 
-class Pending:
+class PendingRequest:
     """A request that is owed its final answer."""
 
     __slots__ = (
@@ -116,22 +116,22 @@
         slack: float,
         loaded: bool,
     ) -> None:
-        self.id, self.cls, self.number, self.began = event.request, cls, event.cls, now
-        self.deadline = now + max(0.0, event.left)
-        aim = cls.aim + cls.aim_stretch * (event.hint or 0.0)
+        self.id, self.cls, self.number, self.began = event.request, cls, event.class_index, now
+        self.deadline = now + max(0.0, event.time_remaining)
+        aim = cls.latency_objective + cls.objective_per_work * (event.work_hint or 0.0)
         self.aim = min(now + aim, self.deadline)
         # Its aim passes, or has passed, before an answer comes, and then it earns nothing.
-        self.late = waited > 0 and waited + usual > aim and cls.late_share == 0
+        self.late = waited > 0 and waited + usual > aim and cls.late_value == 0
         # An answer that earns nothing past its aim is not waited for; ended before it, it is no late failure.
         # Nor is one that earns little while work waits: queues of late answers would make all others late.
-        late_pays = cls.late_share > 0 and not loaded
+        late_pays = cls.late_value > 0 and not loaded
         self.useful = self.deadline if late_pays else max(now, self.aim - slack)
         self.attempts: list[Attempt] = []
         self.streaming = False
-        self.member, self.bound = event.member, event.bound
-        self.most = event.most  # attempts at most
-        self.repeat_on = event.repeat_on  # after which another may follow; None: any
-        self.coming, self.held = event.coming, True  # its body still comes; could be sent again
+        self.member, self.bound = event.sticky_endpoint, event.sticky_required
+        self.most = event.max_attempts  # attempts at most
+        self.repeat_on = event.retry_on  # after which another may follow; None: any
+        self.coming, self.held = event.body_pending, True  # its body still comes; could be sent again
 
     def whole(self, now: float) -> None:
         """The last byte of its body has come: its times count from here."""
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from loadbalancer.policy.endpoints import FAILED, Pool, Server
+from loadbalancer.policy.endpoints import FAILING_AFTER, Endpoint, EndpointPool
 from loadbalancer.policy.events import (
-    DOMAIN,
-    ServerState,
+    STICKY_DOMAIN_PREFIX,
+    EndpointState,
 )
-from loadbalancer.policy.pending_requests import RATE_S, Pending
+from loadbalancer.policy.pending_requests import RATE_S, PendingRequest
 from loadbalancer.policy.slow_start import Cold
 from loadbalancer.policy.state import DECAY_S
 
@@ -33,7 +33,7 @@
 class Draw(Cold):
     """Which server gets a request."""
 
-    def _sticky(self, pending: Pending) -> Server | None:
+    def _sticky(self, pending: PendingRequest) -> Endpoint | None:
         """Exception: the first attempt of a sticky session goes where that is kept, while it is usable, then
         to where its server redirects it.
 
@@ -47,40 +47,40 @@
             kept = self._kept(server.redirect)  # one step: redirects may point at each other
         return kept
 
-    def _kept(self, name: str) -> Server | None:
+    def _kept(self, name: str) -> Endpoint | None:
         """The server of a session, or the better of two of a domain, where it can have the session."""
-        if name.startswith(DOMAIN):
-            those = [s for s in self.domains.get(name[len(DOMAIN) :], ()) if self._keeps(s)]
+        if name.startswith(STICKY_DOMAIN_PREFIX):
+            those = [s for s in self.domains.get(name[len(STICKY_DOMAIN_PREFIX) :], ()) if self._keeps(s)]
             return min(self.random.sample(those, min(2, len(those))), key=self._score, default=None)
         server = self.servers.get(name)
         return server if server is not None and self._keeps(server) else None
 
-    def _keeps(self, server: Server) -> bool:
-        if server.barred:
+    def _keeps(self, server: Endpoint) -> bool:
+        if server.cordoned:
             return False
-        if server.state == ServerState.DRAINING:
-            return self.settings.sticky_drains and self._responds(server)
+        if server.state == EndpointState.DRAINING:
+            return self.settings.sticky_while_draining and self._responds(server)
         return self._usable(server)
 
-    def _is_bound(self, pending: Pending) -> bool:
+    def _is_bound(self, pending: PendingRequest) -> bool:
         """Whether a session that may not move, by the settings, is with a server that is listed."""
         name = pending.member
         if not pending.bound or name is None:
             return False
-        return name in self.servers or name.removeprefix(DOMAIN) in self.domains
+        return name in self.servers or name.removeprefix(STICKY_DOMAIN_PREFIX) in self.domains
 
-    def _place(self, pool: Pool, pending: Pending) -> Server | None:
+    def _place(self, pool: EndpointPool, pending: PendingRequest) -> Endpoint | None:
         """A choice that can answer while that is of use; None where some choices in a row can't."""
         for _ in range(PLACE_TRIES):
             server = self._choose(pool, pending)
             if server is None or self._in_time(server, pending):
                 return server
-        if not any(s.out for s in pool.servers):
+        if not any(s.in_flight for s in pool.servers):
             return server  # without a queue of ours there is nothing that refusing would shorten
         self.crowded_at = self.now
         return None
 
-    def _in_time(self, server: Server, pending: Pending) -> bool:
+    def _in_time(self, server: Endpoint, pending: PendingRequest) -> bool:
         """Exception: whether what the proxy itself has in flight there leaves time for one more answer.
 
         Protects against queues in which everything comes late: the share of late attempts tells of a queue
@@ -88,11 +88,11 @@
         with less time give way first, and room is used as soon as it is there. It should also catch members
         that lose a part of their speed. Harm: where the others' share of a queue grows, it is seen only by
         the answers. A server that has not answered for a while is tried again: else nothing would tell."""
-        if self.now > server.pace_at + PACE_S or pending.coming:
+        if self.now > server.time_per_attempt_at + PACE_S or pending.coming:
             return True
-        return server.pace * (len(server.out) + 1) <= pending.useful - self.now
+        return server.time_per_attempt * (len(server.in_flight) + 1) <= pending.useful - self.now
 
-    def _choose(self, pool: Pool, pending: Pending) -> Server | None:
+    def _choose(self, pool: EndpointPool, pending: PendingRequest) -> Endpoint | None:
         """A server of the first set that has a usable one; where none has, whichever the rules permit."""
         if self.returned and not pending.attempts and (back := self._returning()) is not None:
             return back
@@ -102,7 +102,7 @@
                 return self._two(those, tried, number) or self._of_few(those, tried, number)
         return self._two(pool, tried, number) or self._unfiltered(pool, tried, number)
 
-    def _returning(self) -> Server | None:
+    def _returning(self) -> Endpoint | None:
         """Exception: a server that operators have put back gets a first attempt of its own once a second
         until it answers; the ramp and the pace of a cold start together could leave it without any for long.
 
@@ -114,33 +114,33 @@
                 return server
         return None
 
-    def _usable(self, server: Server) -> bool:
+    def _usable(self, server: Endpoint) -> bool:
         """Whether a set has to be passed over for want of this one; load does not count."""
         return self._may_take(server) and self._responds(server)
 
-    def _responds(self, server: Server) -> bool:
+    def _responds(self, server: Endpoint) -> bool:
         """Neither silent nor down: after some failures in a row it gets one request at a time, each later.
 
         Protects against a zone that is lost, half of the fleet: no share tells its servers from the usual
         then, and where a proxy has few answers from each, a failure fades before the next. It should also
         catch a server that answers errors at once. Harm: one back under the same start is tried late."""
-        if server.out and self.now - next(iter(server.out.values())) > self.silence:
+        if server.in_flight and self.now - next(iter(server.in_flight.values())) > self.silence:
             return False
-        if server.failed < FAILED:
+        if server.consecutive_failures < FAILING_AFTER:
             return True
         wait = AGAIN_S
-        if self.settings.n_instances > 1:
+        if self.settings.instance_count > 1:
             # Not before the draw would come by anyway: where many send little each a second excludes nothing.
             wait = max(wait, min(len(self.ready) / max(self._rate(), 1 / RATE_S), DECAY_S / 4))
-        wait = min(DECAY_S, wait * 2.0 ** min(server.failed - FAILED, 8))
-        return not server.out and self.now >= server.errors_at + wait
+        wait = min(DECAY_S, wait * 2.0 ** min(server.consecutive_failures - FAILING_AFTER, 8))
+        return not server.in_flight and self.now >= server.error_rate_at + wait
 
-    def _of_few(self, pool: Pool, tried: list[Server], number: int) -> Server:
+    def _of_few(self, pool: EndpointPool, tried: list[Endpoint], number: int) -> Endpoint:
         """Where draws find none in a set that has some: two of the usable ones, whatever their load."""
         usable = [s for s in pool.servers if self._usable(s) and s not in tried]
         return min(self.random.sample(usable, min(2, len(usable))), key=lambda s: self._score(s, number))
 
-    def _two(self, pool: Pool, tried: list[Server], number: int) -> Server | None:
+    def _two(self, pool: EndpointPool, tried: list[Endpoint], number: int) -> Endpoint | None:
         first = self._candidate(pool, tried, number)
         if first is None:
             return None
@@ -149,7 +149,7 @@
             return first
         return second
 
-    def _candidate(self, pool: Pool, tried: list[Server], number: int) -> Server | None:
+    def _candidate(self, pool: EndpointPool, tried: list[Endpoint], number: int) -> Endpoint | None:
         """A random server that passes the filters, within a few tries."""
         for _ in range(DRAW_TRIES):
             server = pool.draw(self.random.random(), self.speed)
@@ -157,13 +157,13 @@
                 return server
         return None
 
-    def _unfiltered(self, pool: Pool, tried: list[Server], number: int) -> Server | None:
+    def _unfiltered(self, pool: EndpointPool, tried: list[Endpoint], number: int) -> Endpoint | None:
         """The fallback: load does not matter, the rules do, and one that serves next to nothing comes last.
 
         Protects against fast-failing servers while the others are too busy to pass the filters: with next to
         nothing in flight they would score best, and take most of the load just then."""
-        first: Server | None = None
-        failing: Server | None = None
+        first: Endpoint | None = None
+        failing: Endpoint | None = None
         for _ in range(2 * DRAW_TRIES):
             server = pool.draw(self.random.random(), self.speed)
             if not self._may_take(server) or server in tried or server is first:
@@ -176,8 +176,8 @@
                 first = server
         return first or failing
 
-    def _healthy(self, server: Server, number: int = -1) -> bool:
-        if not server.answered and server.out:  # probation: one request until the first answer
+    def _healthy(self, server: Endpoint, number: int = -1) -> bool:
+        if not server.answered and server.in_flight:  # probation: one request until the first answer
             return False
         age = self.now - server.started
         # Exception: while requests are given up for want of room there is no ramp; cold ones keep their pace.
@@ -190,7 +190,7 @@
         # Where all are busy the cause is shared, and passing most over would crowd the few that are left.
         util_limit = max(UTIL_LIMIT, self.util_usual + UTIL_OVER)
         return (
-            self._faded(server.util, server.util_at) <= util_limit
+            self._faded(server.utilization, server.utilization_at) <= util_limit
             and self._failing(server, number) <= self._error_limit()
         )
 
@@ -200,25 +200,25 @@
         does the first where most servers are down and the few others serve."""
         if self.now >= self.median_due:
             self.median_due = self.now + MEDIAN_S
-            shares = sorted(self._faded(s.errors, s.errors_at) for s in self.ready)
+            shares = sorted(self._faded(s.error_rate, s.error_rate_at) for s in self.ready)
             self.errors_median = shares[len(shares) // 2] if shares else 0.0
         return max(ERROR_LIMIT, min(self.errors_usual, max(self.errors_median, ERROR_MOST)) + ERROR_OVER)
 
-    def _failing(self, server: Server, number: int) -> float:
+    def _failing(self, server: Endpoint, number: int) -> float:
         """The error share that counts for a class: its own there, or what the others leave of the server's.
 
         Protects against servers that serve one class badly and the others well: counted together, the good
         answers hide the bad ones, whose attempts then fill the server until it turns all classes away.
         Harm: where a server fails altogether, each class finds out by attempts of its own."""
-        overall = self._faded(server.errors, server.errors_at)
-        if number not in server.by_class:
+        overall = self._faded(server.error_rate, server.error_rate_at)
+        if number not in server.error_rate_by_class:
             return overall
-        return max(OTHER_CLASS * overall, self._faded(*server.by_class[number]))
+        return max(OTHER_CLASS * overall, self._faded(*server.error_rate_by_class[number]))
 
-    def _score(self, server: Server, number: int = -1) -> float:
+    def _score(self, server: Endpoint, number: int = -1) -> float:
         """Less is better: own in-flight for its size, then reported utilization, then error share."""
         return (
-            len(server.out) / (server.size * self.speed[server.kind])
-            + UTIL_WEIGHT * self._faded(server.util, server.util_at)
+            len(server.in_flight) / (server.size * self.speed[server.kind])
+            + UTIL_WEIGHT * self._faded(server.utilization, server.utilization_at)
             + ERROR_WEIGHT * self._failing(server, number)
         )
--- a/loadbalancer/policy/settings.py
+++ b/loadbalancer/policy/settings.py
@@ -11,7 +11,7 @@
 from enum import IntEnum
 from typing import Mapping
 
-from loadbalancer.policy.events import Result
+from loadbalancer.policy.events import AttemptResult
 
 
 class Effect(IntEnum):
@@ -22,7 +22,7 @@
     UNSAFE = 2  # must never run twice
 
 
-class Scope(IntEnum):
+class DeduplicationScope(IntEnum):
     """Which servers share the memory of a keyed request."""
 
     ALL = 0
@@ -39,23 +39,23 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim: float  # seconds; an answer within this earns the full worth
-    give_up: float  # seconds a client waits in all
-    worth: float = 1.0
-    late_share: float = 0.0  # share of the worth that a late answer earns
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's work
+    latency_objective: float  # seconds; an answer within this earns the full worth
+    client_timeout: float  # seconds a client waits in all
+    priority_weight: float = 1.0
+    late_value: float = 0.0  # share of the worth that a late answer earns
+    objective_per_work: float = 0.0  # the aim grows by this multiple of the request's work
     effect: Effect = Effect.SAFE
-    dedup_scope: Scope = Scope.ALL
-    dedup_window: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: float = 0.0
     stream: bool = False
 
     def __post_init__(self) -> None:
-        _check("classes.aim", self.aim, 1e-6)
-        _check("classes.give_up", self.give_up, 1e-6)
-        _check("classes.worth", self.worth, 0)
-        _check("classes.late_share", self.late_share, 0, 1)
-        _check("classes.aim_stretch", self.aim_stretch, 0)
-        _check("classes.dedup_window", self.dedup_window, 0)
+        _check("classes.aim", self.latency_objective, 1e-6)
+        _check("classes.give_up", self.client_timeout, 1e-6)
+        _check("classes.worth", self.priority_weight, 0)
+        _check("classes.late_share", self.late_value, 0, 1)
+        _check("classes.aim_stretch", self.objective_per_work, 0)
+        _check("classes.dedup_window", self.deduplication_window, 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,21 +70,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class PolicyLimits:
     """What the deployment permits."""
 
     max_attempts: int = 3
-    cancelling: bool = True
+    cancellation: bool = True
     probes: bool = False
-    peers: bool = False
-    second_copies: bool = True
+    peer_messages: bool = False
+    hedging: bool = True
     retry_after: bool = False
     max_retry_after: float = 0.0
-    repeat_on: frozenset[Result] | None = None  # ends of attempts after which another may follow; None: any
-    repeat_share: float = 0.1  # second attempts for each first one, in the long run
-    attempt_time: float = math.inf  # seconds of one attempt at most
-    hedge_after: float = 0.0  # seconds of silence that earn a second attempt; 0: half of the useful time
-    hedge_share: float = (
+    retry_on: frozenset[AttemptResult] | None = (
+        None  # ends of attempts after which another may follow; None: any
+    )
+    retry_budget_ratio: float = 0.1  # second attempts for each first one, in the long run
+    attempt_timeout: float = math.inf  # seconds of one attempt at most
+    hedge_delay: float = 0.0  # seconds of silence that earn a second attempt; 0: half of the useful time
+    hedge_quantile: float = (
         0.0  # silence longer than this share of the class's answers take earns one; 0: it does not count
     )
     connect_timeout: float = 0.25
@@ -93,61 +95,61 @@
         _check("limits.max_attempts", self.max_attempts, 1)
         _check("limits.max_retry_after", self.max_retry_after, 0)
         _check("limits.connect_timeout", self.connect_timeout, 0)
-        _check("limits.hedge_share", self.hedge_share, 0, 0.999)
+        _check("limits.hedge_share", self.hedge_quantile, 0, 0.999)
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class SafetyRules:
     """The figures of the four rules."""
 
     answer_slack: float = 0.02
-    ask_within: float = 10.0
+    list_poll_interval: float = 10.0
     drain_grace: float = 1.0
-    cold_from: float = 0.3  # a cold server starts at this share of its capacity or above
-    cold_time: float = 10.0  # and is warm after this many seconds
+    slow_start_capacity: float = 0.3  # a cold server starts at this share of its capacity or above
+    slow_start_duration: float = 10.0  # and is warm after this many seconds
     overload_factor: float = 2.5  # sent this multiple of its present capacity
-    fall_time: float = 2.0  # for this long, it falls over
+    overload_duration: float = 2.0  # for this long, it falls over
 
     def __post_init__(self) -> None:
         _check("rules.answer_slack", self.answer_slack, 0)
-        _check("rules.ask_within", self.ask_within, 0)
+        _check("rules.ask_within", self.list_poll_interval, 0)
         _check("rules.drain_grace", self.drain_grace, 0)
-        _check("rules.cold_from", self.cold_from, 0, 1)
-        _check("rules.cold_time", self.cold_time, 0)
+        _check("rules.cold_from", self.slow_start_capacity, 0, 1)
+        _check("rules.cold_time", self.slow_start_duration, 0)
         _check("rules.overload_factor", self.overload_factor, 0)
-        _check("rules.fall_time", self.fall_time, 0)
+        _check("rules.fall_time", self.overload_duration, 0)
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class PolicySettings:
     classes: tuple[RequestClass, ...]
-    me: int = 0
-    n_instances: int = 1
+    instance_index: int = 0
+    instance_count: int = 1
     zone: int = 0
-    n_zones: int = 1
+    zone_count: int = 1
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0
+    over_quota_weight: float = 1.0
     list_on_request: bool = False  # the server list must be watched or fetched
     report_fields: tuple[str, ...] = ()
-    worth_by_work: bool = False
+    weight_by_work: bool = False
     warm_keys: bool = False
-    passes_deadline: bool = True
-    sticky_drains: bool = False  # a draining server keeps the requests of its sticky sessions
-    cold_standby: bool = False  # a server of a further set that has not served counts as just started
+    propagates_deadline: bool = True
+    sticky_while_draining: bool = False  # a draining server keeps the requests of its sticky sessions
+    standby_slow_start: bool = False  # a server of a further set that has not served counts as just started
     prices: Mapping[str, float] = field(default_factory=dict)
-    limits: Limits = Limits()
-    rules: Rules = Rules()
+    limits: PolicyLimits = PolicyLimits()
+    rules: SafetyRules = SafetyRules()
 
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("classes: () names no class of requests")
-        _check("n_instances", self.n_instances, 1)
-        _check("me", self.me, 0, self.n_instances - 1)
-        _check("n_zones", self.n_zones, 1)
-        _check("zone", self.zone, 0, self.n_zones - 1)
-        _check("over_share_worth", self.over_share_worth, 0, 1)
+        _check("n_instances", self.instance_count, 1)
+        _check("me", self.instance_index, 0, self.instance_count - 1)
+        _check("n_zones", self.zone_count, 1)
+        _check("zone", self.zone, 0, self.zone_count - 1)
+        _check("over_share_worth", self.over_quota_weight, 0, 1)
 
     @property
-    def others(self) -> float:
+    def other_instances_share(self) -> float:
         """Share of the proxies that are not this one; by it calls are spread that all would make at once."""
-        return 1 - 1 / self.n_instances
+        return 1 - 1 / self.instance_count
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from loadbalancer.policy.endpoints import Server
+from loadbalancer.policy.endpoints import Endpoint
 from loadbalancer.policy.events import (
-    ServerState,
+    EndpointState,
 )
 from loadbalancer.policy.pending_requests import RATE_S
 from loadbalancer.policy.state import State
@@ -22,41 +22,41 @@
 class Cold(State):
     """The rule on cold servers, kept by each proxy alone."""
 
-    def _pace_cold(self, server: Server) -> None:
+    def _pace_cold(self, server: Endpoint) -> None:
         """A cold server gets from each proxy less than its share of what the settings say it can do.
 
         All proxies pace alike, so together they stay under it, without talking; random gaps keep them
         from coming together. Work goes by time, not by chance: a draw may find it twice in a row."""
         self._note_usual()
-        if self.now < self._began(server) + self.rules.cold_time:
-            server.cold_need, server.cold_at = 0.5 + self.random.random(), self.now
+        if self.now < self._began(server) + self.rules.slow_start_duration:
+            server.pacing_debt, server.pacing_updated_at = 0.5 + self.random.random(), self.now
 
-    def _see_cold(self, server: Server) -> None:
+    def _see_cold(self, server: Endpoint) -> None:
         """Each proxy hears of a start in the same moment, and enters at a random place of its gap. One of all
         on average, and so a lone one always, may send at once.
 
         Protects against a first request of every proxy at once: of hundreds these alone push it over."""
-        server.cold_need = max(0.0, self.spread.random() - 1 / self.settings.n_instances)
-        server.cold_at = self.now
+        server.pacing_debt = max(0.0, self.spread.random() - 1 / self.settings.instance_count)
+        server.pacing_updated_at = self.now
 
-    def _may_take(self, server: Server) -> bool:
+    def _may_take(self, server: Endpoint) -> bool:
         """Drains kept, and no cold server pushed over."""
-        if server.state != ServerState.READY or server.barred:
+        if server.state != EndpointState.READY or server.cordoned:
             return False
         age = max(0.0, self.now - self._began(server))
-        if age >= self.rules.cold_time:
+        if age >= self.rules.slow_start_duration:
             return True
-        if server.cold_need > 0 and self.now > server.cold_at:
-            server.cold_need -= self._cold_pace(server, age) * (self.now - server.cold_at)
-            server.cold_at = self.now
-        return server.cold_need <= 0
+        if server.pacing_debt > 0 and self.now > server.pacing_updated_at:
+            server.pacing_debt -= self._cold_pace(server, age) * (self.now - server.pacing_updated_at)
+            server.pacing_updated_at = self.now
+        return server.pacing_debt <= 0
 
-    def _cold_pace(self, server: Server, age: float) -> float:
+    def _cold_pace(self, server: Endpoint, age: float) -> float:
         """Requests a second that it may be sent."""
         rules = self.rules
         # A window's budget is that of its beginning, when less of it was warm.
-        warm = max(0.0, age - rules.fall_time * LAG) / rules.cold_time
-        share = rules.cold_from + (1 - rules.cold_from) * warm
+        warm = max(0.0, age - rules.overload_duration * LAG) / rules.slow_start_duration
+        share = rules.slow_start_capacity + (1 - rules.slow_start_capacity) * warm
         total = self.pool.total(self.speed)
         mine = server.size * self.speed.get(server.kind, 1.0)
         usual = self.usual_part or max(self._rate(), 1 / RATE_S) / max(total, mine)
@@ -75,11 +75,11 @@
         part = min(1.0, wait / max(1e-3, min(USUAL_S, self.now - self.born)))
         self.usual_part += part * (self._rate() / max(total, 1.0) - self.usual_part)
 
-    def _cold_room(self, server: Server) -> float:
+    def _cold_room(self, server: Endpoint) -> float:
         """What a cold server reports of itself since it began corrects what the settings say at the least.
 
         All proxies see the same report, and aim at the same utilization. Harm: a report that is late lets the
         pace run ahead by what it may lift it, which the settings' multiple has room for."""
-        if server.util_at <= self._began(server) or not server.util:
+        if server.utilization_at <= self._began(server) or not server.utilization:
             return 1.0
-        return min(COLD_MOST, COLD_UTIL / server.util)
+        return min(COLD_MOST, COLD_UTIL / server.utilization)
--- a/loadbalancer/policy/state.py
+++ b/loadbalancer/policy/state.py
@@ -8,11 +8,11 @@
 from loadbalancer.policy.actions import (
     Action,
 )
-from loadbalancer.policy.endpoints import Pool, Server
-from loadbalancer.policy.pending_requests import RATE_S, Patience, Pending, Quantile
+from loadbalancer.policy.endpoints import Endpoint, EndpointPool
+from loadbalancer.policy.pending_requests import RATE_S, FirstTryDetector, PendingRequest, StreamingQuantile
 from loadbalancer.policy.settings import (
-    Scope,
-    Settings,
+    DeduplicationScope,
+    PolicySettings,
 )
 
 # Requests a second to each server, for each proxy of the fleet, below which no idle connection is kept. All
@@ -27,24 +27,24 @@
 class State:
     """The state of one proxy's decisions; what is decided by it stands in the files beside this one."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.settings, self.rules, self.limits = settings, settings.rules, settings.limits
         self.random = random.Random(seed)
         self.spread = random.Random(seed + 1)  # of times to return, which move no draw
         self.now = self.born = -math.inf
         self.actions: list[Action] = []
-        self.servers: dict[str, Server] = {}
-        self.ready: list[Server] = []
-        self.pool = Pool([])
-        self.groups: dict[tuple[Scope, int], Pool] = {}
-        self.domains: dict[str, list[Server]] = {}  # those that share their sticky sessions
+        self.servers: dict[str, Endpoint] = {}
+        self.ready: list[Endpoint] = []
+        self.pool = EndpointPool([])
+        self.groups: dict[tuple[DeduplicationScope, int], EndpointPool] = {}
+        self.domains: dict[str, list[Endpoint]] = {}  # those that share their sticky sessions
         self.speed: dict[int, float] = {}  # of a kind, relative to the others, as its utilization tells
         self.util_usual = self.errors_usual = self.errors_median = 0.0  # by reports, attempts, servers
         self.median_due = -math.inf  # when it is worked out anew
         self.usual_part = self.usual_at = 0.0  # sends a second to a server of size 1; when that was noted
         self.many_until = -math.inf  # so long many servers are cold
         self.ramp = RAMP_S
-        self.requests: dict[int, Pending] = {}
+        self.requests: dict[int, PendingRequest] = {}
         self.retry_tokens = RETRY_BURST
         self.flow, self.flow_at = 0.0, 0.0  # fading count of sends
         self.shed_level = 0.0
@@ -54,9 +54,9 @@
         self.shed_logged = -math.inf
         self.crowded_at = -math.inf  # when a request was last given up for want of room
         self.usual = [0.0] * len(settings.classes)  # time an answer takes, the median of late
-        self.patience = [Patience() for _ in settings.classes]
+        self.patience = [FirstTryDetector() for _ in settings.classes]
         self.silence = math.inf
-        self.silences: list[Quantile] = []  # of the classes, once a share of answers is waited for
+        self.silences: list[StreamingQuantile] = []  # of the classes, once a share of answers is waited for
         self.tenant_room = [0.0] * len(settings.tenants)
         self.tenant_at = [0.0] * len(settings.tenants)
         self.failed_calls = self.busy_calls = 0  # for the list, since it last came; in line in vain
@@ -79,9 +79,9 @@
         fill its table, which costs it capacity and turns other proxies away.
 
         Harm: a handshake for each request, which is the dearer of the two where few proxies send much."""
-        least = SPARSE * self.settings.n_instances * len(self.ready)
-        return self.settings.n_instances > 1 and self._rate() < least
+        least = SPARSE * self.settings.instance_count * len(self.ready)
+        return self.settings.instance_count > 1 and self._rate() < least
 
-    def _began(self, server: Server) -> float:
+    def _began(self, server: Endpoint) -> float:
         """When it started, or was woken: the later counts for how much it can do."""
-        return max(server.started or -math.inf, server.woken)  # 0: long ago
+        return max(server.started or -math.inf, server.warm_started_at)  # 0: long ago
--- a/loadbalancer/proxy/decision_trace.py
+++ b/loadbalancer/proxy/decision_trace.py
@@ -14,16 +14,16 @@
     Action,
     Cancel,
     Fail,
-    Refuse,
+    Reject,
     Send,
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
+    AttemptResult,
+    ClientCancelled,
     Event,
     Outcome,
     Request,
-    Result,
-    Withdrawn,
 )
 
 #: Steps of one request that are kept.
@@ -33,7 +33,7 @@
 Step = Union[Event, Action]
 
 
-class Seen(NamedTuple):
+class TraceObservation(NamedTuple):
     """A member as it stood when a request was sent to it."""
 
     in_flight: int
@@ -43,10 +43,10 @@
     refusing: float
 
 
-class Told(NamedTuple):
+class TracedRequest(NamedTuple):
     at: float  # seconds, on the module's clock
     step: Step
-    seen: Seen | None
+    seen: TraceObservation | None
     version: int | None = None  # of the fleet's state, under which it was sent
 
 
@@ -57,17 +57,17 @@
 
     def __init__(self, name: str) -> None:
         self.id = name
-        self.steps: list[Told] = []
+        self.steps: list[TracedRequest] = []
         self.left_out = 0
 
-    def note(self, told: Told) -> None:
+    def note(self, told: TracedRequest) -> None:
         if len(self.steps) < STEPS_MOST:
             self.steps.append(told)
         else:
             self.left_out += 1
 
 
-class Trace:
+class DecisionTrace:
     """The ring of one pool. Its owner is the pool's `Proxy`."""
 
     def __init__(self, most: int) -> None:
@@ -85,13 +85,13 @@
         if number is not None and isinstance(event, Request):
             self._begin(number, head)
         if isinstance(number, int) and (record := self._records.get(number)) is not None:
-            record.note(Told(now, event, None))
+            record.note(TracedRequest(now, event, None))
         for action in actions:
             number = getattr(action, "request", None)
             if isinstance(number, int) and (record := self._records.get(number)) is not None:
                 sent = isinstance(action, Send) and self.version is not None
                 version = self.version() if sent and self.version is not None else None
-                record.note(Told(now, action, see(balancer, action), version))
+                record.note(TracedRequest(now, action, see(balancer, action), version))
 
     def _begin(self, number: int, head: bytes) -> None:
         match = _ID.search(head)
@@ -120,51 +120,51 @@
         return len(self._records)
 
 
-def see(balancer: Balancer, action: Action) -> Seen | None:
+def see(balancer: Balancer, action: Action) -> TraceObservation | None:
     if not isinstance(action, Send):
         return None
-    server = balancer.servers.get(action.server)
+    server = balancer.servers.get(action.endpoint)
     if server is None:
         return None
     usable = sum(not balancer.avoids(one.id) for one in balancer.ready)
-    return Seen(
-        len(server.out) + len(server.giving),
-        round(server.errors, 3),
-        round(server.util, 2),
+    return TraceObservation(
+        len(server.in_flight) + len(server.responding),
+        round(server.error_rate, 3),
+        round(server.utilization, 2),
         usable,
         round(balancer.shed_level, 2),
     )
 
 
-def words(told: Told) -> dict[str, Any]:
+def words(told: TracedRequest) -> dict[str, Any]:
     """A step as operators read it."""
     step = told.step
     if isinstance(step, Request):
         box = {
             "what": "came",
-            "left_s": round(step.left, 3),
-            "session": step.member,
-            "bound": step.bound or None,
+            "left_s": round(step.time_remaining, 3),
+            "session": step.sticky_endpoint,
+            "bound": step.sticky_required or None,
             "keyed": step.key is not None or None,
         }
     elif isinstance(step, Send):
-        box = {"what": "sent", "member": step.server, "timeout_s": round(step.timeout, 3)}
+        box = {"what": "sent", "member": step.endpoint, "timeout_s": round(step.timeout, 3)}
         if told.seen is not None:
             box |= told.seen._asdict()
         box["version"] = told.version
     elif isinstance(step, Outcome):
         box = {
             "what": f"attempt {step.attempt} ended",
-            "member": step.server,
-            "result": Result(step.result).name.lower(),
-            "took_s": round(step.took, 3),
-            "answered": step.ended or None,
+            "member": step.endpoint,
+            "result": AttemptResult(step.result).name.lower(),
+            "took_s": round(step.elapsed, 3),
+            "answered": step.request_ended or None,
         }
-    elif isinstance(step, Refuse):
+    elif isinstance(step, Reject):
         box = {"what": "refused: trying again is harmless", "retry_after_s": step.retry_after or None}
     elif isinstance(step, Fail):
         box = {"what": "failed: nothing is promised"}
-    elif isinstance(step, Withdrawn):
+    elif isinstance(step, ClientCancelled):
         box = {"what": "its client has gone, or it was ended here"}
     elif isinstance(step, Cancel):
         box = {"what": f"attempt {step.attempt} is given up"}
--- a/loadbalancer/proxy/idempotent_requests.py
+++ b/loadbalancer/proxy/idempotent_requests.py
@@ -11,11 +11,11 @@
 import time
 from typing import TYPE_CHECKING, Callable, NamedTuple
 
-from loadbalancer.metrics import REFUSALS, End
-from loadbalancer.proxy.open_requests import Client, OpenRequest, Owner
+from loadbalancer.metrics import RETRYABLE_STATUSES, RequestResult
+from loadbalancer.proxy.open_requests import Client, OpenRequest, RequestOwner
 from loadbalancer.store.errors import StoreError
-from loadbalancer.store.keeper import Store, View
-from loadbalancer.store.ledger import Begun, Ruling, Way, answered, decide, decode, encode
+from loadbalancer.store.keeper import Store, StoreView
+from loadbalancer.store.ledger import Begun, Disposition, Ruling, answered, decide, decode, encode
 from loadbalancer.streaming.streams import Stream
 
 if TYPE_CHECKING:
@@ -25,10 +25,10 @@
 #: An answer that waits for the disk goes out this long before its client's time is up, in seconds.
 SPARE_S = 0.02
 #: While the store passes to a daemon that takes over, which will know of the key.
-ELSEWHERE = Ruling(Way.REFUSED, status=503, why="another process takes over; it has not run")
+ELSEWHERE = Ruling(Disposition.REFUSED, status=503, why="another process takes over; it has not run")
 
 
-class Terms(NamedTuple):
+class KeyTerms(NamedTuple):
     """How a class of requests is remembered. `cls`: its number; `again`: that of its unsafe kin, by which a repeat goes
     that must not be repeated; `window`: seconds in which members drop repeats; `remember`: seconds; `most`: bytes of an
     answer."""
@@ -45,11 +45,11 @@
 Take = Callable[[int, float], None]
 
 
-class Ledger:
+class IdempotencyLedger:
     """One for all pools of a daemon."""
 
-    def __init__(self, store: Store, complain: Callable[[str, object], None]) -> None:
-        self.store, self.complain = store, complain
+    def __init__(self, store: Store, logger: Callable[[str, object], None]) -> None:
+        self.store, self.logger = store, logger
         self.in_progress: dict[bytes, object] = {}  # the one that is open in this process, by key
         self.open = 0  # requests that are held here
         self.lent = False  # the store passes to another daemon
@@ -60,32 +60,32 @@
         request: OpenRequest,
         key: bytes,
         digest: bytes,
-        terms: Terms,
+        terms: KeyTerms,
         deadline: float,
         take: Take,
     ) -> None:
         """`key`: as the store has it. `deadline`: monotonic. `take` hands the request to `proxy`."""
-        Ledgered(self, proxy, request, key, digest, terms, deadline, take).begin()
+        IdempotentRequestHandler(self, proxy, request, key, digest, terms, deadline, take).begin()
 
 
-class Ledgered:
+class IdempotentRequestHandler:
     """One request. It stands before its client, and for its owner while no pool has it."""
 
     def __init__(
         self,
-        ledger: Ledger,
+        ledger: IdempotencyLedger,
         proxy: Proxy,
         request: OpenRequest,
         key: bytes,
         digest: bytes,
-        terms: Terms,
+        terms: KeyTerms,
         deadline: float,
         take: Take,
     ) -> None:
         self.ledger, self.proxy, self.request, self.key, self.digest = ledger, proxy, request, key, digest
         self.terms, self.deadline, self._hand_over = terms, deadline, take
         self.client: Client | None = request.client
-        self.pool: Owner | None = None  # once a pool has the request
+        self.pool: RequestOwner | None = None  # once a pool has the request
         self.first = False  # the key was new
         self.released = False
         self.timer: asyncio.TimerHandle | None = None
@@ -100,42 +100,42 @@
             return
         self.ledger.store.do(self._rule, self._ruled)
 
-    def _rule(self, view: View) -> Ruling:
+    def _rule(self, view: StoreView) -> Ruling:
         """In the store's thread: what is known of the key, and that it begins."""
         terms, now = self.terms, view.now()
         in_progress = self.ledger.in_progress.get(self.key, self) is not self  # a batch may be tried twice
         ruling = decide(decode(view.get(self.key)), self.digest, now, in_progress, terms.all_drop)
-        if ruling.way == Way.FIRST:
+        if ruling.way == Disposition.FIRST:
             if in_progress:  # it was taken back, and its request has not ended yet
-                return Ruling(Way.REFUSED, status=409, why="a request with the key is in progress")
+                return Ruling(Disposition.REFUSED, status=409, why="a request with the key is in progress")
             begun = Begun(self.digest, now, terms.window)
             view.put(self.key, encode(begun), now + max(terms.remember, terms.window))
-        if ruling.way in (Way.FIRST, Way.AGAIN):
+        if ruling.way in (Disposition.FIRST, Disposition.AGAIN):
             self.ledger.in_progress[self.key] = self
         return ruling
 
     def _ruled(self, ruling: Ruling, problem: StoreError | None) -> None:
         client = self.client
         if problem is not None:
-            self.ledger.complain("keyed work refused", problem)
+            self.ledger.logger("keyed work refused", problem)
             self._answer_self(503, [], b"the key can't be remembered now; it has not run\n")
             return
-        self.first = ruling.way == Way.FIRST
-        goes = ruling.way in (Way.FIRST, Way.AGAIN)
+        self.first = ruling.way == Disposition.FIRST
+        goes = ruling.way in (Disposition.FIRST, Disposition.AGAIN)
         left = self.deadline - time.monotonic()
-        if ruling.way == Way.AGAIN:
+        if ruling.way == Disposition.AGAIN:
             left = min(left, ruling.left)
         if client is None or (goes and left <= 0):
             self._take_back()
             self._answer_self(503, [], b"no time was left once the key was on disk; it has not run\n")
-        elif ruling.way == Way.REPLAY:
+        elif ruling.way == Disposition.REPLAY:
             kept = ruling.answer
             assert kept is not None and kept.body is not None
             self._release()
             self.proxy.drop(self.request)
-            self.proxy.figures.count(self.terms.cls, End.PASSED)
+            self.proxy.figures.count(self.terms.cls, RequestResult.PASSED)
             client.answer(kept.status, [*kept.lines, REPLAYED], kept.body, False, None, kept.reason)
-        elif ruling.way == Way.REFUSED:
+        elif ruling.way == Disposition.REFUSED:
             lines = [b"Retry-After: 1\r\n"] if ruling is ELSEWHERE else []
             self._answer_self(ruling.status, lines, ruling.why.encode() + b"\n")
         else:
@@ -170,7 +170,7 @@
 
         request = self.request
         if not request.made:
-            if status in REFUSALS and not request.ran and not request.live:
+            if status in RETRYABLE_STATUSES and not request.ran and not request.live:
                 self._take_back()
             deliver()
             return
@@ -179,23 +179,21 @@
         )
         terms = self.terms
 
-        def note(view: View) -> None:
+        def note(view: StoreView) -> None:
             now = view.now()
             entry = answered(self.digest, now, status, reason, lines, body, terms.most)
             view.put(self.key, encode(entry), now + terms.remember)
 
         def noted(_: None, problem: StoreError | None) -> None:
             if problem is not None:
-                self.ledger.complain("an answer is not remembered; its key stands as begun", problem)
+                self.ledger.logger("an answer is not remembered; its key stands as begun", problem)
             if self.timer is not None:
                 deliver()
 
         self.ledger.store.do(note, noted)
 
     def _late(self, deliver: Callable[[], None]) -> None:
-        self.ledger.complain(
-            "an answer went out before the disk had it", "its key stands as begun until then"
-        )
+        self.ledger.logger("an answer went out before the disk had it", "its key stands as begun until then")
         deliver()
 
     def has_left(self) -> bool:
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -9,17 +9,17 @@
 from typing import Callable, Protocol
 
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
-from loadbalancer.streaming.streams import Stream, Taker
+from loadbalancer.streaming.streams import Stream, StreamConsumer
 from loadbalancer.streaming.uploads import Upload
-from loadbalancer.upstreams.connections import Answer, Attempt
+from loadbalancer.upstreams.connections import Attempt, UpstreamResponse
 
 #: Ids of requests that backends could not use are kept, the latest ones.
-UNUSABLE_MOST = 2000
+MAX_UNUSABLE_IDS = 2000
 
 
-class Client(Taker, Protocol):
+class Client(StreamConsumer, Protocol):
     """What a request needs of the connection that it came on."""
 
     def answer(
@@ -42,7 +42,7 @@
         where it is not known."""
 
 
-class Owner(Protocol):
+class RequestOwner(Protocol):
     """Who has a request, as the connection knows it on which it came."""
 
     def withdraw(self, request: OpenRequest) -> None: ...
@@ -91,21 +91,21 @@
     ) -> None:
         self.id = 0
         self.cls = 0  # number of its class
-        self.owner: Owner  # who has taken it
+        self.owner: RequestOwner  # who has taken it
         self.ran = False  # an attempt that has ended may have run
         self.made = False  # its answer is a member's
         self.bodiless = bodiless  # asks for a head alone
         self.client = client
         self.txn = txn  # a hash of its X-Txn: of one size, whatever clients send
         self.unusable = False  # so says a backend
-        self.last: Result | None = None  # what became of its last attempt
+        self.last: AttemptResult | None = None  # what became of its last attempt
         self.most = 0  # attempts that its route allows; 0: as the pool does
-        self.repeat_on: frozenset[Result] | None = (
+        self.repeat_on: frozenset[AttemptResult] | None = (
             None  # ends after which its route lets another attempt follow
         )
         self.repeat_statuses: frozenset[int] | None = None  # and statuses; None: as the pool has them
         self.upgrade = b""  # the protocol that it asks to go over to
-        self.error: Answer | None = None  # the last that a backend made of its failure
+        self.error: UpstreamResponse | None = None  # the last that a backend made of its failure
         self.stream: Stream | None = None  # its answer has begun, and comes by this
         self.giving = -1  # from the attempt of this number
         self.moved_at = 0.0  # monotonic, when the stream was last seen to move
@@ -122,12 +122,12 @@
             None  # what its route does to an answer's headers
         )
 
-    def lines(self, answer: Answer) -> list[bytes]:
+    def lines(self, answer: UpstreamResponse) -> list[bytes]:
         """The header lines of a member's answer as the client gets them."""
         return answer.lines if self.edit is None else self.edit(answer.lines)
 
 
-class Ids:
+class TransactionIds:
     """Ids that clients gave to requests: of what is open, and of what backends could not use.
 
     Guards against answers that go to the wrong client, and against bad clients who ask the same again:
@@ -150,5 +150,5 @@
     def found_unusable(self, txn: int) -> None:
         if txn:
             self.unusable[txn] = None
-        if len(self.unusable) > UNUSABLE_MOST:
+        if len(self.unusable) > MAX_UNUSABLE_IDS:
             del self.unusable[next(iter(self.unusable))]
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -13,48 +13,54 @@
 from typing import TYPE_CHECKING, Any, Callable, Mapping, Protocol, cast
 
 from loadbalancer.deployment import Deployment
-from loadbalancer.discovery.endpoint_source import Entry, Source
-from loadbalancer.metrics import End, Figures, end_of
+from loadbalancer.discovery.endpoint_source import EndpointSource, Entry
+from loadbalancer.metrics import PoolMetrics, RequestResult, result_of_status
 from loadbalancer.policy.actions import (
     Action,
     Cancel,
-    CloseIdle,
+    CloseIdleConnections,
     Fail,
-    Log,
-    Refuse,
+    LogMessage,
+    Reject,
     Send,
     SetTimer,
-    Watch,
+    WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
     NEVER_RAN,
-    Body,
+    AttemptResult,
+    BodyProgress,
+    ClientCancelled,
     Cordon,
+    EndpointList,
+    EndpointState,
     Event,
     FirstByte,
     Outcome,
     Request,
-    Result,
-    ServerList,
-    ServerState,
     TimerFired,
-    Withdrawn,
 )
-from loadbalancer.proxy.final_answers import Heard, better, failed, proxy_status, refused
-from loadbalancer.proxy.open_requests import Client, Ids, OpenRequest
-from loadbalancer.resource_limits import STREAM_MOST, Budget, Complaints, Share, describe
-from loadbalancer.streaming.streams import STALL_S, Giver, Stream
-from loadbalancer.streaming.tunnels import End as TunnelEnd
-from loadbalancer.streaming.tunnels import Terms, Tunnel, Tunnels
-from loadbalancer.upstreams.connections import Answer, Attempt, Backends, Upstream
+from loadbalancer.proxy.final_answers import FinalAnswer, better, failed, proxy_status, refused
+from loadbalancer.proxy.open_requests import Client, OpenRequest, TransactionIds
+from loadbalancer.resource_limits import (
+    MAX_STREAMED_BODY_BYTES,
+    BufferBudget,
+    PoolLimits,
+    RateLimitedLogger,
+    describe_exception,
+)
+from loadbalancer.streaming.streams import STALL_S, Stream, StreamProducer
+from loadbalancer.streaming.tunnels import Tunnel, TunnelLimits, Tunnels
+from loadbalancer.streaming.tunnels import TunnelEnd as TunnelEnd
+from loadbalancer.upstreams.connections import Attempt, Upstream, UpstreamPools, UpstreamResponse
 from loadbalancer.upstreams.dialect import Dialect
-from loadbalancer.upstreams.http1 import Connection
+from loadbalancer.upstreams.http1 import Http1UpstreamConnection
 
 if TYPE_CHECKING:  # loaded where operators may ask why
-    from loadbalancer.proxy.decision_trace import Trace
+    from loadbalancer.proxy.decision_trace import DecisionTrace
 if TYPE_CHECKING:  # loaded where operators can mark members
-    from loadbalancer.discovery.platform_overrides import Marks
+    from loadbalancer.discovery.platform_overrides import PlatformOverrides
 
 #: A request that the module has not answered this long after its client's time is up is failed here.
 OVERDUE_S = 0.03
@@ -64,7 +70,7 @@
 UPLOAD_SHARE = 0.25
 
 
-class Gate(Protocol):
+class PluginGate(Protocol):
     """Who says whether a pool may take one more request now, where several share the process."""
 
     def admit(self, pool: str) -> bool: ...
@@ -83,54 +89,56 @@
         self,
         deployment: Deployment,
         seed: int,
-        limits: Share,
-        complain: Complaints,
+        limits: PoolLimits,
+        logger: RateLimitedLogger,
         dialect: Dialect | None = None,
-        connect: Callable[..., Upstream] = Connection,
-        ids: Ids | None = None,
+        connect: Callable[..., Upstream] = Http1UpstreamConnection,
+        ids: TransactionIds | None = None,
         timeout_status: int = 502,
-        tunnels: Terms | None = None,
+        tunnels: TunnelLimits | None = None,
     ) -> None:
         """`connect` makes connections to members, in HTTP/1.1 if it is not given. `dialect` is what its members
         mean by their answers, the platform's if it is not given. `ids` is shared by all pools
         whose requests bear ids of clients. `timeout_status` is what a client hears of a request that failed
         because its last attempt took too long."""
         self.balancer = Balancer(deployment.settings, seed)
-        self.complain = complain
-        self.budget = Budget(limits.buffered)
+        self.logger = logger
+        self.budget = BufferBudget(limits.buffered)
         self.timeout_status = timeout_status
-        self.open_most = limits.open_most
-        self.turns: Gate | None = None  # where several pools share the processor
+        self.max_open_requests = limits.max_open_requests
+        self.turns: PluginGate | None = None  # where several pools share the processor
         self.name = ""  # by which they know this one
-        self.figures = Figures(len(deployment.settings.classes))
-        self.trace: Trace | None = None  # of the latest requests, where operators may ask why
-        self.marks: Marks | None = None  # what operators say of members, where they can
+        self.figures = PoolMetrics(len(deployment.settings.classes))
+        self.trace: DecisionTrace | None = None  # of the latest requests, where operators may ask why
+        self.marks: PlatformOverrides | None = None  # what operators say of members, where they can
         self.fresh = False  # a list has come since the start, or a change to one
         self.closed = False
         self.fence: Callable[[], bool] | None = None  # whether this instance may act, where a fleet says so
         self.return_s = 1  # after which a client may come back that is told so for its sake
         dialect = dialect or Dialect(
-            report_fields=deployment.settings.report_fields, stream_most=STREAM_MOST, close_delimited=True
+            report_fields=deployment.settings.report_fields,
+            stream_most=MAX_STREAMED_BODY_BYTES,
+            close_delimited=True,
         )
         self.dialect = dialect
-        self.tunnels = Tunnels(tunnels or Terms(), time.monotonic)
+        self.tunnels = Tunnels(tunnels or TunnelLimits(), time.monotonic)
         make = partial(connect, dialect=dialect, not_passed=dialect.not_passed())
-        self.backends = Backends(
+        self.backends = UpstreamPools(
             self,
             self.budget,
-            complain,
+            logger,
             limits.backend_sockets,
             make,
             deployment.settings.limits.connect_timeout,
-            deployment.idle_close,
-            deployment.idle_most,
+            deployment.idle_timeout,
+            deployment.max_idle_connections,
         )
-        self.source: Source | None = None  # of the list of members
+        self.source: EndpointSource | None = None  # of the list of members
         self.open: dict[int, OpenRequest] = {}
         self.streams: set[OpenRequest] = set()  # those whose answers come by a stream
         self.takes_uploads = getattr(connect, "takes_uploads", False)
         self.uploads = 0  # open requests whose bodies are sent on as they come
-        self.ids = ids or Ids()
+        self.ids = ids or TransactionIds()
         self.listed: set[str] = set()
         self._last_id = 0
         self._events: deque[Event] = deque()
@@ -142,12 +150,12 @@
         self._carry: dict[type, Callable[[Any], None]] = {
             Send: self._send,
             SetTimer: self._set_timer,
-            Refuse: self._refuse,
+            Reject: self._refuse,
             Fail: self._fail,
             Cancel: self._cancel,
-            Watch: self._watch,
-            CloseIdle: lambda action: self.backends.close_idle(action.server),
-            Log: lambda action: self.complain("module", action.text),
+            WatchEndpoints: self._watch,
+            CloseIdleConnections: lambda action: self.backends.close_idle(action.endpoint),
+            LogMessage: lambda action: self.logger("module", action.text),
         }
 
     def now(self) -> float:
@@ -179,7 +187,7 @@
         finally:
             self._busy = False
 
-    def _note(self, trace: Trace, now: float, event: Event, actions: list[Action]) -> None:
+    def _note(self, trace: DecisionTrace, now: float, event: Event, actions: list[Action]) -> None:
         request = self.open.get(event.request) if isinstance(event, Request) else None
         trace.note(now, event, actions, self.balancer, request.head if request is not None else b"")
 
@@ -187,7 +195,7 @@
         """Guards against any defect in the decisions or in carrying them out: the request that it met gets
         its answer, the rest goes on. Also where a list makes the module fail: the one before stands, in part.
         Harm: a defect that comes with each request looks like a service that fails, not like a crash."""
-        self.complain("defect", f"{describe(problem)} on {type(event).__name__}")
+        self.logger("defect", f"{describe_exception(problem)} on {type(event).__name__}")
         request = self.open.get(getattr(event, "request", -1))
         if request is not None:
             self._abandon(request)
@@ -265,14 +273,14 @@
 
     def _tell_body(self, request: OpenRequest) -> None:
         assert request.upload is not None
-        self.post(Body(request.id, request.whole, request.upload.kept is not None))
+        self.post(BodyProgress(request.id, request.whole, request.upload.kept is not None))
 
     def upload_failed(self, request: OpenRequest, status: int) -> None:
         """The client sends no more of a body that is not whole: it never became a request, and none has run."""
         if not request.done:
-            self._finish_request(request, end_of(status))
+            self._finish_request(request, result_of_status(status))
             request.client.answer(status, [], b"", close=True)
-            self.post(Withdrawn(request.id))
+            self.post(ClientCancelled(request.id))
             self._drop_attempts(request)
 
     def _drop_attempts(self, request: OpenRequest) -> None:
@@ -284,7 +292,7 @@
         """Nobody wants its answer any more."""
         if not attempt.ended:
             attempt.drop()
-            self.finish_attempt(attempt, Result.CANCELLED)
+            self.finish_attempt(attempt, AttemptResult.CANCELLED)
 
     def is_shut_out(self) -> bool:
         """Whether the fleet goes on without this instance: what comes is told to return."""
@@ -296,15 +304,15 @@
         Guards against a pool that hangs: without a bound its requests would come to hold every connection
         that clients may have, and with them the other pools. Harm: a burst is turned away that would have
         passed."""
-        if self.closed or len(self.open) >= self.open_most:
+        if self.closed or len(self.open) >= self.max_open_requests:
             return False
         return self.turns is None or self.turns.admit(self.name)
 
-    def resize(self, limits: Share) -> None:
+    def resize(self, limits: PoolLimits) -> None:
         """Other limits from now on; what is idle past them goes."""
         self.budget.resize(limits.buffered)
         self.backends.resize(limits.backend_sockets)
-        self.open_most = limits.open_most
+        self.max_open_requests = limits.max_open_requests
 
     def tries(self) -> list[int]:
         """Attempts written whole, for each class: those that have ended, and those still out."""
@@ -320,23 +328,23 @@
     def drop(self, request: OpenRequest) -> None:
         """A request that ends before it was taken."""
         if request.body is not None:
-            self.budget.give(len(request.body))
+            self.budget.release(len(request.body))
             request.body = None
 
     def withdraw(self, request: OpenRequest) -> None:
         """The client has gone away."""
         if not request.done:
-            self._finish_request(request, End.FAILED)
+            self._finish_request(request, RequestResult.FAILED)
             if request.stream is not None:
                 request.stream.leave()
-            self.post(Withdrawn(request.id))
+            self.post(ClientCancelled(request.id))
             if not request.whole:
                 self._drop_attempts(request)
 
     def turned_away(self, request: OpenRequest, cls: int, status: int) -> None:
         """A whole request that the front answers with an error: it was not taken, and has not run."""
         self.drop(request)
-        self.figures.count(cls, end_of(status))
+        self.figures.count(cls, result_of_status(status))
 
     def end_all(self) -> None:
         """The process ends: what is still held has failed, and what comes is turned away."""
@@ -347,28 +355,28 @@
     def _abandon(self, request: OpenRequest) -> None:
         """Fail a request without the module's word; it is told, and cancels what is still out."""
         if not request.done:
-            self._finish_request(request, End.FAILED)
+            self._finish_request(request, RequestResult.FAILED)
             if request.stream is not None:
                 request.stream.cut()
             else:
                 request.client.answer(502, [], b"")
-            self.post(Withdrawn(request.id))
+            self.post(ClientCancelled(request.id))
 
     def _overdue(self, request: OpenRequest) -> None:
         """Guards against any way in which a request could stay without its answer. Harm: none while the
         module keeps its own times, which end earlier."""
         request.timer = None
         if not request.done:
-            self.complain("overdue request failed", request.id)
+            self.logger("overdue request failed", request.id)
             self._abandon(request)
 
-    def _finish_request(self, request: OpenRequest, end: End) -> None:
+    def _finish_request(self, request: OpenRequest, end: RequestResult) -> None:
         """The one place where a request ends. The caller gives the answer, where one is due."""
         request.done = True
         self.streams.discard(request)
         self.figures.open -= request.whole
         if (
-            request.whole or end == End.DROPPED
+            request.whole or end == RequestResult.DROPPED
         ):  # what never came whole was no request, but to be told to try again
             self.figures.count(request.cls, end)
         if request.timer is not None:
@@ -384,7 +392,7 @@
             request.upload.close()
             self.uploads -= 1
         if request.error is not None:
-            self.budget.give(len(request.error.body))
+            self.budget.release(len(request.error.body))
             request.error = None
         self.ids.ended(request.txn)
         self._finished.append(request)
@@ -394,9 +402,9 @@
     def finish_attempt(
         self,
         attempt: Attempt,
-        result: Result,
+        result: AttemptResult,
         report: Mapping[str, float] | None = None,
-        answer: Answer | None = None,
+        answer: UpstreamResponse | None = None,
     ) -> None:
         """The one place where an attempt ends, and its Outcome is told."""
         if attempt.ended:
@@ -412,23 +420,23 @@
         request.ran = request.ran or result not in NEVER_RAN
         if attempt.number == request.giving and not request.done:
             self._end_stream(request, result)
-        if result == Result.UNUSABLE:
+        if result == AttemptResult.UNUSABLE:
             request.unusable = True
             self.ids.found_unusable(request.txn)
-        elif result == Result.ERROR and answer is not None and not request.done:
+        elif result == AttemptResult.ERROR and answer is not None and not request.done:
             if self._repeats(request, answer):
                 self._keep_error(request, answer)
             else:
                 self._tell(
-                    request, Heard(answer), []
+                    request, FinalAnswer(answer), []
                 )  # an answer of the application, and no failure of the way
         if request.done:
             if request.live == 0 and not request.released:
                 self._release(request)
-        elif result == Result.SERVED:
+        elif result == AttemptResult.SERVED:
             assert answer is not None
             request.made = True
-            self._finish_request(request, End.PASSED)
+            self._finish_request(request, RequestResult.PASSED)
             request.client.answer(
                 answer.status, request.lines(answer), answer.body, False, answer.length, answer.reason
             )
@@ -454,12 +462,14 @@
             return True
         return late and not self.balancer.may_leave(self.now(), request.id, attempt.number)
 
-    def begin_answer(self, attempt: Attempt, answer: Answer, giver: Giver) -> Stream | None:
+    def begin_answer(
+        self, attempt: Attempt, answer: UpstreamResponse, giver: StreamProducer
+    ) -> Stream | None:
         """A long answer goes to the client from here on, and no other attempt's can."""
         request = cast(OpenRequest, attempt.request)
         if request.done or request.stream is not None:
             attempt.drop()
-            self.finish_attempt(attempt, Result.CANCELLED)
+            self.finish_attempt(attempt, AttemptResult.CANCELLED)
             return None
         request.giving = attempt.number
         for timer in (attempt.timer, request.timer):
@@ -475,7 +485,7 @@
         self.post(FirstByte(request.id, attempt.number, attempt.server, took))
         return stream
 
-    def begin_tunnel(self, attempt: Attempt, answer: Answer, member: TunnelEnd) -> Tunnel | None:
+    def begin_tunnel(self, attempt: Attempt, answer: UpstreamResponse, member: TunnelEnd) -> Tunnel | None:
         """The member has gone over to the protocol that the client asked for: the request is served, and what follows
         is no request."""
         request = cast(OpenRequest, attempt.request)
@@ -484,16 +494,16 @@
         client = cast(TunnelClient, request.client)
         tunnel = self.tunnels.begin(attempt.server, client, member)
         request.made = True
-        self._finish_request(request, End.PASSED)
+        self._finish_request(request, RequestResult.PASSED)
         client.begin_tunnel(answer.lines, answer.reason, tunnel)
-        self.finish_attempt(attempt, Result.SERVED)
+        self.finish_attempt(attempt, AttemptResult.SERVED)
         return tunnel
 
-    def _end_stream(self, request: OpenRequest, result: Result) -> None:
+    def _end_stream(self, request: OpenRequest, result: AttemptResult) -> None:
         """The attempt whose answer goes out has ended, and with it the request."""
         assert request.stream is not None
-        served = result == Result.SERVED
-        self._finish_request(request, End.PASSED if served else End.FAILED)
+        served = result == AttemptResult.SERVED
+        self._finish_request(request, RequestResult.PASSED if served else RequestResult.FAILED)
         (request.stream.end if served else request.stream.cut)()
 
     def _check_streams(self, now: float) -> None:
@@ -504,35 +514,35 @@
             if not stream.stands():
                 request.moved_at = now
             elif now - request.moved_at > STALL_S:
-                self.complain("answer broken off", "nothing moved on it")
+                self.logger("answer broken off", "nothing moved on it")
                 attempt = request.attempts[request.giving]
                 attempt.drop()
-                self.finish_attempt(attempt, Result.RESET)
+                self.finish_attempt(attempt, AttemptResult.RESET)
 
-    def _repeats(self, request: OpenRequest, answer: Answer) -> bool:
+    def _repeats(self, request: OpenRequest, answer: UpstreamResponse) -> bool:
         """Whether a member's failure speaks of the way: by its status, or by its own word."""
         if answer.again:
             return True
         own = request.repeat_statuses
         return self.dialect.repeats(answer.status) if own is None else answer.status in own
 
-    def _keep_error(self, request: OpenRequest, answer: Answer) -> None:
+    def _keep_error(self, request: OpenRequest, answer: UpstreamResponse) -> None:
         """What a backend said of its failure, for the client if nothing better comes."""
         if not better(request.error, answer) or not self.budget.take_upload(len(answer.body)):
             return
         if request.error is not None:
-            self.budget.give(len(request.error.body))
+            self.budget.release(len(request.error.body))
         request.error = answer
 
     # Actions.
 
     def _send(self, action: Send) -> None:
         request = self.open[action.request]
-        attempt = Attempt(request, len(request.attempts), action.server, self.now(), action.timeout)
+        attempt = Attempt(request, len(request.attempts), action.endpoint, self.now(), action.timeout)
         request.attempts.append(attempt)
         request.live += 1
         if request.done:
-            self.finish_attempt(attempt, Result.NOT_SENT)
+            self.finish_attempt(attempt, AttemptResult.NOT_SENT)
             return
         if request.whole:
             self._time(attempt)
@@ -548,7 +558,7 @@
         if written:
             self.backends.suspect(attempt)
         # What has not left whole has not run, and says more of the way to the backend than of its load.
-        self.finish_attempt(attempt, Result.TIMEOUT if written else Result.NO_CONNECTION)
+        self.finish_attempt(attempt, AttemptResult.TIMEOUT if written else AttemptResult.NO_CONNECTION)
 
     def _cancel(self, action: Cancel) -> None:
         request = self.open.get(action.request)
@@ -556,7 +566,7 @@
             return
         self._give_up(request.attempts[action.attempt])
 
-    def _refuse(self, action: Refuse) -> None:
+    def _refuse(self, action: Reject) -> None:
         request = self.open[action.request]
         if not request.done:
             lines = [b"Retry-After: %.3f\r\n" % action.retry_after] if action.retry_after else []
@@ -568,10 +578,10 @@
             heard = failed(request.error, request.unusable, request.last, self.timeout_status)
             self._tell(request, heard, [])
 
-    def _tell(self, request: OpenRequest, heard: Heard, lines: list[bytes]) -> None:
+    def _tell(self, request: OpenRequest, heard: FinalAnswer, lines: list[bytes]) -> None:
         """The final answer of a request that was given up. `lines`: headers of the proxy's own answer."""
         kept = heard.kept
-        self._finish_request(request, end_of(kept.status if kept is not None else heard.status))
+        self._finish_request(request, result_of_status(kept.status if kept is not None else heard.status))
         if kept is not None:
             request.client.answer(
                 kept.status, request.lines(kept), kept.body, False, kept.length, kept.reason
@@ -582,11 +592,11 @@
             request.client.answer(heard.status, lines, b"", close=heard.close)
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._loop.call_later(action.after, self.post, TimerFired(action.token))
+        self._loop.call_later(action.delay, self.post, TimerFired(action.token))
 
-    def _watch(self, action: Watch) -> None:
+    def _watch(self, action: WatchEndpoints) -> None:
         if self.source is not None:
-            self.source.watch(action.on)
+            self.source.watch(action.enabled)
 
     # The list, and what operators say of members.
 
@@ -605,12 +615,14 @@
         named = set()
         self.fresh = self.fresh or not stale
         for entry, address in entries:
-            if entry.state == ServerState.GONE:
-                self.backends.gone(entry.server)
-                self.listed.discard(entry.server)
+            if entry.state == EndpointState.GONE:
+                self.backends.gone(entry.endpoint)
+                self.listed.discard(entry.endpoint)
             else:
-                self.backends.listed(entry.server, (address, entry.started), entry.state == ServerState.READY)
-                named.add(entry.server)
+                self.backends.listed(
+                    entry.endpoint, (address, entry.started), entry.state == EndpointState.READY
+                )
+                named.add(entry.endpoint)
         if whole:
             for server in self.listed - named:
                 self.backends.gone(server)
@@ -620,10 +632,10 @@
         if self.marks is not None:
             self.marks.listed(named)
         if self.tunnels.open:
-            serving = {entry.server for entry, _ in entries if entry.state == ServerState.READY}
-            told = {entry.server for entry, _ in entries}
+            serving = {entry.endpoint for entry, _ in entries if entry.state == EndpointState.READY}
+            told = {entry.endpoint for entry, _ in entries}
             self.tunnels.leave({t.server for t in self.tunnels.open if (whole or t.server in told)} - serving)
-        self.post(ServerList(tuple(entry for entry, _ in entries), whole, False, stale))
+        self.post(EndpointList(tuple(entry for entry, _ in entries), whole, False, stale))
 
     def _sweep(self) -> None:
         now = time.monotonic()
@@ -651,4 +663,4 @@
             self.backends.gone(server)
 
     def list_failed(self, busy: bool = False) -> None:
-        self.post(ServerList(failed=True, busy=busy))
+        self.post(EndpointList(failed=True, busy=busy))
--- a/loadbalancer/routing/fair_shares.py
+++ b/loadbalancer/routing/fair_shares.py
@@ -22,15 +22,15 @@
 FULL = 0.92
 
 
-class PoolShare(NamedTuple):
+class PoolAllocation(NamedTuple):
     """What one pool may hold."""
 
     buffered: int  # bytes
     backend_sockets: int
-    open_most: int  # requests
+    max_open_requests: int  # requests
 
 
-class Slots(NamedTuple):
+class ListenerSlots(NamedTuple):
     """What one listener may hold."""
 
     connections: int
@@ -44,19 +44,21 @@
     return {name: least + int(spare * weight / total) for name, weight in weights.items()}
 
 
-def divide_listeners(connections: int, overflow: int, weights: Mapping[str, float]) -> dict[str, Slots]:
+def divide_listeners(
+    connections: int, overflow: int, weights: Mapping[str, float]
+) -> dict[str, ListenerSlots]:
     held = divide(connections, weights, CLIENT_SOCKETS_LEAST)
     over = divide(overflow, weights, OVERFLOW_LEAST)
-    return {name: Slots(held[name], over[name]) for name in weights}
+    return {name: ListenerSlots(held[name], over[name]) for name in weights}
 
 
 def divide_pools(
     buffered: int,
     sockets: int,
     weights: Mapping[str, float],
-    slots: Mapping[str, Slots],
+    slots: Mapping[str, ListenerSlots],
     reached_by: Mapping[str, set[str]],
-) -> dict[str, PoolShare]:
+) -> dict[str, PoolAllocation]:
     """Each pool's part. `reached_by`: the listeners from which requests come to it.
 
     The bound on its open requests is against the listener with the fewest connections: a pool that hangs holds a
@@ -68,11 +70,11 @@
     for name, weight in weights.items():
         room = min((slots[listener].connections for listener in reached_by.get(name, ())), default=0)
         part = 1.0 if len(weights) == 1 else min(LISTENER_SHARE_MOST, weight / total)
-        shares[name] = PoolShare(bytes_[name], backend[name], max(1, int(room * part)))
+        shares[name] = PoolAllocation(bytes_[name], backend[name], max(1, int(room * part)))
     return shares
 
 
-class Turns:
+class WeightedTurns:
     """Which pool may take one more request while the processor is full.
 
     Guards against a pool whose flood takes all the time of the process, so that the requests of the others come
--- a/loadbalancer/routing/rewrites.py
+++ b/loadbalancer/routing/rewrites.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pair:
+class HeaderRewrite:
     """What stands in a member's answer, and what clients get instead."""
 
     old: bytes
@@ -41,9 +41,9 @@
 
     prefix: str = "/"
     to: str | None = None
-    places: tuple[Pair, ...] = ()
-    cookie_paths: tuple[Pair, ...] = ()
-    cookie_domains: tuple[Pair, ...] = ()
+    places: tuple[HeaderRewrite, ...] = ()
+    cookie_paths: tuple[HeaderRewrite, ...] = ()
+    cookie_domains: tuple[HeaderRewrite, ...] = ()
 
     def path(self, path: str) -> str:
         return path if self.to is None else swap_prefix(path, self.prefix, self.to)
@@ -102,7 +102,7 @@
     return value.startswith(bare) and value[len(bare) : len(bare) + 1] in (b"/", b"?", b"#")
 
 
-def _first(pairs: Sequence[Pair], text: bytes, prefix: bool) -> bytes | None:
+def _first(pairs: Sequence[HeaderRewrite], text: bytes, prefix: bool) -> bytes | None:
     for pair in pairs:
         if text == pair.old:
             return pair.new
--- a/loadbalancer/routing/traffic_migration.py
+++ b/loadbalancer/routing/traffic_migration.py
@@ -29,7 +29,7 @@
 KEYS_MOST = 65_536
 
 
-class Move(Struct, frozen=True):
+class Migration(Struct, frozen=True):
     """What operators say: `share` of a pool's requests go to the pool `other`. `until`: Unix seconds, 0 for no end."""
 
     other: Annotated[str, Meta(max_length=400)]
@@ -43,27 +43,27 @@
         return 0 < self.until <= now
 
 
-class Moves:
+class Migrations:
     """The moves of one pool. It outlasts reloads, since keys do."""
 
     def __init__(self, window: float, most: int = KEYS_MOST) -> None:
         """`window`: the longest time in seconds for which members of the pool drop repeats of a key."""
         self.window, self._most = window, most
-        self.move: Move | None = None
+        self.move: Migration | None = None
         self._noted: OrderedDict[bytes, tuple[float, str | None]] = (
             OrderedDict()
         )  # oldest first: until when, where
         self._since = -math.inf  # from then on all keys are noted
         self._noting_until = -math.inf
 
-    def say(self, move: Move | None, now: float) -> None:
+    def say(self, move: Migration | None, now: float) -> None:
         """Operators say this from now on; None ends it."""
         if self.move is None and now > self._noting_until:
             self._since = now
         self.move = move
         self._noting_until = math.inf if move is not None else now + self.window
 
-    def resume(self, move: Move) -> None:
+    def resume(self, move: Migration) -> None:
         """Go on with what a process before this one was told: keys are placed as it has placed them."""
         self.move, self._since, self._noting_until = move, move.at, math.inf
 
--- a/loadbalancer/store/keeper.py
+++ b/loadbalancer/store/keeper.py
@@ -1,8 +1,8 @@
 """The store beside an event loop: one thread that writes, and all that wait for one fsync together.
 
-A job is a function of a `View`: it reads, decides and changes, in the writer's thread, and sees what the jobs before it
-have done. Its result is told on the loop once its changes are on disk, or the error in its place. Between batches the
-thread compacts, a step at a time.
+A job is a function of a `StoreView`: it reads, decides and changes, in the writer's thread, and sees what the jobs
+before it have done. Its result is told on the loop once its changes are on disk, or the error in its place. Between
+batches the thread compacts, a step at a time.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 WAITING_MOST = 20_000
 
 
-class View:
+class StoreView:
     """The store as one job sees it: on disk, under what its batch changes."""
 
     def __init__(self, engine: Engine) -> None:
@@ -55,16 +55,16 @@
             self.changes.append(Delete(key))
 
 
-Job = Callable[[View], T]
+Job = Callable[[StoreView], T]
 Done = Callable[[Any, "StoreError | None"], None]
 
 
 class Store:
     """An engine and its thread. `close` waits for what was begun, and releases both."""
 
-    def __init__(self, engine: Engine, complain: Callable[[str, object], None]) -> None:
+    def __init__(self, engine: Engine, logger: Callable[[str, object], None]) -> None:
         """`engine` is open. Complaints come on the loop."""
-        self.engine, self._complain = engine, complain
+        self.engine, self._logger = engine, logger
         self._loop = asyncio.get_running_loop()
         self._ready = threading.Condition()
         self._jobs: deque[tuple[Job[Any], Done]] = deque()
@@ -138,7 +138,7 @@
         return (None, told) if isinstance(told, StoreError) else (told[0], None)
 
     def _try(self, batch: Sequence[tuple[Job[Any], Done]]) -> list[Any] | StoreError:
-        view = View(self.engine)
+        view = StoreView(self.engine)
         try:
             results = [job(view) for job, _ in batch]
             if view.changes:
@@ -151,13 +151,13 @@
         return results
 
     def _tell_later(self, what: str, problem: object) -> None:
-        self._loop.call_soon_threadsafe(self._complain, what, problem)
+        self._loop.call_soon_threadsafe(self._logger, what, problem)
 
     # On the loop.
 
     def _deliver(self, results: Sequence[tuple[Done, Any, StoreError | None]], read_only: str) -> None:
         if read_only and not self.read_only:
-            self._complain("the store takes nothing any more", read_only)
+            self._logger("the store takes nothing any more", read_only)
         self.read_only = read_only
         for done, result, problem in results:
             done(result, problem)
--- a/loadbalancer/store/ledger.py
+++ b/loadbalancer/store/ledger.py
@@ -81,7 +81,7 @@
     return made.digest()
 
 
-class Way(enum.Enum):
+class Disposition(enum.Enum):
     FIRST = "it goes to a member"
     AGAIN = "one attempt more, inside the window"
     REPLAY = "the answer that was given"
@@ -91,14 +91,14 @@
 class Ruling(NamedTuple):
     """`left`: seconds in which an AGAIN may be answered; `status`, `why`: of a REFUSED; `answer`: of a REPLAY."""
 
-    way: Way
+    way: Disposition
     left: float = 0.0
     status: int = 0
     why: str = ""
     answer: Answered | None = None
 
 
-FIRST = Ruling(Way.FIRST)
+FIRST = Ruling(Disposition.FIRST)
 
 
 def decide(entry: Entry | None, request: bytes, now: float, in_progress: bool, all_drop: bool) -> Ruling:
@@ -107,18 +107,20 @@
     if entry is None:
         return FIRST
     if entry.digest != request:
-        return Ruling(Way.REFUSED, status=422, why="the key has been used with another request")
+        return Ruling(Disposition.REFUSED, status=422, why="the key has been used with another request")
     if isinstance(entry, Answered):
         if entry.body is None:
             why = f"answered with {entry.status}; the answer was too long to be kept, digest {entry.body_digest.hex()}"
-            return Ruling(Way.REFUSED, status=409, why=why)
-        return Ruling(Way.REPLAY, answer=entry)
+            return Ruling(Disposition.REFUSED, status=409, why=why)
+        return Ruling(Disposition.REPLAY, answer=entry)
     if in_progress:
-        return Ruling(Way.REFUSED, status=409, why="a request with the key is in progress")
+        return Ruling(Disposition.REFUSED, status=409, why="a request with the key is in progress")
     left = entry.at + entry.window - MARGIN_S - now
     if all_drop and 0 < left <= entry.window:
-        return Ruling(Way.AGAIN, left=left)
-    return Ruling(Way.REFUSED, status=409, why="begun before and not resolved: whether it ran is not known")
+        return Ruling(Disposition.AGAIN, left=left)
+    return Ruling(
+        Disposition.REFUSED, status=409, why="begun before and not resolved: whether it ran is not known"
+    )
 
 
 def answered(
--- a/loadbalancer/streaming/streams.py
+++ b/loadbalancer/streaming/streams.py
@@ -13,14 +13,14 @@
 STALL_S = 10.0
 
 
-class Giver(Protocol):
+class StreamProducer(Protocol):
     """Where the bytes come from."""
 
     def hold(self, on: bool) -> None:
         """Read no further, or read on."""
 
 
-class Taker(Protocol):
+class StreamConsumer(Protocol):
     """Where they go."""
 
     def take_part(self, data: bytes) -> None:
@@ -38,7 +38,7 @@
 
     __slots__ = ("giver", "taker", "passed", "moved", "over", "_full")
 
-    def __init__(self, giver: Giver, taker: Taker) -> None:
+    def __init__(self, giver: StreamProducer, taker: StreamConsumer) -> None:
         self.giver, self.taker = giver, taker
         self.passed = 0  # bytes
         self.moved = True  # since the last sweep
--- a/loadbalancer/streaming/tunnels.py
+++ b/loadbalancer/streaming/tunnels.py
@@ -10,7 +10,7 @@
 from typing import Callable, NamedTuple, Protocol
 
 
-class Terms(NamedTuple):
+class TunnelLimits(NamedTuple):
     """`most`: tunnels of one pool at once; `idle`, `life`, `grace`: seconds without a byte, in all, and after it
     was told to end."""
 
@@ -20,7 +20,7 @@
     grace: float = 5.0
 
 
-class End(Protocol):
+class TunnelEnd(Protocol):
     """One of the two connections of a tunnel, as the other sees it."""
 
     def send(self, data: bytes) -> None: ...
@@ -53,7 +53,9 @@
         "closed",
     )
 
-    def __init__(self, tunnels: Tunnels, server: str, client: End, member: End, now: float) -> None:
+    def __init__(
+        self, tunnels: Tunnels, server: str, client: TunnelEnd, member: TunnelEnd, now: float
+    ) -> None:
         self.tunnels, self.server, self.client, self.member = tunnels, server, client, member
         self.began = self.moved = now
         self.told = 0.0  # since when it is to end; 0: it is not
@@ -67,7 +69,7 @@
     def from_member(self, data: bytes) -> None:
         self._pass(1, self.client, data)
 
-    def _pass(self, side: int, to: End, data: bytes) -> None:
+    def _pass(self, side: int, to: TunnelEnd, data: bytes) -> None:
         if not self.closed:
             self.passed[side] += len(data)
             self.moved = self.tunnels.clock()
@@ -100,7 +102,7 @@
             for end in (self.client, self.member):
                 (end.shut if orderly else end.abort)()
 
-    def is_over(self, now: float, terms: Terms) -> bool:
+    def is_over(self, now: float, terms: TunnelLimits) -> bool:
         if self.told and now - self.told > terms.grace:
             return True
         return now - self.moved > terms.idle or now - self.began > terms.life
@@ -109,7 +111,7 @@
 class Tunnels:
     """The tunnels of one pool."""
 
-    def __init__(self, terms: Terms, clock: Callable[[], float]) -> None:
+    def __init__(self, terms: TunnelLimits, clock: Callable[[], float]) -> None:
         self.terms, self.clock = terms, clock
         self.open: set[Tunnel] = set()
         self.begun = 0  # in all
@@ -119,7 +121,7 @@
     def has_room(self) -> bool:
         return not self.retired and len(self.open) < self.terms.most
 
-    def begin(self, server: str, client: End, member: End) -> Tunnel:
+    def begin(self, server: str, client: TunnelEnd, member: TunnelEnd) -> Tunnel:
         made = Tunnel(self, server, client, member, self.clock())
         self.open.add(made)
         self.begun += 1
--- a/loadbalancer/streaming/uploads.py
+++ b/loadbalancer/streaming/uploads.py
@@ -8,8 +8,8 @@
 
 from typing import Callable
 
-from loadbalancer.resource_limits import Budget
-from loadbalancer.streaming.streams import Giver, Taker
+from loadbalancer.resource_limits import BufferBudget
+from loadbalancer.streaming.streams import StreamConsumer, StreamProducer
 
 
 class Upload:
@@ -29,7 +29,12 @@
     )
 
     def __init__(
-        self, giver: Giver, length: int | None, kept: bytearray, budget: Budget, lost: Callable[[], None]
+        self,
+        giver: StreamProducer,
+        length: int | None,
+        kept: bytearray,
+        budget: BufferBudget,
+        lost: Callable[[], None],
     ) -> None:
         """`length`: as stated, None where it comes in chunks. `kept`: what has come, charged to `budget`. `lost` is
         called once: a byte is gone that is not kept, so the body can't be sent again."""
@@ -37,7 +42,7 @@
         self.kept: bytearray | None = kept
         self.passed = len(kept)  # bytes that have come
         self.whole = False
-        self._taker: Taker | None = None
+        self._taker: StreamConsumer | None = None
         self._holds = self._over = False
         self._hold(True)  # until a member takes it
 
@@ -66,7 +71,7 @@
 
     # The member's side.
 
-    def attach(self, taker: Taker) -> None:
+    def attach(self, taker: StreamConsumer) -> None:
         """A member takes it from the beginning; only while all of it is kept."""
         assert self.kept is not None
         self._taker = taker
@@ -79,7 +84,7 @@
         else:
             self._hold(False)
 
-    def detach(self, taker: Taker) -> None:
+    def detach(self, taker: StreamConsumer) -> None:
         """This member takes no more; the next one gets all of it, if that is still kept."""
         if self._taker is taker:
             self._taker = None
@@ -99,7 +104,7 @@
 
     def _forget(self) -> None:
         if self.kept is not None:
-            self._budget.give(len(self.kept))
+            self._budget.release(len(self.kept))
             self.kept = None
 
     def _hold(self, on: bool) -> None:
--- a/loadbalancer/tls/keeper.py
+++ b/loadbalancer/tls/keeper.py
@@ -14,9 +14,9 @@
 
 from loadbalancer.config.types import ListenerTlsTable, PairTable, PoolTlsTable
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.resource_limits import RateLimitedLogger
 from loadbalancer.tls import files
 from loadbalancer.tls.contexts import MemberContext, Trust, member_context, server_context
 from loadbalancer.tls.names import Served, covers
@@ -78,12 +78,12 @@
         self,
         paths: list[Path],
         load: Callable[[float], T],
-        complain: Complaints,
+        logger: RateLimitedLogger,
         what: str,
         clock: Callable[[], float] = time.time,
     ) -> None:
         """PairError where the files are not good at the start. `clock`: Unix time in seconds."""
-        self.paths, self._load, self.complain, self.what, self._clock = paths, load, complain, what, clock
+        self.paths, self._load, self.logger, self.what, self._clock = paths, load, logger, what, clock
         self._seen = self._taken = files.stamps(paths)
         self.value = load(clock())
         self.changes = 0  # that were taken
@@ -100,25 +100,25 @@
             self.value = self._load(self._clock())
         except (PairError, ssl.SSLError, OSError) as problem:
             self.refused = str(problem)
-            self.complain(f"keys not taken: {self.what}", f"what served before goes on: {problem}")
+            self.logger(f"keys not taken: {self.what}", f"what served before goes on: {problem}")
             return False
         self.changes, self.refused = self.changes + 1, ""
-        self.complain(f"keys taken: {self.what}", ", ".join(str(path.name) for path in self.paths))
+        self.logger(f"keys taken: {self.what}", ", ".join(str(path.name) for path in self.paths))
         return True
 
 
 class Warnings:
     """Says ahead of time that certificates end: once at each mark."""
 
-    def __init__(self, complain: Complaints) -> None:
-        self.complain = complain
+    def __init__(self, logger: RateLimitedLogger) -> None:
+        self.logger = logger
         self._told: dict[str, int] = {}
 
     def look(self, held: list[Held], now: float) -> None:
         for one in held:
             level = warn_level(one.not_after, now) + (one.not_after <= now)
             if level > self._told.get(one.fingerprint, 0):
-                self.complain(
+                self.logger(
                     "a certificate ends",
                     f"{one.file} ({', '.join(one.names)}) {left_words(one.not_after, now)}",
                 )
@@ -135,7 +135,7 @@
         table: ListenerTlsTable,
         base: Path,
         wanted: list[str],
-        complain: Complaints,
+        logger: RateLimitedLogger,
         name: str,
         clock: Callable[[], float] = time.time,
     ) -> None:
@@ -147,8 +147,8 @@
         self._made_at = clock()
         self._pairs: list[tuple[str, Pair]] = []
         self._trust: Trust | None = None
-        self.watched = Watched(paths, self._load, complain, f"listener {name}", clock)
-        self._warnings = Warnings(complain)
+        self.watched = Watched(paths, self._load, logger, f"listener {name}", clock)
+        self._warnings = Warnings(logger)
 
     def _load(self, now: float) -> ssl.SSLContext:
         table = self.table
@@ -210,11 +210,11 @@
         self,
         table: PoolTlsTable,
         base: Path,
-        complain: Complaints,
+        logger: RateLimitedLogger,
         name: str,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        self.table, self._base, self._clock, self.complain = table, base, clock, complain
+        self.table, self._base, self._clock, self.logger = table, base, clock, logger
         paths = [base / root for root in table.roots]
         paths += [base / table.revoked] if table.revoked is not None else []
         if table.certificate is not None:
@@ -223,8 +223,8 @@
         self.verdicts = Verdicts()
         self._contexts: dict[str, MemberContext] = {}
         self._pair: Pair | None = None
-        self.watched = Watched(paths, self._load, complain, f"pool {name}", clock)
-        self._warnings = Warnings(complain)
+        self.watched = Watched(paths, self._load, logger, f"pool {name}", clock)
+        self._warnings = Warnings(logger)
 
     def _load(self, now: float) -> Trust:
         table = self.table
@@ -262,7 +262,7 @@
 
     def accepted(self, member: str, now: float) -> None:
         if self.verdicts.accepted(member, now):
-            self.complain("members' certificates", "are accepted again")
+            self.logger("members' certificates", "are accepted again")
 
     def used(self, member: str, connection: Any) -> None:
         """Its session may be offered again: tickets come behind the handshake, and with the first answer at the
@@ -271,18 +271,18 @@
         if transport is not None:
             self.context(member).note(transport.get_extra_info("ssl_object"))
 
-    def failed(self, member: str, problem: BaseException | None, now: float) -> Result:
+    def failed(self, member: str, problem: BaseException | None, now: float) -> AttemptResult:
         """What the module hears; the log hears whose fault it is."""
         reason = reason_of(problem)
         result = self.verdicts.failed(member, reason, now)
-        if result == Result.NOT_SENT:
+        if result == AttemptResult.NOT_SENT:
             text = (
                 f"all fail for one reason, {reason.value}: our trust roots or our clock; no member is blamed"
             )
-            self.complain("members' certificates", text)
+            self.logger("members' certificates", text)
         else:
             what = "certificate of" if reason.is_of_certificates else "handshake with"
-            self.complain(f"{what} {member}", f"{reason.value}: {problem}")
+            self.logger(f"{what} {member}", f"{reason.value}: {problem}")
         return result
 
 
--- a/loadbalancer/tls/verdicts.py
+++ b/loadbalancer/tls/verdicts.py
@@ -19,7 +19,7 @@
 from collections import Counter
 
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
 
 #: Share of the members tried within WINDOW_S that must fail for one reason.
@@ -66,18 +66,18 @@
         over, self.ours = self.ours is not None, None
         return over
 
-    def failed(self, member: str, reason: Reason, now: float) -> Result:
+    def failed(self, member: str, reason: Reason, now: float) -> AttemptResult:
         """What the module hears of the attempt. `ours` tells whether the fault is ours."""
         self._latest[member] = now, reason
         if not reason.is_of_certificates:
-            return Result.NO_CONNECTION
+            return AttemptResult.NO_CONNECTION
         lately = [why for at, why in self._latest.values() if now - at <= WINDOW_S]
         same = Counter(why for why in lately if why is not None and why.is_of_certificates)[reason]
         if same >= LEAST and same >= SHARE * len(lately):
             self.ours = reason
-            return Result.NOT_SENT
+            return AttemptResult.NOT_SENT
         self.ours = None
-        return Result.NO_CONNECTION
+        return AttemptResult.NO_CONNECTION
 
     def gone(self, member: str) -> None:
         """It is listed no more."""
--- a/loadbalancer/upstreams/base.py
+++ b/loadbalancer/upstreams/base.py
@@ -8,15 +8,15 @@
 from typing import cast
 
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
-from loadbalancer.upstreams.connections import Attempt, Backend, Backends, Upstream
+from loadbalancer.upstreams.connections import Attempt, Upstream, UpstreamEndpoint, UpstreamPools
 
 
 class SocketUpstream(Upstream):
     """A connection that carries one attempt at a time. The protocol's file reads and writes on it."""
 
-    def __init__(self, backend: Backend, pool: Backends, sock: socket.socket) -> None:
+    def __init__(self, backend: UpstreamEndpoint, pool: UpstreamPools, sock: socket.socket) -> None:
         self.backend, self.pool, self.sock = backend, pool, sock
         self.life = backend.life
         self.transport: asyncio.Transport | None = None
@@ -64,7 +64,7 @@
             sent = 0
         except OSError:
             self.unsent = True
-            self.fail(Result.NO_CONNECTION)
+            self.fail(AttemptResult.NO_CONNECTION)
             return
         if sent < len(data):
             self.unsent = True
@@ -83,9 +83,9 @@
         """Whether so much of the request is still here that it can't have run."""
         return self.unsent
 
-    def broken(self) -> Result:
+    def broken(self) -> AttemptResult:
         """What the end of the connection means for the attempt on it."""
-        return Result.NO_CONNECTION if self.is_unsent() else Result.RESET
+        return AttemptResult.NO_CONNECTION if self.is_unsent() else AttemptResult.RESET
 
     def pause_writing(self) -> None:
         self.unsent = True
@@ -95,7 +95,7 @@
 
     # Ending.
 
-    def fail(self, result: Result) -> None:
+    def fail(self, result: AttemptResult) -> None:
         attempt = self.attempt
         self.drop()
         if attempt is not None:
--- a/loadbalancer/upstreams/connections.py
+++ b/loadbalancer/upstreams/connections.py
@@ -14,11 +14,11 @@
 from typing import TYPE_CHECKING, Callable, Mapping, NamedTuple, Protocol
 
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
-from loadbalancer.resource_limits import Budget, Complaints
-from loadbalancer.streaming.streams import Giver, Stream
-from loadbalancer.streaming.tunnels import End, Tunnel
+from loadbalancer.resource_limits import BufferBudget, RateLimitedLogger
+from loadbalancer.streaming.streams import Stream, StreamProducer
+from loadbalancer.streaming.tunnels import Tunnel, TunnelEnd
 from loadbalancer.streaming.uploads import Upload
 from loadbalancer.upstreams.pacing import Pacer
 
@@ -57,7 +57,7 @@
     upgrade: bytes  # the protocol that it asks to go over to, or nothing
 
 
-class Owner(Protocol):
+class AttemptOwner(Protocol):
     """Who is told how an attempt ended."""
 
     def bars(self, attempt: Attempt, late: bool) -> bool:
@@ -67,27 +67,29 @@
     def finish_attempt(
         self,
         attempt: Attempt,
-        result: Result,
+        result: AttemptResult,
         report: Mapping[str, float] | None = None,
-        answer: Answer | None = None,
+        answer: UpstreamResponse | None = None,
     ) -> None: ...
 
-    def begin_answer(self, attempt: Attempt, answer: Answer, giver: Giver) -> Stream | None:
+    def begin_answer(
+        self, attempt: Attempt, answer: UpstreamResponse, giver: StreamProducer
+    ) -> Stream | None:
         """A long answer has begun; the stream for its body, or None where nobody wants it any more. `answer` has the
         head, `length` is that of the body where it is stated."""
 
 
-class Tunneller(Owner, Protocol):
+class TunnelOwner(AttemptOwner, Protocol):
     """An owner whose requests may ask for another protocol."""
 
-    def begin_tunnel(self, attempt: Attempt, answer: Answer, member: End) -> Tunnel | None:
+    def begin_tunnel(self, attempt: Attempt, answer: UpstreamResponse, member: TunnelEnd) -> Tunnel | None:
         """The member has gone over to the other protocol; None where nobody wants that any more."""
 
 
 class Upstream(asyncio.Protocol):
     """What a pool needs of a connection, whatever protocol it speaks."""
 
-    backend: Backend
+    backend: UpstreamEndpoint
     sock: socket.socket
     life: Life
     handed: bool  # the transport owns the socket
@@ -116,7 +118,7 @@
         raise NotImplementedError
 
 
-class Secure(Protocol):
+class TlsConnector(Protocol):
     """What a pool needs of TLS towards its members."""
 
     handshake_s: float
@@ -125,7 +127,7 @@
     def name_of(self, member: str, address: tuple[str, int]) -> str: ...
     def accepted(self, member: str, now: float) -> None: ...
 
-    def failed(self, member: str, problem: BaseException | None, now: float) -> Result:
+    def failed(self, member: str, problem: BaseException | None, now: float) -> AttemptResult:
         """A handshake has come to nothing; what the module hears of the attempt that waited for it."""
 
     def used(self, member: str, connection: Upstream) -> None:
@@ -135,7 +137,7 @@
 class Connect(Protocol):
     """Makes the protocol's side of a connection."""
 
-    def __call__(self, backend: Backend, pool: Backends, sock: socket.socket) -> Upstream: ...
+    def __call__(self, backend: UpstreamEndpoint, pool: UpstreamPools, sock: socket.socket) -> Upstream: ...
 
 
 class Attempt:
@@ -185,7 +187,7 @@
             self.connection.drop()
 
 
-class Answer(NamedTuple):
+class UpstreamResponse(NamedTuple):
     """An answer that a backend made for a request, whole."""
 
     lines: list[bytes]  # headers to pass on, each with its end
@@ -196,7 +198,7 @@
     again: bool = False  # the member asks that the request goes again
 
 
-class Backend:
+class UpstreamEndpoint:
     """One backend's address and connections."""
 
     __slots__ = ("life", "name", "idle", "shared", "wanted", "gone", "open", "heard", "waiting", "due")
@@ -213,14 +215,14 @@
         self.due = False  # one of them is to open one
 
 
-class Backends:
+class UpstreamPools:
     """All connections to backends."""
 
     def __init__(
         self,
-        owner: Owner,
-        budget: Budget,
-        complain: Complaints,
+        owner: AttemptOwner,
+        budget: BufferBudget,
+        logger: RateLimitedLogger,
         sockets: int,
         make: Connect,
         connect_timeout: float,
@@ -229,19 +231,19 @@
     ) -> None:
         """`sockets`: descriptors at most. `connect_timeout`, `idle_close`: seconds; after the latter a
         backend closes a connection that stands idle. `idle_most`: idle connections kept to one backend."""
-        self.owner, self.budget, self.complain = owner, budget, complain
+        self.owner, self.budget, self.logger = owner, budget, logger
         self.sockets, self._make = sockets, make
         self.connect_timeout = connect_timeout
         self.idle_most = IDLE_MOST if idle_most is None else idle_most
         self.idle_s = idle_close * IDLE_SHARE
-        self.table: dict[str, Backend] = {}
-        self.tls: Secure | None = None  # what members are spoken to in
+        self.table: dict[str, UpstreamEndpoint] = {}
+        self.tls: TlsConnector | None = None  # what members are spoken to in
         self.open = 0
         self.free_descriptor: Callable[[], bool] = lambda: (
             False
         )  # frees one on the spot where the system has none
         self.pacer: Pacer | None = None  # while many proxies come back at once
-        self.barred: Callable[[str], Result | None] | None = (
+        self.barred: Callable[[str], AttemptResult | None] | None = (
             None  # how an attempt ends that may not leave now
         )
 
@@ -255,7 +257,7 @@
         """Another address or start means that the old connections are of no use."""
         backend = self.table.get(server)
         if backend is None:
-            backend = self.table[server] = Backend(life, server)
+            backend = self.table[server] = UpstreamEndpoint(life, server)
         if backend.life != life or not serving:
             backend.life = life
             self.close_idle(server)
@@ -280,7 +282,7 @@
         was stopped between its decision and its send. Harm: none, the request has not run."""
         result = self.barred(attempt.server) if self.barred is not None else None
         if result is None and self.owner.bars(attempt, late):
-            result = Result.NOT_SENT
+            result = AttemptResult.NOT_SENT
         if result is not None:
             self.owner.finish_attempt(attempt, result)
         return result is not None
@@ -290,7 +292,7 @@
             return
         backend = self.table.get(attempt.server)
         if backend is None:  # it went between the decision and now
-            self.owner.finish_attempt(attempt, Result.NO_CONNECTION)
+            self.owner.finish_attempt(attempt, AttemptResult.NO_CONNECTION)
             return
         if (kept := self._shared(backend) or self._kept(backend)) is not None:
             kept.start(attempt)
@@ -301,7 +303,7 @@
             return
         self._open(backend, attempt)
 
-    def _next(self, backend: Backend) -> None:
+    def _next(self, backend: UpstreamEndpoint) -> None:
         """The first that waits opens a connection once the pace allows it; another may be free before.
 
         Guards members against all proxies that open theirs in the same moment, after most have restarted. Harm: a
@@ -318,7 +320,7 @@
             else:
                 self._open(backend, attempt)
 
-    def _due(self, backend: Backend) -> None:
+    def _due(self, backend: UpstreamEndpoint) -> None:
         backend.due = False
         self._next(backend)
 
@@ -328,31 +330,31 @@
         for backend in list(self.table.values()) if pacer is None else ():
             self._next(backend)  # what a timer is set for comes with it, and finds no pace
 
-    def _open(self, backend: Backend, attempt: Attempt) -> None:
+    def _open(self, backend: UpstreamEndpoint, attempt: Attempt) -> None:
         if self.open >= self.sockets and not self._close_one_idle():
-            self.complain("no descriptor left for a backend", attempt.server)
-            self.owner.finish_attempt(attempt, Result.NO_CONNECTION)
+            self.logger("no descriptor left for a backend", attempt.server)
+            self.owner.finish_attempt(attempt, AttemptResult.NO_CONNECTION)
             return
         sock = self._socket(backend)
         if sock is None:
-            self.owner.finish_attempt(attempt, Result.NO_CONNECTION)
+            self.owner.finish_attempt(attempt, AttemptResult.NO_CONNECTION)
             return
         connection = self._make(backend, self, sock)
         attempt.opening = asyncio.get_running_loop().create_task(self._connect(connection))
         attempt.opening.add_done_callback(partial(self._opened, connection, attempt))
 
-    def _socket(self, backend: Backend) -> socket.socket | None:
+    def _socket(self, backend: UpstreamEndpoint) -> socket.socket | None:
         """Guards requests in flight against a system that has no descriptor left: a spare one is theirs."""
         for last in (False, True):
             try:
                 return socket.socket(family(backend.life[0]), socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             except OSError as problem:
                 if last or problem.errno not in (errno.EMFILE, errno.ENFILE) or not self.free_descriptor():
-                    self.complain("no socket for a backend", problem)
+                    self.logger("no socket for a backend", problem)
                     break
         return None
 
-    def _shared(self, backend: Backend) -> Upstream | None:
+    def _shared(self, backend: UpstreamEndpoint) -> Upstream | None:
         """A connection that takes one more attempt beside those on it."""
         for connection in backend.shared:
             if connection.has_room():
@@ -363,7 +365,7 @@
                     return connection
         return None
 
-    def _kept(self, backend: Backend) -> Upstream | None:
+    def _kept(self, backend: UpstreamEndpoint) -> Upstream | None:
         """The idle connection used last, of those that have rested."""
         rested = time.monotonic() - REST_S
         for connection in reversed(backend.idle.copy()):
@@ -394,7 +396,7 @@
             connection.drop()  # now: the number of its descriptor may be another's a moment later
             raise
 
-    async def _shake(self, tls: Secure, connection: Upstream) -> None:
+    async def _shake(self, tls: TlsConnector, connection: Upstream) -> None:
         connection.secure = True
         backend = connection.backend
         await asyncio.get_running_loop().create_connection(
@@ -407,10 +409,10 @@
         )
         tls.accepted(backend.name, time.monotonic())
 
-    def _unopened(self, connection: Upstream, task: asyncio.Task[None]) -> Result:
+    def _unopened(self, connection: Upstream, task: asyncio.Task[None]) -> AttemptResult:
         """What it means that a connection did not come up: in any case the request never ran."""
         if self.tls is None or not connection.secure or task.cancelled():
-            return Result.NO_CONNECTION
+            return AttemptResult.NO_CONNECTION
         return self.tls.failed(connection.backend.name, task.exception(), time.monotonic())
 
     def _opened(self, connection: Upstream, attempt: Attempt, task: asyncio.Task[None]) -> None:
@@ -427,7 +429,7 @@
             self.park(connection)
         elif connection.life != connection.backend.life:  # somebody else may listen where it leads by now
             connection.drop()
-            self.owner.finish_attempt(attempt, Result.NOT_SENT)
+            self.owner.finish_attempt(attempt, AttemptResult.NOT_SENT)
         else:
             connection.start(attempt)
 
--- a/loadbalancer/upstreams/dialect.py
+++ b/loadbalancer/upstreams/dialect.py
@@ -9,9 +9,9 @@
 from typing import Sequence
 
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
-from loadbalancer.resource_limits import BODY_MOST
+from loadbalancer.resource_limits import MAX_JUDGED_BODY_BYTES
 
 #: Headers of an answer that are of one connection alone (RFC 9110, 7.6.1), or written anew.
 HOP_BY_HOP = frozenset((
@@ -32,7 +32,7 @@
     report_fields: Sequence[str] = ()  # of a load report, in the settings' words
     refusal_header: bytes | None = b"x-turned-away"  # with the value 1, or any if it is not the platform's
     deadline_header: bytes | None = b"X-Remaining"  # tells the member how long the proxy waits
-    body_most: int = BODY_MOST  # bytes of an answer's body that is judged whole
+    body_most: int = MAX_JUDGED_BODY_BYTES  # bytes of an answer's body that is judged whole
     stream_most: int = 0  # bytes of one that is passed on as it comes; 0: a longer one is spoilt
     platform: bool = True  # 200 alone is served; a 4xx says that no member can use the request
     close_delimited: bool = False  # an answer that ends with its connection counts as whole
@@ -57,16 +57,16 @@
         go again is the module's to say."""
         return value is not None and value.strip() not in (b"", b"0")
 
-    def result(self, status: int, refusal: bytes | None) -> Result:
+    def result(self, status: int, refusal: bytes | None) -> AttemptResult:
         """What a whole answer means. `refusal`: the value of the refusal header, where there is one.
 
         A refusal proves that the request never ran; any other 5xx may have run."""
         if refusal is not None and status in REFUSALS and (refusal.strip() == b"1" or not self.platform):
-            return Result.FULL
+            return AttemptResult.FULL
         if not self.platform:
-            return Result.SERVED if status < 500 else Result.ERROR
+            return AttemptResult.SERVED if status < 500 else AttemptResult.ERROR
         if status == 200:
-            return Result.SERVED
+            return AttemptResult.SERVED
         if 400 <= status < 500 and status not in NOT_OF_THE_REQUEST:
-            return Result.UNUSABLE
-        return Result.ERROR
+            return AttemptResult.UNUSABLE
+        return AttemptResult.ERROR
--- a/loadbalancer/upstreams/fastcgi.py
+++ b/loadbalancer/upstreams/fastcgi.py
@@ -32,11 +32,11 @@
 from loadbalancer.fastcgi.records import encode_pairs
 from loadbalancer.fastcgi.webserver import End, WebServerSide, encode_request
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
 from loadbalancer.streaming.streams import Stream
 from loadbalancer.upstreams.base import SocketUpstream
-from loadbalancer.upstreams.connections import Answer, Attempt, Backend, Backends
+from loadbalancer.upstreams.connections import Attempt, UpstreamEndpoint, UpstreamPools, UpstreamResponse
 from loadbalancer.upstreams.dialect import Dialect
 from loadbalancer.upstreams.report import read_report
 
@@ -55,13 +55,13 @@
     multiplex: bool = False  # ask whether an application takes several requests on a connection
 
 
-class FastCgiConnection(SocketUpstream):
+class FastCgiUpstreamConnection(SocketUpstream):
     """One connection to an application."""
 
     def __init__(
         self,
-        backend: Backend,
-        pool: Backends,
+        backend: UpstreamEndpoint,
+        pool: UpstreamPools,
         sock: socket.socket,
         dialect: Dialect,
         not_passed: frozenset[bytes],
@@ -130,11 +130,11 @@
             self._spoilt("too large")
             return
         result = dialect.result(head.status, head.headers.get(refusal) if refusal else None)
-        if result != Result.SERVED or (head.length or 0) > dialect.stream_most:
+        if result != AttemptResult.SERVED or (head.length or 0) > dialect.stream_most:
             self._spoilt("too large")
             return
         attempt.answered_at = time.monotonic()
-        begun = Answer(head.lines, b"", head.status, head.reason, head.length)
+        begun = UpstreamResponse(head.lines, b"", head.status, head.reason, head.length)
         stream = self.pool.owner.begin_answer(attempt, begun, self)
         if stream is None or self.closed:
             return
@@ -158,7 +158,7 @@
             self._spoilt("it ended before its end")
             return
         self.hold(False)
-        self._end(Result.SERVED, _report(self.pool, self.dialect, self.head), None)
+        self._end(AttemptResult.SERVED, _report(self.pool, self.dialect, self.head), None)
 
     def _charge(self) -> None:
         more = len(self.side.stdout) - self.held
@@ -167,15 +167,15 @@
 
     def _spoilt(self, why: object) -> None:
         """Guards against whatever is no answer, before any of it has reached the client; as in HTTP."""
-        self.pool.complain("spoilt answer", why)
-        self.fail(Result.RESET)
+        self.pool.logger("spoilt answer", why)
+        self.fail(AttemptResult.RESET)
 
     def _finish(self, end: End) -> None:
         attempt = self.attempt
         assert attempt is not None
         note_stderr(self.pool, attempt, self.side.stderr)
         if end == End.NEVER_RAN:
-            self._end(Result.FULL, None, None)
+            self._end(AttemptResult.FULL, None, None)
         elif end == End.SILENT:
             self._spoilt("the request ended with no answer")
         elif end == End.BROKEN:
@@ -189,7 +189,9 @@
                 return
             self._end(result, report, answer)
 
-    def _end(self, result: Result, report: Mapping[str, float] | None, answer: Answer | None) -> None:
+    def _end(
+        self, result: AttemptResult, report: Mapping[str, float] | None, answer: UpstreamResponse | None
+    ) -> None:
         """The request has ended, and the connection may carry the next one."""
         attempt = self.attempt
         assert attempt is not None
@@ -203,21 +205,26 @@
         self.pool.owner.finish_attempt(attempt, result, report, answer)
 
     def release(self) -> None:
-        self.pool.budget.give(self.held)
+        self.pool.budget.release(self.held)
         self.held = 0
         self.side.stdout.clear()
 
 
-def note_stderr(pool: Backends, attempt: Attempt, text: bytes | bytearray) -> None:
+def note_stderr(pool: UpstreamPools, attempt: Attempt, text: bytes | bytearray) -> None:
     if text:
-        pool.complain(f"stderr of {attempt.server}", bytes(text))
+        pool.logger(f"stderr of {attempt.server}", bytes(text))
 
 
-Verdict = tuple[Result, Union[Mapping[str, float], None], Union[Answer, None]]
+Verdict = tuple[AttemptResult, Union[Mapping[str, float], None], Union[UpstreamResponse, None]]
 
 
 def judge(
-    pool: Backends, dialect: Dialect, not_passed: frozenset[bytes], stdout: bytes, status: int, bodiless: bool
+    pool: UpstreamPools,
+    dialect: Dialect,
+    not_passed: frozenset[bytes],
+    stdout: bytes,
+    status: int,
+    bodiless: bool,
 ) -> Verdict:
     """What a whole STDOUT means, with the load report on it; CgiError where it is no answer, or not whole.
 
@@ -226,11 +233,11 @@
     refusal = dialect.refusal_header
     result = dialect.result(head.status, head.headers.get(refusal) if refusal else None)
     answer = None
-    if status and head.length is None and result != Result.FULL:
-        result = Result.ERROR
-    elif result == Result.SERVED or (result == Result.ERROR and not dialect.platform):
+    if status and head.length is None and result != AttemptResult.FULL:
+        result = AttemptResult.ERROR
+    elif result == AttemptResult.SERVED or (result == AttemptResult.ERROR and not dialect.platform):
         again = dialect.asks_again(head.headers.get(dialect.repeat_header or b""))
-        answer = Answer(head.lines, body, head.status, head.reason, head.length, again)
+        answer = UpstreamResponse(head.lines, body, head.status, head.reason, head.length, again)
     return result, _report(pool, dialect, head), answer
 
 
@@ -250,14 +257,14 @@
     return head, body
 
 
-def _report(pool: Backends, dialect: Dialect, head: CgiHead) -> Mapping[str, float] | None:
+def _report(pool: UpstreamPools, dialect: Dialect, head: CgiHead) -> Mapping[str, float] | None:
     value = head.headers.get(dialect.report_header) if dialect.report_header is not None else None
     if not value:
         return None
     try:
         return read_report(value, dialect.report_fields)
     except ValueError as problem:
-        pool.complain("malformed load report", problem)
+        pool.logger("malformed load report", problem)
         return None
 
 
--- a/loadbalancer/upstreams/http1.py
+++ b/loadbalancer/upstreams/http1.py
@@ -10,13 +10,19 @@
 import httptools
 
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
 from loadbalancer.streaming.streams import Stream
 from loadbalancer.streaming.tunnels import Tunnel
 from loadbalancer.streaming.uploads import Upload
 from loadbalancer.upstreams.base import SocketUpstream
-from loadbalancer.upstreams.connections import Answer, Attempt, Backend, Backends, Tunneller
+from loadbalancer.upstreams.connections import (
+    Attempt,
+    TunnelOwner,
+    UpstreamEndpoint,
+    UpstreamPools,
+    UpstreamResponse,
+)
 from loadbalancer.upstreams.dialect import Dialect
 from loadbalancer.upstreams.report import read_report
 
@@ -35,15 +41,15 @@
 BODILESS = frozenset((204, 304))
 
 
-class Connection(SocketUpstream):
+class Http1UpstreamConnection(SocketUpstream):
     """One connection to a backend; it carries one attempt at a time."""
 
     takes_uploads = True  # bodies can be sent on as they come
 
     def __init__(
         self,
-        backend: Backend,
-        pool: Backends,
+        backend: UpstreamEndpoint,
+        pool: UpstreamPools,
         sock: socket.socket,
         dialect: Dialect,
         not_passed: frozenset[bytes],
@@ -81,7 +87,7 @@
         self.upgraded = b""  # what the Upgrade header does
 
     def _release(self) -> None:
-        self.pool.budget.give(self.held)
+        self.pool.budget.release(self.held)
         self.held = 0
         self.body: list[bytes] = []
 
@@ -119,7 +125,7 @@
 
     def break_off(self) -> None:
         """There is no more: the member can tell, by the end of the connection."""
-        self.fail(Result.NO_CONNECTION)
+        self.fail(AttemptResult.NO_CONNECTION)
 
     def _write_on(self, data: bytes) -> None:
         """Behind what is still in our buffers."""
@@ -260,13 +266,13 @@
             self._stream()
 
     def _is_no_refusal(self) -> bool:
-        return self.dialect.result(self.status, self.refusal) != Result.FULL
+        return self.dialect.result(self.status, self.refusal) != AttemptResult.FULL
 
     def _stream(self) -> None:
         """The answer is too long to be judged whole: it is passed on as it comes, if it is one for the client."""
         dialect, attempt = self.dialect, self.attempt
         assert attempt is not None
-        served = self.status > 0 and dialect.result(self.status, self.refusal) == Result.SERVED
+        served = self.status > 0 and dialect.result(self.status, self.refusal) == AttemptResult.SERVED
         if not served or max(self.held, self.length or 0) > dialect.stream_most:
             self._spoilt("too large")
             return
@@ -312,9 +318,9 @@
         """Guards against whatever is no answer: it ends as a reset, since the request may have run, before
         any of it has reached the client, and the connection is of no further use. Harm: a good backend whose
         answers break the limits of the protocol fails."""
-        self.pool.complain("spoilt answer", why)
+        self.pool.logger("spoilt answer", why)
         self.status = 0  # nothing that it said is to be believed
-        self.fail(Result.RESET)
+        self.fail(AttemptResult.RESET)
 
     def _finish(self) -> None:
         """The answer is whole."""
@@ -325,7 +331,7 @@
         answer, streamed = None, self.stream is not None
         if streamed:
             self.hold(False)
-        elif result == Result.SERVED or (result == Result.ERROR and not self.dialect.platform):
+        elif result == AttemptResult.SERVED or (result == AttemptResult.ERROR and not self.dialect.platform):
             stated = self.length if self.length_only or self.status in BODILESS else None
             answer = self._answer(b"".join(self.body), stated)
         self.attempt = None
@@ -339,13 +345,13 @@
             self.drop()
         self.pool.owner.finish_attempt(attempt, result, report, answer)
 
-    def _answer(self, body: bytes, length: int | None) -> Answer:
+    def _answer(self, body: bytes, length: int | None) -> UpstreamResponse:
         lines = self.lines
         names = {name.strip() for name in self.hop.split(b",")} - {b"", b"close", b"keep-alive"}
         if names:  # headers of this connection alone (RFC 9110, 7.6.1)
             lines = [line for line in lines if line.partition(b":")[0].lower() not in names]
         again = self.again is not None and self.dialect.asks_again(self.again)
-        return Answer(lines, body, self.status, self.reason, length, again)
+        return UpstreamResponse(lines, body, self.status, self.reason, length, again)
 
     def _report(self) -> Mapping[str, float] | None:
         if not self.pressure:
@@ -353,7 +359,7 @@
         try:
             return read_report(self.pressure, self.dialect.report_fields)
         except ValueError as problem:
-            self.pool.complain("malformed load report", problem)
+            self.pool.logger("malformed load report", problem)
             return None
 
     # Another protocol.
@@ -370,11 +376,11 @@
         answer = self._answer(b"", None)
         self.attempt = None
         attempt.part()
-        owner = cast(Tunneller, self.pool.owner)
+        owner = cast(TunnelOwner, self.pool.owner)
         self.tunnel = owner.begin_tunnel(attempt, answer, self)
         if self.tunnel is None:
             self.drop()
-            self.pool.owner.finish_attempt(attempt, Result.CANCELLED)
+            self.pool.owner.finish_attempt(attempt, AttemptResult.CANCELLED)
             return
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=TUNNEL_BUFFER)
--- a/loadbalancer/upstreams/multiplex.py
+++ b/loadbalancer/upstreams/multiplex.py
@@ -22,10 +22,10 @@
 )
 from loadbalancer.fastcgi.webserver import IDS, End, Exchange
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
 from loadbalancer.upstreams.base import SocketUpstream
-from loadbalancer.upstreams.connections import Attempt, Backend, Backends, Upstream
+from loadbalancer.upstreams.connections import Attempt, Upstream, UpstreamEndpoint, UpstreamPools
 from loadbalancer.upstreams.dialect import Dialect
 from loadbalancer.upstreams.fastcgi import BESIDE_MOST, Application, judge, note_stderr, request_records
 
@@ -41,7 +41,7 @@
 class Stream(Upstream):
     """One attempt on a trunk."""
 
-    def __init__(self, trunk: Trunk, attempt: Attempt, number: int) -> None:
+    def __init__(self, trunk: MultiplexedConnection, attempt: Attempt, number: int) -> None:
         self.trunk, self.attempt, self.exchange = trunk, attempt, Exchange(number)
         self.proof = 0  # bytes of the trunk that have left once the application can have begun
         self.held = 0  # bytes of STDOUT, charged to the budget
@@ -56,7 +56,7 @@
         self.trunk.pool.budget.held += more
 
     def release(self) -> None:
-        self.trunk.pool.budget.give(self.held)
+        self.trunk.pool.budget.release(self.held)
         self.held = 0
         self.attempt.part()
 
@@ -65,13 +65,13 @@
         self.trunk.give_up(self)
 
 
-class Trunk(SocketUpstream):
+class MultiplexedConnection(SocketUpstream):
     """One connection to an application, with its streams."""
 
     def __init__(
         self,
-        backend: Backend,
-        pool: Backends,
+        backend: UpstreamEndpoint,
+        pool: UpstreamPools,
         sock: socket.socket,
         dialect: Dialect,
         not_passed: frozenset[bytes],
@@ -134,8 +134,8 @@
                 if self.closed:
                     return
         except ProtocolError as problem:
-            self.pool.complain("spoilt answer", problem)
-            self.fail(Result.RESET)
+            self.pool.logger("spoilt answer", problem)
+            self.fail(AttemptResult.RESET)
 
     def _record(self, record: Record) -> None:
         stream = self.streams.get(record.request)
@@ -173,7 +173,7 @@
             end = stream.exchange.take(record)
         except ProtocolError as problem:
             self.spent = True
-            self.finish(stream, Result.RESET, f"no FastCGI: {problem}")
+            self.finish(stream, AttemptResult.RESET, f"no FastCGI: {problem}")
             return
         stream.charge()
         stream.received += HEADER.size + len(record.content)
@@ -182,7 +182,7 @@
             self._ended(stream, end)
         elif len(stream.exchange.stdout) > most or stream.received > most + BESIDE_MOST:
             self.spent = True
-            self.finish(stream, Result.RESET, "too large")
+            self.finish(stream, AttemptResult.RESET, "too large")
 
     def _ended(self, stream: Stream, end: End) -> None:
         exchange, attempt = stream.exchange, stream.attempt
@@ -192,19 +192,19 @@
             try:
                 result, report, answer = judge(self.pool, self.dialect, self.not_passed, *said)
             except CgiError as problem:
-                self.finish(stream, Result.RESET, str(problem))
+                self.finish(stream, AttemptResult.RESET, str(problem))
                 return
             self._remove(stream)
             self.pool.owner.finish_attempt(attempt, result, report, answer)
         elif end == End.NEVER_RAN:
             self.several = False  # it has more than it takes
-            self.finish(stream, Result.FULL)
+            self.finish(stream, AttemptResult.FULL)
         else:
-            self.finish(stream, Result.RESET, "the request ended with no answer")
+            self.finish(stream, AttemptResult.RESET, "the request ended with no answer")
 
-    def finish(self, stream: Stream, result: Result, why: str = "") -> None:
+    def finish(self, stream: Stream, result: AttemptResult, why: str = "") -> None:
         if why:
-            self.pool.complain("spoilt answer", why)
+            self.pool.logger("spoilt answer", why)
         self._remove(stream)
         self.pool.owner.finish_attempt(stream.attempt, result)
 
@@ -236,9 +236,12 @@
         elif not self.aborted and self not in self.backend.idle:
             self.pool.park(self)
 
-    def fail(self, result: Result) -> None:
+    def fail(self, result: AttemptResult) -> None:
         """The connection is of no further use: each stream ends by what of its own request had left."""
-        ends = [(s, Result.NO_CONNECTION if s.is_unsent() else Result.RESET) for s in self.streams.values()]
+        ends = [
+            (s, AttemptResult.NO_CONNECTION if s.is_unsent() else AttemptResult.RESET)
+            for s in self.streams.values()
+        ]
         self.streams.clear()
         self.drop()
         for stream, end in ends:
@@ -246,10 +249,10 @@
             self.pool.owner.finish_attempt(stream.attempt, end)
 
     def eof_received(self) -> None:
-        self.fail(Result.RESET)
+        self.fail(AttemptResult.RESET)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.fail(Result.RESET)
+        self.fail(AttemptResult.RESET)
 
     def release(self) -> None:
         """Streams give back what they hold, each by itself."""
--- a/tests/certs.py
+++ b/tests/certs.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from loadbalancer.config.types import ListenerTlsTable, PairTable, PoolTlsTable
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.resource_limits import RateLimitedLogger
 from loadbalancer.tls.demo import Authority, Issued, write_pair, write_private
 from loadbalancer.tls.keeper import MemberKeys, ServerKeys
 
@@ -44,11 +44,13 @@
 
 
 def server_keys() -> ServerKeys:
-    return ServerKeys(server_table(), folder(), [], Complaints(), "main")
+    return ServerKeys(server_table(), folder(), [], RateLimitedLogger(), "main")
 
 
 def member_keys() -> MemberKeys:
-    return MemberKeys(PoolTlsTable(roots=["roots.pem"], name="member.test"), folder(), Complaints(), "p")
+    return MemberKeys(
+        PoolTlsTable(roots=["roots.pem"], name="member.test"), folder(), RateLimitedLogger(), "p"
+    )
 
 
 def server_side(issued: Issued | None = None, roots: bytes | None = None) -> ssl.SSLContext:
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -11,13 +11,13 @@
 
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.resource_limits import RateLimitedLogger
 from standins.member import Member
 
 LISTENER = '[[listener]]\nname = "main"\naddress = "127.0.0.1:0"\n'
 
 
-class Heard(Complaints):
+class Heard(RateLimitedLogger):
     """Keeps what is logged."""
 
     def __init__(self) -> None:
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -18,7 +18,7 @@
 from scenes import acting, agreeing, fleet, run
 
 from emulator.herd import Herd, Measures
-from loadbalancer.admin.snapshot import MemberNote, PoolNote, Snapshot
+from loadbalancer.admin.snapshot import EndpointSnapshot, PoolSnapshot, Snapshot
 from loadbalancer.admin.snapshot_merge import combine
 from loadbalancer.discovery.list_handoff import read, write
 from loadbalancer.fleet.orchestration.recovery import (
@@ -26,25 +26,30 @@
     FULL_S,
     LEARN_S,
     WARM_S,
-    Comeback,
-    Learn,
-    Pace,
-    Phase,
-    Seen,
-    Turned,
+    ConnectionPace,
+    LearnFromPeers,
+    PhaseChanged,
+    RecoveryCoordinator,
+    RecoveryObservation,
+    RecoveryPhase,
     choose,
     return_after,
     turn,
 )  # fmt: skip
-from loadbalancer.fleet.orchestration.rolling_restart import GROUP_S, Begin, Life, Restart
+from loadbalancer.fleet.orchestration.rolling_restart import (
+    GROUP_S,
+    MemberRestart,
+    RestartMember,
+    RollingRestart,
+)
 from loadbalancer.policy.events import (
-    Result,
-    ServerEntry,
+    AttemptResult,
+    EndpointEntry,
 )
-from loadbalancer.resource_limits import Budget, Complaints
-from loadbalancer.upstreams.connections import Attempt, Backends
+from loadbalancer.resource_limits import BufferBudget, RateLimitedLogger
+from loadbalancer.upstreams.connections import Attempt, UpstreamPools
 from loadbalancer.upstreams.dialect import Dialect
-from loadbalancer.upstreams.http1 import Connection
+from loadbalancer.upstreams.http1 import Http1UpstreamConnection
 from loadbalancer.upstreams.pacing import BURST, Pacer
 from standins.askers import Askers, ask
 from standins.member import Behaviour, Member
@@ -53,7 +58,7 @@
 from standins.processes import Fleet as Rig
 
 
-def seen(**more: Any) -> Seen:
+def seen(**more: Any) -> RecoveryObservation:
     base: dict[str, Any] = {
         "inside": True,
         "may_act": True,
@@ -64,11 +69,11 @@
         "served": 0,
         "ended": 0,
     }
-    return Seen(**(base | more))
+    return RecoveryObservation(**(base | more))
 
 
-def phases(comeback: Comeback, found: list[Any]) -> list[Phase]:
-    return [one.phase for one in found if isinstance(one, Turned)]
+def phases(comeback: RecoveryCoordinator, found: list[Any]) -> list[RecoveryPhase]:
+    return [one.phase for one in found if isinstance(one, PhaseChanged)]
 
 
 @pytest.mark.parametrize(("more", "kind"), [
@@ -76,37 +81,39 @@
     ({"full": ("b",), "coming": ("c", "d")}, "mass"), ({"coming": ("b",)}, "mass"),
 ])  # fmt: skip
 def test_the_kind_of_a_start_is_told_by_the_view(more: dict[str, Any], kind: str) -> None:
-    comeback = Comeback("a", 0.0)
+    comeback = RecoveryCoordinator("a", 0.0)
     assert comeback.look(0.1, seen(inside=False)) == []
     comeback.look(0.2, seen(**more))
     assert comeback.kind == kind
 
 
 def test_a_lone_start_that_is_one_of_many_is_found_out_and_paced() -> None:
-    comeback = Comeback("a", 0.0)
-    assert not any(isinstance(one, Learn) for one in comeback.look(0.1, seen(silent=7)))
+    comeback = RecoveryCoordinator("a", 0.0)
+    assert not any(isinstance(one, LearnFromPeers) for one in comeback.look(0.1, seen(silent=7)))
     comeback.look(0.8, seen(silent=7))
-    assert (comeback.kind, comeback.phase) == ("lone", Phase.WARMING)  # nobody has said how far he is
-    assert Pace(1.0) in comeback.look(0.9, seen(silent=3, full=("b",), coming=("c", "d", "e")))
+    assert (comeback.kind, comeback.phase) == ("lone", RecoveryPhase.WARMING)  # nobody has said how far he is
+    assert ConnectionPace(1.0) in comeback.look(0.9, seen(silent=3, full=("b",), coming=("c", "d", "e")))
     assert comeback.kind == "mass"
 
 
 def test_each_phase_has_its_end_and_its_bound() -> None:
-    comeback = Comeback("a", 0.0)
+    comeback = RecoveryCoordinator("a", 0.0)
     full = ("b", "c", "d", "e")
-    assert phases(comeback, comeback.look(1.0, seen(full=full, may_act=False))) == [Phase.STATE]
+    assert phases(comeback, comeback.look(1.0, seen(full=full, may_act=False))) == [RecoveryPhase.STATE]
     assert comeback.look(60.0, seen(full=full, may_act=False)) == []  # shut out as long as it has to be
     found = comeback.look(61.0, seen(full=full))
-    assert phases(comeback, found) == [Phase.LEARNING]
+    assert phases(comeback, found) == [RecoveryPhase.LEARNING]
     found += comeback.look(61.3, seen(full=full))
-    learn = [one for one in found if isinstance(one, Learn)]
+    learn = [one for one in found if isinstance(one, LearnFromPeers)]
     assert len(learn) == 1 and len(learn[0].names) == ASKED
     assert comeback.look(61.4, seen(full=full)) == []
     found = comeback.look(61.1 + LEARN_S, seen(full=full))  # nobody has told
-    assert phases(comeback, found) == [Phase.WARMING] and not any(isinstance(one, Pace) for one in found)
+    assert phases(comeback, found) == [RecoveryPhase.WARMING] and not any(
+        isinstance(one, ConnectionPace) for one in found
+    )
     now = 61.1 + LEARN_S
     served = 0
-    while comeback.phase == Phase.WARMING and now < 200:
+    while comeback.phase == RecoveryPhase.WARMING and now < 200:
         now += 0.3
         served += 10
         comeback.look(now, seen(full=full, served=served, ended=2 * served))
@@ -114,10 +121,10 @@
 
 
 def test_full_service_is_a_second_of_good_windows_and_its_time_is_told() -> None:
-    comeback = Comeback("a", 0.0)
+    comeback = RecoveryCoordinator("a", 0.0)
     comeback.look(1.0, seen(coming=("b",), kept=False))
     now, served, ended = 1.0, 0, 0
-    while comeback.phase != Phase.FULL:
+    while comeback.phase != RecoveryPhase.FULL:
         now += 0.26
         ended += 100
         served += 100 if now > 4 else 90
@@ -126,10 +133,10 @@
 
 
 def test_a_pace_holds_only_where_many_come_back() -> None:
-    many, one = Comeback("a", 0.0), Comeback("a", 0.0)
+    many, one = RecoveryCoordinator("a", 0.0), RecoveryCoordinator("a", 0.0)
     found = many.look(1.0, seen(coming=("b", "c", "d"))) + many.look(1.5, seen(coming=("b", "c", "d")))
-    assert Pace(1.0) in found
-    assert not any(isinstance(wish, Pace) for wish in one.look(1.0, seen()) + one.look(1.5, seen()))
+    assert ConnectionPace(1.0) in found
+    assert not any(isinstance(wish, ConnectionPace) for wish in one.look(1.0, seen()) + one.look(1.5, seen()))
 
 
 @given(st.sets(st.text(min_size=1, max_size=5), min_size=1, max_size=40))
@@ -154,10 +161,10 @@
     """Who is told how attempts ended."""
 
     def __init__(self) -> None:
-        self.results: list[Result] = []
+        self.results: list[AttemptResult] = []
 
     def finish_attempt(
-        self, attempt: Attempt, result: Result, report: Any = None, answer: Any = None
+        self, attempt: Attempt, result: AttemptResult, report: Any = None, answer: Any = None
     ) -> None:
         attempt.ended = True
         self.results.append(result)
@@ -177,10 +184,10 @@
         ends = Ends()
         job: Any = None
         dialect = Dialect()
-        make = partial(Connection, dialect=dialect, not_passed=dialect.not_passed())
+        make = partial(Http1UpstreamConnection, dialect=dialect, not_passed=dialect.not_passed())
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
-            pool = Backends(ends, Budget(1 << 20), Complaints(), 20, make, 0.5, 15.0)
+            pool = UpstreamPools(ends, BufferBudget(1 << 20), RateLimitedLogger(), 20, make, 0.5, 15.0)
             pool.listed("m1", (closed.getsockname(), 0.0), True)
             pool.set_pace(Pacer(2.0 if ends_early else 200.0, time.monotonic()))
             for number in range(6):
@@ -193,17 +200,17 @@
                 return len(ends.results) == 6
 
             await until(all_ended, "all attempts have ended")
-            assert set(ends.results) == {Result.NO_CONNECTION} and not pool.table["m1"].waiting
+            assert set(ends.results) == {AttemptResult.NO_CONNECTION} and not pool.table["m1"].waiting
 
     run(scene)
 
 
-def note(errors: float, member: str = "m1", started: float = 5.0, failed: int = 0) -> MemberNote:
-    return MemberNote(member, started, 60.0, errors, 1.0, 0.5, 1.0, 0.01, 1.0, failed, {})
+def note(errors: float, member: str = "m1", started: float = 5.0, failed: int = 0) -> EndpointSnapshot:
+    return EndpointSnapshot(member, started, 60.0, errors, 1.0, 0.5, 1.0, 0.01, 1.0, failed, {})
 
 
-def snapshot(at: float, *members: MemberNote, level: float = 0.0) -> Snapshot:
-    return Snapshot(at, [PoolNote("p", list(members), {"c": 0.1}, level, {}, None)])
+def snapshot(at: float, *members: EndpointSnapshot, level: float = 0.0) -> Snapshot:
+    return Snapshot(at, [PoolSnapshot("p", list(members), {"c": 0.1}, level, {}, None)])
 
 
 def test_one_of_several_that_is_wrong_decides_nothing() -> None:
@@ -231,11 +238,12 @@
 
 
 def test_a_list_goes_by_names_and_an_old_one_goes_nowhere() -> None:
-    entries = [(ServerEntry("m1", zone=1, kind=0, started=5.0), ("10.0.0.1", 80))]
+    entries = [(EndpointEntry("m1", zone=1, kind=0, started=5.0), ("10.0.0.1", 80))]
     data = write(entries, 7, 1.0, {"a": 0, "b": 1}, {"k": 0})
     found, handed = read(data, {"b": 0, "c": 1}, {"k": 3})
     assert (
-        found == [(ServerEntry("m1", zone=0, kind=3, started=5.0), ("10.0.0.1", 80))] and handed.version == 7
+        found == [(EndpointEntry("m1", zone=0, kind=3, started=5.0), ("10.0.0.1", 80))]
+        and handed.version == 7
     )
     with pytest.raises(ValueError, match="heard 11 s ago"):
         read(write(entries, 7, 11.0, {}, {}), {}, {})
@@ -244,23 +252,23 @@
             read(data[:at], {}, {})
 
 
-def lives(*names: str, boot: int = 1, living: bool = True, full: bool = True) -> dict[str, Life]:
-    return {name: Life(boot, living, full) for name in names}
+def lives(*names: str, boot: int = 1, living: bool = True, full: bool = True) -> dict[str, MemberRestart]:
+    return {name: MemberRestart(boot, living, full) for name in names}
 
 
 def test_a_restart_goes_group_by_group_and_halts_by_itself() -> None:
-    passing, all_ = Restart("b", ["a", "b", "c"], 1, 0.0), lives("a", "b", "c")
-    assert passing.look(0.0, all_) == [Begin("a")] and passing.look(1.0, all_) == []
+    passing, all_ = RollingRestart("b", ["a", "b", "c"], 1, 0.0), lives("a", "b", "c")
+    assert passing.look(0.0, all_) == [RestartMember("a")] and passing.look(1.0, all_) == []
     assert passing.look(2.0, all_ | lives("a", boot=2, full=False)) == []  # another life, and not full yet
     assert passing.look(3.0, all_ | lives("a", boot=2)) == [] and passing.done == ["a"]
     assert (
         passing.look(3.5, all_ | lives("a", boot=2, living=False)) == []
     )  # nobody is next while one is down
-    assert passing.look(4.0, all_ | lives("a", boot=2)) == [Begin("c")]
+    assert passing.look(4.0, all_ | lives("a", boot=2)) == [RestartMember("c")]
     assert passing.look(4.0 + GROUP_S + 1, all_ | lives("a", boot=2)) == [] and "not back" in passing.halted
-    two = Restart("a", ["a", "b", "c"], 2, 0.0)
-    assert two.look(0.0, all_) == [Begin("b"), Begin("c")] and two.groups[-1] == ["a"]
-    assert Restart("a", ["a", "b"], 1, 0.0).look(0.0, lives("a")) == []
+    two = RollingRestart("a", ["a", "b", "c"], 2, 0.0)
+    assert two.look(0.0, all_) == [RestartMember("b"), RestartMember("c")] and two.groups[-1] == ["a"]
+    assert RollingRestart("a", ["a", "b"], 1, 0.0).look(0.0, lives("a")) == []
 
 
 def test_each_measure_is_worth_something_in_a_large_fleet() -> None:
--- a/tests/fleet/test_fleet_config.py
+++ b/tests/fleet/test_fleet_config.py
@@ -79,7 +79,7 @@
         + REST
     )
     plan = load(path)
-    assert plan.pools["p"].deployment.settings.n_instances == 8
+    assert plan.pools["p"].deployment.settings.instance_count == 8
 
 
 def test_voters_need_a_store_a_socket_and_time(tmp_path: Path) -> None:
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 
 from loadbalancer.fleet import wire as form
-from loadbalancer.fleet.membership.gossip import Rumours
-from loadbalancer.fleet.membership.member_state import Fact, Standing, weigh
-from loadbalancer.fleet.replay_window import LIVES_MOST, WINDOW, Replays
+from loadbalancer.fleet.membership.gossip import GossipQueue
+from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus, encoded_size
+from loadbalancer.fleet.replay_window import LIVES_MOST, WINDOW, ReplayProtection
 from loadbalancer.fleet.transport import pieces
 from loadbalancer.fleet.wire import MessageError, Packet, Sealer, read_keys
 
 OLD, NEW = b"o" * 32, b"n" * 32
-FACT = Fact("i1", 7, 2, 3, Standing.SUSPECT, "127.0.0.1", 4000, "z", "i2")
+FACT = MemberState("i1", 7, 2, 3, MemberStatus.SUSPECT, "127.0.0.1", 4000, "z", "i2")
 PACKET = Packet("i2", 9, 7, 12, form.Ping(5, 77), (FACT,))
 
 
@@ -25,10 +25,20 @@
     return caught.value.kind
 
 
-@pytest.mark.parametrize("message", [
-    form.Hello("h", 1), form.Here("h", 1), form.Ping(1, 2), form.Ack(1, 2), form.Ask(1, "x"), form.Nack(1), form.Told(),
-    form.Clash(1, "h", 1, True, False), form.Piece(0, True),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "message",
+    [
+        form.Hello("h", 1),
+        form.AliveNotice("h", 1),
+        form.Ping(1, 2),
+        form.Ack(1, 2),
+        form.IndirectProbe(1, "x"),
+        form.Nack(1),
+        form.GossipReply(),
+        form.NameConflictNotice(1, "h", 1, True, False),
+        form.Piece(0, True),
+    ],
+)
 def test_each_kind_comes_as_it_was_sent(message: form.Message) -> None:
     sealer = Sealer([OLD])
     packet = Packet("i2", 9, 7, 12, message, (FACT,))
@@ -100,10 +110,16 @@
     )
 
 
-@pytest.mark.parametrize(("text", "words"), [
-    ("", "0 keys"), ("zz", "not 64"), ("11", "not 64"), (f"{'11' * 32}\n" * 3, "3 keys"),
-    (f"{'11' * 32}\n" * 2, "told apart"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "words"),
+    [
+        ("", "0 keys"),
+        ("zz", "not 64"),
+        ("11", "not 64"),
+        (f"{'11' * 32}\n" * 3, "3 keys"),
+        (f"{'11' * 32}\n" * 2, "told apart"),
+    ],
+)
 def test_a_file_of_keys_says_what_is_wrong(text: str, words: str) -> None:
     with pytest.raises(ValueError, match=words):
         read_keys(text)
@@ -112,7 +128,7 @@
 
 @given(st.lists(st.integers(min_value=1, max_value=3 * WINDOW), max_size=200))
 def test_a_number_is_taken_once_and_only_within_the_window(numbers: list[int]) -> None:
-    replays, seen, latest = Replays(), set(), 0
+    replays, seen, latest = ReplayProtection(), set(), 0
     for number in numbers:
         fresh = number not in seen and number > latest - WINDOW
         assert replays.take("a", 1, number) == fresh
@@ -121,7 +137,7 @@
 
 
 def test_lives_of_one_name_are_told_apart_and_bounded() -> None:
-    replays = Replays()
+    replays = ReplayProtection()
     for boot in range(1, 2 * LIVES_MOST):
         assert replays.take("a", boot, 1) and not replays.take("a", boot, 1)
     assert not replays.take("a", LIVES_MOST, 1)  # among the latest lives still
@@ -131,19 +147,19 @@
 
 
 def test_words_go_out_the_new_ones_first_and_a_bounded_number_of_times() -> None:
-    rumours = Rumours()
+    rumours = GossipQueue()
     facts = [msgspec.structs.replace(FACT, name=f"i{n}") for n in range(100)]
     for fact in facts:
         rumours.add(fact)
     told: dict[str, int] = {}
     while len(rumours):
         batch = rumours.take(8)
-        assert batch and sum(map(weigh, batch)) <= form.FACTS_MOST
+        assert batch and sum(map(encoded_size, batch)) <= form.FACTS_MOST
         for fact in batch:
             told[fact.name] = told.get(fact.name, 0) + 1
-    assert set(told.values()) == {Rumours.times(8)} and len(told) == 100
+    assert set(told.values()) == {GossipQueue.times(8)} and len(told) == 100
     packet = Packet("x" * 48, 1 << 60, 1 << 60, 1 << 40, form.Ping(1 << 39, 1 << 62), tuple(facts[:1]))
-    assert len(Sealer([OLD]).seal(packet)) + form.FACTS_MOST <= form.DATAGRAM_MOST + weigh(facts[0])
+    assert len(Sealer([OLD]).seal(packet)) + form.FACTS_MOST <= form.DATAGRAM_MOST + encoded_size(facts[0])
 
 
 def test_a_view_of_a_thousand_goes_in_pieces_that_fit() -> None:
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -11,7 +11,15 @@
 from scenes import agreeing, run
 
 from loadbalancer.daemon.rollout import merged
-from loadbalancer.fleet.orchestration.rollout import LATE_S, Plan, Report, follows, order, step_of, wants_new
+from loadbalancer.fleet.orchestration.rollout import (
+    LATE_S,
+    RolloutPlan,
+    StageReport,
+    follows,
+    order,
+    step_of,
+    wants_new,
+)
 from standins.askers import Askers
 from standins.member import Fleet as Members
 from standins.processes import Fleet, until
@@ -19,23 +27,25 @@
 NAMES = [f"i{number}" for number in range(8)]
 
 
-def plan(stage: str) -> Plan:
-    return Plan("r1", "d", "i0", 5.0, stage)
+def plan(stage: str) -> RolloutPlan:
+    return RolloutPlan("r1", "d", "i0", 5.0, stage)
 
 
-def report(runs: str = "old", has: bool = True, refused: str = "", requests: int = 0, bad: int = 0) -> Report:
-    return Report(runs, has, refused, requests, bad)
+def report(
+    runs: str = "old", has: bool = True, refused: str = "", requests: int = 0, bad: int = 0
+) -> StageReport:
+    return StageReport(runs, has, refused, requests, bad)
 
 
 def after(
-    stage: str, reports: dict[str, Report], dead: tuple[str, ...] = (), lasted: float = 6.0
+    stage: str, reports: dict[str, StageReport], dead: tuple[str, ...] = (), lasted: float = 6.0
 ) -> str | None:
     living = [name for name in NAMES if name not in dead]
     found = follows(plan(stage), reports, living, dead, lasted)
     return found.to if found is not None else None
 
 
-def on_new(stage: str, **more: Any) -> dict[str, Report]:
+def on_new(stage: str, **more: Any) -> dict[str, StageReport]:
     step = step_of(plan(stage), NAMES)
     return {
         name: report("new" if name in step else "old", **(more if name in step else {})) for name in NAMES
@@ -51,7 +61,7 @@
         0,
     ]
     assert step_of(plan("one"), NAMES)[0] in step_of(plan("quarter"), NAMES)
-    firsts = {order(Plan(f"r{n}", "d", "i0", 5.0), NAMES)[0] for n in range(40)}
+    firsts = {order(RolloutPlan(f"r{n}", "d", "i0", 5.0), NAMES)[0] for n in range(40)}
     assert len(firsts) > 4
 
 
@@ -88,8 +98,10 @@
 def test_a_halted_one_stays_and_one_that_comes_back_late_follows_what_was_decided() -> None:
     assert wants_new(plan("halted"), "i1", NAMES, "new") and not wants_new(plan("halted"), "i1", NAMES, "old")
     assert wants_new(plan("done"), "i1", NAMES, "old") and not wants_new(plan("ended"), "i1", NAMES, "new")
-    assert Report.read(report("new", True, "a|b", 3, 1).write("r1"), "r1") == report("new", True, "a|b", 3, 1)
-    assert Report.read("r2|new|1|0|0|", "r1") is None and Report.read("nonsense", "r1") is None
+    assert StageReport.read(report("new", True, "a|b", 3, 1).write("r1"), "r1") == report(
+        "new", True, "a|b", 3, 1
+    )
+    assert StageReport.read("r2|new|1|0|0|", "r1") is None and StageReport.read("nonsense", "r1") is None
 
 
 def test_what_is_an_instances_own_stays_its_own() -> None:
--- a/tests/fleet/test_share.py
+++ b/tests/fleet/test_share.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from loadbalancer.fleet.orchestration.fleet_size import Share
+from loadbalancer.fleet.orchestration.fleet_size import FleetSize
 
 
-def followed(share: Share, seconds: float, living: int, settled: bool, now: float) -> float:
+def followed(share: FleetSize, seconds: float, living: int, settled: bool, now: float) -> float:
     for _ in range(int(seconds * 4)):
         now += 0.25
         share.look(now, living, settled)
@@ -13,14 +13,14 @@
 
 
 def test_until_a_view_has_settled_the_configuration_counts() -> None:
-    share = Share(8)
+    share = FleetSize(8)
     assert share.look(1.0, 1, False).instances == 8
     assert share.look(2.0, 1, False).standing == "configured"
     assert share.look(3.0, 8, True).standing == "settled"
 
 
 def test_one_that_is_cut_off_keeps_the_last_settled_number_and_never_counts_one() -> None:
-    share = Share(8)
+    share = FleetSize(8)
     now = followed(share, 5, 8, True, 0.0)
     now = followed(share, 60, 1, True, now)
     assert share.number == 8 and share.standing == "cut off"
@@ -29,7 +29,7 @@
 
 
 def test_a_loss_is_followed_in_steps_and_a_gain_at_once() -> None:
-    share = Share(40)
+    share = FleetSize(40)
     now = followed(share, 5, 40, True, 0.0)
     seen = []
     for _ in range(30):
@@ -42,7 +42,7 @@
 
 
 def test_a_view_that_flaps_moves_little() -> None:
-    share = Share(8)
+    share = FleetSize(8)
     now = followed(share, 5, 8, True, 0.0)
     for turn in range(60):
         now = followed(share, 1, 8 if turn % 2 else 7, turn % 2 == 0, now)
@@ -50,7 +50,7 @@
 
 
 def test_half_of_the_fleet_that_stays_away_is_believed_in_the_end() -> None:
-    share = Share(8, believe_s=600.0)
+    share = FleetSize(8, believe_s=600.0)
     now = followed(share, 5, 8, True, 0.0)
     now = followed(share, 590, 4, True, now)
     assert share.number == 8
--- a/tests/fleet/test_versions_model.py
+++ b/tests/fleet/test_versions_model.py
@@ -10,26 +10,26 @@
 import pytest
 
 from emulator.fleetstate import Instance, StateModel
-from loadbalancer.discovery.overrides import Mark
+from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.replication import messages as form
 from loadbalancer.fleet.replication import replica as machine
-from loadbalancer.fleet.replication.lease import DRIFT, Fence
-from loadbalancer.fleet.replication.replica import Caught, Propose, Versions
+from loadbalancer.fleet.replication.lease import DRIFT, Lease
+from loadbalancer.fleet.replication.replica import CommandsReceived, PaxosReplica, Propose
 from loadbalancer.fleet.replication.replicated_state import (
     CHANGE_MOST,
-    Change,
+    Command,
     MarkBody,
+    ReplicatedState,
     RosterBody,
-    Said,
     StateError,
     write_body,
 )
-from loadbalancer.fleet.replication.state_transfer import PART, Giver, Taker
+from loadbalancer.fleet.replication.state_transfer import PART, StateReceiver, StateSender
 
 
-def mark(number: int, member: str = "m", word: Any = "cordon") -> Change:
-    body = MarkBody("p", {member: Mark(word=word) if word else None})
-    return Change(f"c{number}", "mark", write_body(body), "test")
+def mark(number: int, member: str = "m", word: Any = "cordon") -> Command:
+    body = MarkBody("p", {member: AdminOverride(word=word) if word else None})
+    return Command(f"c{number}", "mark", write_body(body), "test")
 
 
 class Watch:
@@ -184,7 +184,7 @@
     send = model.send
 
     def all_but_decisions(sender: str, to: str, message: Any) -> None:
-        if not isinstance(message, (form.Decided, form.At)):
+        if not isinstance(message, (form.Decided, form.VersionAnnouncement)):
             send(sender, to, message)
 
     model.send = all_but_decisions  # type: ignore[method-assign]
@@ -212,13 +212,13 @@
 
 
 DEFECTS: dict[str, tuple[Any, Any, str, Any]] = {
-    "the fence is off": (seeds, Fence, "may_act", lambda self, now: True),
-    "one is a majority": (seeds, Said, "majority", property(lambda self: 1)),
-    "a voter that lost its store votes": (a_store_is_lost_between_two_majorities, Versions, "_on_greeted",
+    "the fence is off": (seeds, Lease, "may_act", lambda self, now: True),
+    "one is a majority": (seeds, ReplicatedState, "majority", property(lambda self: 1)),
+    "a voter that lost its store votes": (a_store_is_lost_between_two_majorities, PaxosReplica, "_on_greeted",
                                           lambda self, sender, message: self.greeted.add(sender)),
     "nothing is kept before an answer": (a_voter_dies_between_its_vote_and_the_decision, Instance, "keep",
                                          lambda self, action: [self.send(say.to, say.message) for say in action.then]),
-    "a refusal that is not sure": (seeds, Versions, "_risks", lambda self, change: None),
+    "a refusal that is not sure": (seeds, PaxosReplica, "_risks", lambda self, change: None),
 }  # fmt: skip
 
 
@@ -242,10 +242,10 @@
     def __init__(self, schedule: dict[int, str]) -> None:
         self.schedule, self.now, self.step = schedule, 0.0, 0
         self.queue: list[tuple[str, str, Any]] = []
-        self.ended: dict[str, machine.Ended] = {}
+        self.ended: dict[str, machine.CommandCompleted] = {}
         self.disks: dict[str, dict[str, Any]] = {}
         self.logs: dict[int, set[str]] = {}
-        self.all: dict[str, Versions] = {}
+        self.all: dict[str, PaxosReplica] = {}
         for name in ("a", "b", "c"):
             self.disks[name] = {"state": b"", "log": {}, "vote": None, "met": {}, "opened": 0}
             self.start(name)
@@ -255,18 +255,18 @@
     def start(self, name: str) -> None:
         disk = self.disks[name]
         disk["opened"] += 1
-        said = Said({"a": "", "b": "", "c": ""})
+        said = ReplicatedState({"a": "", "b": "", "c": ""})
         if disk["state"]:
             said.take_whole(disk["state"])
-        made = Versions(name, f"s{name}", disk["opened"] << 20, said, random.Random(1))
+        made = PaxosReplica(name, f"s{name}", disk["opened"] << 20, said, random.Random(1))
         made.log, made.met = dict(disk["log"]), dict(disk["met"])
         if disk["vote"] is not None and disk["vote"].slot == said.version + 1:
-            made.vote = form.Vote(
+            made.vote = form.AcceptorState(
                 *[getattr(disk["vote"], f) for f in ("slot", "promised", "accepted", "change")]
             )
         self.all[name] = made
 
-    def keep(self, name: str, action: machine.Keep, dies: bool) -> None:
+    def keep(self, name: str, action: machine.Persist, dies: bool) -> None:
         disk = self.disks[name]
         disk["vote"] = action.vote or disk["vote"]
         if action.met:
@@ -277,20 +277,22 @@
     def hand(self, name: str, event: Any, dies: bool = False) -> None:
         versions, disk = self.all[name], self.disks[name]
         for action in versions.handle(self.now, event):
-            if isinstance(action, machine.Say):
+            if isinstance(action, machine.SendMessage):
                 self.queue.append((name, action.to, action.message))
-            elif isinstance(action, machine.Keep):
+            elif isinstance(action, machine.Persist):
                 self.keep(name, action, dies)
-            elif isinstance(action, (machine.Took, machine.TookWhole)):
+            elif isinstance(action, (machine.CommandApplied, machine.SnapshotInstalled)):
                 disk["state"], disk["log"] = versions.said.encode(), dict(versions.log)
                 for version, change in versions.log.items():
                     self.logs.setdefault(version, set()).add(change.id)
-            elif isinstance(action, machine.Catch):
-                for part in Giver(self.all[action.name]).answer(form.Want(versions.said.version)):
-                    found, _ = Taker().take(part)
+            elif isinstance(action, machine.RequestStateTransfer):
+                for part in StateSender(self.all[action.name]).answer(
+                    form.StateRequest(versions.said.version)
+                ):
+                    found, _ = StateReceiver().take(part)
                     if found is not None:
                         self.hand(name, found)
-            elif isinstance(action, machine.Ended):
+            elif isinstance(action, machine.CommandCompleted):
                 self.ended[action.id] = action
 
     def deliver(self) -> None:
@@ -305,7 +307,7 @@
         if deviation == "dies before":
             self.start(to)
             return
-        self.hand(to, machine.Heard(sender, message), deviation == "dies after")
+        self.hand(to, machine.MessageReceived(sender, message), deviation == "dies after")
         if deviation == "dies after":
             self.start(to)
 
@@ -320,7 +322,7 @@
             self.now += 0.15
             for name in self.all:
                 others = tuple(other for other in self.all if other != name)
-                self.hand(name, machine.Tock(others))
+                self.hand(name, machine.TimerExpired(others))
         for version, ids in self.logs.items():
             assert len(ids) == 1, f"two orders at version {version}: {ids}"
         by_version = {version: next(iter(ids)) for version, ids in self.logs.items()}
@@ -354,7 +356,7 @@
 
 
 def test_the_walk_finds_a_majority_of_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Said, "majority", property(lambda self: 1))
+    monkeypatch.setattr(ReplicatedState, "majority", property(lambda self: 1))
     with pytest.raises(AssertionError):
         walk(24, 1)
         walk(24, 2)
@@ -364,23 +366,23 @@
 
 
 def test_a_state_of_another_build_is_behind_and_not_broken() -> None:
-    said = Said({"a": ""})
-    versions = Versions("b", "", 0, said, random.Random(1))
-    later = Change("x", "later", b"", "test")
-    actions = versions.handle(0.0, Caught(1, (mark(1), later, mark(3))))
+    said = ReplicatedState({"a": ""})
+    versions = PaxosReplica("b", "", 0, said, random.Random(1))
+    later = Command("x", "later", b"", "test")
+    actions = versions.handle(0.0, CommandsReceived(1, (mark(1), later, mark(3))))
     assert said.version == 1 and versions.behind and "does not know" in versions.stuck
     assert [type(one).__name__ for one in actions] == ["Took"]
 
 
 @pytest.mark.parametrize("count", [3, 500, 5000])
 def test_a_straggler_gets_changes_or_the_whole_and_goes_on_after_a_cut(count: int) -> None:
-    ahead = Versions("a", "s", 1, Said({"a": ""}), random.Random(1))
+    ahead = PaxosReplica("a", "s", 1, ReplicatedState({"a": ""}), random.Random(1))
     for number in range(count):
-        ahead.handle(0.0, Caught(number + 1, (mark(number, f"m{number}"),)))
-    behind, taker = Versions("b", "", 0, Said({"a": ""}), random.Random(1)), Taker()
+        ahead.handle(0.0, CommandsReceived(number + 1, (mark(number, f"m{number}"),)))
+    behind, taker = PaxosReplica("b", "", 0, ReplicatedState({"a": ""}), random.Random(1)), StateReceiver()
     cuts = 0
     while behind.said.version < count:
-        for number, part in enumerate(Giver(ahead).answer(taker.want(behind.said.version))):
+        for number, part in enumerate(StateSender(ahead).answer(taker.want(behind.said.version))):
             if cuts < 5 and number == 2:
                 cuts += 1
                 break  # the stream is cut; what has come stays
@@ -392,15 +394,15 @@
 
 
 def test_a_state_that_was_changed_on_the_way_is_not_taken() -> None:
-    ahead = Versions("a", "s", 1, Said({"a": ""}), random.Random(1))
+    ahead = PaxosReplica("a", "s", 1, ReplicatedState({"a": ""}), random.Random(1))
     for number in range(2000):
-        ahead.handle(0.0, Caught(number + 1, (mark(number, f"m{number}"),)))
-    parts = list(Giver(ahead).answer(form.Want(0)))
-    assert isinstance(parts[0], form.Slice)
-    taker = Taker()
+        ahead.handle(0.0, CommandsReceived(number + 1, (mark(number, f"m{number}"),)))
+    parts = list(StateSender(ahead).answer(form.StateRequest(0)))
+    assert isinstance(parts[0], form.SnapshotChunk)
+    taker = StateReceiver()
     with pytest.raises(ValueError, match="digest"):
         for number, part in enumerate(parts):
-            assert isinstance(part, form.Slice)
+            assert isinstance(part, form.SnapshotChunk)
             data = part.data[:-1] + b"x" if number == 1 else part.data
             taker.take(msgspec.structs.replace(part, data=data))
     with pytest.raises(ValueError, match="follow"):
@@ -410,13 +412,15 @@
 
 def test_what_is_said_is_bounded_and_checked() -> None:
     with pytest.raises(StateError, match=f"at most {CHANGE_MOST}"):
-        write_body(MarkBody("p", {f"member-{n}": Mark(word="drain", reason="r" * 40) for n in range(40)}))
-    said = Said({"a": "", "b": ""})
+        write_body(
+            MarkBody("p", {f"member-{n}": AdminOverride(word="drain", reason="r" * 40) for n in range(40)})
+        )
+    said = ReplicatedState({"a": "", "b": ""})
     with pytest.raises(StateError, match="not on the roster"):
-        said.check(Change("x", "roster", write_body(RosterBody("z", ""))))
-    said.apply(Change("x", "roster", write_body(RosterBody("b", ""))))
+        said.check(Command("x", "roster", write_body(RosterBody("z", ""))))
+    said.apply(Command("x", "roster", write_body(RosterBody("b", ""))))
     with pytest.raises(StateError, match="last one"):
-        said.check(Change("y", "roster", write_body(RosterBody("a", ""))))
+        said.check(Command("y", "roster", write_body(RosterBody("a", ""))))
 
 
 def test_a_change_only_after_a_version_is_refused_once_the_state_has_moved_on() -> None:
@@ -432,12 +436,12 @@
 
 
 def test_a_clock_that_runs_away_shuts_its_instance_out() -> None:
-    fence = Fence(10.0, False)
+    fence = Lease(10.0, False)
     for second in range(0, 60):
         number = fence.ask(float(second))
         fence.heard(float(second), number, "v", 0, second * 1.2, 1, 0)
     assert fence.drifts and not fence.may_act(60.0)
-    assert not Fence(10.0, False).may_act(0.0) and Fence(10.0, True).may_act(0.0)
+    assert not Lease(10.0, False).may_act(0.0) and Lease(10.0, True).may_act(0.0)
 
 
 def test_a_majority_of_stores_that_are_lost_takes_no_change_until_an_operator_says_so() -> None:
--- a/tests/fleet/test_view_model.py
+++ b/tests/fleet/test_view_model.py
@@ -11,15 +11,15 @@
 import pytest
 
 from emulator.fleetview import FleetModel
-from loadbalancer.fleet.membership.events import Arrived, Tell, Tick
-from loadbalancer.fleet.membership.failure_detector import Probes
-from loadbalancer.fleet.membership.member_state import Fact, Standing
+from loadbalancer.fleet.membership.events import PacketReceived, SendPacket, TimerExpired
+from loadbalancer.fleet.membership.failure_detector import FailureDetector
+from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.member_table import NAMES_MOST
-from loadbalancer.fleet.membership.member_updates import Members
-from loadbalancer.fleet.membership.name_conflicts import Namesakes
-from loadbalancer.fleet.membership.view import View
+from loadbalancer.fleet.membership.member_updates import MemberUpdates
+from loadbalancer.fleet.membership.name_conflicts import NameConflicts
+from loadbalancer.fleet.membership.view import MembershipView
 from loadbalancer.fleet.settings import PROFILES, Identity, Settings
-from loadbalancer.fleet.wire import Hello, Packet, Ping, Told
+from loadbalancer.fleet.wire import GossipReply, Hello, Packet, Ping
 
 #: Seconds within which all agree once the network is whole and nobody dies any more (docs/design/fleet-view.md).
 SETTLE_S = 20.0
@@ -126,7 +126,9 @@
     assert model.start_all() is not None
     one, other = model.instances[5], model.instances[6]
     other.stop()
-    assert model.until(lambda: one.view.table.peers["i6"].fact.standing == Standing.SUSPECT, 10.0) is not None
+    assert (
+        model.until(lambda: one.view.table.peers["i6"].fact.status == MemberStatus.SUSPECT, 10.0) is not None
+    )
     one.stop()
     other.go_on()
     model.run(20)
@@ -146,11 +148,11 @@
 
 
 DEFECTS: dict[str, tuple[Callable[[], bool], type, str, Callable[..., None]]] = {
-    "the dead are not called": (heals, Members, "_try", lambda self, peer: setattr(peer, "try_at", math.inf)),
-    "nothing is refuted, after a partition": (heals, Namesakes, "_said_of_me", lambda self, fact: None),
-    "nothing is refuted, after a stop": (wakes, Namesakes, "_said_of_me", lambda self, fact: None),
-    "own stops count": (holds_no_grudge, Probes, "_excuse", lambda self, late: None),
-    "nobody else tries": (goes_round, Probes, "_ask_others", lambda self: setattr(self, "_help_at", math.inf)),
+    "the dead are not called": (heals, MemberUpdates, "_try", lambda self, peer: setattr(peer, "try_at", math.inf)),
+    "nothing is refuted, after a partition": (heals, NameConflicts, "_said_of_me", lambda self, fact: None),
+    "nothing is refuted, after a stop": (wakes, NameConflicts, "_said_of_me", lambda self, fact: None),
+    "own stops count": (holds_no_grudge, FailureDetector, "_excuse", lambda self, late: None),
+    "nobody else tries": (goes_round, FailureDetector, "_ask_others", lambda self: setattr(self, "_help_at", math.inf)),
 }  # fmt: skip
 
 
@@ -165,10 +167,10 @@
 # Rules one by one.
 
 
-def view(name: str = "a", **more: Any) -> View:
-    made = View(Identity(name, 5, ("10.0.0.1", 1)), Settings(instances=3, **more), 1)
-    made.handle(0.0, Tick())
-    made.handle(2.1, Tick())
+def view(name: str = "a", **more: Any) -> MembershipView:
+    made = MembershipView(Identity(name, 5, ("10.0.0.1", 1)), Settings(instances=3, **more), 1)
+    made.handle(0.0, TimerExpired())
+    made.handle(2.1, TimerExpired())
     assert made.state == "member"
     return made
 
@@ -176,18 +178,18 @@
 def fact(
     name: str,
     boot: int = 9,
-    standing: Standing = Standing.ALIVE,
+    standing: MemberStatus = MemberStatus.ALIVE,
     life: int = 1,
     incarnation: int = 0,
     port: int = 2,
-) -> Fact:
-    return Fact(name, boot, life, incarnation, standing, "10.0.0.1", port)
+) -> MemberState:
+    return MemberState(name, boot, life, incarnation, standing, "10.0.0.1", port)
 
 
 def hear(
-    made: View, now: float, *facts: Fact, sender: str = "b", to: int = 5, message: Any = None
+    made: MembershipView, now: float, *facts: MemberState, sender: str = "b", to: int = 5, message: Any = None
 ) -> list[Any]:
-    return made.handle(now, Arrived(Packet(sender, 9, to, 1, message or Told(), facts)))
+    return made.handle(now, PacketReceived(Packet(sender, 9, to, 1, message or GossipReply(), facts)))
 
 
 def test_what_was_meant_for_another_life_changes_nothing() -> None:
@@ -196,19 +198,19 @@
     actions = hear(made, 3.0, fact("b"), to=6)
     assert made.table.digest == before and not made.table.peers and actions == []
     answers = hear(made, 3.0, to=0, message=Hello("10.0.0.1", 2))
-    assert [type(one) for one in answers] == [Tell] and not made.table.peers
+    assert [type(one) for one in answers] == [SendPacket] and not made.table.peers
 
 
 def test_the_dead_of_others_who_are_not_known_spread_no_further() -> None:
     made = view()
-    hear(made, 3.0, fact("c", standing=Standing.DEAD), fact("d", standing=Standing.LEFT))
+    hear(made, 3.0, fact("c", standing=MemberStatus.DEAD), fact("d", standing=MemberStatus.LEFT))
     assert not made.table.peers
 
 
 def test_a_word_of_less_rank_changes_nothing_in_whatever_order_words_come() -> None:
     words = [
         fact("b", standing=state, incarnation=n, life=life)
-        for state in Standing
+        for state in MemberStatus
         for n in range(2)
         for life in (1, 2)
     ]
@@ -238,7 +240,7 @@
     waits, old.waits = old.waits, []
     old.up = False
     old.start()  # another process at the same sockets
-    old.view = View(Identity("i2", 99, old.address), old.view.settings, 3)
+    old.view = MembershipView(Identity("i2", 99, old.address), old.view.settings, 3)
     for action in old.view.resume(model.clock.now, life, facts):
         old.do(action)
     old.wake()
@@ -258,4 +260,4 @@
     made = view()
     assert hear(made, 3.0, message=Ping(1, 1)) == []
     actions = hear(made, 3.1, fact("b"), message=Ping(2, 1))
-    assert [type(one.message).__name__ for one in actions if isinstance(one, Tell)] == ["Ack"]
+    assert [type(one.message).__name__ for one in actions if isinstance(one, SendPacket)] == ["Ack"]
