--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -205,7 +205,7 @@
             net.catches = False
             caught = [data for _, to, data in net.caught if to == 0]
             before = await one.read("fleet/status")
-            forged = Sealer([b"x" * 32]).seal(Packet("i1", 1, 1, 1, form.Told()))
+            forged = Sealer([b"x" * 32]).seal(Packet("i1", 1, 1, 1, form.GossipReply()))
             for number in range(1500):
                 data = caught[number % len(caught)]
                 at = number % len(data)
--- a/tests/fleetscene.py
+++ b/tests/fleetscene.py
@@ -17,27 +17,27 @@
 
 from loadbalancer.policy.actions import (
     Cancel,
-    CloseIdle,
+    CloseIdleConnections,
     Fail,
-    Refuse,
+    Reject,
     Send,
     SetTimer,
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
+    AttemptResult,
+    EndpointEntry,
+    EndpointList,
     Outcome,
     Request,
-    Result,
-    ServerEntry,
-    ServerList,
     TimerFired,
 )
 from loadbalancer.policy.settings import (
     Effect,
-    Limits,
+    PolicyLimits,
+    PolicySettings,
     RequestClass,
-    Rules,
-    Settings,
+    SafetyRules,
 )
 
 TRACK, BOOK = 0, 1
@@ -48,11 +48,24 @@
 CONNECT_S = 0.25
 
 CLASSES = (
-    RequestClass("track", aim=0.18, give_up=0.45, worth=3.0),
-    RequestClass("book", aim=0.45, give_up=1.5, worth=10.0, effect=Effect.KEYED, dedup_window=0.9),
+    RequestClass("track", latency_objective=0.18, client_timeout=0.45, priority_weight=3.0),
+    RequestClass(
+        "book",
+        latency_objective=0.45,
+        client_timeout=1.5,
+        priority_weight=10.0,
+        effect=Effect.KEYED,
+        deduplication_window=0.9,
+    ),
+)
+LIMITS = PolicyLimits(max_attempts=5, retry_after=True, max_retry_after=2.0, connect_timeout=CONNECT_S)
+RULES = SafetyRules(
+    slow_start_capacity=0.35,
+    slow_start_duration=6.0,
+    overload_factor=2.5,
+    overload_duration=3.0,
+    drain_grace=2.0,
 )
-LIMITS = Limits(max_attempts=5, retry_after=True, max_retry_after=2.0, connect_timeout=CONNECT_S)
-RULES = Rules(cold_from=0.35, cold_time=6.0, overload_factor=2.5, fall_time=3.0, drain_grace=2.0)
 
 
 @dataclass
@@ -75,24 +88,28 @@
 
     def most_in_window(self) -> float:
         """The most work that it was sent in any window of the rules while cold, for what it could do in it."""
-        cold = [(at, work) for at, work in self.given if at < self.started + self.scene.rules.cold_time]
+        cold = [
+            (at, work) for at, work in self.given if at < self.started + self.scene.rules.slow_start_duration
+        ]
         most = 0.0
         for first, (begin, _) in enumerate(cold):
-            window = [work for at, work in cold[first:] if at <= begin + self.scene.rules.fall_time]
-            most = max(most, sum(window) / (self.speed * self.warmth(begin) * self.scene.rules.fall_time))
+            window = [work for at, work in cold[first:] if at <= begin + self.scene.rules.overload_duration]
+            most = max(
+                most, sum(window) / (self.speed * self.warmth(begin) * self.scene.rules.overload_duration)
+            )
         return most
 
     def over_budget(self) -> float:
         """Requests of mean work that it was sent while cold, in the worst window of the rules, over the budget of N and
         what is chance, 2 roots of N and 2; over 0 it falls."""
         rules, mean = self.scene.rules, sum(WORK_S) / 2
-        cold = [(at, work / mean) for at, work in self.given if at < self.started + rules.cold_time]
+        cold = [(at, work / mean) for at, work in self.given if at < self.started + rules.slow_start_duration]
         worst, end, held = -math.inf, 0, 0.0
         for begin, work in cold:
-            while end < len(cold) and cold[end][0] < begin + rules.fall_time:
+            while end < len(cold) and cold[end][0] < begin + rules.overload_duration:
                 held += cold[end][1]
                 end += 1
-            budget = rules.overload_factor * self.speed * self.warmth(begin) * rules.fall_time / mean
+            budget = rules.overload_factor * self.speed * self.warmth(begin) * rules.overload_duration / mean
             worst = max(worst, held - budget - 2 * math.sqrt(budget) - 2)
             held -= work
         return worst
@@ -101,9 +118,9 @@
         """Share of its speed that it has at a time."""
         age = max(0.0, at - self.started)
         rules = self.scene.rules
-        if not self.started or age >= rules.cold_time:
+        if not self.started or age >= rules.slow_start_duration:
             return 1.0
-        return rules.cold_from + (1 - rules.cold_from) * age / rules.cold_time
+        return rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age / rules.slow_start_duration
 
     def fall(self) -> None:
         """It accepts no connection any more."""
@@ -169,7 +186,7 @@
         slow: int = 0,
         make: Callable[..., Balancer] = Balancer,
         book: float = 0.47,
-        rules: Rules = RULES,
+        rules: SafetyRules = RULES,
     ) -> None:
         self.rules = rules
         self.random, self.now, self.rate, self.book = random.Random(seed), 1000.0, rate, book
@@ -191,11 +208,11 @@
 
     def proxy(self, number: int, life: int = 0) -> Balancer:
         """A new one; `life`: how often its place was restarted."""
-        settings = Settings(
+        settings = PolicySettings(
             CLASSES,
-            me=number,
-            n_instances=self.size,
-            n_zones=2,
+            instance_index=number,
+            instance_count=self.size,
+            zone_count=2,
             zone=number % 2,
             report_fields=("utilization",),
             limits=LIMITS,
@@ -223,12 +240,12 @@
 
     def tell_list(self, spread: float = 0.0) -> None:
         entries = tuple(
-            ServerEntry(m.name, m.zone, m.zone, m.kind, started=m.started)
+            EndpointEntry(m.name, m.zone, m.zone, m.kind, started=m.started)
             for m in self.members.values()
             if not m.down
         )
         for number in range(len(self.proxies)):
-            self.after(self.random.random() * spread, self.tell, number, ServerList(entries))
+            self.after(self.random.random() * spread, self.tell, number, EndpointList(entries))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -247,7 +264,7 @@
 
     def ask(self, first: float, cls: int, tries: int) -> None:
         number, request = self.random.randrange(len(self.proxies)), next(self.ids)
-        left = CLASSES[cls].give_up - (self.now - first)
+        left = CLASSES[cls].client_timeout - (self.now - first)
         if left > 0:
             self.open[number, request] = first, cls, tries
             self.tell(number, Request(request, cls, left))
@@ -260,28 +277,28 @@
         for action in self.proxies[number].handle(self.now, [event]):
             if isinstance(action, Send):
                 self.send(number, action)
-            elif isinstance(action, (Refuse, Fail)):
+            elif isinstance(action, (Reject, Fail)):
                 self.end_refused(number, action.request)
             elif isinstance(action, Cancel):
-                self.finish((number, action.request, action.attempt), Result.CANCELLED)
+                self.finish((number, action.request, action.attempt), AttemptResult.CANCELLED)
             elif isinstance(action, SetTimer):
-                self.after(action.after, self.tell, number, TimerFired(action.token))
-            elif isinstance(action, CloseIdle) and action.server in self.members:
-                self.members[action.server].idle[number] = 0
+                self.after(action.delay, self.tell, number, TimerFired(action.token))
+            elif isinstance(action, CloseIdleConnections) and action.endpoint in self.members:
+                self.members[action.endpoint].idle[number] = 0
 
     def send(self, number: int, action: Send) -> None:
         request = action.request
         key = (number, request, self.attempts[number, request])
         self.attempts[number, request] += 1
-        member = self.members[action.server]
+        member = self.members[action.endpoint]
         cls = self.open[number, request][1]
         self.sent[key] = (self.now, member, cls)
         self.note("sent")
-        self.note(f"to {action.server}")
+        self.note(f"to {action.endpoint}")
         if member.down:
-            self.after(CONNECT_S, self.finish, key, Result.NO_CONNECTION)
+            self.after(CONNECT_S, self.finish, key, AttemptResult.NO_CONNECTION)
             return
-        self.after(action.timeout, self.finish, key, Result.TIMEOUT)
+        self.after(action.timeout, self.finish, key, AttemptResult.TIMEOUT)
         work = WORK_S[cls] * self.random.lognormvariate(-0.15, 0.55)
         member.advance()
         if member.idle[number]:
@@ -290,10 +307,10 @@
             work += HANDSHAKE_S
             self.note("handshake")
         if len(member.jobs) + sum(member.idle.values()) >= TABLE:
-            self.after(0.001, self.finish, key, Result.NO_CONNECTION)
+            self.after(0.001, self.finish, key, AttemptResult.NO_CONNECTION)
             return
         if self.random.random() < member.errs:
-            self.after(0.001, self.finish, key, Result.ERROR)
+            self.after(0.001, self.finish, key, AttemptResult.ERROR)
             return
         member.given.append((self.now, work))
         member.jobs[key] = Job(key, work, IO_S[cls])
@@ -303,10 +320,10 @@
         if job.key in self.sent:
             if not member.down:
                 member.idle[job.key[0]] = min(6, member.idle[job.key[0]] + 1)
-            self.finish(job.key, Result.SERVED, member.report())
+            self.finish(job.key, AttemptResult.SERVED, member.report())
 
     def finish(
-        self, key: tuple[int, int, int], result: Result, report: dict[str, float] | None = None
+        self, key: tuple[int, int, int], result: AttemptResult, report: dict[str, float] | None = None
     ) -> None:
         if key not in self.sent:
             return
@@ -315,9 +332,9 @@
         self.note(result.name.lower())
         number, request, attempt = key
         ended = False
-        if result == Result.SERVED and (number, request) in self.open:
+        if result == AttemptResult.SERVED and (number, request) in self.open:
             first, cls, _ = self.open.pop((number, request))
-            self.note(f"{'intime' if self.now - first <= CLASSES[cls].aim else 'late'} {cls}")
+            self.note(f"{'intime' if self.now - first <= CLASSES[cls].latency_objective else 'late'} {cls}")
             ended = True
         self.tell(number, Outcome(request, attempt, member.name, result, self.now - sent, ended, report))
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -18,20 +18,20 @@
 from translated import TALLY, connect_fcgi, serve_fcgi, tally
 
 from loadbalancer.deployment import read_deployment
-from loadbalancer.discovery.watch import Discovery
+from loadbalancer.discovery.watch import DiscoveryClient
 from loadbalancer.frontends.fastcgi import FastCgiFront
 from loadbalancer.frontends.http1 import ClientConnection
-from loadbalancer.frontends.listener import Listener, Serve
+from loadbalancer.frontends.listener import ConnectionFactory, Listener
 from loadbalancer.frontends.platform_http import PlatformReader
-from loadbalancer.frontends.tls_listener import TlsDoor
+from loadbalancer.frontends.tls_listener import TlsAcceptor
 from loadbalancer.policy.events import (
     Event,
     Outcome,
 )
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.resource_limits import Complaints, Limits
-from loadbalancer.upstreams.fastcgi import FastCgiConnection, application
-from loadbalancer.upstreams.http1 import Connection
+from loadbalancer.resource_limits import RateLimitedLogger, ResourceLimits
+from loadbalancer.upstreams.fastcgi import FastCgiUpstreamConnection, application
+from loadbalancer.upstreams.http1 import Http1UpstreamConnection
 
 #: What clients and members speak in the worlds to come.
 COMBINATION = ["http/1.1", "http/1.1"]
@@ -335,21 +335,23 @@
     discovery = ScriptedDiscovery()
     where = await discovery.start()
     deployment = read_deployment(settings or SETTINGS)
-    limits, complain = Limits(memory_mb, sockets), Complaints()
+    limits, logger = ResourceLimits(memory_mb, sockets), RateLimitedLogger()
     connect = (
-        Connection
+        Http1UpstreamConnection
         if upstream != "fastcgi"
-        else partial(FastCgiConnection, application=application({}, True, False))
+        else partial(FastCgiUpstreamConnection, application=application({}, True, False))
     )
-    proxy = RecordingProxy(deployment, 1, limits, complain, None, connect)
-    discovery_of_proxy = proxy.source = Discovery(proxy, deployment, where, complain)
+    proxy = RecordingProxy(deployment, 1, limits, logger, None, connect)
+    discovery_of_proxy = proxy.source = DiscoveryClient(proxy, deployment, where, logger)
     slots = limits.client_sockets, limits.overflow_sockets
-    serve: Serve = ClientConnection if front != "fastcgi" else partial(FastCgiFront, requests_most=64)
-    server = Listener(PlatformReader(proxy, deployment), slots, complain, serve)
+    serve: ConnectionFactory = (
+        ClientConnection if front != "fastcgi" else partial(FastCgiFront, requests_most=64)
+    )
+    server = Listener(PlatformReader(proxy, deployment), slots, logger, serve)
     if upstream == "https":
         proxy.backends.tls = certs.member_keys()
     if front == "https":
-        server.tls = TlsDoor(certs.server_keys(), complain)
+        server.tls = TlsAcceptor(certs.server_keys(), logger)
     discovery_of_proxy.start({"version": 1, "full": True, "servers": [b.entry() for b in backends]})
     here = World(proxy, server, server.listen(("127.0.0.1", 0)), discovery)
     try:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,7 +12,7 @@
 import pytest
 
 from loadbalancer.deployment import read_settings
-from loadbalancer.platform.simulator import Link, run
+from loadbalancer.platform.simulator import SimulatorSession, run
 
 SETTINGS: dict[str, Any] = {
     "me": 0, "n-instances": 2, "zones": ["a"], "locality": 0, "registry-mode": "automatic",
@@ -39,7 +39,7 @@
     return {"verb": "ingress", "proxy": proxy, "job": job, "left-s": 2.0, "type": 0}
 
 
-def reply(link: Link, *events: dict[str, Any], now: float = 1.0) -> list[dict[str, Any]]:
+def reply(link: SimulatorSession, *events: dict[str, Any], now: float = 1.0) -> list[dict[str, Any]]:
     output: list[dict[str, Any]] = link.reply({"ts-s": now, "seq": 1, "inbox": list(events)})["output"]
     return output
 
@@ -49,12 +49,12 @@
 
 
 def test_a_table_number_used_again_in_a_batch_is_read_in_order() -> None:
-    out = reply(Link(), *start(0, "x"), *start(1, "y"), ask(0, 1), ask(1, 2))
+    out = reply(SimulatorSession(), *start(0, "x"), *start(1, "y"), ask(0, 1), ask(1, 2))
     assert routes(out) == {0: "x", 1: "y"}
 
 
 def test_killed_and_born_in_one_batch_starts_afresh() -> None:
-    link = Link()
+    link = SimulatorSession()
     reply(link, *start(0, "x"))
     out = reply(link, ask(0, 1), {"verb": "killed", "proxy": 0}, *start(0, "z"), ask(0, 2))
     assert [a["job"] for a in out if a["verb"] == "route"] == [2]
@@ -62,7 +62,7 @@
 
 
 def test_unknown_events_fields_and_report_values_are_skipped() -> None:
-    link = Link()
+    link = SimulatorSession()
     reply(link, *start(0, "x"), {"verb": "unheard_of", "proxy": 0}, {**ask(0, 1), "odd": []})
     done = {
         "verb": "response",
@@ -80,7 +80,7 @@
 
 
 def test_an_exception_in_the_decisions_is_a_fault_with_its_text() -> None:
-    link = Link()
+    link = SimulatorSession()
     reply(link, *start(0, "x"))
     bad = {"verb": "response", "proxy": 0, "job": 9, "shot": 0, "backend": "x", "reason": "served"}
     (fault,) = reply(link, bad)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -16,24 +16,24 @@
 from loadbalancer.config.plan import load
 from loadbalancer.config.reader import ConfigError
 from loadbalancer.policy.actions import (
-    Refuse,
+    Reject,
     Send,
     SetTimer,
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
+    AttemptResult,
+    ClientCancelled,
+    EndpointEntry,
     Outcome,
     Request,
-    Result,
-    ServerEntry,
     TimerFired,
-    Withdrawn,
 )
 from loadbalancer.policy.settings import (
-    Limits,
+    PolicyLimits,
 )
-from loadbalancer.proxy.final_answers import NAME, OWN, ROWS, document
-from loadbalancer.streaming.tunnels import Terms, Tunnels
+from loadbalancer.proxy.final_answers import FINAL_ANSWER_RULES, FRONTEND_ERRORS, NAME, document
+from loadbalancer.streaming.tunnels import TunnelLimits, Tunnels
 from standins.member import Member
 
 Scene = Callable[[], Awaitable[Any]]
@@ -59,8 +59,8 @@
 
 
 def test_every_row_is_one_way_to_end() -> None:
-    assert len({(row.refused, row.last) for row in ROWS}) == len(ROWS)
-    assert all(row.status in (0, 400, 502, 503, 504) for row in ROWS)
+    assert len({(row.refused, row.last) for row in FINAL_ANSWER_RULES}) == len(FINAL_ANSWER_RULES)
+    assert all(row.status in (0, 400, 502, 503, 504) for row in FINAL_ANSWER_RULES)
 
 
 # The table over sockets.
@@ -140,7 +140,7 @@
                 (b"CONNECT a:1 HTTP/1.1\r\nHost: a:1\r\n\r\n", 501),
             ):
                 got, head, _ = await here.ask(data)
-                assert got in (status, 400) and error_in(head) == OWN[got], data
+                assert got in (status, 400) and error_in(head) == FRONTEND_ERRORS[got], data
             here.write(text([member], keys=keys).replace('id = "m"', 'id = "m"\nstate = "draining"'))
             await here.reload()
             assert error_in((await here.ask(requests_to()))[1]) == "destination_unavailable"
@@ -256,33 +256,33 @@
 
 def test_a_copy_goes_out_after_the_time_that_a_share_of_answers_takes() -> None:
     """The quantile follows a class's answers, also those that copies cut short, and no other class's."""
-    b = module(second_copies=True, hedge_share=0.9, hedge_after=0.3, repeat_share=1.0)
+    b = module(hedging=True, hedge_quantile=0.9, hedge_delay=0.3, retry_budget_ratio=1.0)
     now, number, draws = 101.0, 0, random.Random(5)
 
     def ask() -> tuple[float, str]:
         nonlocal now, number
         now, number = now + 0.01, number + 1
         actions = b.handle(now, [Request(number, 0, 4.0)])
-        server = next(a.server for a in actions if isinstance(a, Send))
-        return next(a.after for a in actions if isinstance(a, SetTimer)), server
+        server = next(a.endpoint for a in actions if isinstance(a, Send))
+        return next(a.delay for a in actions if isinstance(a, SetTimer)), server
 
     assert ask()[0] == 0.3  # as the settings say, while nothing is known
-    b.handle(now, [Withdrawn(number)])
+    b.handle(now, [ClientCancelled(number)])
     for _ in range(4000):
         _, server = ask()
         took = draws.uniform(0.0, 0.1)
-        b.handle(now + took, [Outcome(number, 0, server, Result.SERVED, took, True)])
+        b.handle(now + took, [Outcome(number, 0, server, AttemptResult.SERVED, took, True)])
     assert 0.08 < ask()[0] < 0.1
-    b.handle(now, [Withdrawn(number)])
+    b.handle(now, [ClientCancelled(number)])
     for _ in range(400):  # now all take longer, and are seen no longer than until the copy has answered
         after, first = ask()
         copies = b.handle(now + after, [TimerFired(number + 1)])
-        second = next((a.server for a in copies if isinstance(a, Send)), None)
+        second = next((a.endpoint for a in copies if isinstance(a, Send)), None)
         if second is None:  # no budget for this one
-            b.handle(now + 0.2, [Outcome(number, 0, first, Result.SERVED, 0.2, True)])
+            b.handle(now + 0.2, [Outcome(number, 0, first, AttemptResult.SERVED, 0.2, True)])
             continue
-        b.handle(now + after + 0.01, [Outcome(number, 1, second, Result.SERVED, 0.01, True)])
-        b.handle(now + after + 0.01, [Outcome(number, 0, first, Result.CANCELLED, after + 0.01)])
+        b.handle(now + after + 0.01, [Outcome(number, 1, second, AttemptResult.SERVED, 0.01, True)])
+        b.handle(now + after + 0.01, [Outcome(number, 0, first, AttemptResult.CANCELLED, after + 0.01)])
     assert ask()[0] > 0.15
 
 
@@ -315,19 +315,19 @@
 
 
 def module(**limits: Any) -> Balancer:
-    return balancer(ServerEntry("a"), ServerEntry("b"), limits=Limits(max_attempts=3, **limits))
+    return balancer(EndpointEntry("a"), EndpointEntry("b"), limits=PolicyLimits(max_attempts=3, **limits))
 
 
 def test_the_module_heeds_a_share_of_none_a_time_of_one_attempt_and_silence() -> None:
-    b = module(repeat_share=0.0, attempt_time=0.2)
+    b = module(retry_budget_ratio=0.0, attempt_timeout=0.2)
     b.retry_tokens = 0.0
     sent = b.handle(101.0, [Request(1, 0, 4.0)])
     assert [a.timeout for a in sent if isinstance(a, Send)] == [0.2]
-    server = next(a.server for a in sent if isinstance(a, Send))
-    assert Refuse(1) in b.handle(101.1, [Outcome(1, 0, server, Result.RESET, 0.1)])
-    b = module(second_copies=True, hedge_after=0.05)
+    server = next(a.endpoint for a in sent if isinstance(a, Send))
+    assert Reject(1) in b.handle(101.1, [Outcome(1, 0, server, AttemptResult.RESET, 0.1)])
+    b = module(hedging=True, hedge_delay=0.05)
     timers = [a for a in b.handle(101.0, [Request(1, 0, 4.0)]) if isinstance(a, SetTimer)]
-    assert [round(t.after, 3) for t in timers] == [0.05]
+    assert [round(t.delay, 3) for t in timers] == [0.05]
 
 
 # Other protocols.
@@ -533,7 +533,7 @@
 
 def test_the_times_of_a_tunnel() -> None:
     now = [0.0]
-    those = Tunnels(Terms(most=3, idle=10.0, life=25.0, grace=5.0), lambda: now[0])
+    those = Tunnels(TunnelLimits(most=3, idle=10.0, life=25.0, grace=5.0), lambda: now[0])
     client, member = FakeEnd(), FakeEnd()
     tunnel = those.begin("a", client, member)
     for second in range(0, 25, 8):
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -11,7 +11,7 @@
 from peers import OK, Call, Script, ScriptedBackend, answering, play, request, resetting, silent, world
 
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
 from loadbalancer.proxy.open_requests import OpenRequest
 from loadbalancer.upstreams import connections as connections_module
@@ -51,24 +51,24 @@
     return b"HTTP/1.1 %d No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" % status
 
 
-ROWS: dict[str, tuple[Script, Result]] = {
-    "served": (answering(OK), Result.SERVED),
-    "served in fragments": (byte_by_byte, Result.SERVED),
-    "served in chunks": (answering(CHUNKED + chunked(b"h", b"i", b"")), Result.SERVED),
+ROWS: dict[str, tuple[Script, AttemptResult]] = {
+    "served": (answering(OK), AttemptResult.SERVED),
+    "served in fragments": (byte_by_byte, AttemptResult.SERVED),
+    "served in chunks": (answering(CHUNKED + chunked(b"h", b"i", b"")), AttemptResult.SERVED),
     "served after interim answers": (
-        answering(b"HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + OK), Result.SERVED
+        answering(b"HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + OK), AttemptResult.SERVED
     ),
-    "error": (answering(b"HTTP/1.1 500 No\r\nContent-Length: 3\r\n\r\nbad"), Result.ERROR),
-    "turned away 503": (answering(turned_away(503)), Result.FULL),
-    "turned away 504": (answering(turned_away(504)), Result.FULL),
-    "503 without the mark": (answering(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-    "reset before the answer": (resetting, Result.RESET),
-    "reset within the answer": (half_then_reset, Result.RESET),
-    "an end within the answer": (half_then_end, Result.RESET),
-    "a reset without a length": (unframed_then_reset, Result.RESET),
-    "not HTTP": (answering(b"\x00\x01\x02 hello\r\n\r\n"), Result.RESET),
-    "an upgrade": (answering(b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), Result.RESET),
-    "an endless head": (answering(b"HTTP/1.1 200 OK\r\n" + b"A: b\r\n" * 20_000), Result.RESET),
+    "error": (answering(b"HTTP/1.1 500 No\r\nContent-Length: 3\r\n\r\nbad"), AttemptResult.ERROR),
+    "turned away 503": (answering(turned_away(503)), AttemptResult.FULL),
+    "turned away 504": (answering(turned_away(504)), AttemptResult.FULL),
+    "503 without the mark": (answering(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), AttemptResult.ERROR),
+    "reset before the answer": (resetting, AttemptResult.RESET),
+    "reset within the answer": (half_then_reset, AttemptResult.RESET),
+    "an end within the answer": (half_then_end, AttemptResult.RESET),
+    "a reset without a length": (unframed_then_reset, AttemptResult.RESET),
+    "not HTTP": (answering(b"\x00\x01\x02 hello\r\n\r\n"), AttemptResult.RESET),
+    "an upgrade": (answering(b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), AttemptResult.RESET),
+    "an endless head": (answering(b"HTTP/1.1 200 OK\r\n" + b"A: b\r\n" * 20_000), AttemptResult.RESET),
 }  # fmt: skip
 
 
@@ -82,9 +82,9 @@
             status, body = await client.ask(request("unsafe", b"x"))
             outcomes = await here.proxy.until_outcomes(1)
             assert [o.result for o in outcomes] == [result]
-            if result == Result.SERVED:
+            if result == AttemptResult.SERVED:
                 assert (status, body) == (200, b"hi")
-            elif result == Result.FULL:
+            elif result == AttemptResult.FULL:
                 assert status == 503  # certain never to have run, so a refusal
             else:
                 assert status == 502  # it may have run
@@ -103,7 +103,7 @@
             client = await here.connect()
             status, _ = await client.ask(request("unsafe"))
             outcomes = await here.proxy.until_outcomes(1)
-            assert {o.result for o in outcomes} == {Result.NO_CONNECTION}
+            assert {o.result for o in outcomes} == {AttemptResult.NO_CONNECTION}
             assert status == 503
 
     play(scene)
@@ -116,7 +116,7 @@
             client = await here.connect()
             status, _ = await client.ask(request("unsafe", b"", "100m"))
             assert status == 502
-            assert [o.result for o in await here.proxy.until_outcomes(1)] == [Result.TIMEOUT]
+            assert [o.result for o in await here.proxy.until_outcomes(1)] == [AttemptResult.TIMEOUT]
             assert (await client.ask(request()))[0] == 200
             assert [call.connection for call in backend.calls] == [1, 2]
 
@@ -125,13 +125,13 @@
 
 def test_a_break_before_the_last_byte_is_written_is_no_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """The body does not fit into the kernel's buffers, and the backend never reads it."""
-    made = backend_module.Connection.connection_made
+    made = backend_module.Http1UpstreamConnection.connection_made
 
-    def narrow(connection: backend_module.Connection, transport: asyncio.BaseTransport) -> None:
+    def narrow(connection: backend_module.Http1UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         made(connection, transport)
 
-    monkeypatch.setattr(backend_module.Connection, "connection_made", narrow)
+    monkeypatch.setattr(backend_module.Http1UpstreamConnection, "connection_made", narrow)
 
     async def scene() -> None:
         ended = asyncio.Event()
@@ -151,7 +151,7 @@
             here.proxy.backends.listed("s", ((host, port), 0.0), True)
             client = await here.connect()
             status, _ = await client.ask(request("unsafe", bytes(64_000)))
-            assert {o.result for o in await here.proxy.until_outcomes(1)} == {Result.NO_CONNECTION}
+            assert {o.result for o in await here.proxy.until_outcomes(1)} == {AttemptResult.NO_CONNECTION}
             assert status == 503
             await ended.wait()
         server.close()
@@ -253,7 +253,7 @@
             client = await here.connect()
             await client.ask(request())
             assert await client.ask(request("unsafe")) == (200, b"hi")
-            assert {o.result for o in here.proxy.outcomes()} == {Result.SERVED}
+            assert {o.result for o in here.proxy.outcomes()} == {AttemptResult.SERVED}
 
     play(scene)
 
@@ -303,9 +303,9 @@
             status, _, body = await client.read()
             assert (status, body) == (200, b"hi")
             outcomes = await here.proxy.until_outcomes(2)
-            assert [(o.attempt, o.result, o.ended) for o in outcomes] == [
-                (1, Result.SERVED, True),
-                (0, Result.CANCELLED, True),
+            assert [(o.attempt, o.result, o.request_ended) for o in outcomes] == [
+                (1, AttemptResult.SERVED, True),
+                (0, AttemptResult.CANCELLED, True),
             ]
             loser = slow if first == "a" else quick
             await loser.calls[0].left()
@@ -378,7 +378,7 @@
             client = await here.connect()
             assert await client.ask(request("keyed")) == (200, b"hi")
             outcomes = await here.proxy.until_outcomes(2)
-            assert [o.result for o in outcomes] == [Result.RESET, Result.SERVED]
+            assert [o.result for o in outcomes] == [AttemptResult.RESET, AttemptResult.SERVED]
             assert here.proxy.budget.held == 0
 
     play(scene)
@@ -390,7 +390,7 @@
         async with world(ScriptedBackend("a", answering(head))) as here:
             client = await here.connect()
             assert (await client.ask(request("unsafe")))[0] == 502
-            assert [o.result for o in here.proxy.outcomes()] == [Result.RESET]
+            assert [o.result for o in here.proxy.outcomes()] == [AttemptResult.RESET]
 
     play(scene)
 
@@ -489,7 +489,7 @@
             here.proxy.backends.listed("s", (address, 0.0), True)
             client = await here.connect()
             assert (await client.ask(request("unsafe", None, "60m")))[0] == 503
-            assert {o.result for o in await here.proxy.until_outcomes(1)} == {Result.NO_CONNECTION}
+            assert {o.result for o in await here.proxy.until_outcomes(1)} == {AttemptResult.NO_CONNECTION}
         for sock in [listener, *fillers]:
             sock.close()
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -17,51 +17,58 @@
 from loadbalancer.policy import slow_start as cold
 from loadbalancer.policy.actions import (
     Cancel,
-    CloseIdle,
+    CloseIdleConnections,
     Fail,
-    Refuse,
+    Reject,
     Send,
     SetTimer,
-    Watch,
+    WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.endpoints import Server
+from loadbalancer.policy.endpoints import Endpoint
 from loadbalancer.policy.events import (
-    Body,
+    AttemptResult,
+    BodyProgress,
+    ClientCancelled,
     Cordon,
+    EndpointEntry,
+    EndpointList,
+    EndpointState,
     FirstByte,
     Outcome,
     Request,
-    Result,
-    ServerEntry,
-    ServerList,
-    ServerState,
     TimerFired,
-    Withdrawn,
 )
 from loadbalancer.policy.settings import (
+    DeduplicationScope,
     Effect,
-    Limits,
+    PolicyLimits,
+    PolicySettings,
     RequestClass,
-    Rules,
-    Scope,
-    Settings,
+    SafetyRules,
     Tenant,
 )
 
-SAFE = RequestClass("safe", aim=1.0, give_up=4.0)
-KEYED = RequestClass("keyed", 1.0, 4.0, effect=Effect.KEYED, dedup_scope=Scope.ZONE, dedup_window=0.5)
+SAFE = RequestClass("safe", latency_objective=1.0, client_timeout=4.0)
+KEYED = RequestClass(
+    "keyed",
+    1.0,
+    4.0,
+    effect=Effect.KEYED,
+    deduplication_scope=DeduplicationScope.ZONE,
+    deduplication_window=0.5,
+)
 UNSAFE = RequestClass("unsafe", 1.0, 4.0, effect=Effect.UNSAFE)
 
 
-def balancer(*entries: ServerEntry, seed: int = 1, **settings: Any) -> Balancer:
-    made = Balancer(Settings(**{"classes": (SAFE, KEYED, UNSAFE), **settings}), seed)
-    made.handle(100.0, [ServerList(entries)])
+def balancer(*entries: EndpointEntry, seed: int = 1, **settings: Any) -> Balancer:
+    made = Balancer(PolicySettings(**{"classes": (SAFE, KEYED, UNSAFE), **settings}), seed)
+    made.handle(100.0, [EndpointList(entries)])
     return made
 
 
-def fleet(count: int, **more: Any) -> list[ServerEntry]:
-    return [ServerEntry(f"s{i}", **more) for i in range(count)]
+def fleet(count: int, **more: Any) -> list[EndpointEntry]:
+    return [EndpointEntry(f"s{i}", **more) for i in range(count)]
 
 
 def ask(b: Balancer, now: float, number: int, cls: int = 0, left: float = 4.0) -> list[Any]:
@@ -69,7 +76,7 @@
 
 
 def sent_to(b: Balancer, now: float, number: int, cls: int = 0) -> str | None:
-    return next((a.server for a in ask(b, now, number, cls) if isinstance(a, Send)), None)
+    return next((a.endpoint for a in ask(b, now, number, cls) if isinstance(a, Send)), None)
 
 
 def answer(
@@ -77,40 +84,40 @@
     now: float,
     number: int,
     server: str,
-    result: Result = Result.SERVED,
+    result: AttemptResult = AttemptResult.SERVED,
     attempt: int = 0,
     util: float | None = None,
 ) -> list[Any]:
     report = None if util is None else {"utilization": util}
-    ended = result == Result.SERVED
+    ended = result == AttemptResult.SERVED
     return b.handle(now, [Outcome(number, attempt, server, result, 0.1, ended, report)])
 
 
 def test_own_in_flight_decides_first() -> None:
-    b = balancer(ServerEntry("idle"), ServerEntry("busy"))
+    b = balancer(EndpointEntry("idle"), EndpointEntry("busy"))
     for server in b.ready:
         server.answered = True
-    b.servers["busy"].out.update({(1, 0): 100.0, (2, 0): 100.0})
-    b.servers["idle"].util, b.servers["idle"].util_at = 0.9, 100.0
+    b.servers["busy"].in_flight.update({(1, 0): 100.0, (2, 0): 100.0})
+    b.servers["idle"].utilization, b.servers["idle"].utilization_at = 0.9, 100.0
     assert b._score(b.servers["idle"]) < b._score(b.servers["busy"])
     assert sent_to(b, 100.0, 10) == "idle"
 
 
 def test_in_flight_is_relative_to_size() -> None:
-    b = balancer(ServerEntry("large", weight=3.0), ServerEntry("small", weight=1.0))
+    b = balancer(EndpointEntry("large", weight=3.0), EndpointEntry("small", weight=1.0))
     for server in b.ready:
-        server.out.update({(1, 0): 100.0, (2, 0): 100.0})
+        server.in_flight.update({(1, 0): 100.0, (2, 0): 100.0})
     assert b._score(b.servers["large"]) < b._score(b.servers["small"])
 
 
 def test_the_draw_follows_the_listed_size() -> None:
-    b = balancer(ServerEntry("large", weight=3.0), ServerEntry("small", weight=1.0))
+    b = balancer(EndpointEntry("large", weight=3.0), EndpointEntry("small", weight=1.0))
     drawn = [b.pool.draw(b.random.random(), b.speed).id for _ in range(4000)]
     assert 2900 < drawn.count("large") < 3100
 
 
 def test_kinds_that_report_more_utilization_are_drawn_less() -> None:
-    b = balancer(*[ServerEntry(f"s{i}", kind=i % 2) for i in range(8)])
+    b = balancer(*[EndpointEntry(f"s{i}", kind=i % 2) for i in range(8)])
     for n in range(600):
         server = sent_to(b, 100.0 + n / 50, n)
         assert server is not None
@@ -123,10 +130,10 @@
     b = balancer(*fleet(4))
     for server in b.ready:
         server.answered = True
-    b.servers["s0"].util, b.servers["s0"].util_at = 1.0, 100.0
+    b.servers["s0"].utilization, b.servers["s0"].utilization_at = 1.0, 100.0
     assert {sent_to(b, 100.0, n) for n in range(9)} == {"s1", "s2", "s3"}
     for server in b.ready:
-        server.util, server.util_at = 1.0, 100.0
+        server.utilization, server.utilization_at = 1.0, 100.0
     assert {sent_to(b, 100.0, n) for n in range(9, 30)} == {"s0", "s1", "s2", "s3"}  # all over: unfiltered
 
 
@@ -146,7 +153,7 @@
 
 
 def test_ramp_grows_with_age() -> None:
-    b = balancer(*fleet(19), ServerEntry("new", started=90.0))
+    b = balancer(*fleet(19), EndpointEntry("new", started=90.0))
     new = b.servers["new"]
     passed = []
     for b.now in (110.0, 150.0, 185.0):
@@ -156,8 +163,8 @@
 
 
 def test_the_ramp_is_short_where_most_of_the_fleet_is_young() -> None:
-    b = balancer(*fleet(3), *[ServerEntry(f"n{i}", started=95.0) for i in range(5)])
-    b.now = 95.0 + b.rules.cold_time
+    b = balancer(*fleet(3), *[EndpointEntry(f"n{i}", started=95.0) for i in range(5)])
+    b.now = 95.0 + b.rules.slow_start_duration
     assert all(b._healthy(s) for s in b.ready)
 
 
@@ -168,15 +175,15 @@
         server = sent_to(b, 100.0 + n / 10, n)
         assert server is not None
         took = 0.6 if server == "s0" else 0.1
-        b.handle(100.05 + n / 10, [Outcome(n, 0, server, Result.SERVED, took, True)])
-        worst = max(worst, b.servers["s0"].errors if n > 20 else 0.0)
+        b.handle(100.05 + n / 10, [Outcome(n, 0, server, AttemptResult.SERVED, took, True)])
+        worst = max(worst, b.servers["s0"].error_rate if n > 20 else 0.0)
     assert worst > 0.15
-    assert all(s.errors < 0.01 for s in b.ready if s.id != "s0")
+    assert all(s.error_rate < 0.01 for s in b.ready if s.id != "s0")
     for n in range(400, 800):  # all slow
         server = sent_to(b, 200.0 + n / 10, n)
         assert server is not None
-        b.handle(200.05 + n / 10, [Outcome(n, 0, server, Result.SERVED, 0.6, True)])
-    assert all(b._faded(s.errors, s.errors_at) < 0.01 for s in b.ready)
+        b.handle(200.05 + n / 10, [Outcome(n, 0, server, AttemptResult.SERVED, 0.6, True)])
+    assert all(b._faded(s.error_rate, s.error_rate_at) < 0.01 for s in b.ready)
 
 
 def test_a_server_that_fails_one_class_goes_on_serving_the_others() -> None:
@@ -186,7 +193,9 @@
     b.now = 100.0
     for n in range(12):  # one of three requests is of the class that it fails
         bad = n % 3 == 0
-        b._learn(server, Result.TIMEOUT if bad else Result.SERVED, None, float(bad), 2 if bad else 0)
+        b._learn(
+            server, AttemptResult.TIMEOUT if bad else AttemptResult.SERVED, None, float(bad), 2 if bad else 0
+        )
     assert not b._healthy(server, 2) and b._healthy(server, 0)
     assert b._score(server, 2) > b._score(server, 0) + 1.0 > b._score(other, 2) + 1.0
 
@@ -196,14 +205,14 @@
     for server in b.ready:
         server.answered = True
     b.silence = 1.0
-    b.servers["s0"].out[(1, 0)] = 98.0
+    b.servers["s0"].in_flight[(1, 0)] = 98.0
     assert not b._healthy(b.servers["s0"])
-    b.servers["s0"].out[(1, 0)] = 99.5
+    b.servers["s0"].in_flight[(1, 0)] = 99.5
     assert b._healthy(b.servers["s0"])
 
 
 def test_failing_servers_alone_cause_no_refusal_and_slow_attempts_do() -> None:
-    for result, took, sheds in ((Result.ERROR, 0.01, False), (Result.TIMEOUT, 1.0, True)):
+    for result, took, sheds in ((AttemptResult.ERROR, 0.01, False), (AttemptResult.TIMEOUT, 1.0, True)):
         b = balancer(*fleet(8))
         for n in range(300):
             server = sent_to(b, 100.0 + n / 50, n, cls=2)
@@ -213,76 +222,82 @@
 
 
 def test_failures_count_and_own_cancels_do_not() -> None:
-    for result in (Result.ERROR, Result.FULL, Result.TIMEOUT, Result.NO_CONNECTION, Result.RESET):
+    for result in (
+        AttemptResult.ERROR,
+        AttemptResult.FULL,
+        AttemptResult.TIMEOUT,
+        AttemptResult.NO_CONNECTION,
+        AttemptResult.RESET,
+    ):
         b = balancer(*fleet(1))
-        b._learn(b.servers["s0"], result, None, float(result == Result.TIMEOUT))
-        assert b.servers["s0"].errors == pytest.approx(learning.ERROR_STEP)
-    for result in (Result.CANCELLED, Result.NOT_SENT, Result.SERVED):
+        b._learn(b.servers["s0"], result, None, float(result == AttemptResult.TIMEOUT))
+        assert b.servers["s0"].error_rate == pytest.approx(learning.ERROR_STEP)
+    for result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT, AttemptResult.SERVED):
         b = balancer(*fleet(1))
         b._learn(b.servers["s0"], result, None)
-        assert b.servers["s0"].errors == 0.0
+        assert b.servers["s0"].error_rate == 0.0
 
 
 @pytest.mark.parametrize("value", [None, -1.0, math.nan, math.inf, "busy", 7.0])
 def test_odd_reports_do_not_poison_a_score(value: Any) -> None:
     b = balancer(*fleet(1))
-    b._learn(b.servers["s0"], Result.SERVED, {"utilization": value, "unheard_of": 3.0})
+    b._learn(b.servers["s0"], AttemptResult.SERVED, {"utilization": value, "unheard_of": 3.0})
     assert 0.0 <= b._score(b.servers["s0"]) <= draw.UTIL_WEIGHT
 
 
 def test_a_restart_forgets_the_old_process() -> None:
-    b = balancer(ServerEntry("a", started=1.0))
+    b = balancer(EndpointEntry("a", started=1.0))
     a = b.servers["a"]
-    a.answered, a.errors, a.errors_at = True, 1.0, 100.0
-    b.handle(101.0, [ServerList((ServerEntry("a", started=100.5),), whole=False)])
-    assert b.servers["a"] is a and not a.answered and a.errors == 0.0
+    a.answered, a.error_rate, a.error_rate_at = True, 1.0, 100.0
+    b.handle(101.0, [EndpointList((EndpointEntry("a", started=100.5),), complete=False)])
+    assert b.servers["a"] is a and not a.answered and a.error_rate == 0.0
 
 
 def test_drained_and_gone_get_nothing() -> None:
     b = balancer(*fleet(3))
-    b.handle(100.0, [ServerList((ServerEntry("s0", state=ServerState.DRAINING),), whole=False)])
-    b.handle(100.0, [ServerList((ServerEntry("s1", state=ServerState.GONE),), whole=False)])
+    b.handle(100.0, [EndpointList((EndpointEntry("s0", state=EndpointState.DRAINING),), complete=False)])
+    b.handle(100.0, [EndpointList((EndpointEntry("s1", state=EndpointState.GONE),), complete=False)])
     assert {sent_to(b, 100.0, n) for n in range(30)} == {"s2"}
 
 
 def test_every_request_is_answered_where_no_server_can_take_it() -> None:
-    for entries in ([], fleet(2, state=ServerState.DRAINING)):
+    for entries in ([], fleet(2, state=EndpointState.DRAINING)):
         b = balancer(*entries)
-        assert ask(b, 100.0, 1) == [Refuse(1)]
-        assert ask(b, 100.0, 2, cls=2) == [Refuse(2)]
+        assert ask(b, 100.0, 1) == [Reject(1)]
+        assert ask(b, 100.0, 2, cls=2) == [Reject(2)]
 
 
 def test_an_unsafe_request_that_may_have_run_fails() -> None:
     b = balancer(*fleet(3))
     server = sent_to(b, 100.0, 1, cls=2)
     assert server is not None
-    assert answer(b, 100.2, 1, server, Result.RESET) == [Fail(1)]
+    assert answer(b, 100.2, 1, server, AttemptResult.RESET) == [Fail(1)]
 
 
 def test_an_unsafe_request_that_never_ran_goes_again() -> None:
     b = balancer(*fleet(3))
     server = sent_to(b, 100.0, 1, cls=2)
     assert server is not None
-    again = answer(b, 100.2, 1, server, Result.NO_CONNECTION)
-    assert isinstance(again[0], Send) and again[0].server != server
+    again = answer(b, 100.2, 1, server, AttemptResult.NO_CONNECTION)
+    assert isinstance(again[0], Send) and again[0].endpoint != server
 
 
 def test_a_keyed_request_goes_again_in_its_zone_and_window_only() -> None:
-    entries = [ServerEntry(f"z{i % 2}-{i}", zone=i % 2) for i in range(8)]
+    entries = [EndpointEntry(f"z{i % 2}-{i}", zone=i % 2) for i in range(8)]
     for late, goes in ((0.2, True), (0.5, False)):
         b = balancer(*entries)
         server = sent_to(b, 100.0, 1, cls=1)
         assert server is not None
-        again = answer(b, 100.0 + late, 1, server, Result.RESET)[0]
+        again = answer(b, 100.0 + late, 1, server, AttemptResult.RESET)[0]
         assert isinstance(again, Send) == goes
         if goes:
-            assert again.server[:2] == server[:2] and again.server != server
+            assert again.endpoint[:2] == server[:2] and again.endpoint != server
         else:
             assert again == Fail(1)
 
 
 def test_late_answers_are_not_waited_for_while_work_waits() -> None:
-    late = RequestClass("late", aim=1.0, give_up=4.0, late_share=0.3)
+    late = RequestClass("late", latency_objective=1.0, client_timeout=4.0, late_value=0.3)
     for level, longest in ((0.0, 4.0), (0.1, 1.0)):
         b = balancer(*fleet(3), classes=(late,))
         b.shed_level = level
@@ -305,8 +320,8 @@
     for n in range(400):
         server = sent_to(b, 100.0 + n / 50, n, cls=2)
         assert server is not None
-        answer(b, 100.01 + n / 50, n, server, Result.ERROR)
-    assert all(s.errors <= b._error_limit() for s in b.ready)
+        answer(b, 100.01 + n / 50, n, server, AttemptResult.ERROR)
+    assert all(s.error_rate <= b._error_limit() for s in b.ready)
     b.errors_usual = 0.0  # the same figures in a healthy fleet
     b.now = 108.0
     assert not any(b._healthy(s) for s in b.ready)
@@ -314,17 +329,17 @@
 
 def test_a_sparse_proxy_keeps_no_idle_connection() -> None:
     for count, proxies, closes in ((100, 30, True), (10, 30, True), (2, 30, False), (10, 2, False)):
-        b = balancer(*fleet(count), n_instances=proxies)
+        b = balancer(*fleet(count), instance_count=proxies)
         closed = 0
         for n in range(100):  # ten a second
             server = sent_to(b, 100.0 + n / 10, n)
             assert server is not None
-            closed += CloseIdle(server) in answer(b, 100.05 + n / 10, n, server)
+            closed += CloseIdleConnections(server) in answer(b, 100.05 + n / 10, n, server)
         assert (closed > 50) == closes
 
 
 def test_refused_tries_do_not_use_up_a_tenants_share() -> None:
-    b = balancer(*fleet(4), tenants=(Tenant("a", 1.0, 100.0),), over_share_worth=0.1)
+    b = balancer(*fleet(4), tenants=(Tenant("a", 1.0, 100.0),), over_quota_weight=0.1)
     b.shed_level = 3.0
     for n in range(200):
         ask(b, 105.0, n)
@@ -340,34 +355,38 @@
         b = balancer(*fleet(3))
         timer = next(a for a in ask(b, 100.0, 1) if isinstance(a, SetTimer))
         b.shed_level = level
-        actions = b.handle(100.0 + timer.after, [TimerFired(timer.token)])
+        actions = b.handle(100.0 + timer.delay, [TimerFired(timer.token)])
         assert sum(isinstance(a, Send) for a in actions) == copies
 
 
 @pytest.mark.parametrize(
     ("copies", "proxies", "took", "after"),
     [
-        (False, 200, 0.05, 0.49), (False, 200, 0.12, 0.72), (False, 200, 0.2, None), (False, 200, None, None),
-        (True, 200, 0.2, 0.49), (False, 1, 0.2, 0.49),
+        (False, 200, 0.05, 0.49),
+        (False, 200, 0.12, 0.72),
+        (False, 200, 0.2, None),
+        (False, 200, None, None),
+        (True, 200, 0.2, 0.49),
+        (False, 1, 0.2, 0.49),
     ],
-)  # fmt: skip
+)
 def test_an_attempt_is_given_up_for_the_next_one_after_silence(
     copies: bool, proxies: int, took: float | None, after: float | None
 ) -> None:
     """Not after half of the aim, where no two may be out and a proxy sees little: near full load answers take that."""
-    b = balancer(*fleet(3), limits=Limits(second_copies=copies), n_instances=proxies)
+    b = balancer(*fleet(3), limits=PolicyLimits(hedging=copies), instance_count=proxies)
     if took is not None:
         server = sent_to(b, 100.0, 1)
         assert server is not None
-        b.handle(100.0 + took, [Outcome(1, 0, server, Result.SERVED, took, True)])
+        b.handle(100.0 + took, [Outcome(1, 0, server, AttemptResult.SERVED, took, True)])
     timers = [a for a in ask(b, 101.0, 2) if isinstance(a, SetTimer)]
-    assert [t.after for t in timers] == ([] if after is None else [pytest.approx(after, rel=0.1)])
+    assert [t.delay for t in timers] == ([] if after is None else [pytest.approx(after, rel=0.1)])
 
 
 def test_no_second_copy_where_none_is_allowed() -> None:
-    b = balancer(*fleet(3), limits=Limits(second_copies=False))
+    b = balancer(*fleet(3), limits=PolicyLimits(hedging=False))
     timer = next(a for a in ask(b, 100.0, 1) if isinstance(a, SetTimer))
-    actions = b.handle(100.0 + timer.after, [TimerFired(timer.token)])
+    actions = b.handle(100.0 + timer.delay, [TimerFired(timer.token)])
     assert not any(isinstance(a, Send) for a in actions)
 
 
@@ -401,13 +420,13 @@
 
 
 def test_a_cold_server_is_paced() -> None:
-    rules = Rules(cold_from=0.3, cold_time=10.0, overload_factor=2.5)
+    rules = SafetyRules(slow_start_capacity=0.3, slow_start_duration=10.0, overload_factor=2.5)
     b = balancer(*fleet(9), rules=rules)
     for n in range(1000):  # 100 a second for ten seconds
         server = sent_to(b, 100.0 + n / 100, n)
         assert server is not None
         answer(b, 100.005 + n / 100, n, server)
-    b.handle(110.0, [ServerList((ServerEntry("new", started=110.0),), whole=False)])
+    b.handle(110.0, [EndpointList((EndpointEntry("new", started=110.0),), complete=False)])
     got = 0
     for n in range(1000, 1300):
         server = sent_to(b, 110.0 + (n - 1000) / 100, n)
@@ -421,13 +440,13 @@
     """After the last of so many failed calls, each of which took so long; of 60 proxies."""
     waits = []
     for seed in range(60):
-        b, now = balancer(*fleet(1), list_on_request=True, n_instances=40, seed=seed), 100.0
+        b, now = balancer(*fleet(1), list_on_request=True, instance_count=40, seed=seed), 100.0
         for _ in range(failures):
-            timer = cast(SetTimer, b.handle(now, [ServerList(failed=True, busy=busy)])[0])
-            now += timer.after
-            assert b.handle(now, [TimerFired(timer.token)]) == [Watch(True)]
+            timer = cast(SetTimer, b.handle(now, [EndpointList(failed=True, busy=busy)])[0])
+            now += timer.delay
+            assert b.handle(now, [TimerFired(timer.token)]) == [WatchEndpoints(True)]
             now += took
-        waits.append(timer.after)
+        waits.append(timer.delay)
     return waits
 
 
@@ -463,11 +482,22 @@
         answer(b, 100.0, 9, "s0")
 
 
-@pytest.mark.parametrize("field", ["aim", "give_up", "worth"])
+@pytest.mark.parametrize(
+    "field, named",
+    [("latency_objective", "aim"), ("client_timeout", "give_up"), ("priority_weight", "worth")],
+)
 @pytest.mark.parametrize("value", [-1.0, math.nan, math.inf, "x", None])
-def test_bad_settings_are_named(field: str, value: Any) -> None:
-    with pytest.raises(ValueError, match=f"classes.{field}: {value!r}"):
-        RequestClass(**{"name": "c", "aim": 1.0, "give_up": 2.0, "worth": 1.0, field: value})
+def test_bad_settings_are_named(field: str, named: str, value: Any) -> None:
+    with pytest.raises(ValueError, match=f"classes.{named}: {value!r}"):
+        RequestClass(
+            **{
+                "name": "c",
+                "latency_objective": 1.0,
+                "client_timeout": 2.0,
+                "priority_weight": 1.0,
+                field: value,
+            }
+        )
 
 
 def test_the_deploy_file_names_every_file_of_the_policy() -> None:
@@ -477,7 +507,7 @@
     assert set(deploy["policy"]) == held
     lines = [line for name in held for line in (root / name).read_text(encoding="utf-8").splitlines()]
     assert max(map(len, lines)) <= 110
-    assert isinstance(Server.__slots__, tuple)
+    assert isinstance(Endpoint.__slots__, tuple)
 
 
 def test_a_server_that_gives_a_long_answer_is_not_silent() -> None:
@@ -493,7 +523,7 @@
     assert not b._healthy(b.servers[server])  # the second request is met with silence
     answer(b, 112.0, 1, server)
     answer(b, 112.0, 2, server)
-    assert not b.servers[server].out and not b.servers[server].giving
+    assert not b.servers[server].in_flight and not b.servers[server].responding
 
 
 def test_a_long_answer_under_way_does_not_count_as_in_flight() -> None:
@@ -515,21 +545,23 @@
     for n in range(600):
         now = 100.0 + n / 100
         for server in b.servers.values():
-            server.util, server.util_at, server.answered = 1.0, now, True
+            server.utilization, server.utilization_at, server.answered = 1.0, now, True
             if server.id != "s0":  # each has work of its own
-                server.out = {(10_000, k): now for k in range(6)}
+                server.in_flight = {(10_000, k): now for k in range(6)}
         b.util_usual = 0.5
         server_id = sent_to(b, now, n, cls=2)
         assert server_id is not None
         sent += server_id == "s0"
-        answer(b, now + 0.001, n, server_id, Result.ERROR if server_id == "s0" else Result.SERVED)
+        answer(
+            b, now + 0.001, n, server_id, AttemptResult.ERROR if server_id == "s0" else AttemptResult.SERVED
+        )
     assert sent < 60
 
 
 def test_one_failing_server_does_not_lift_the_limit_that_it_is_held_to() -> None:
     b = balancer(*fleet(10))
     for _ in range(200):  # nearly all attempts are its own, as where all others are full
-        b._learn(b.servers["s0"], Result.ERROR, None)
+        b._learn(b.servers["s0"], AttemptResult.ERROR, None)
     assert b.errors_usual > 0.8
     assert not b._healthy(b.servers["s0"]) and b.avoids("s0")
     assert b._healthy(b.servers["s1"]) and not b.avoids("s1")
@@ -540,10 +572,10 @@
         b = balancer(*fleet(6))
         b.handle(101.0, [Cordon("s0", True)])
         assert {sent_to(b, 102.0, n) for n in range(60)} == {f"s{n}" for n in range(1, 6)}
-        b.handle(103.5, [ServerList((ServerEntry("s0", started=started),), whole=False)])
+        b.handle(103.5, [EndpointList((EndpointEntry("s0", started=started),), complete=False)])
         assert all(sent_to(b, 104.0, 100 + n) != "s0" for n in range(60))
         b.handle(105.0, [Cordon("s0", False), Cordon("s0", False)])
-        assert (b.servers["s0"].woken == 105.0) == is_cold
+        assert (b.servers["s0"].warm_started_at == 105.0) == is_cold
         assert sent_to(b, 105.0, 200) == "s0"  # and once a second until it answers
         assert sent_to(b, 105.1, 201) != "s0" or is_cold is False
         answer(b, 105.2, 200, "s0")
@@ -552,14 +584,14 @@
 
 def test_a_member_taken_out_stays_out_when_a_list_drops_it_and_brings_it_back() -> None:
     b = balancer(*fleet(3))
-    b.handle(101.0, [Cordon("s0", True), ServerList((ServerEntry("s1"), ServerEntry("s2")))])
+    b.handle(101.0, [Cordon("s0", True), EndpointList((EndpointEntry("s1"), EndpointEntry("s2")))])
     assert "s0" not in b.servers
-    b.handle(102.0, [ServerList(tuple(fleet(3)))])
+    b.handle(102.0, [EndpointList(tuple(fleet(3)))])
     assert {sent_to(b, 103.0, n) for n in range(60)} == {"s1", "s2"} and b.avoids("s0")
 
 
-HASTY = RequestClass("hasty", aim=0.15, give_up=0.5)
-PATIENT = RequestClass("patient", aim=0.5, give_up=2.0)
+HASTY = RequestClass("hasty", latency_objective=0.15, client_timeout=0.5)
+PATIENT = RequestClass("patient", latency_objective=0.5, client_timeout=2.0)
 
 
 def queued(b: Balancer, pace: float, at: float) -> None:
@@ -567,8 +599,10 @@
     for number in range(40):
         server = sent_to(b, at - 0.5 + number / 100, 1000 + number, cls=1)
         assert server is not None
-        took = pace * len(b.servers[server].out)
-        b.handle(at - 0.5 + number / 100, [Outcome(1000 + number, 0, server, Result.SERVED, took, True)])
+        took = pace * len(b.servers[server].in_flight)
+        b.handle(
+            at - 0.5 + number / 100, [Outcome(1000 + number, 0, server, AttemptResult.SERVED, took, True)]
+        )
 
 
 def test_a_queue_of_ours_that_leaves_no_time_refuses_the_class_with_less_time_first() -> None:
@@ -586,7 +620,7 @@
     sent = {n: server for n in range(12) if (server := sent_to(b, 100.0, n))}
     assert sent_to(b, 100.01, 50) is None
     for number, server in sent.items():
-        b.handle(100.05, [Outcome(number, 0, server, Result.SERVED, 0.05, True)])
+        b.handle(100.05, [Outcome(number, 0, server, AttemptResult.SERVED, 0.05, True)])
     assert sent_to(b, 100.05, 51) is not None
 
 
@@ -601,12 +635,12 @@
 def test_a_restart_forgets_the_pace() -> None:
     b = balancer(*fleet(1), classes=(HASTY, PATIENT))
     queued(b, pace=0.4, at=100.0)
-    b.handle(100.0, [ServerList((ServerEntry("s0", started=100.0),))])
-    assert b.servers["s0"].pace == 0.0
+    b.handle(100.0, [EndpointList((EndpointEntry("s0", started=100.0),))])
+    assert b.servers["s0"].time_per_attempt == 0.0
 
 
 def test_while_requests_are_given_up_there_is_no_ramp() -> None:
-    b = balancer(*fleet(19), ServerEntry("new", started=80.0), rules=Rules(cold_time=8.0))
+    b = balancer(*fleet(19), EndpointEntry("new", started=80.0), rules=SafetyRules(slow_start_duration=8.0))
     assert sum(b._healthy(b.servers["new"]) for _ in range(400)) < 200  # 20 of 90 s
     b.crowded_at = 100.0
     assert all(b._healthy(b.servers["new"]) for _ in range(400))
@@ -616,24 +650,24 @@
 
 @pytest.mark.parametrize(("util", "times"), [(None, 1.0), (0.3, 1.4), (0.7, 0.9 / 0.7), (1.0, 0.9)])
 def test_what_a_cold_server_reports_corrects_its_pace(util: float | None, times: float) -> None:
-    b = balancer(*fleet(9), ServerEntry("new", started=98.0), rules=Rules(cold_time=8.0))
+    b = balancer(*fleet(9), EndpointEntry("new", started=98.0), rules=SafetyRules(slow_start_duration=8.0))
     new = b.servers["new"]
     b.flow, b.flow_at = 500.0, 100.0
     if util is not None:
-        b._learn(new, Result.SERVED, {"utilization": util})
+        b._learn(new, AttemptResult.SERVED, {"utilization": util})
     gaps = []
     for _ in range(2000):
         b._pace_cold(new)
-        gaps.append(new.cold_need / b._cold_pace(new, 2.0))
-    warm = (2 - cold.LAG * b.rules.fall_time) / 8
-    share = b.rules.cold_from + (1 - b.rules.cold_from) * warm
+        gaps.append(new.pacing_debt / b._cold_pace(new, 2.0))
+    warm = (2 - cold.LAG * b.rules.overload_duration) / 8
+    share = b.rules.slow_start_capacity + (1 - b.rules.slow_start_capacity) * warm
     bare = 1 / (b._rate() / 10 * share * cold.COLD_MARGIN)
     assert sum(gaps) / len(gaps) == pytest.approx(bare / times, rel=0.05)
 
 
 def test_a_report_from_before_its_start_says_nothing_of_a_cold_server() -> None:
-    b = balancer(ServerEntry("s0"), rules=Rules(cold_time=8.0))
-    b._learn(b.servers["s0"], Result.SERVED, {"utilization": 0.2})
+    b = balancer(EndpointEntry("s0"), rules=SafetyRules(slow_start_duration=8.0))
+    b._learn(b.servers["s0"], AttemptResult.SERVED, {"utilization": 0.2})
     b.handle(100.5, [Cordon("s0", True)])
     b.handle(101.0, [Cordon("s0", False)])
     assert b._cold_room(b.servers["s0"]) == 1.0
@@ -641,28 +675,28 @@
 
 def test_a_body_that_still_comes_costs_no_time_and_is_no_load() -> None:
     b = balancer(*fleet(1), classes=(HASTY, PATIENT))
-    (sent,) = [a for a in b.handle(100.0, [Request(1, 0, 0.5, coming=True)]) if isinstance(a, Send)]
+    (sent,) = [a for a in b.handle(100.0, [Request(1, 0, 0.5, body_pending=True)]) if isinstance(a, Send)]
     assert sent.timeout == pytest.approx(0.15 - b.rules.answer_slack)
     (server,) = b.ready
-    assert not server.out and server.giving == {(1, 0)}
+    assert not server.in_flight and server.responding == {(1, 0)}
     assert b.handle(160.0, [TimerFired(2)]) == []  # no second copy of what is not whole
-    actions = b.handle(160.0, [Body(1, True, False)])
-    assert list(server.out.items()) == [((1, 0), 160.0)] and not server.giving
-    assert [a.after for a in actions if isinstance(a, SetTimer)] == [pytest.approx(sent.timeout / 2)]
+    actions = b.handle(160.0, [BodyProgress(1, True, False)])
+    assert list(server.in_flight.items()) == [((1, 0), 160.0)] and not server.responding
+    assert [a.delay for a in actions if isinstance(a, SetTimer)] == [pytest.approx(sent.timeout / 2)]
     assert b.requests[1].deadline == pytest.approx(160.5)
     assert b.handle(160.1, [TimerFired(2)]) == []  # nor of what is not held
 
 
 @pytest.mark.parametrize("held", [True, False])
-@pytest.mark.parametrize(("result", "ran"), [(Result.FULL, False), (Result.RESET, True)])
-def test_only_a_body_that_is_still_held_goes_again(held: bool, result: Result, ran: bool) -> None:
+@pytest.mark.parametrize(("result", "ran"), [(AttemptResult.FULL, False), (AttemptResult.RESET, True)])
+def test_only_a_body_that_is_still_held_goes_again(held: bool, result: AttemptResult, ran: bool) -> None:
     b = balancer(*fleet(2), classes=(KEYED, UNSAFE))
-    b.handle(100.0, [Request(1, 1, 4.0, coming=True)])
-    (server,) = [s for s in b.ready if s.giving]
-    b.handle(101.0, [Body(1, True, held)])
+    b.handle(100.0, [Request(1, 1, 4.0, body_pending=True)])
+    (server,) = [s for s in b.ready if s.responding]
+    b.handle(101.0, [BodyProgress(1, True, held)])
     actions = b.handle(101.1, [Outcome(1, 0, server.id, result, 0.1)])
-    (kind,) = {type(a) for a in actions if isinstance(a, (Send, Fail, Refuse))}
-    assert kind is (Fail if ran else Send if held else Refuse)
+    (kind,) = {type(a) for a in actions if isinstance(a, (Send, Fail, Reject))}
+    assert kind is (Fail if ran else Send if held else Reject)
 
 
 def test_half_of_the_fleet_gone_at_once_gets_next_to_nothing_after_its_first_failures() -> None:
@@ -676,8 +710,8 @@
         to = sent_to(b, now, n)
         while to in lost:
             to_lost[n >= 100] += 1
-            actions = answer(b, now, n, to, Result.NO_CONNECTION, attempt)
-            to = next((a.server for a in actions if isinstance(a, Send)), None)
+            actions = answer(b, now, n, to, AttemptResult.NO_CONNECTION, attempt)
+            to = next((a.endpoint for a in actions if isinstance(a, Send)), None)
             attempt += 1
         assert to is not None, f"request {n} given up"  # the other half is sound
         answer(b, now + 0.02, n, to, attempt=attempt)
@@ -689,10 +723,10 @@
     b.retry_tokens = 0.0
     server = sent_to(b, 100.0, 1)
     assert server is not None
-    assert any(isinstance(a, Send) for a in answer(b, 100.0, 1, server, Result.NO_CONNECTION))
+    assert any(isinstance(a, Send) for a in answer(b, 100.0, 1, server, AttemptResult.NO_CONNECTION))
     server = sent_to(b, 101.0, 2)
     assert server is not None
-    assert any(isinstance(a, Refuse) for a in answer(b, 101.0, 2, server, Result.ERROR))
+    assert any(isinstance(a, Reject) for a in answer(b, 101.0, 2, server, AttemptResult.ERROR))
 
 
 def test_an_attempt_that_had_less_time_than_answers_take_blackens_no_server() -> None:
@@ -700,22 +734,22 @@
     b.usual[0] = 0.1  # what `answer` says that it took, also of an attempt that ran out of time
     server = sent_to(b, 100.0, 1)
     assert server is not None
-    answer(b, 100.0, 1, server, Result.TIMEOUT)
-    assert b.servers[server].errors == 0.0
+    answer(b, 100.0, 1, server, AttemptResult.TIMEOUT)
+    assert b.servers[server].error_rate == 0.0
     b.usual[0] = 0.01
     server = sent_to(b, 101.0, 2)
     assert server is not None
-    answer(b, 101.0, 2, server, Result.TIMEOUT)
-    assert b.servers[server].errors > 0.0
+    answer(b, 101.0, 2, server, AttemptResult.TIMEOUT)
+    assert b.servers[server].error_rate > 0.0
 
 
 def test_a_refusal_says_when_to_return_while_there_is_too_much_work_and_within_what_may_be_said() -> None:
     def refused(after: bool, level: float) -> list[float]:
-        limits = Limits(retry_after=after, max_retry_after=2.0)
-        b = balancer(ServerEntry("s0", state=ServerState.DRAINING), limits=limits)
+        limits = PolicyLimits(retry_after=after, max_retry_after=2.0)
+        b = balancer(EndpointEntry("s0", state=EndpointState.DRAINING), limits=limits)
         b.shed_level = level
         actions = [b.handle(100.0 + n / 100, [Request(n, 0, 4.0)]) for n in range(50)]
-        return [a.retry_after for those in actions for a in those if isinstance(a, Refuse)]
+        return [a.retry_after for those in actions for a in those if isinstance(a, Reject)]
 
     told = refused(True, 1.0)
     assert len(told) == 50 and min(told) >= 1.0 and max(told) <= 2.0
@@ -730,14 +764,16 @@
     """Requests that are sent and not answered."""
     found = []
     for n in range(first, first + count):
-        server = next((a.server for a in b.handle(now, [Request(n, cls, 4.0)]) if isinstance(a, Send)), None)
+        server = next(
+            (a.endpoint for a in b.handle(now, [Request(n, cls, 4.0)]) if isinstance(a, Send)), None
+        )
         if server is not None:
             found.append((n, server))
     return found
 
 
 def in_flight(b: Balancer) -> int:
-    return sum(len(server.out) for server in b.servers.values())
+    return sum(len(server.in_flight) for server in b.servers.values())
 
 
 def test_in_flight_is_counted_through_every_way_that_an_attempt_goes() -> None:
@@ -746,34 +782,34 @@
     sent: dict[int, int] = {}  # attempts of each request
     out: list[tuple[int, int, str]] = []
     results = (
-        Result.SERVED,
-        Result.RESET,
-        Result.FULL,
-        Result.NO_CONNECTION,
-        Result.TIMEOUT,
-        Result.CANCELLED,
+        AttemptResult.SERVED,
+        AttemptResult.RESET,
+        AttemptResult.FULL,
+        AttemptResult.NO_CONNECTION,
+        AttemptResult.TIMEOUT,
+        AttemptResult.CANCELLED,
     )
     for n in range(3000):
         now = 101.0 + n / 200
         what = rng.random()
         if what < 0.5 or not out:
-            actions = b.handle(now, [Request(n, n % 3, 4.0, coming=rng.random() < 0.2)])
+            actions = b.handle(now, [Request(n, n % 3, 4.0, body_pending=rng.random() < 0.2)])
         else:
             number, attempt, server = one = rng.choice(out)
             if what < 0.55:
-                actions = b.handle(now, [Body(number, True, True)])
+                actions = b.handle(now, [BodyProgress(number, True, True)])
             elif what < 0.6:
                 actions = b.handle(now, [FirstByte(number, attempt, server, 0.01)])
             elif what < 0.65:
-                actions = b.handle(now, [Withdrawn(number)])
+                actions = b.handle(now, [ClientCancelled(number)])
             else:
                 out.remove(one)
                 result = rng.choice(results)
-                ended = result == Result.SERVED and number in b.requests
+                ended = result == AttemptResult.SERVED and number in b.requests
                 actions = b.handle(now, [Outcome(number, attempt, server, result, 0.01, ended)])
         for action in actions:
             if isinstance(action, Send):
-                out.append((action.request, sent.get(action.request, 0), action.server))
+                out.append((action.request, sent.get(action.request, 0), action.endpoint))
                 sent[action.request] = sent.get(action.request, 0) + 1
         assert b.in_flight == in_flight(b)
     assert len(out) > 20 and sum(sent.values()) > len(sent)
@@ -787,7 +823,10 @@
 
 
 def test_what_earns_least_meets_the_limit_first_and_is_never_refused_whole() -> None:
-    cheap, dear = RequestClass("cheap", 1.0, 4.0, worth=1.0), RequestClass("dear", 1.0, 4.0, worth=10.0)
+    cheap, dear = (
+        RequestClass("cheap", 1.0, 4.0, priority_weight=1.0),
+        RequestClass("dear", 1.0, 4.0, priority_weight=10.0),
+    )
     b = balancer(*fleet(40), classes=(cheap, dear))
     b.late_share, b.limit = 0.1, 100.0
     assert 80 <= len(fill(b, 400, 0)) < 95
@@ -801,12 +840,12 @@
     for round_ in range(20):  # more than half used, all in time
         b.late_share = 0.1
         for n, server in fill(b, 40, 0, 1000 * round_, 101.0 + round_):
-            b.handle(101.1 + round_, [Outcome(n, 0, server, Result.SERVED, 0.1, True)])
+            b.handle(101.1 + round_, [Outcome(n, 0, server, AttemptResult.SERVED, 0.1, True)])
     grown = b.limit
     assert 52.0 < grown < 70.0
     for round_ in range(20, 60):
         for n, server in fill(b, 40, 0, 1000 * round_, 101.0 + round_):
-            b.handle(101.9 + round_, [Outcome(n, 0, server, Result.SERVED, 0.9, True)])
+            b.handle(101.9 + round_, [Outcome(n, 0, server, AttemptResult.SERVED, 0.9, True)])
     assert b.limit == limit.LIMIT_LEAST
 
 
@@ -816,12 +855,12 @@
     for round_ in range(20):
         for n, server in fill(b, 40, 0, 1000 * round_, 101.0 + round_):
             late = n % 40 == 0
-            result, took = (Result.TIMEOUT, 0.9) if late else (Result.SERVED, 0.1)
+            result, took = (AttemptResult.TIMEOUT, 0.9) if late else (AttemptResult.SERVED, 0.1)
             b.handle(101.1 + round_, [Outcome(n, 0, server, result, took, True)])
     assert b.limit > 58.0 and b.late_share > 0.02
     before = b.limit
     for n, server in fill(b, 40, 2, 50_000, 130.0):
-        b.handle(130.1, [Outcome(n, 0, server, Result.RESET, 0.1)])
+        b.handle(130.1, [Outcome(n, 0, server, AttemptResult.RESET, 0.1)])
     assert b.limit == before
 
 
@@ -829,9 +868,9 @@
     b = balancer(*fleet(4))
     assert len(fill(b, 300, 0)) == 300
     for n in range(1000, 1300):
-        server = next(s.id for s in b.servers.values() if (n, 0) in s.out)
+        server = next(s.id for s in b.servers.values() if (n, 0) in s.in_flight)
         took = 0.95 if n == 1001 else 0.1
-        b.handle(101.1, [Outcome(n, 0, server, Result.SERVED, took, True)])
+        b.handle(101.1, [Outcome(n, 0, server, AttemptResult.SERVED, took, True)])
     assert len(fill(b, 300, 0, 2000)) == 300
     assert b.limit > 100.0  # what was carried well is known
     b.late_share = 0.05
@@ -840,11 +879,11 @@
 
 def test_an_attempt_that_is_given_up_for_its_silence_counts_as_late() -> None:
     """Else a fleet whose queues are full looks idle: its attempts are cancelled before they are late."""
-    b = balancer(*fleet(40), limits=Limits(second_copies=False))
+    b = balancer(*fleet(40), limits=PolicyLimits(hedging=False))
     b.late_share, b.limit = 0.1, 60.0
     timer = next(a for a in ask(b, 101.0, 1) if isinstance(a, SetTimer))
-    actions = b.handle(101.0 + timer.after, [TimerFired(timer.token)])
+    actions = b.handle(101.0 + timer.delay, [TimerFired(timer.token)])
     assert any(isinstance(a, Cancel) for a in actions)
-    server = next(s.id for s in b.servers.values() if s.out)
-    b.handle(101.0 + timer.after, [Outcome(1, 0, server, Result.CANCELLED, timer.after)])
+    server = next(s.id for s in b.servers.values() if s.in_flight)
+    b.handle(101.0 + timer.delay, [Outcome(1, 0, server, AttemptResult.CANCELLED, timer.delay)])
     assert b.limit < 60.0
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -13,8 +13,8 @@
 from loadbalancer.frontends import listener as listener_module
 from loadbalancer.frontends.listener import drain as drain_all
 from loadbalancer.policy.events import (
-    Result,
-    Withdrawn,
+    AttemptResult,
+    ClientCancelled,
 )
 from loadbalancer.upstreams import connections as backend_module
 
@@ -150,8 +150,8 @@
             call = await backend.until_called()
             client.writer.close()
             outcomes = await here.proxy.until_outcomes(1)
-            assert outcomes[0].result == Result.CANCELLED and outcomes[0].ended
-            assert sum(isinstance(e, Withdrawn) for e in here.proxy.told) == 1
+            assert outcomes[0].result == AttemptResult.CANCELLED and outcomes[0].request_ended
+            assert sum(isinstance(e, ClientCancelled) for e in here.proxy.told) == 1
             await call.left()
             assert not here.proxy.open
 
@@ -290,7 +290,7 @@
 def test_uploads_past_the_budget_are_refused_and_others_served() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), memory_mb=16) as here:
-            data, count = request("unsafe", bytes(60_000)), here.proxy.budget.uploads_most // 60_000
+            data, count = request("unsafe", bytes(60_000)), here.proxy.budget.max_upload_bytes // 60_000
             first = [await here.connect() for _ in range(count)]
             for client in first:
                 await client.send(data[:-1])
@@ -384,8 +384,8 @@
                 assert (await client.ask(data))[0] in (400, 409)
                 assert await client.ended() == b""
             (outcome,) = await here.proxy.until_outcomes(1)
-            assert outcome.result == Result.UNUSABLE
-            assert all(server.errors == 0.0 for server in here.proxy.balancer.servers.values())
+            assert outcome.result == AttemptResult.UNUSABLE
+            assert all(server.error_rate == 0.0 for server in here.proxy.balancer.servers.values())
 
     play(scene)
 
@@ -556,6 +556,6 @@
             assert idle <= 6 * backend_module.IDLE_MOST
             assert here.proxy.budget.held == 0 and not here.server.idle
             assert not here.proxy.balancer.requests
-            assert not any(s.out or s.giving for s in here.proxy.balancer.servers.values())
+            assert not any(s.in_flight or s.responding for s in here.proxy.balancer.servers.values())
 
     play(scene)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.policy import endpoint_list as listing
 from loadbalancer.policy.settings import (
-    Rules,
+    SafetyRules,
 )
 
 MEMBERS, LOAD = 16, 0.7
@@ -18,7 +18,13 @@
     proxies: int, factor: float, cold_from: float, part: float, restarted: float, seed: int
 ) -> list[Member]:
     """Part of the members is replaced in one moment, part of the proxies restarted in the same."""
-    rules = Rules(cold_from=cold_from, cold_time=6.0, overload_factor=factor, fall_time=3.0, drain_grace=2.0)
+    rules = SafetyRules(
+        slow_start_capacity=cold_from,
+        slow_start_duration=6.0,
+        overload_factor=factor,
+        overload_duration=3.0,
+        drain_grace=2.0,
+    )
     speeds = sum(0.6 if n % 5 in (1, 3) else 0.97 for n in range(MEMBERS))
     scene = Scene(proxies, MEMBERS, LOAD * speeds / (sum(WORK_S) / 2), seed, rules=rules)
     scene.tell_list()
@@ -30,7 +36,7 @@
     for number in range(int(restarted * proxies)):
         scene.restart(number)
     scene.tell_list()
-    scene.run(rules.cold_time)
+    scene.run(rules.slow_start_duration)
     return new
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,9 +12,9 @@
 from peers import OK, SETTINGS, Call, Client, ScriptedBackend, World, answering, play, request, silent, world
 
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
-from loadbalancer.upstreams.connections import Backends
+from loadbalancer.upstreams.connections import UpstreamPools
 
 
 def with_limits(**other: Any) -> dict[str, Any]:
@@ -33,15 +33,15 @@
 def hold_connects(monkeypatch: pytest.MonkeyPatch) -> HeldConnects:
     """The kernel's handshake is done; the program does not hear of it yet, as with a late SYN-ACK."""
     holder = HeldConnects()
-    connect = Backends._connect
+    connect = UpstreamPools._connect
 
-    async def late(self: Backends, connection: Any) -> None:
+    async def late(self: UpstreamPools, connection: Any) -> None:
         if holder.on:
             holder.held.set()
             await holder.gate.wait()
         await connect(self, connection)
 
-    monkeypatch.setattr(Backends, "_connect", late)
+    monkeypatch.setattr(UpstreamPools, "_connect", late)
     return holder
 
 
@@ -113,10 +113,12 @@
                 assert status == (200 if what == "its member's address is another's" else 503)
                 assert len(a.calls) == (status == 200)
                 if a.calls:
-                    assert {o.server for o in here.proxy.outcomes() if o.result == Result.SERVED} == {"b"}
+                    assert {
+                        o.endpoint for o in here.proxy.outcomes() if o.result == AttemptResult.SERVED
+                    } == {"b"}
             else:
                 outcome = (await here.proxy.until_outcomes(1))[0]
-                assert outcome.result in (Result.NOT_SENT, Result.CANCELLED) and not a.calls
+                assert outcome.result in (AttemptResult.NOT_SENT, AttemptResult.CANCELLED) and not a.calls
 
     play(scene)
 
@@ -216,7 +218,7 @@
                 sock.shutdown(socket.SHUT_WR)
                 connection.data_received(request())  # what had been read before
                 outcomes = await here.proxy.until_outcomes(1)
-                assert outcomes[-1].result == Result.NOT_SENT and not a.calls
+                assert outcomes[-1].result == AttemptResult.NOT_SENT and not a.calls
                 assert not here.proxy.balancer.requests and not here.proxy.open
 
     play(scene)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -532,7 +532,7 @@
 
         async with ground(tmp_path, [ill, well], text) as here:
             listener = here.daemon.listeners["main"]
-            bound = here.daemon.pools["ill"].proxy.open_most
+            bound = here.daemon.pools["ill"].proxy.max_open_requests
             assert bound < listener.most
             hanging = [await here.connect() for _ in range(listener.most - 1)]
             for client in hanging:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,19 +13,19 @@
 
 from loadbalancer.discovery import watch as discovery_module
 from loadbalancer.policy.events import (
-    ServerEntry,
-    ServerList,
-    ServerState,
+    EndpointEntry,
+    EndpointList,
+    EndpointState,
 )
 
 ASKED = {**SETTINGS, "registry-mode": "subscribe"}
 
 
-def lists(here: World) -> list[ServerList]:
-    return [e for e in here.proxy.told if isinstance(e, ServerList)]
+def lists(here: World) -> list[EndpointList]:
+    return [e for e in here.proxy.told if isinstance(e, EndpointList)]
 
 
-async def until_lists(here: World, count: int) -> ServerList:
+async def until_lists(here: World, count: int) -> EndpointList:
     await here.proxy.until(lambda: len(lists(here)) >= count)
     return lists(here)[count - 1]
 
@@ -50,9 +50,9 @@
             await here.discovery.until_watched()
             await here.discovery.line(2, entry("s", odd=1), entry("t", zone="?", kind="?"), full=True)
             event = await until_lists(here, 2)
-            assert event.whole and not event.stale and not event.failed
+            assert event.complete and not event.stale and not event.failed
             known, unknown = event.entries
-            assert known == ServerEntry("s", 1, 2, 0, ServerState.READY, 1.5, 12.0)
+            assert known == EndpointEntry("s", 1, 2, 0, EndpointState.READY, 1.5, 12.0)
             assert (unknown.zone, unknown.kind) == (-1, -1)
 
     play(scene)
@@ -61,7 +61,7 @@
 def test_the_list_from_before_is_stale_and_the_watch_begins_after_it() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
-            assert lists(here)[0].stale and lists(here)[0].entries[0].server == "s"
+            assert lists(here)[0].stale and lists(here)[0].entries[0].endpoint == "s"
             await here.discovery.until_watched()
             assert b"GET /v1/endpoints?watch=1&from=1 " in here.discovery.asked[0]
 
@@ -226,9 +226,9 @@
                 for start in range(0, len(text), 37):
                     await here.discovery.raw(text[start : start + 37])
                 event = await until_lists(here, version)
-                assert [(e.server, e.state) for e in event.entries] == [
-                    ("s", ServerState.READY),
-                    ("t", ServerState.DRAINING),
+                assert [(e.endpoint, e.state) for e in event.entries] == [
+                    ("s", EndpointState.READY),
+                    ("t", EndpointState.DRAINING),
                 ]
             assert len(here.discovery.asked) == 1
 
@@ -294,7 +294,7 @@
             ]
             await here.discovery.line(7, *bad, entry("good"))
             event = await until_lists(here, 2)
-            assert [e.server for e in event.entries] == ["good"]
+            assert [e.endpoint for e in event.entries] == ["good"]
 
     play(scene)
 
@@ -337,7 +337,7 @@
     async def scene() -> None:
         async with world(settings=SETTINGS if how == "silent" else ASKED) as here:
             source = here.proxy.source
-            assert isinstance(source, discovery_module.Discovery)
+            assert isinstance(source, discovery_module.DiscoveryClient)
             source.watch(True)
             await here.discovery.until_watched()
             await here.discovery.line(5, entry("s"), full=True)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -10,34 +10,40 @@
 from peers import ScriptedBackend, answering, play, resetting
 from test_ordinary import one_pool
 
-from loadbalancer.metrics import REFUSALS
+from loadbalancer.metrics import RETRYABLE_STATUSES
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
-from loadbalancer.proxy.final_answers import Heard, better, failed, refused
-from loadbalancer.upstreams.connections import Answer
+from loadbalancer.proxy.final_answers import FinalAnswer, better, failed, refused
+from loadbalancer.upstreams.connections import UpstreamResponse
 
 
-def kept(status: int) -> Answer:
-    return Answer([], b"why", status)
+def kept(status: int) -> UpstreamResponse:
+    return UpstreamResponse([], b"why", status)
 
 
 @pytest.mark.parametrize("status", [500, 501, 502, 503, 504, 429, 599])
 def test_the_table(status: int) -> None:
     answer = kept(status)
-    assert refused(answer) == Heard(answer)
-    theirs = failed(answer, False, Result.ERROR, 504)
+    assert refused(answer) == FinalAnswer(answer)
+    theirs = failed(answer, False, AttemptResult.ERROR, 504)
     assert theirs == (
-        Heard(None, 502, False, "http_response_incomplete") if status in REFUSALS else Heard(answer)
+        FinalAnswer(None, 502, False, "http_response_incomplete")
+        if status in RETRYABLE_STATUSES
+        else FinalAnswer(answer)
+    )
+    assert failed(answer, False, AttemptResult.TIMEOUT, 504) == FinalAnswer(
+        None, 504, False, "http_response_timeout"
+    )
+    assert failed(answer, True, AttemptResult.UNUSABLE, 504) == FinalAnswer(
+        None, 400, True, "http_request_error"
     )
-    assert failed(answer, False, Result.TIMEOUT, 504) == Heard(None, 504, False, "http_response_timeout")
-    assert failed(answer, True, Result.UNUSABLE, 504) == Heard(None, 400, True, "http_request_error")
     assert refused(None).status == 503 and failed(None, False, None, 504).status == 502
 
 
 def test_the_best_of_several_does_not_depend_on_their_order() -> None:
     for order in permutations([501, 500, 502, 504, 503]):
-        best: Answer | None = None
+        best: UpstreamResponse | None = None
         for status in order:
             if better(best, kept(status)):
                 best = kept(status)
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -14,8 +14,8 @@
 from loadbalancer.fastcgi.cgi import write_answer
 from loadbalancer.fastcgi.records import Status, Type, encode, encode_begin, encode_end, encode_stream
 from loadbalancer.policy.events import (
+    AttemptResult,
     Outcome,
-    Result,
 )
 from standins.fastcgi import Application, FcgiCall, Script, WebServer, saying
 
@@ -39,10 +39,10 @@
     return lambda: LISTENER + front + route("all", "p", 'class = "book"') + KEYED + app_pool("p", apps, *more)
 
 
-def outcomes(here: Ground, name: str = "p") -> list[Result]:
+def outcomes(here: Ground, name: str = "p") -> list[AttemptResult]:
     """Watch the results that the module is told from here on."""
     proxy = here.daemon.pools[name].proxy
-    seen: list[Result] = []
+    seen: list[AttemptResult] = []
     post = proxy.post
 
     def watched(event: Any) -> None:
@@ -204,34 +204,50 @@
 
 WHOLE = (Type.STDOUT, write_answer(200, b"OK", [], b"hi"))
 BARE = (Type.STDOUT, b"Content-Type: t\r\n\r\nhi")
-TABLE: list[tuple[str, Script, Result]] = [
-    ("dies after reading, before answering", dies, Result.RESET),
-    ("END_REQUEST without STDOUT", records((Type.END_REQUEST, ends(0))), Result.RESET),
-    ("OVERLOADED", records((Type.END_REQUEST, ends(2))), Result.FULL),
-    ("CANT_MPX_CONN", records((Type.END_REQUEST, ends(1))), Result.FULL),
-    ("UNKNOWN_ROLE", records((Type.END_REQUEST, ends(3))), Result.FULL),
-    ("OVERLOADED after STDOUT", records(WHOLE, (Type.END_REQUEST, ends(2))), Result.RESET),
-    ("a protocol status that is none", records((Type.END_REQUEST, ends(9))), Result.RESET),
-    ("an END_REQUEST that is none", records(WHOLE, (Type.END_REQUEST, b"x")), Result.RESET),
-    ("no header block", records((Type.STDOUT, b"junk"), (Type.END_REQUEST, ends(0))), Result.RESET),
-    ("a header block without end", records((Type.STDOUT, b"A: b\r\n" * 9000), (Type.END_REQUEST, ends(0))),
-     Result.RESET),
-    ("more than it states", records((Type.STDOUT, b"Content-Length: 1\r\n\r\nhi"), (Type.END_REQUEST, ends(0))),
-     Result.RESET),
-    ("less than it states", records((Type.STDOUT, b"Content-Length: 3\r\n\r\nhi"), (Type.END_REQUEST, ends(0))),
-     Result.RESET),
-    ("a status of 500", records((Type.STDOUT, b"Status: 500\r\n\r\nhi"), (Type.END_REQUEST, ends(0))), Result.ERROR),
-    ("an exit status, no length", records(BARE, (Type.END_REQUEST, ends(0, 1))), Result.ERROR),
-    ("an exit status, a length", records(WHOLE, (Type.END_REQUEST, ends(0, 1))), Result.SERVED),
-    ("no length", records(BARE, (Type.END_REQUEST, ends(0))), Result.SERVED),
-    ("STDOUT after END_REQUEST", records(WHOLE, (Type.END_REQUEST, ends(0)), WHOLE), Result.SERVED),
-    ("a record of no request", records((Type.STDIN, b"x")), Result.RESET),
-    ("another version", lambda call: _raw(call, b"\x02" + bytes(15)), Result.RESET),
-    ("HTTP", lambda call: _raw(call, HTTP_OK), Result.RESET),
-    ("id 0", lambda call: _raw(call, encode(Type.STDOUT, 0, b"x")), Result.RESET),
-    ("another id alone", lambda call: _raw(call, encode(Type.STDOUT, 99, b"x") + encode_end(call.number)),
-     Result.RESET),
-]  # fmt: skip
+TABLE: list[tuple[str, Script, AttemptResult]] = [
+    ("dies after reading, before answering", dies, AttemptResult.RESET),
+    ("END_REQUEST without STDOUT", records((Type.END_REQUEST, ends(0))), AttemptResult.RESET),
+    ("OVERLOADED", records((Type.END_REQUEST, ends(2))), AttemptResult.FULL),
+    ("CANT_MPX_CONN", records((Type.END_REQUEST, ends(1))), AttemptResult.FULL),
+    ("UNKNOWN_ROLE", records((Type.END_REQUEST, ends(3))), AttemptResult.FULL),
+    ("OVERLOADED after STDOUT", records(WHOLE, (Type.END_REQUEST, ends(2))), AttemptResult.RESET),
+    ("a protocol status that is none", records((Type.END_REQUEST, ends(9))), AttemptResult.RESET),
+    ("an END_REQUEST that is none", records(WHOLE, (Type.END_REQUEST, b"x")), AttemptResult.RESET),
+    ("no header block", records((Type.STDOUT, b"junk"), (Type.END_REQUEST, ends(0))), AttemptResult.RESET),
+    (
+        "a header block without end",
+        records((Type.STDOUT, b"A: b\r\n" * 9000), (Type.END_REQUEST, ends(0))),
+        AttemptResult.RESET,
+    ),
+    (
+        "more than it states",
+        records((Type.STDOUT, b"Content-Length: 1\r\n\r\nhi"), (Type.END_REQUEST, ends(0))),
+        AttemptResult.RESET,
+    ),
+    (
+        "less than it states",
+        records((Type.STDOUT, b"Content-Length: 3\r\n\r\nhi"), (Type.END_REQUEST, ends(0))),
+        AttemptResult.RESET,
+    ),
+    (
+        "a status of 500",
+        records((Type.STDOUT, b"Status: 500\r\n\r\nhi"), (Type.END_REQUEST, ends(0))),
+        AttemptResult.ERROR,
+    ),
+    ("an exit status, no length", records(BARE, (Type.END_REQUEST, ends(0, 1))), AttemptResult.ERROR),
+    ("an exit status, a length", records(WHOLE, (Type.END_REQUEST, ends(0, 1))), AttemptResult.SERVED),
+    ("no length", records(BARE, (Type.END_REQUEST, ends(0))), AttemptResult.SERVED),
+    ("STDOUT after END_REQUEST", records(WHOLE, (Type.END_REQUEST, ends(0)), WHOLE), AttemptResult.SERVED),
+    ("a record of no request", records((Type.STDIN, b"x")), AttemptResult.RESET),
+    ("another version", lambda call: _raw(call, b"\x02" + bytes(15)), AttemptResult.RESET),
+    ("HTTP", lambda call: _raw(call, HTTP_OK), AttemptResult.RESET),
+    ("id 0", lambda call: _raw(call, encode(Type.STDOUT, 0, b"x")), AttemptResult.RESET),
+    (
+        "another id alone",
+        lambda call: _raw(call, encode(Type.STDOUT, 99, b"x") + encode_end(call.number)),
+        AttemptResult.RESET,
+    ),
+]
 
 
 async def _raw(call: FcgiCall, data: bytes) -> None:
@@ -240,7 +256,7 @@
 
 @pytest.mark.parametrize("name, script, result", TABLE, ids=[name for name, _, _ in TABLE])
 def test_what_an_application_says_and_what_it_means(
-    name: str, script: Script, result: Result, tmp_path: Path
+    name: str, script: Script, result: AttemptResult, tmp_path: Path
 ) -> None:
     """Each for an unsafe request, first alone, then with another application that is well."""
 
@@ -249,7 +265,12 @@
         async with fleet(tmp_path, [app, well], simple([app])) as here:
             seen = outcomes(here)
             status, head, _ = await here.ask(requests_to("/", "POST", b"x"))
-            expected = {Result.SERVED: 200, Result.FULL: 503, Result.RESET: 502, Result.ERROR: 500}[result]
+            expected = {
+                AttemptResult.SERVED: 200,
+                AttemptResult.FULL: 503,
+                AttemptResult.RESET: 502,
+                AttemptResult.ERROR: 500,
+            }[result]
             if name == "an exit status, no length":
                 expected = 502
             assert (status, seen[0]) == (expected, result) and set(seen) == {result}
@@ -261,8 +282,8 @@
                 asked += 1
                 status, _, _ = await here.ask(requests_to("/", "POST", b"x"))
             # Only what never ran went on to the other one.
-            assert status == (200 if result in (Result.FULL, Result.SERVED) else expected)
-            assert len(well.calls) == asked - (0 if result == Result.FULL else 1)
+            assert status == (200 if result in (AttemptResult.FULL, AttemptResult.SERVED) else expected)
+            assert len(well.calls) == asked - (0 if result == AttemptResult.FULL else 1)
 
     play(scene)
 
@@ -290,7 +311,7 @@
         ) as here:
             seen = outcomes(here)
             assert (await here.ask(requests_to("/", "POST", bytes(8 << 20))))[0] == 502
-            assert seen == [Result.RESET]
+            assert seen == [AttemptResult.RESET]
 
     play(scene)
 
@@ -519,9 +540,16 @@
 
 @pytest.mark.parametrize(
     "params",
-    [{"REQUEST_METHOD": ""}, {"REQUEST_URI": "/\r\nX: 1"}, {"HTTP_X": "a\r\nB: c"}, {"CONTENT_LENGTH": "-1"},
-     {"REQUEST_URI": "/../x"}, {"HTTP_HOST": "a b"}, {"REQUEST_METHOD": "CONNECT"}],
-)  # fmt: skip
+    [
+        {"REQUEST_METHOD": ""},
+        {"REQUEST_URI": "/\r\nX: 1"},
+        {"HTTP_X": "a\r\nB: c"},
+        {"CONTENT_LENGTH": "-1"},
+        {"REQUEST_URI": "/../x"},
+        {"HTTP_HOST": "a b"},
+        {"REQUEST_METHOD": "CONNECT"},
+    ],
+)
 def test_params_that_are_no_request_go_no_further(params: dict[str, Any], tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(HTTP_OK))
@@ -801,7 +829,7 @@
                 while await client.reader.readexactly(1 << 16):
                     pass
             await here.until(lambda: not proxy.open)
-            assert seen == [Result.RESET] and sum(len(app.calls) for app in apps) == 1
+            assert seen == [AttemptResult.RESET] and sum(len(app.calls) for app in apps) == 1
             assert proxy.budget.held == 0
 
     play(scene)
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -23,8 +23,8 @@
 from peers import PATIENCE, Call, Client, ScriptedBackend, answering, play, read_message
 
 from loadbalancer.admission.admission import FLOOR_KEPT, GARBAGE, SILENT
-from loadbalancer.frontends.admission_gate import Gate
-from loadbalancer.frontends.reserve_descriptors import Spares
+from loadbalancer.frontends.admission_gate import AdmissionGate
+from loadbalancer.frontends.reserve_descriptors import ReserveDescriptors
 from standins.fastcgi import WebServer
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -85,7 +85,7 @@
     return ground(folder, [member], lambda: rules + route("all", "a") + pool("a", [member]))
 
 
-def gate(here: Ground) -> Gate:
+def gate(here: Ground) -> AdmissionGate:
     found = here.daemon.listeners["main"].gate
     assert found is not None
     return found
@@ -382,7 +382,7 @@
 
 
 def test_spares_are_given_and_taken_back() -> None:
-    spares = Spares(3)
+    spares = ReserveDescriptors(3)
     assert len(spares) == 3 and spares.take() and len(spares) == 2
     spares.refill()
     assert len(spares) == 3
@@ -398,7 +398,7 @@
             return descriptor
         raise OSError(errno.EMFILE, "none")
 
-    spares = Spares(3, opening)
+    spares = ReserveDescriptors(3, opening)
     assert len(spares) == 1
     spares.refill()
     assert len(spares) == 1
--- a/tests/test_learnt.py
+++ b/tests/test_learnt.py
@@ -14,35 +14,35 @@
 from loadbalancer.admin.snapshot import (
     AGE_MOST,
     BYTES_MOST,
-    LearntError,
     Snapshot,
+    SnapshotError,
     decode,
     encode,
     is_young,
     note_pool,
     restore_pool,
 )  # fmt: skip
-from loadbalancer.discovery.overrides import Mark
+from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.policy.actions import (
     Send,
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
+    AttemptResult,
+    EndpointEntry,
     Outcome,
     Request,
-    Result,
-    ServerEntry,
 )
 from loadbalancer.policy.settings import (
-    Settings,
+    PolicySettings,
 )
-from loadbalancer.routing.traffic_migration import Move
+from loadbalancer.routing.traffic_migration import Migration
 
 NOW = 104.5
 
 
 def ask(b: Balancer, now: float, number: int) -> str:
-    return next(a.server for a in b.handle(now, [Request(number, 0, 4.0)]) if isinstance(a, Send))
+    return next(a.endpoint for a in b.handle(now, [Request(number, 0, 4.0)]) if isinstance(a, Send))
 
 
 def sick(count: int = 6, bad: str = "s0") -> Balancer:
@@ -51,12 +51,12 @@
     for number in range(400):
         now = 100.0 + number * 0.01
         server = ask(b, now, number)
-        result = Result.RESET if server == bad else Result.SERVED
+        result = AttemptResult.RESET if server == bad else AttemptResult.SERVED
         b.handle(now + 0.005, [Outcome(number, 0, server, result, 0.005, True, {"utilization": 0.4})])
     return b
 
 
-def handed_over(b: Balancer, now: float, passed: float, *entries: ServerEntry) -> Balancer:
+def handed_over(b: Balancer, now: float, passed: float, *entries: EndpointEntry) -> Balancer:
     note = decode(encode(Snapshot(now, [note_pool("p", b, now, {}, None)]))).pools[0]
     made = balancer(*entries, seed=2)
     restore_pool(note, made, now + passed, passed)
@@ -68,7 +68,7 @@
     for number in range(count):
         server = ask(b, now, 10_000 + number)
         found[server] = found.get(server, 0) + 1
-        b.handle(now, [Outcome(10_000 + number, 0, server, Result.SERVED, 0.005, True)])
+        b.handle(now, [Outcome(10_000 + number, 0, server, AttemptResult.SERVED, 0.005, True)])
     return found
 
 
@@ -79,48 +79,48 @@
     assert shares(fresh, NOW + 1.0).get("s0", 0) > 50  # as if all were well
     assert made.usual[0] == old.usual[0] > 0
     assert shares(made, NOW + 1.0).get("s0", 0) < 5
-    assert made.servers["s1"].pace > 0
+    assert made.servers["s1"].time_per_attempt > 0
 
 
 def test_a_cold_member_stays_cold_for_the_successor() -> None:
     """Its source states no start; only the old process saw it appear."""
     old = balancer(*fleet(3))
     old.handle(102.0, [])
-    entry = ServerEntry("new", started=102.0)
+    entry = EndpointEntry("new", started=102.0)
     old._list_entry(entry)
-    made = handed_over(old, NOW, 1.0, *fleet(3), ServerEntry("new"))
+    made = handed_over(old, NOW, 1.0, *fleet(3), EndpointEntry("new"))
     assert made._began(made.servers["new"]) == pytest.approx(102.0)
     assert made._began(made.servers["s0"]) <= 0
-    plain = balancer(*fleet(3), ServerEntry("new"), seed=2)
+    plain = balancer(*fleet(3), EndpointEntry("new"), seed=2)
     assert plain._began(plain.servers["new"]) <= 0
 
 
 def test_another_life_of_a_member_is_not_blamed() -> None:
     old = sick()
-    again = [ServerEntry("s0", started=104.0), *fleet(6)[1:]]
+    again = [EndpointEntry("s0", started=104.0), *fleet(6)[1:]]
     made = handed_over(old, NOW, 1.0, *again)
-    assert made.servers["s0"].errors == 0.0 and made.servers["s0"].failed == 0
+    assert made.servers["s0"].error_rate == 0.0 and made.servers["s0"].consecutive_failures == 0
 
 
 def test_what_was_learnt_fades_from_its_own_time_on() -> None:
     old = sick()
     made = handed_over(old, NOW, 5.0, *fleet(6))
     a, b = old.servers["s1"], made.servers["s1"]
-    assert b.util == a.util and b.util_at == pytest.approx(a.util_at)
-    assert b.pace_at == pytest.approx(a.pace_at)
+    assert b.utilization == a.utilization and b.utilization_at == pytest.approx(a.utilization_at)
+    assert b.time_per_attempt_at == pytest.approx(a.time_per_attempt_at)
 
 
 def test_members_and_classes_that_are_not_there_are_passed_over() -> None:
     note = note_pool("p", sick(), NOW, {}, None)
-    made = Balancer(Settings(classes=(SAFE,)), 1)
+    made = Balancer(PolicySettings(classes=(SAFE,)), 1)
     assert restore_pool(note, made, NOW, 0.0) == 0 and made.usual[0] > 0
 
 
 def test_marks_and_a_move_pass() -> None:
-    marks = {"a": Mark(word="cordon", by="rita", until=5.0, address=("127.0.0.1", 9))}
-    note = note_pool("p", sick(), NOW, marks, Move("q", 0.2, by="rita"))
+    marks = {"a": AdminOverride(word="cordon", by="rita", until=5.0, address=("127.0.0.1", 9))}
+    note = note_pool("p", sick(), NOW, marks, Migration("q", 0.2, by="rita"))
     found = decode(encode(Snapshot(NOW, [note]))).pools[0]
-    assert found.marks == marks and found.move == Move("q", 0.2, by="rita")
+    assert found.marks == marks and found.move == Migration("q", 0.2, by="rita")
 
 
 def test_age() -> None:
@@ -130,14 +130,14 @@
 
 
 def test_cut_or_flipped_at_every_byte_it_is_no_snapshot() -> None:
-    data = encode(Snapshot(NOW, [note_pool("p", sick(2), NOW, {"s0": Mark(word="drain")}, None)]))
+    data = encode(Snapshot(NOW, [note_pool("p", sick(2), NOW, {"s0": AdminOverride(word="drain")}, None)]))
     decode(data)
     for place in range(len(data)):
-        with pytest.raises(LearntError):
+        with pytest.raises(SnapshotError):
             decode(data[:place])
-        with pytest.raises(LearntError):
+        with pytest.raises(SnapshotError):
             decode(data[:place] + bytes([data[place] ^ 0x55]) + data[place + 1 :])
-    with pytest.raises(LearntError, match="at most"):
+    with pytest.raises(SnapshotError, match="at most"):
         decode(bytes(BYTES_MOST + 1))
 
 
@@ -147,7 +147,7 @@
 
     from loadbalancer.admin.snapshot import MAGIC
 
-    with pytest.raises(LearntError):
+    with pytest.raises(SnapshotError):
         decode(MAGIC + crc32c(body).to_bytes(4, "big") + body)
 
 
@@ -177,4 +177,4 @@
     made = balancer(*fleet(6), seed=2)
     restore_pool(broken, made, NOW, 1.0)
     assert len(shares(made, NOW + 1.0)) == 6
-    assert all(math.isfinite(s.errors) and math.isfinite(s.util) for s in made.servers.values())
+    assert all(math.isfinite(s.error_rate) and math.isfinite(s.utilization) for s in made.servers.values())
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,13 +19,13 @@
 from loadbalancer.store.engine import Bounds, Engine, Put
 from loadbalancer.store.errors import FullError, StoreError
 from loadbalancer.store.files import DiskFiles
-from loadbalancer.store.keeper import Store, View
+from loadbalancer.store.keeper import Store, StoreView
 from loadbalancer.store.ledger import (
     DIGEST,
     MARGIN_S,
     Answered,
     Begun,
-    Way,
+    Disposition,
     answered,
     decide,
     decode,
@@ -44,24 +44,24 @@
 @pytest.mark.parametrize(
     "entry, request_, now, in_progress, all_drop, way, status",
     [
-        (None, ONE, 100.0, False, True, Way.FIRST, 0),
-        (Begun(ONE, 100.0, 3.0), OTHER, 101.0, False, True, Way.REFUSED, 422),
-        (KEPT, OTHER, 101.0, False, True, Way.REFUSED, 422),
-        (KEPT, ONE, 101.0, False, True, Way.REPLAY, 0),
-        (Answered(ONE, 1.0, 200, b"", [], None, b"d"), ONE, 2.0, False, True, Way.REFUSED, 409),
-        (Begun(ONE, 100.0, 3.0), ONE, 101.0, True, True, Way.REFUSED, 409),
-        (Begun(ONE, 100.0, 3.0), ONE, 101.0, False, True, Way.AGAIN, 0),
-        (Begun(ONE, 100.0, 3.0), ONE, 101.0, False, False, Way.REFUSED, 409),
-        (Begun(ONE, 100.0, 3.0), ONE, 103.0 - MARGIN_S, False, True, Way.REFUSED, 409),
-        (Begun(ONE, 100.0, 3.0), ONE, 99.0, False, True, Way.REFUSED, 409),  # a time that can't be
+        (None, ONE, 100.0, False, True, Disposition.FIRST, 0),
+        (Begun(ONE, 100.0, 3.0), OTHER, 101.0, False, True, Disposition.REFUSED, 422),
+        (KEPT, OTHER, 101.0, False, True, Disposition.REFUSED, 422),
+        (KEPT, ONE, 101.0, False, True, Disposition.REPLAY, 0),
+        (Answered(ONE, 1.0, 200, b"", [], None, b"d"), ONE, 2.0, False, True, Disposition.REFUSED, 409),
+        (Begun(ONE, 100.0, 3.0), ONE, 101.0, True, True, Disposition.REFUSED, 409),
+        (Begun(ONE, 100.0, 3.0), ONE, 101.0, False, True, Disposition.AGAIN, 0),
+        (Begun(ONE, 100.0, 3.0), ONE, 101.0, False, False, Disposition.REFUSED, 409),
+        (Begun(ONE, 100.0, 3.0), ONE, 103.0 - MARGIN_S, False, True, Disposition.REFUSED, 409),
+        (Begun(ONE, 100.0, 3.0), ONE, 99.0, False, True, Disposition.REFUSED, 409),  # a time that can't be
     ],
 )
 def test_rulings(
-    entry: Any, request_: bytes, now: float, in_progress: bool, all_drop: bool, way: Way, status: int
+    entry: Any, request_: bytes, now: float, in_progress: bool, all_drop: bool, way: Disposition, status: int
 ) -> None:
     ruling = decide(entry, request_, now, in_progress, all_drop)
     assert (ruling.way, ruling.status) == (way, status)
-    if way == Way.AGAIN:
+    if way == Disposition.AGAIN:
         assert 0 < ruling.left <= 3.0 - MARGIN_S - (now - 100.0)
 
 
@@ -92,14 +92,14 @@
         gate = threading.Event()
         store = Store(engine, Heard())
 
-        def wait(view: View) -> None:
+        def wait(view: StoreView) -> None:
             gate.wait()
 
         waiting = asyncio.ensure_future(store.call(wait))
         await asyncio.sleep(0)
         calls = disk.calls
 
-        def add(view: View) -> int:
+        def add(view: StoreView) -> int:
             count = int(view.get(b"n") or 0) + 1
             view.put(b"n", b"%d" % count)
             return count
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,18 +10,18 @@
 import pytest
 
 from loadbalancer.daemon import logs
-from loadbalancer.daemon.logs import Logs, level_of
-from loadbalancer.resource_limits import COMPLAIN_S
+from loadbalancer.daemon.logs import StructuredLogger, level_of
+from loadbalancer.resource_limits import LOG_INTERVAL_S
 
 
-def written(log: Logs, out: io.StringIO) -> list[dict[str, Any]]:
+def written(log: StructuredLogger, out: io.StringIO) -> list[dict[str, Any]]:
     log.close()
     return [json.loads(line) for line in out.getvalue().splitlines()]
 
 
 def test_lines_are_json_with_the_fields_that_are_bound() -> None:
     out = io.StringIO()
-    log = Logs("json", out=out)
+    log = StructuredLogger("json", out=out)
     log("store", "2 segments")
     log.bind(pool="web")("defect", 'KeyError "x"\n{"level": "info"}')
     first, second = written(log, out)
@@ -32,7 +32,7 @@
 
 def test_a_flood_of_one_pool_is_one_line_and_silences_no_other() -> None:
     out = io.StringIO()
-    log = Logs("json", out=out)
+    log = StructuredLogger("json", out=out)
     web, api = log.bind(pool="web"), log.bind(pool="api")
     for _ in range(1000):
         web("spoilt answer", "x")
@@ -42,19 +42,19 @@
 
 def test_how_many_were_left_out_is_told_with_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     out = io.StringIO()
-    log = Logs("json", out=out)
+    log = StructuredLogger("json", out=out)
     now = [100.0]
     monkeypatch.setattr("loadbalancer.resource_limits.time.monotonic", lambda: now[0])
     for _ in range(5):
         log("kind", "x")
-    now[0] += COMPLAIN_S
+    now[0] += LOG_INTERVAL_S
     log("kind", "x")
     assert [line.get("more") for line in written(log, out)] == [None, 4]
 
 
 def test_levels_change_while_it_runs_for_all_that_are_bound() -> None:
     out = io.StringIO()
-    log = Logs("json", "error", out)
+    log = StructuredLogger("json", "error", out)
     bound = log.bind(pool="p")
     bound("note", "not told")
     log.set_level("info")
@@ -80,7 +80,7 @@
 
 def test_a_reader_that_does_not_read_holds_nothing_up_and_what_was_lost_is_told() -> None:
     out = Stuck()
-    log = Logs("json", out=out)
+    log = StructuredLogger("json", out=out)
     log("kind-0")
     assert out.entered.wait(10)
     for number in range(1, logs.WAITING_MOST + 101):
@@ -97,7 +97,7 @@
         def write(self, text: str) -> int:
             raise OSError(28, "No space left on device")
 
-    log = Logs("json", out=Full())
+    log = StructuredLogger("json", out=Full())
     log("kind", "x")
     log.close()
     assert log.writer.lost == 1
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -26,17 +26,17 @@
 from test_discovery import until_lists
 
 from loadbalancer.deployment import read_deployment
-from loadbalancer.discovery.platform_overrides import Marks
-from loadbalancer.management.calls import Desk
+from loadbalancer.discovery.platform_overrides import PlatformOverrides
+from loadbalancer.management.calls import ManagementSession
 from loadbalancer.management.server import CALLERS_MOST, ManagementServer
-from loadbalancer.platform.operations import WORDS, Operations
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.platform.operations import PATHS, PlatformOperations
+from loadbalancer.resource_limits import RateLimitedLogger
 
 
 class Desked:
     """A world, and its operators' address."""
 
-    def __init__(self, here: World, address: tuple[str, int], operations: Operations) -> None:
+    def __init__(self, here: World, address: tuple[str, int], operations: PlatformOperations) -> None:
         self.here, self.address, self.operations = here, address, operations
 
     async def call(self, method: str, path: str) -> tuple[int, bytes]:
@@ -61,12 +61,12 @@
 @asynccontextmanager
 async def desk(*backends: ScriptedBackend) -> AsyncIterator[Desked]:
     async with world(*backends) as here:
-        marks = Marks(here.proxy, None, time.time)
+        marks = PlatformOverrides(here.proxy, None, time.time)
         here.proxy.marks = marks
         marks.listed(here.proxy.listed)
         classes = read_deployment(SETTINGS).classes
-        operations = Operations(here.proxy, classes, marks, lambda: True)
-        server = ManagementServer(Desk(WORDS, operations), Complaints())
+        operations = PlatformOperations(here.proxy, classes, marks, lambda: True)
+        server = ManagementServer(ManagementSession(PATHS, operations), RateLimitedLogger())
         try:
             yield Desked(here, server.listen(("127.0.0.1", 0)), operations)
         finally:
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -11,10 +11,17 @@
 
 import pytest
 
-from loadbalancer.discovery.platform_overrides import Change, Kept, Marks, MarksError, decode, encode
-from loadbalancer.hot_restart.override_writer import ThreadedKeeper
-from loadbalancer.hot_restart.shared_files import LOCK, Life, MarksFile
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.discovery.platform_overrides import (
+    Change,
+    Kept,
+    OverridesError,
+    PlatformOverrides,
+    decode,
+    encode,
+)
+from loadbalancer.hot_restart.override_writer import OverrideWriter
+from loadbalancer.hot_restart.shared_files import LOCK, OverridesFile, ProcessFile
+from loadbalancer.resource_limits import RateLimitedLogger
 
 SOME = {"s-1": 1700000000.5, "s-2": 1700000001.0, "é": 3.0}
 
@@ -30,7 +37,7 @@
 class AtOnce:
     """Keeps marks as the thread would, in the call."""
 
-    def __init__(self, file: MarksFile) -> None:
+    def __init__(self, file: OverridesFile) -> None:
         self.file = file
 
     def keep(self, change: Change, done: Callable[[Kept], None]) -> None:
@@ -61,7 +68,7 @@
         self.waiting.pop(0)[1](OSError("no space"))
 
 
-def said(marks: Marks, member: str, out: bool) -> list[str | None]:
+def said(marks: PlatformOverrides, member: str, out: bool) -> list[str | None]:
     """What the caller of a mark hears; it may come later."""
     heard: list[str | None] = []
     marks.mark(member, out, heard.append)
@@ -76,7 +83,7 @@
 def test_a_file_cut_at_any_byte_is_not_believed() -> None:
     whole = encode(SOME)
     for at in range(len(whole)):
-        with pytest.raises(MarksError):
+        with pytest.raises(OverridesError):
             decode(whole[:at])
 
 
@@ -86,15 +93,15 @@
         for bit in range(8):
             spoilt = bytearray(whole)
             spoilt[at] ^= 1 << bit
-            with pytest.raises(MarksError):
+            with pytest.raises(OverridesError):
                 decode(bytes(spoilt))
 
 
 @pytest.mark.parametrize("text", [b"", b"[]", b"{}", b'{"version":2,"out":{},"sum":""}', b'{"version":1}'])
 def test_foreign_files_and_later_forms_are_reported(text: bytes, tmp_path: Path) -> None:
-    file = MarksFile(tmp_path, Complaints())
+    file = OverridesFile(tmp_path, RateLimitedLogger())
     file.path.write_bytes(text)
-    with pytest.raises(MarksError):
+    with pytest.raises(OverridesError):
         decode(text)
     assert file.read() is None
     assert file.save(lambda marks: marks.update(a=1.0)) == {"a": 1.0}  # and the next mark mends it
@@ -103,8 +110,8 @@
 
 def test_each_process_sees_what_the_other_one_marks(tmp_path: Path) -> None:
     told = [Told(), Told()]
-    files = [MarksFile(tmp_path, Complaints()) for _ in told]
-    marks = [Marks(t, AtOnce(f), lambda: 5.0) for t, f in zip(told, files, strict=True)]
+    files = [OverridesFile(tmp_path, RateLimitedLogger()) for _ in told]
+    marks = [PlatformOverrides(t, AtOnce(f), lambda: 5.0) for t, f in zip(told, files, strict=True)]
     for each in marks:
         each.listed(["a", "b"])
     assert said(marks[0], "a", True) == [None] == said(marks[1], "b", True)  # b's writer read a first
@@ -121,7 +128,7 @@
 
 def test_calls_may_come_twice_and_ids_that_were_never_listed_are_unknown() -> None:
     told = Told()
-    marks = Marks(told, None, lambda: 1.0)
+    marks = PlatformOverrides(told, None, lambda: 1.0)
     marks.listed(["a"])
     for out in (True, True, False, False):
         assert said(marks, "a", out) == [None]
@@ -132,8 +139,8 @@
 
 def test_a_mark_that_cannot_be_kept_changes_nothing(tmp_path: Path) -> None:
     told = Told()
-    file = MarksFile(tmp_path / "gone", Complaints())
-    marks = Marks(told, AtOnce(file), lambda: 1.0)
+    file = OverridesFile(tmp_path / "gone", RateLimitedLogger())
+    marks = PlatformOverrides(told, AtOnce(file), lambda: 1.0)
     marks.listed(["a"])
     (problem,) = said(marks, "a", True)
     assert problem is not None and "gone" in problem
@@ -146,7 +153,7 @@
     monkeypatch.setattr("loadbalancer.hot_restart.shared_files.LOCK_TRIES", 3)
     holder = os.open(tmp_path / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
     fcntl.flock(holder, fcntl.LOCK_EX)
-    marks = Marks(Told(), AtOnce(MarksFile(tmp_path, Complaints())), lambda: 1.0)
+    marks = PlatformOverrides(Told(), AtOnce(OverridesFile(tmp_path, RateLimitedLogger())), lambda: 1.0)
     marks.listed(["a"])
     assert "held by another" in (said(marks, "a", True)[0] or "")
     os.close(holder)
@@ -154,7 +161,7 @@
 
 
 def test_a_trace_of_a_dead_process_is_told_from_a_living_one(tmp_path: Path) -> None:
-    one, other = Life(tmp_path), Life(tmp_path)
+    one, other = ProcessFile(tmp_path), ProcessFile(tmp_path)
     one.claim(100)
     other.claim(30)
     assert list(one.others().values()) == [30] and list(other.others().values()) == [100]
@@ -165,9 +172,9 @@
     assert os.listdir(tmp_path) == []
 
 
-def stalled() -> tuple[Marks, Stalled, Told]:
+def stalled() -> tuple[PlatformOverrides, Stalled, Told]:
     told, disk = Told(), Stalled()
-    marks = Marks(told, disk, lambda: 1.0)
+    marks = PlatformOverrides(told, disk, lambda: 1.0)
     marks.listed(["a", "b"])
     return marks, disk, told
 
@@ -237,7 +244,7 @@
         return kept
 
     async def scene() -> list[Kept]:
-        keeper, heard, ended = ThreadedKeeper(save), list[Kept](), asyncio.Event()
+        keeper, heard, ended = OverrideWriter(save), list[Kept](), asyncio.Event()
 
         def done(kept: Kept) -> None:
             heard.append(kept)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -5,19 +5,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from loadbalancer.routing.traffic_migration import Move, Moves
+from loadbalancer.routing.traffic_migration import Migration, Migrations
 
 WINDOW = 3.0
 
 
-def moves(share: float = 0.5, at: float = 100.0, most: int = 1000) -> Moves:
-    made = Moves(WINDOW, most)
-    made.say(Move("q", share, at=at), at)
+def moves(share: float = 0.5, at: float = 100.0, most: int = 1000) -> Migrations:
+    made = Migrations(WINDOW, most)
+    made.say(Migration("q", share, at=at), at)
     return made
 
 
 def test_nothing_is_moved_and_nothing_noted_until_somebody_says_so() -> None:
-    made = Moves(WINDOW)
+    made = Migrations(WINDOW)
     assert made.is_idle(0.0) and made.place(1.0, 0.0, b"k") is None and len(made) == 0
 
 
@@ -53,7 +53,7 @@
 
 
 def test_a_process_that_starts_anew_places_keys_as_the_one_before() -> None:
-    before, after = moves(0.5), Moves(WINDOW)
+    before, after = moves(0.5), Migrations(WINDOW)
     keys = [b"%d" % n for n in range(300)]
     found = [before.place(110.0, 0.0, key) for key in keys]
     assert before.move is not None
@@ -75,13 +75,13 @@
 def test_no_key_meets_two_pools_within_its_window(steps: list[tuple[str, float]], most: int) -> None:
     """Whatever operators change and however small the table is. A window begins with the first use of a key; it is
     used anew after that."""
-    made, now = Moves(WINDOW, most), 100.0
+    made, now = Migrations(WINDOW, most), 100.0
     first: dict[bytes, tuple[float, str | None]] = {}
     for what, value in steps:
         if what == "wait":
             now += value
         elif what == "say":
-            made.say(Move("q", value, at=now) if value else None, now)
+            made.say(Migration("q", value, at=now) if value else None, now)
         else:
             key = b"key-%d" % value
             where = made.place(now, 0.0, key)
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -12,18 +12,18 @@
 from loadbalancer.discovery.entry_conversion import session_names
 from loadbalancer.frontends.routed_http import find_session
 from loadbalancer.policy.actions import (
-    Refuse,
+    Reject,
     Send,
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
+    EndpointEntry,
+    EndpointList,
+    EndpointState,
     Request,
-    ServerEntry,
-    ServerList,
-    ServerState,
 )
 from loadbalancer.routing import rewrites
-from loadbalancer.routing.rewrites import Pair, Rewrites, swap_prefix
+from loadbalancer.routing.rewrites import HeaderRewrite, Rewrites, swap_prefix
 from loadbalancer.routing.routes import Routes, Rule, RuleError, check_rule
 
 
@@ -41,8 +41,8 @@
 
 
 BACK = Rewrites(
-    "/shop", "/v2", (Pair(b"http://10.0.0.1:80/v2", b"/shop"), Pair(b"/v2/", b"/shop/")),
-    (Pair(b"/v2", b"/shop"),), (Pair(b"inner", b"outer.test"),),
+    "/shop", "/v2", (HeaderRewrite(b"http://10.0.0.1:80/v2", b"/shop"), HeaderRewrite(b"/v2/", b"/shop/")),
+    (HeaderRewrite(b"/v2", b"/shop"),), (HeaderRewrite(b"inner", b"outer.test"),),
 )  # fmt: skip
 
 
@@ -88,29 +88,32 @@
 
 
 def sends(b: Balancer, number: int, member: str, **more: Any) -> str | None:
-    actions = b.handle(101.0 + number / 100, [Request(number, 0, 4.0, member=member, **more)])
-    return next((a.server for a in actions if isinstance(a, Send)), None)
+    actions = b.handle(101.0 + number / 100, [Request(number, 0, 4.0, sticky_endpoint=member, **more)])
+    return next((a.endpoint for a in actions if isinstance(a, Send)), None)
 
 
 def test_a_session_goes_to_where_its_server_redirects_it() -> None:
-    b = warm(ServerEntry("a", redirect="b"), ServerEntry("b", redirect="a"), ServerEntry("c"))
+    b = warm(EndpointEntry("a", redirect="b"), EndpointEntry("b", redirect="a"), EndpointEntry("c"))
     assert sends(b, 1, "a") == "a"
-    b.handle(102.0, [ServerList((ServerEntry("a", redirect="b", state=ServerState.DRAINING),), whole=False)])
+    b.handle(
+        102.0,
+        [EndpointList((EndpointEntry("a", redirect="b", state=EndpointState.DRAINING),), complete=False)],
+    )
     assert {sends(b, n, "a") for n in range(2, 30)} == {"b"}
 
 
 def test_a_session_of_a_domain_goes_to_any_of_its_servers_and_nowhere_else() -> None:
-    b = warm(ServerEntry("a", domain="d"), ServerEntry("b", domain="d"), ServerEntry("c", domain="e"))
+    b = warm(EndpointEntry("a", domain="d"), EndpointEntry("b", domain="d"), EndpointEntry("c", domain="e"))
     assert {sends(b, n, "@d") for n in range(40)} == {"a", "b"}
-    b.handle(103.0, [ServerList((ServerEntry("a", domain="d"), ServerEntry("c", domain="e")))])
+    b.handle(103.0, [EndpointList((EndpointEntry("a", domain="d"), EndpointEntry("c", domain="e")))])
     assert {sends(b, n, "@d") for n in range(300, 330)} == {"a"}
 
 
 def test_a_bound_session_is_refused_and_not_moved_and_one_of_nobody_is_drawn() -> None:
-    b = warm(ServerEntry("a"), ServerEntry("b"))
-    b.handle(102.0, [ServerList((ServerEntry("a", state=ServerState.DRAINING),), whole=False)])
-    actions = b.handle(103.0, [Request(900, 0, 4.0, member="a", bound=True)])
-    assert Refuse(900) in actions and not any(isinstance(a, Send) for a in actions)
+    b = warm(EndpointEntry("a"), EndpointEntry("b"))
+    b.handle(102.0, [EndpointList((EndpointEntry("a", state=EndpointState.DRAINING),), complete=False)])
+    actions = b.handle(103.0, [Request(900, 0, 4.0, sticky_endpoint="a", sticky_required=True)])
+    assert Reject(900) in actions and not any(isinstance(a, Send) for a in actions)
     assert sends(b, 301, "a") == "b"
     assert sends(b, 302, "nobody", bound=True) == "b"
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,41 +12,62 @@
 from loadbalancer.policy.actions import (
     Cancel,
     Fail,
-    Refuse,
+    Reject,
     Send,
     SetTimer,
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
     NEVER_RAN,
+    AttemptResult,
+    ClientCancelled,
+    EndpointEntry,
+    EndpointList,
+    EndpointState,
     Outcome,
     Request,
-    Result,
-    ServerEntry,
-    ServerList,
-    ServerState,
     TimerFired,
-    Withdrawn,
 )
-from loadbalancer.policy.pending_requests import Pending
+from loadbalancer.policy.pending_requests import PendingRequest
 from loadbalancer.policy.settings import (
+    DeduplicationScope,
     Effect,
-    Limits,
+    PolicyLimits,
+    PolicySettings,
     RequestClass,
-    Rules,
-    Scope,
-    Settings,
+    SafetyRules,
 )
 
 CLASSES = (
     RequestClass("safe", 0.5, 2.0),
-    RequestClass("late", 0.5, 2.0, late_share=0.3),
-    RequestClass("all", 0.5, 2.0, effect=Effect.KEYED, dedup_scope=Scope.ALL, dedup_window=0.7),
-    RequestClass("zone", 0.5, 2.0, effect=Effect.KEYED, dedup_scope=Scope.ZONE, dedup_window=0.7),
-    RequestClass("cell", 0.5, 2.0, late_share=0.2, effect=Effect.KEYED, dedup_scope=Scope.CELL,
-                 dedup_window=0.7),
+    RequestClass("late", 0.5, 2.0, late_value=0.3),
+    RequestClass(
+        "all",
+        0.5,
+        2.0,
+        effect=Effect.KEYED,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window=0.7,
+    ),
+    RequestClass(
+        "zone",
+        0.5,
+        2.0,
+        effect=Effect.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window=0.7,
+    ),
+    RequestClass(
+        "cell",
+        0.5,
+        2.0,
+        late_value=0.2,
+        effect=Effect.KEYED,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window=0.7,
+    ),
     RequestClass("unsafe", 0.5, 2.0, effect=Effect.UNSAFE),
-)  # fmt: skip
+)
 
 
 @dataclass
@@ -68,14 +89,16 @@
 class Checker:
     """Plays legal events against a Balancer and reads what it does."""
 
-    def __init__(self, entries: list[ServerEntry], limits: Limits, seed: int) -> None:
+    def __init__(self, entries: list[EndpointEntry], limits: PolicyLimits, seed: int) -> None:
         self.limits = limits
-        self.entries = {e.server: e for e in entries}
-        self.balancer = Balancer(Settings(CLASSES, n_zones=2, limits=limits, rules=Rules()), seed)
+        self.entries = {e.endpoint: e for e in entries}
+        self.balancer = Balancer(
+            PolicySettings(CLASSES, zone_count=2, limits=limits, rules=SafetyRules()), seed
+        )
         self.now = 50.0
         self.records: dict[int, Record] = {}
         self.timers: list[tuple[float, int]] = []
-        self.play([ServerList(tuple(entries))])
+        self.play([EndpointList(tuple(entries))])
 
     def play(self, events: list[Any]) -> None:
         for action in self.balancer.handle(self.now, events):
@@ -86,39 +109,39 @@
             self.read_send(action)
         elif isinstance(action, Fail):
             self.close(action.request)
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             record = self.records[action.request]
             cls = record.cls
             harmless = cls.effect == Effect.SAFE or (
-                cls.effect == Effect.KEYED and cls.dedup_scope == Scope.ALL
+                cls.effect == Effect.KEYED and cls.deduplication_scope == DeduplicationScope.ALL
             )
             assert harmless or not any(s.may_have_run for s in record.sent), "refused what may have run"
             self.close(action.request)
         elif isinstance(action, Cancel):
-            assert self.limits.cancelling
+            assert self.limits.cancellation
             assert 0 <= action.attempt < len(self.records[action.request].sent)
         elif isinstance(action, SetTimer):
-            assert action.after >= 0
-            self.timers.append((self.now + action.after, action.token))
+            assert action.delay >= 0
+            self.timers.append((self.now + action.delay, action.token))
 
     def read_send(self, action: Send) -> None:
         record = self.records[action.request]
         assert not record.ended, "sent after the final answer"
         assert len(record.sent) < self.limits.max_attempts
-        entry = self.entries[action.server]
-        assert entry.state == ServerState.READY, "sent to a draining server"
+        entry = self.entries[action.endpoint]
+        assert entry.state == EndpointState.READY, "sent to a draining server"
         assert action.timeout <= record.deadline - self.now + 0.0011
-        assert self.limits.second_copies or not any(s.open for s in record.sent)
+        assert self.limits.hedging or not any(s.open for s in record.sent)
         ran = [s for s in record.sent if s.may_have_run]
         if ran:
             cls = record.cls
             assert cls.effect != Effect.UNSAFE, "an unsafe request sent again"
             if cls.effect == Effect.KEYED:
                 first = self.entries[ran[0].server]
-                assert self.now < ran[0].at + cls.dedup_window, "sent again past the window"
-                assert cls.dedup_scope != Scope.ZONE or first.zone == entry.zone
-                assert cls.dedup_scope != Scope.CELL or first.cell == entry.cell
-        record.sent.append(Sent(action.server, self.now))
+                assert self.now < ran[0].at + cls.deduplication_window, "sent again past the window"
+                assert cls.deduplication_scope != DeduplicationScope.ZONE or first.zone == entry.zone
+                assert cls.deduplication_scope != DeduplicationScope.CELL or first.cell == entry.cell
+        record.sent.append(Sent(action.endpoint, self.now))
 
     def close(self, request: int) -> None:
         assert not self.records[request].ended, "two final answers"
@@ -128,9 +151,9 @@
         self.records[number] = Record(CLASSES[cls], self.now + left)
         self.play([Request(number, cls, left)])
 
-    def outcome(self, number: int, attempt: int, result: Result) -> None:
+    def outcome(self, number: int, attempt: int, result: AttemptResult) -> None:
         record, sent = self.records[number], self.records[number].sent[attempt]
-        if result == Result.SERVED and not record.ended:
+        if result == AttemptResult.SERVED and not record.ended:
             record.ended = True
         sent.open = False
         if result in NEVER_RAN:
@@ -150,13 +173,13 @@
             cls, entry = record.cls, self.entries[record.sent[attempt].server]
             kept = (
                 not record.ended
-                and entry.state == ServerState.READY
-                and (self.limits.second_copies or not any(s.open for s in others))
+                and entry.state == EndpointState.READY
+                and (self.limits.hedging or not any(s.open for s in others))
                 and (
                     not ran
                     or cls.effect == Effect.SAFE
                     or cls.effect == Effect.KEYED
-                    and self.now < ran[0].at + cls.dedup_window
+                    and self.now < ran[0].at + cls.deduplication_window
                 )
             )
             assert self.balancer.may_leave(self.now, number, attempt) == kept, (cls.name, record, entry)
@@ -170,7 +193,7 @@
             self.play([TimerFired(token)])
         for number, attempt in self.open_attempts():
             if self.now >= self.records[number].deadline:
-                self.outcome(number, attempt, Result.TIMEOUT)
+                self.outcome(number, attempt, AttemptResult.TIMEOUT)
 
     def finish(self) -> None:
         self.now += 5.0
@@ -181,17 +204,17 @@
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("ask"), st.integers(0, 5), st.floats(0.0, 2.0)),
-        st.tuples(st.just("end"), st.integers(0, 99), st.sampled_from(list(Result))),
+        st.tuples(st.just("end"), st.integers(0, 99), st.sampled_from(list(AttemptResult))),
         st.tuples(st.just("wait"), st.floats(0.0, 0.4), st.none()),
-        st.tuples(st.just("list"), st.integers(0, 99), st.sampled_from(list(ServerState))),
+        st.tuples(st.just("list"), st.integers(0, 99), st.sampled_from(list(EndpointState))),
         st.tuples(st.just("withdraw"), st.integers(0, 99), st.none()),
     ),
     max_size=60,
 )
 
 
-def play_day(steps: list[tuple[str, Any, Any]], count: int, limits: Limits, seed: int) -> None:
-    entries = [ServerEntry(f"s{i}", zone=i % 2, cell=i % 3) for i in range(count)]
+def play_day(steps: list[tuple[str, Any, Any]], count: int, limits: PolicyLimits, seed: int) -> None:
+    entries = [EndpointEntry(f"s{i}", zone=i % 2, cell=i % 3) for i in range(count)]
     day = Checker(entries, limits, seed)
     for number, (what, a, b) in enumerate(steps):
         if what == "ask":
@@ -205,27 +228,27 @@
             day.due()
         elif what == "list" and count:
             entry = day.entries[f"s{a % count}"]._replace(state=b)
-            day.entries[entry.server] = entry
-            day.play([ServerList((entry,), whole=False)])
+            day.entries[entry.endpoint] = entry
+            day.play([EndpointList((entry,), complete=False)])
             day.ask_again()
         elif what == "withdraw":
             waiting = [n for n, r in day.records.items() if not r.ended]
             if waiting:
                 gone = waiting[a % len(waiting)]
                 day.records[gone].ended = True
-                day.play([Withdrawn(gone)])
+                day.play([ClientCancelled(gone)])
     day.finish()
 
 
 LIMITS = st.builds(
-    Limits, max_attempts=st.integers(1, 5), cancelling=st.booleans(), second_copies=st.booleans()
+    PolicyLimits, max_attempts=st.integers(1, 5), cancellation=st.booleans(), hedging=st.booleans()
 )
 
 
 @settings(derandomize=True, max_examples=150, deadline=None, suppress_health_check=list(HealthCheck))
 @given(STEPS, st.integers(0, 7), LIMITS, st.integers(0, 2**63))
 def test_rules_hold_over_legal_orders_of_events(
-    steps: list[tuple[str, Any, Any]], count: int, limits: Limits, seed: int
+    steps: list[tuple[str, Any, Any]], count: int, limits: PolicyLimits, seed: int
 ) -> None:
     play_day(steps, count, limits, seed)
 
@@ -241,7 +264,7 @@
 )(given(STEPS, st.integers(0, 7), LIMITS, st.integers(0, 2**63))(play_day))
 
 
-def _any_pool(self: Balancer, pending: Pending, freed: bool = False) -> Any:
+def _any_pool(self: Balancer, pending: PendingRequest, freed: bool = False) -> Any:
     return self.pool
 
 
@@ -266,7 +289,7 @@
 def _keep_all(self: Balancer) -> None:
     real = {s.id: s.state for s in self.servers.values()}
     for server in self.servers.values():
-        server.state = ServerState.READY
+        server.state = EndpointState.READY
     _LAY_OUT(self)
     for server in self.servers.values():
         server.state = real[server.id]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -8,8 +8,8 @@
 from peers import PATIENCE, Call, ScriptedBackend, answering, play, request, world
 
 from loadbalancer.policy.events import (
+    AttemptResult,
     FirstByte,
-    Result,
 )
 from loadbalancer.streaming.streams import Stream
 from loadbalancer.upstreams.connections import REST_S
@@ -80,7 +80,7 @@
             assert here.proxy.figures.open == 1
             go_on.set()
             (outcome,) = await here.proxy.until_outcomes(1)
-            assert outcome.result == Result.SERVED and outcome.ended
+            assert outcome.result == AttemptResult.SERVED and outcome.request_ended
             assert here.proxy.figures.ended[2] == [1, 0, 0] and not here.proxy.streams
 
     play(scene)
@@ -148,7 +148,7 @@
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await client.read()
             (outcome,) = await here.proxy.until_outcomes(1)
-            assert outcome.result == Result.RESET
+            assert outcome.result == AttemptResult.RESET
             assert here.proxy.figures.ended[2] == [0, 0, 1]
 
     play(scene)
@@ -194,7 +194,7 @@
             await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE)
             client.writer.transport.abort()
             (outcome,) = await here.proxy.until_outcomes(1)
-            assert outcome.result == Result.CANCELLED
+            assert outcome.result == AttemptResult.CANCELLED
             assert not here.proxy.streams and not here.proxy.open
 
     play(scene)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -21,8 +21,8 @@
 
 from loadbalancer.admin.snapshot import decode
 from loadbalancer.cli.__main__ import main
-from loadbalancer.daemon.hot_restart import TakeoverError, offer_path, remove_own, take
-from loadbalancer.policy.endpoints import FAILED
+from loadbalancer.daemon.hot_restart import HotRestartError, offer_path, remove_own, take
+from loadbalancer.policy.endpoints import FAILING_AFTER
 from loadbalancer.policy.selection import ERROR_LIMIT
 from loadbalancer.store.engine import Bounds, Engine
 from loadbalancer.store.files import DiskFiles
@@ -214,7 +214,7 @@
         assert offer.stat().st_mode & 0o777 == 0o600
         first = await loop.run_in_executor(None, take, offer)
         assert first.pid == old.pid and len(first.sockets) == 2
-        with pytest.raises(TakeoverError, match="another upgrade is under way"):
+        with pytest.raises(HotRestartError, match="another upgrade is under way"):
             await loop.run_in_executor(None, take, offer)
         first.close()  # as by SIGKILL
         assert await upgrade(path) == 0
@@ -335,7 +335,8 @@
         notes = sorted(decode(taken.learnt).pools[0].members, key=lambda note: note.id)
         taken.close()
         found = [
-            note.errors > ERROR_LIMIT and note.failed >= FAILED and note.errors_age >= 0 for note in notes
+            note.errors > ERROR_LIMIT and note.failed >= FAILING_AFTER and note.errors_age >= 0
+            for note in notes
         ]
         assert found == [True, False, False, False]
         os.kill(await loop.run_in_executor(None, pid_of, tmp_path), signal.SIGTERM)
@@ -347,7 +348,7 @@
 
 
 def test_where_nothing_is_offered_nothing_is_taken(tmp_path: Path) -> None:
-    with pytest.raises(TakeoverError, match="No such file"):
+    with pytest.raises(HotRestartError, match="No such file"):
         take(tmp_path / "none")
     path = tmp_path / "f"
     path.write_text("x")
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.config.types import Duration, ListenerTlsTable, PairTable, PoolTlsTable
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
 from loadbalancer.tls.demo import Authority, write_pair, write_private
 from loadbalancer.tls.handshakes import Bounds, Handshakes, Turn
@@ -213,13 +213,13 @@
     seen = Verdicts()
     for name in "abcd":
         seen.accepted(name, 0.0)
-    assert seen.failed("a", Reason.EXPIRED, 1.0) == Result.NO_CONNECTION and seen.ours is None
-    assert seen.failed("b", Reason.EXPIRED, 1.1) == Result.NO_CONNECTION
-    assert seen.failed("c", Reason.EXPIRED, 1.2) == Result.NO_CONNECTION
-    assert seen.failed("d", Reason.EXPIRED, 1.3) == Result.NOT_SENT and seen.ours is Reason.EXPIRED
-    assert seen.failed("a", Reason.EXPIRED, 1.4) == Result.NOT_SENT
+    assert seen.failed("a", Reason.EXPIRED, 1.0) == AttemptResult.NO_CONNECTION and seen.ours is None
+    assert seen.failed("b", Reason.EXPIRED, 1.1) == AttemptResult.NO_CONNECTION
+    assert seen.failed("c", Reason.EXPIRED, 1.2) == AttemptResult.NO_CONNECTION
+    assert seen.failed("d", Reason.EXPIRED, 1.3) == AttemptResult.NOT_SENT and seen.ours is Reason.EXPIRED
+    assert seen.failed("a", Reason.EXPIRED, 1.4) == AttemptResult.NOT_SENT
     assert seen.accepted("b", 1.5) and seen.ours is None
-    assert seen.failed("a", Reason.EXPIRED, 1.6) == Result.NO_CONNECTION
+    assert seen.failed("a", Reason.EXPIRED, 1.6) == AttemptResult.NO_CONNECTION
 
 
 def test_different_reasons_and_broken_handshakes_are_the_members() -> None:
@@ -227,18 +227,18 @@
     for name, reason in zip(
         "abcd", (Reason.EXPIRED, Reason.NAME, Reason.UNKNOWN, Reason.BROKEN), strict=True
     ):
-        assert seen.failed(name, reason, 1.0) == Result.NO_CONNECTION
+        assert seen.failed(name, reason, 1.0) == AttemptResult.NO_CONNECTION
     for name in "abcd":
-        assert seen.failed(name, Reason.BROKEN, 2.0) == Result.NO_CONNECTION
+        assert seen.failed(name, Reason.BROKEN, 2.0) == AttemptResult.NO_CONNECTION
     assert seen.ours is None
 
 
 def test_a_lone_member_is_never_our_fault_and_what_is_long_ago_does_not_count() -> None:
     seen = Verdicts()
-    assert seen.failed("a", Reason.UNKNOWN, 1.0) == Result.NO_CONNECTION
-    assert seen.failed("b", Reason.UNKNOWN, 2.0 + WINDOW_S) == Result.NO_CONNECTION
+    assert seen.failed("a", Reason.UNKNOWN, 1.0) == AttemptResult.NO_CONNECTION
+    assert seen.failed("b", Reason.UNKNOWN, 2.0 + WINDOW_S) == AttemptResult.NO_CONNECTION
     seen.gone("a")
-    assert seen.failed("b", Reason.UNKNOWN, 3.0 + WINDOW_S) == Result.NO_CONNECTION
+    assert seen.failed("b", Reason.UNKNOWN, 3.0 + WINDOW_S) == AttemptResult.NO_CONNECTION
 
 
 def test_reasons_of_problems() -> None:
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -19,7 +19,7 @@
 from loadbalancer.config.plan import load
 from loadbalancer.config.reader import ConfigError
 from loadbalancer.policy.events import (
-    Result,
+    AttemptResult,
 )
 from loadbalancer.tls.demo import write_pair, write_private
 from standins.member import Member
@@ -498,14 +498,14 @@
             proxy = here.daemon.pools["p"].proxy
             finish = proxy.finish_attempt
 
-            def note(attempt: Any, result: Result, *more: Any) -> None:
+            def note(attempt: Any, result: AttemptResult, *more: Any) -> None:
                 told.append((attempt.server, result))
                 finish(attempt, result, *more)
 
             proxy.finish_attempt = note  # type: ignore[method-assign, assignment]
-            while ("sick", Result.NO_CONNECTION) not in told:
+            while ("sick", AttemptResult.NO_CONNECTION) not in told:
                 assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 200
-            assert {result for name, result in told if name == "sick"} == {Result.NO_CONNECTION}
+            assert {result for name, result in told if name == "sick"} == {AttemptResult.NO_CONNECTION}
             await sick.stop()
 
     run(scene)
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -12,12 +12,12 @@
 from ports import kept_port
 from test_control import run, text
 
-from loadbalancer.admin.tokens import TOKEN_MOST, WRONG_MOST, Guesses, TokenError, Tokens, line_of
+from loadbalancer.admin.tokens import TOKEN_MOST, WRONG_MOST, GuessLimiter, TokenError, Tokens, line_of
 from loadbalancer.cli.__main__ import main
 from loadbalancer.config.plan import load
 from loadbalancer.config.reader import ConfigError
-from loadbalancer.daemon.token_authentication import TokenDoor, read_tokens
-from loadbalancer.management.calls import Said
+from loadbalancer.daemon.token_authentication import TokenAuthenticator, read_tokens
+from loadbalancer.management.calls import Response
 from standins.member import Member
 
 
@@ -55,7 +55,7 @@
 
 
 def test_guessing_ends() -> None:
-    guesses = Guesses()
+    guesses = GuessLimiter()
     for _ in range(WRONG_MOST):
         assert guesses.may_try(100.0)
         guesses.wrong()
@@ -70,24 +70,24 @@
 
 def test_a_door_follows_its_file_and_keeps_the_last_good_one(tmp_path: Path) -> None:
     path, heard, now = keep(tmp_path / "tokens", line_of("old", "reads", "rita")), Heard(), [0.0]
-    door = TokenDoor(path, None, heard, lambda: now[0])  # type: ignore[arg-type]
-    assert not isinstance(door.desk("Bearer old"), Said)
+    door = TokenAuthenticator(path, None, heard, lambda: now[0])  # type: ignore[arg-type]
+    assert not isinstance(door.desk("Bearer old"), Response)
     keep(path, line_of("old", "reads", "rita") + line_of("new", "changes", "rita"))
     desk = door.desk("Bearer new")
-    assert not isinstance(desk, Said) and desk.by == "rita" and not desk.reads_only
+    assert not isinstance(desk, Response) and desk.by == "rita" and not desk.reads_only
     keep(path, "half a li")
-    assert not isinstance(door.desk("Bearer new"), Said) and heard.count("tokens not taken")
+    assert not isinstance(door.desk("Bearer new"), Response) and heard.count("tokens not taken")
     path.unlink()
-    assert not isinstance(door.desk("Bearer old"), Said)
+    assert not isinstance(door.desk("Bearer old"), Response)
     keep(path, line_of("new", "changes", "rita"))
     refused = door.desk("Bearer old")
-    assert isinstance(refused, Said) and refused.status == 401
+    assert isinstance(refused, Response) and refused.status == 401
     for _ in range(WRONG_MOST):
         door.desk("Bearer wrong")
     shut = door.desk("Bearer new")
-    assert isinstance(shut, Said) and shut.status == 429
+    assert isinstance(shut, Response) and shut.status == 429
     now[0] = 11.0
-    assert not isinstance(door.desk("Bearer new"), Said)
+    assert not isinstance(door.desk("Bearer new"), Response)
 
 
 @pytest.mark.parametrize("mode", [0o644, 0o620, 0o660, 0o604])
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -14,17 +14,17 @@
 
 from loadbalancer.deployment import read_deployment
 from loadbalancer.discovery.endpoint_source import Entry
-from loadbalancer.discovery.watch import Discovery
+from loadbalancer.discovery.watch import DiscoveryClient
 from loadbalancer.policy.actions import (
     SetTimer,
-    Watch,
+    WatchEndpoints,
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
-    ServerList,
+    EndpointList,
     TimerFired,
 )
-from loadbalancer.resource_limits import Complaints
+from loadbalancer.resource_limits import RateLimitedLogger
 
 TOLD_S = 6.0
 OLD, NEW = ("127.0.0.1", 1), ("127.0.0.1", 2)
@@ -132,23 +132,23 @@
         deployment = read_deployment(settings)
         self.balancer = Balancer(deployment.settings, seed)
         self.told_at = -1.0
-        self.discovery = Discovery(self, deployment, OLD, Complaints())
+        self.discovery = DiscoveryClient(self, deployment, OLD, RateLimitedLogger())
 
     def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
         if not stale and self.told_at < 0:
             self.told_at = asyncio.get_running_loop().time()
-        self._post(ServerList(tuple(entry for entry, _ in entries), whole, False, stale))
+        self._post(EndpointList(tuple(entry for entry, _ in entries), whole, False, stale))
 
     def list_failed(self, busy: bool = False) -> None:
-        self._post(ServerList(failed=True, busy=busy))
+        self._post(EndpointList(failed=True, busy=busy))
 
-    def _post(self, event: ServerList | TimerFired) -> None:
+    def _post(self, event: EndpointList | TimerFired) -> None:
         loop = asyncio.get_running_loop()
         for action in self.balancer.handle(loop.time() + 1e9, [event]):
             if isinstance(action, SetTimer):
-                loop.call_later(action.after, self._post, TimerFired(action.token))
-            elif isinstance(action, Watch):
-                self.discovery.watch(action.on)
+                loop.call_later(action.delay, self._post, TimerFired(action.token))
+            elif isinstance(action, WatchEndpoints):
+                self.discovery.watch(action.enabled)
 
 
 def play(service: Service, scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,14 +20,14 @@
 from peers import SETTINGS
 from ports import kept_port
 
-from loadbalancer.hot_restart.phases import ACCEPTING, Phase, Seen, phase, reserve, share
+from loadbalancer.hot_restart.phases import ACCEPTING, Observation, Phase, phase, reserve, share
 from loadbalancer.hot_restart.startup_pacing import LIFE
 
 ALL = 384
 
 
-def seen(**other: object) -> Seen:
-    return Seen(5.0, True, True, False, [], False, 100)._replace(**other)  # type: ignore[arg-type]
+def seen(**other: object) -> Observation:
+    return Observation(5.0, True, True, False, [], False, 100)._replace(**other)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
         (seen(ending=True), Phase.LEAVING),
     ],
 )
-def test_what_a_process_is(what: Seen, now: Phase) -> None:
+def test_what_a_process_is(what: Observation, now: Phase) -> None:
     assert phase(what) == now
 
 
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -14,24 +14,24 @@
 
 from loadbalancer.frontends import http1
 from loadbalancer.policy.events import (
-    Body,
+    AttemptResult,
+    BodyProgress,
     Outcome,
     Request,
-    Result,
 )
 from loadbalancer.proxy import proxy
-from loadbalancer.resource_limits import HELD_MOST, STREAM_MOST, Budget
+from loadbalancer.resource_limits import MAX_HELD_BODY_BYTES, MAX_STREAMED_BODY_BYTES, BufferBudget
 from loadbalancer.streaming.streams import STALL_S
 from loadbalancer.streaming.uploads import Upload
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 AWAY = b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-LONG = HELD_MOST + (1 << 20)
+LONG = MAX_HELD_BODY_BYTES + (1 << 20)
 PART = bytes(1 << 16)
 
 
-def upload(kept: bytes = b"ab") -> tuple[Upload, End, Budget, list[str]]:
-    client, budget, lost = End(), Budget(100), list[str]()
+def upload(kept: bytes = b"ab") -> tuple[Upload, End, BufferBudget, list[str]]:
+    client, budget, lost = End(), BufferBudget(100), list[str]()
     assert budget.take_upload(len(kept))
     return Upload(client, None, bytearray(kept), budget, lambda: lost.append("lost")), client, budget, lost
 
@@ -117,10 +117,10 @@
             (call,) = backend.calls
             assert call.body == body
             asked = next(event for event in here.proxy.told if isinstance(event, Request))
-            assert asked.coming
-            told = [event for event in here.proxy.told if isinstance(event, Body)]
-            assert [(event.whole, event.held) for event in told] == [(False, False), (True, False)]
-            assert here.proxy.figures.ended[asked.cls] == [1, 0, 0]
+            assert asked.body_pending
+            told = [event for event in here.proxy.told if isinstance(event, BodyProgress)]
+            assert [(event.complete, event.replayable) for event in told] == [(False, False), (True, False)]
+            assert here.proxy.figures.ended[asked.class_index] == [1, 0, 0]
             assert await client.ask(request()) == (200, b"hi")  # the connection goes on
             await settled(here)
 
@@ -140,14 +140,16 @@
             await here.proxy.until(lambda: here.proxy.uploads)
             (pending,) = here.proxy.balancer.requests.values()
             (member,) = here.proxy.balancer.servers.values()
-            assert pending.coming and not member.out and len(member.giving) == 1  # it can't have begun
+            assert (
+                pending.coming and not member.in_flight and len(member.responding) == 1
+            )  # it can't have begun
             (attempt,) = next(iter(here.proxy.open.values())).attempts
             assert attempt.timer is None and here.proxy.figures.open == 0
             began = attempt.began = attempt.began - 60.0  # as if the upload had taken a minute
             await client.send(bytes(LONG - len(PART)))
             assert (await client.read())[0] == 200
             (outcome,) = await here.proxy.until_outcomes(1)
-            assert outcome.result == Result.SERVED and outcome.took < 60.0 and attempt.began > began
+            assert outcome.result == AttemptResult.SERVED and outcome.elapsed < 60.0 and attempt.began > began
             await settled(here)
 
     play(scene)
@@ -170,10 +172,10 @@
     await reader.read()
 
 
-ENDS: dict[str, tuple[Script, Result, int]] = {
-    "turned away": (turns_away, Result.FULL, 503),
-    "broken": (breaks, Result.NO_CONNECTION, 503),
-    "answered before it was whole": (answers_early, Result.RESET, 502),
+ENDS: dict[str, tuple[Script, AttemptResult, int]] = {
+    "turned away": (turns_away, AttemptResult.FULL, 503),
+    "broken": (breaks, AttemptResult.NO_CONNECTION, 503),
+    "answered before it was whole": (answers_early, AttemptResult.RESET, 502),
 }
 
 
@@ -208,8 +210,8 @@
                 client = await here.connect()
                 assert await client.ask(long_head() + bytes(LONG)) == (200, b"hi")
             ends = [event.result for event in here.proxy.told if isinstance(event, Outcome)]
-            assert ends.count(Result.SERVED) == 6 == len(good.calls)
-            assert Result.NO_CONNECTION in ends
+            assert ends.count(AttemptResult.SERVED) == 6 == len(good.calls)
+            assert AttemptResult.NO_CONNECTION in ends
             assert all(call.body == bytes(LONG) for call in good.calls)
             await settled(here)
 
@@ -229,7 +231,7 @@
             await here.proxy.until(lambda: here.proxy.uploads)
             client.writer.transport.abort()
             (outcome,) = await here.proxy.until_outcomes(1)
-            assert outcome.result == Result.CANCELLED
+            assert outcome.result == AttemptResult.CANCELLED
             await settled(here)
             assert here.proxy.figures.ended[2] == [0, 0, 0] and here.proxy.figures.tries[2] == 0
 
@@ -263,7 +265,7 @@
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await go_on.wait()
         writer.transport.resume_reading()  # type: ignore[attr-defined]
-        left = STREAM_MOST
+        left = MAX_STREAMED_BODY_BYTES
         while left:
             left -= len(await reader.read(1 << 16))
         writer.write(OK)
@@ -277,7 +279,9 @@
     async def scene() -> None:
         async with slow_member() as (member, go_on), world(member) as here:
             client = await here.connect()
-            sending = asyncio.ensure_future(client.send(long_head(STREAM_MOST) + bytes(STREAM_MOST)))
+            sending = asyncio.ensure_future(
+                client.send(long_head(MAX_STREAMED_BODY_BYTES) + bytes(MAX_STREAMED_BODY_BYTES))
+            )
             await here.proxy.until(lambda: here.proxy.uploads)
             (connection,) = here.connections()
             (request_,) = here.proxy.open.values()
@@ -357,7 +361,7 @@
 
     async def scene() -> None:
         count, part = 64, bytes(1 << 18)
-        parts = STREAM_MOST // len(part)
+        parts = MAX_STREAMED_BODY_BYTES // len(part)
 
         async def pour(writer: asyncio.StreamWriter) -> None:
             for _ in range(parts):
@@ -365,7 +369,7 @@
                 await writer.drain()
 
         async def drink(reader: asyncio.StreamReader) -> None:
-            left = STREAM_MOST
+            left = MAX_STREAMED_BODY_BYTES
             while left:
                 data = await reader.read(min(left, len(part)))
                 if not data:  # it does not come whole; asking on would not let the loop go on
@@ -375,12 +379,12 @@
 
         async def member(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await drink(reader)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % STREAM_MOST)
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % MAX_STREAMED_BODY_BYTES)
             await pour(writer)
             await reader.read()
 
         async def asks(client: Client) -> None:
-            await client.send(long_head(STREAM_MOST).replace(b": 4000m", b": 60000m"))
+            await client.send(long_head(MAX_STREAMED_BODY_BYTES).replace(b": 4000m", b": 60000m"))
             await pour(client.writer)
             head = await client.reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200 ")
