--- a/benchmarks/fleetversions.py
+++ b/benchmarks/fleetversions.py
@@ -113,7 +113,7 @@
             if found is not None:
                 behind.handle(1.0, found)
         took = time.perf_counter() - began
-        assert behind.said.digest() == ahead.said.digest()
+        assert behind.state.digest() == ahead.state.digest()
         print(
             f"straggler: {count:7} behind: {size:10} bytes in {parts} messages, {took:.2f} s of processor time, "
             f"{size / (4 << 20):.2f} s at 4 MiB/s",
@@ -141,7 +141,7 @@
 
 
 def in_force(model: StateModel) -> bool:
-    return all(one.versions.said.version == 1 for one in model.up)
+    return all(one.versions.state.version == 1 for one in model.up)
 
 
 def model_part(runs: int) -> None:
--- a/benchmarks/fleetview.py
+++ b/benchmarks/fleetview.py
@@ -113,13 +113,13 @@
     before = sum(one.counts["bytes"] for one in model.instances)
     model.run(seconds)
     count = sum(one.counts["bytes"] for one in model.instances) - before
-    suspected = sum(one.view.counts["suspected"] for one in model.instances)
-    died = sum(one.view.counts["died"] for one in model.instances)
+    suspected = sum(one.view.counters["suspected"] for one in model.instances)
+    died = sum(one.view.counters["died"] for one in model.instances)
     gone = model.instances[size // 2]
     gone.kill()
     name = gone.view.identity.name
     seen = (
-        model.until(lambda: any(not one.view.table.peers[name].living for one in model.up), 60.0, 0.01)
+        model.until(lambda: any(not one.view.table.peers[name].is_live for one in model.up), 60.0, 0.01)
         or NEVER
     )
     rest = model.until(model.settled, 120.0) or NEVER
@@ -364,7 +364,8 @@
         "counted by them, before and in spans of 10 s after"
     )
     stands = (
-        "from loadbalancer.fleet.orchestration.fleet_size import Share; Share._move = lambda self, now: None"
+        "from loadbalancer.fleet.orchestration.fleet_size import FleetSize; "
+        "FleetSize._move = lambda self, now: None"
     )
     for killed in (3, 4):
         for name, prelude in (("the view's number", ""), ("a number that stands", stands)):
--- a/emulator/fleetstate.py
+++ b/emulator/fleetstate.py
@@ -63,7 +63,7 @@
         disk.opened += 1
         said = ReplicatedState(dict.fromkeys(model.voters, ""))
         if disk.state:
-            said.take_whole(disk.state)
+            said.install_snapshot(disk.state)
         self.fence = Lease(model.stale_most, serves=False)
         generation = disk.opened << 20 | model.random.getrandbits(20)
         self.versions = PaxosReplica(
@@ -72,12 +72,12 @@
             generation,
             said,
             random.Random(model.random.getrandbits(40)),
-            self.fence.let_on,
+            self.fence.active_leaseholders,
         )
-        self.versions.log = dict(disk.log)
-        self.versions.met = dict(disk.met)
+        self.versions.command_log = dict(disk.log)
+        self.versions.observed_stores = dict(disk.met)
         if disk.vote is not None and disk.vote.slot == said.version + 1:
-            self.versions.vote = copy.deepcopy(disk.vote)
+            self.versions.acceptor_state = copy.deepcopy(disk.vote)
         self.giver, self.taker = StateSender(self.versions), StateReceiver()
         self.tick(self.lives)
 
@@ -117,11 +117,11 @@
             TimerExpired(tuple(one.name for one in self.model.all.values() if one.up and one is not self))
         )
         now = self.clock()
-        if now >= self.fence.due:
-            number = self.fence.ask(now)
-            for name in self.versions.said.roster:
-                self.send(name, form.LeaseRequest(number, self.versions.said.version))
-        due = min(self.versions.due, self.fence.due)
+        if now >= self.fence.next_timer:
+            number = self.fence.request(now)
+            for name in self.versions.state.voters:
+                self.send(name, form.LeaseRequest(number, self.versions.state.version))
+        due = min(self.versions.next_timer, self.fence.next_timer)
         self.do_later(min(0.5, max(0.005, due - now)), self.tick, self.lives)
 
     def hand(self, event: Event) -> None:
@@ -135,20 +135,23 @@
         elif isinstance(action, Persist):
             self.do_later(self.model.fsync, self.keep, action)
         elif isinstance(action, (CommandApplied, SnapshotInstalled)):
-            self.disk.state = versions.said.encode()
-            self.disk.log = dict(versions.log)
-            self.fence.settle(versions.said.majority, versions.said.version)
+            self.disk.state = versions.state.encode()
+            self.disk.log = dict(versions.command_log)
+            self.fence.extend(versions.state.majority, versions.state.version)
         elif isinstance(action, RequestStateTransfer):
-            self.do_later(self.model.delay, self.catch, action.name)
+            self.do_later(self.model.delay, self.catch, action.source)
         elif isinstance(action, CommandCompleted):
-            self.ended[action.id] = action
+            self.ended[action.command_id] = action
 
     def keep(self, action: Persist) -> None:
-        if action.vote is not None and action.vote.slot == self.versions.said.version + 1:
-            self.disk.vote = copy.deepcopy(action.vote)
-        if action.met is not None:
-            self.disk.met[action.met[0]] = action.met[1]
-        for say in action.then:
+        if (
+            action.acceptor_state is not None
+            and action.acceptor_state.slot == self.versions.state.version + 1
+        ):
+            self.disk.vote = copy.deepcopy(action.acceptor_state)
+        if action.observed_store is not None:
+            self.disk.met[action.observed_store[0]] = action.observed_store[1]
+        for say in action.then_send:
             self.send(say.to, say.message)
 
     def send(self, to: str, message: Any) -> None:
@@ -158,18 +161,18 @@
         now = self.clock()
         versions = self.versions
         if isinstance(message, form.LeaseRequest):
-            if versions.votes:
-                self.fence.let(now, sender)
-                self.send(sender, form.LeaseGrant(message.number, versions.accepted_top, now))
+            if versions.can_vote:
+                self.fence.grant(now, sender)
+                self.send(sender, form.LeaseGrant(message.number, versions.highest_accepted_version, now))
         elif isinstance(message, form.LeaseGrant):
-            self.fence.heard(
+            self.fence.granted(
                 now,
                 message.number,
                 sender,
-                message.top,
+                message.highest_known_version,
                 message.clock,
-                versions.said.majority,
-                versions.said.version,
+                versions.state.majority,
+                versions.state.version,
             )
         else:
             self.hand(MessageReceived(sender, message))
@@ -178,13 +181,15 @@
         other = self.model.all[name]
         if not other.up or other.stopped or {(self.name, name), (name, self.name)} & self.model.cut:
             return
-        for message in other.giver.answer(self.taker.want(self.versions.said.version)):
+        for message in other.giver.answer(self.taker.want(self.versions.state.version)):
             found, last = self.taker.take(message)
             if found is not None:
                 self.hand(found)
             if last:
                 break
-        for action in self.versions.tell_all():  # as the program does, so that who waits for a word has it
+        for (
+            action
+        ) in self.versions.announce_to_all():  # as the program does, so that who waits for a word has it
             self.do(action)
 
     def propose(self, change: Command, seconds: float = 5.0, if_version: int = -1) -> None:
@@ -251,7 +256,7 @@
         return [one for one in self.all.values() if one.up and not one.stopped]
 
     def agree(self) -> bool:
-        return len({one.versions.said.digest() for one in self.up}) == 1
+        return len({one.versions.state.digest() for one in self.up}) == 1
 
     def open(self) -> bool:
         """Whether all that are up may act."""
--- a/emulator/fleetview.py
+++ b/emulator/fleetview.py
@@ -111,7 +111,7 @@
         self.wake()
 
     def wake(self) -> None:
-        due = max(self.view.due, self.model.clock.now + 1e-6)
+        due = max(self.view.next_timer, self.model.clock.now + 1e-6)
         if due != self.due:
             self.due = due
             self.model.clock.after(due - self.model.clock.now + self.slow, self.tick, self.lives, due)
@@ -126,7 +126,12 @@
             self.numbers += 1
             identity = self.view.identity
             packet = Packet(
-                identity.name, identity.boot, action.to, self.numbers, action.message, action.facts
+                identity.name,
+                identity.boot,
+                action.receiver_boot,
+                self.numbers,
+                action.message,
+                action.member_states,
             )
             if self.model.weighs:
                 self.counts["bytes"] += len(SEALER.seal(packet))
@@ -222,24 +227,24 @@
         digest = up[0].view.table.digest if up else 0
         return (
             all(
-                one.view.inside
+                one.view.joined
                 and one.view.table.digest == digest
                 and len(one.view.table.living) == len(up) - 1
                 for one in up
             )
-            and {peer.fact.name for peer in up[0].view.table.living} | {up[0].view.identity.name} == names
+            and {peer.state.name for peer in up[0].view.table.living} | {up[0].view.identity.name} == names
         )
 
     def held_dead(self) -> list[tuple[str, str]]:
         """Who holds whom for dead that is up."""
         names = {one.view.identity.name: one for one in self.up}
         return [
-            (one.view.identity.name, peer.fact.name)
+            (one.view.identity.name, peer.state.name)
             for one in self.up
             for peer in one.view.table
-            if peer.fact.status == MemberStatus.DEAD
-            and peer.fact.name in names
-            and names[peer.fact.name].view.identity.boot == peer.fact.boot
+            if peer.state.status == MemberStatus.DEAD
+            and peer.state.name in names
+            and names[peer.state.name].view.identity.boot == peer.state.boot
         ]
 
     def until(self, true: Callable[[], bool], most: float, step: float = 0.05) -> float | None:
--- a/emulator/herd.py
+++ b/emulator/herd.py
@@ -109,7 +109,7 @@
         silent = len(herd.proxies) - 1 - len(full) - len(coming)
         inside = herd.clock.now > self.comeback.began + 0.15
         seen = RecoveryObservation(inside, True, True, full, coming, silent, self.served, self.ended)
-        for wish in self.comeback.look(herd.clock.now, seen):
+        for wish in self.comeback.step(herd.clock.now, seen):
             if isinstance(wish, PhaseChanged):
                 self.turned(wish.phase, coming)
             elif isinstance(wish, LearnFromPeers):
--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -150,7 +150,7 @@
 
     def note(self) -> FleetSnapshot:
         """What a successor goes on from."""
-        life, facts = self.view.pass_on()
+        life, facts = self.view.hand_over()
         agreed = self.agreed
         if agreed is None:
             return FleetSnapshot(self.table.name, life, facts)
@@ -160,7 +160,7 @@
         self._look_at_key()
         self.returning.look()
         now = time.monotonic()
-        count = self.share.look(now, self.view.fleet, report.is_settled(self.view, now))
+        count = self.share.step(now, self.view.fleet_size, report.is_settled(self.view, now))
         if count.instances != self._counted:
             self._counted = count.instances
             self.logger("fleet: instances counted with", count.instances)
@@ -187,7 +187,7 @@
     def retire(self) -> None:
         """The successor has the place."""
         self.link.hand(ProcessReplaced())
-        self.link.deafen()
+        self.link.pause_reading()
 
     def sockets(self) -> list[socket.socket]:
         return [self.link.udp, self.link.tcp]
@@ -214,7 +214,10 @@
     def _read_rollout(self) -> dict[str, Any]:
         agreed = self.agreed
         assert agreed is not None
-        return rows(agreed.said.plan, {**agreed.versions.cards, self.table.name: agreed.versions.card})
+        return rows(
+            agreed.said.rollout_plan,
+            {**agreed.versions.peer_metadata, self.table.name: agreed.versions.metadata},
+        )
 
     def _read_members(self) -> list[dict[str, Any]]:
         return report.rows(self.view, time.monotonic())
@@ -222,7 +225,7 @@
     def _read_status(self) -> dict[str, Any]:
         now = time.monotonic()
         found = report.status(self.view, now)
-        count = self.share.look(now, self.view.fleet, bool(found["settled"]))
+        count = self.share.step(now, self.view.fleet_size, bool(found["settled"]))
         if self.agreed is not None:
             found["agreed"] = self.agreed.standing()
         found["coming_back"] = self.returning.report()
--- a/loadbalancer/daemon/lease_monitor.py
+++ b/loadbalancer/daemon/lease_monitor.py
@@ -69,13 +69,13 @@
             return
         try:
             want = self.taker.want(self.said.version)
-            async for message in self.link.ask(peer.fact.address, peer.fact.boot, want):
+            async for message in self.link.ask(peer.state.address, peer.state.boot, want):
                 if not isinstance(message, (form.LogEntries, form.SnapshotChunk)):
                     raise ValueError("neither changes nor a state")
                 found, last = self.taker.take(message)
                 if found is not None:
                     self._hand(found)
-                    self._do(self.versions.tell_all())
+                    self._do(self.versions.announce_to_all())
                 if last:
                     break
         except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError) as problem:
@@ -90,10 +90,10 @@
                 (part, len(part.data) / GIVE_BYTES_S if isinstance(part, form.SnapshotChunk) else 0.0)
                 for part in self.giver.answer(message)
             )
-        if isinstance(message, form.QueryRequest) and message.what == "fleet/versions":
+        if isinstance(message, form.QueryRequest) and message.path == "fleet/versions":
             return iter([(form.QueryResponse(msgspec.json.encode(self.local())), 0.0)])
-        if isinstance(message, form.QueryRequest) and message.what.startswith("plan/"):
-            return ((part, 0.0) for part in self.rolling.answer(message.what.removeprefix("plan/")))
+        if isinstance(message, form.QueryRequest) and message.path.startswith("plan/"):
+            return ((part, 0.0) for part in self.rolling.answer(message.path.removeprefix("plan/")))
         return None
 
     async def ask_named(self, name: str, message: Message) -> AsyncIterator[Message]:
@@ -101,7 +101,7 @@
         peer = self.view.table.get(name)
         if peer is None:
             raise ConnectionError(f"{name} is not known")
-        async for found in self.link.ask(peer.fact.address, peer.fact.boot, message):
+        async for found in self.link.ask(peer.state.address, peer.state.boot, message):
             yield found
 
     # What operators read.
@@ -110,32 +110,32 @@
         now, versions = self._clock(), self.versions
         return {
             "version": self.said.version,
-            "known": versions.top,
-            "behind": versions.behind,
-            "why": versions.stuck or None,
-            "votes": versions.votes,
-            "lost_state": versions.lost or None,
+            "known": versions.highest_known_version,
+            "behind": versions.is_behind,
+            "why": versions.blocked_reason or None,
+            "votes": versions.can_vote,
+            "lost_state": versions.vote_suspension or None,
             "shut_out": not self.fence.may_act(now),
-            "lease_s": round(max(0.0, self.fence.until - now), 2),
-            "drift": self.fence.drifts or None,
-            "roster": sorted(self.said.roster),
+            "lease_s": round(max(0.0, self.fence.expires_at - now), 2),
+            "drift": self.fence.clock_drift or None,
+            "roster": sorted(self.said.voters),
         }
 
     def local(self) -> dict[str, Any]:
         """This instance's part of `fleet versions`."""
         now, wall = self._clock(), time.time()
         rows = [one.row(wall - now) for one in self.history]
-        return {"instance": self.name, **self.standing(), "card": self.versions.card, "epochs": rows}
+        return {"instance": self.name, **self.standing(), "card": self.versions.metadata, "epochs": rows}
 
     def collect(self, done: Callable[[Any], None]) -> None:
         """All instances' parts; who could not be asked is named."""
         self._loop.create_task(self._collect(done))
 
     async def _collect(self, done: Callable[[Any], None]) -> None:
-        peers = [peer for peer in self.view.table if peer.fact.status != MemberStatus.LEFT]
-        found = await asyncio.gather(*(self._ask(peer.fact.address, peer.fact.boot) for peer in peers))
+        peers = [peer for peer in self.view.table if peer.state.status != MemberStatus.LEFT]
+        found = await asyncio.gather(*(self._ask(peer.state.address, peer.state.boot) for peer in peers))
         instances = [self.local(), *(one for one in found if one is not None)]
-        unknown = [peer.fact.name for peer, one in zip(peers, found, strict=True) if one is None]
+        unknown = [peer.state.name for peer, one in zip(peers, found, strict=True) if one is None]
         done(merge(instances, unknown))
 
     async def _ask(self, address: tuple[str, int], boot: int) -> dict[str, Any] | None:
--- a/loadbalancer/daemon/persisted_state.py
+++ b/loadbalancer/daemon/persisted_state.py
@@ -67,7 +67,7 @@
             for key in view.keys(MOVE)
         }
         whole = Snapshot(head.version, marks, moves, head.frozen, head.roster, head.plan)
-        said.take_whole(msgspec.msgpack.encode(whole))
+        said.install_snapshot(msgspec.msgpack.encode(whole))
     vote = _item(view, VOTE, AcceptorState) if view.get(VOTE) else None
     met = {key[len(MET) :].decode(): _item(view, key, ObservedStore) for key in view.keys(MET)}
     log = {int(key[len(LOG) :]): _item(view, key, Command) for key in view.keys(LOG)}
@@ -94,12 +94,12 @@
     found: list[tuple[bytes, bytes | None]] = []
     for kind, *names in touched:
         if kind == "mark":
-            stands = said.marks.get(names[0], {}).get(names[1])
+            stands = said.overrides.get(names[0], {}).get(names[1])
             found.append((_mark_key(*names), msgspec.msgpack.encode(stands) if stands else None))
         elif kind == "move":
-            moved = said.moves.get(names[0])
+            moved = said.migrations.get(names[0])
             found.append((MOVE + names[0].encode(), msgspec.msgpack.encode(moved) if moved else None))
-    head = StoredHead(said.version, dict(said.roster), sorted(said.frozen), said.plan)
+    head = StoredHead(said.version, dict(said.voters), sorted(said.frozen), said.rollout_plan)
     found.append((HEAD, msgspec.msgpack.encode(head)))
     return found
 
@@ -123,5 +123,5 @@
 
 
 def all_items(said: ReplicatedState) -> list[tuple[bytes, bytes | None]]:
-    touched = [("mark", pool, member) for pool, marks in said.marks.items() for member in marks]
-    return snapshot(said, (*touched, *(("move", pool) for pool in said.moves)))
+    touched = [("mark", pool, member) for pool, marks in said.overrides.items() for member in marks]
+    return snapshot(said, (*touched, *(("move", pool) for pool in said.migrations)))
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -101,30 +101,30 @@
     def look(self) -> None:
         """Also a few times a second once it is full: who is told to return hears how many come back."""
         now, seen = time.monotonic(), self._seen()
-        for wish in self.comeback.look(now, seen):
+        for wish in self.comeback.step(now, seen):
             if isinstance(wish, PhaseChanged):
                 self.view.phase = wish.phase
                 if wish.phase == RecoveryPhase.WARMING:
                     self._release(seen)
-                text = f"{wish.phase.name.lower()} after {wish.took:.2f} s: {wish.why}"
+                text = f"{wish.phase.name.lower()} after {wish.elapsed:.2f} s: {wish.reason}"
                 self.daemon.logger(f"fleet: coming back: {wish.phase.name.lower()}", text)
             elif isinstance(wish, LearnFromPeers):
                 self._asking = self._loop.create_task(self._learn(wish.names))
             elif isinstance(wish, ConnectionPace):
                 self._pace(wish)
         for pool in self.daemon.pools.values():
-            pool.proxy.return_s = return_after(self._random.random(), len(seen.coming))
+            pool.proxy.return_s = return_after(self._random.random(), len(seen.recovering))
         self._keep_pace()
         self._use()
 
     def _release(self, seen: RecoveryObservation) -> None:
         """Sources of lists are called at once, or each at its turn by those that come back and have a list already.
         Where nobody has one, the first by name calls, and the others ask it until their turn."""
-        after = turn(self.comeback.name, seen.coming, SOURCE_S, SOURCES_S)
+        after = turn(self.comeback.name, seen.recovering, SOURCE_S, SOURCES_S)
         lacking = [pool for pool in self.daemon.pools.values() if not pool.proxy.listed]
         for pool in self.daemon.pools.values():
             pool.release(after if pool not in lacking or self.comeback.kind == "mass" else 0.0)
-        first = min((*seen.coming, self.comeback.name))
+        first = min((*seen.recovering, self.comeback.name))
         if lacking and self.comeback.kind == "mass" and first != self.comeback.name:
             self._asking = self._loop.create_task(self._ask_first(first, time.monotonic() + after))
 
@@ -136,14 +136,14 @@
     def _seen(self) -> RecoveryObservation:
         living = [peer for peer in self.view.table.living]
         heard = [peer for peer in living if peer.phase != NOT_HEARD]
-        full = tuple(peer.fact.name for peer in heard if is_full(peer.phase))
-        coming = tuple(peer.fact.name for peer in heard if not is_full(peer.phase))
+        full = tuple(peer.state.name for peer in heard if is_full(peer.phase))
+        coming = tuple(peer.state.name for peer in heard if not is_full(peer.phase))
         served = ended = 0
         for pool in self.daemon.pools.values():
             for counts in pool.proxy.figures.ended:
                 served, ended = served + counts[0], ended + sum(counts)
         return RecoveryObservation(
-            self.view.inside,
+            self.view.joined,
             self._may_act(),
             self._kept,
             full,
@@ -190,7 +190,7 @@
             raise ConnectionError("not known any more")
         data = b""
         async with asyncio.timeout(TELL_S):
-            async for message in self.link.ask(peer.fact.address, peer.fact.boot, form.QueryRequest(what)):
+            async for message in self.link.ask(peer.state.address, peer.state.boot, form.QueryRequest(what)):
                 if not isinstance(message, form.QueryResponse) or not message.body:
                     break
                 data += message.body
@@ -241,10 +241,10 @@
         if not isinstance(message, form.QueryRequest):
             return None
         data = b""
-        if message.what.startswith("list/"):
-            pool = self.daemon.pools.get(message.what.removeprefix("list/"))
+        if message.path.startswith("list/"):
+            pool = self.daemon.pools.get(message.path.removeprefix("list/"))
             data = pool.hand_on() if pool is not None else b""
-        elif message.what != "learnt":
+        elif message.path != "learnt":
             return None
         elif self.comeback.phase == RecoveryPhase.FULL:
             pools = [
@@ -259,5 +259,9 @@
         """This instance's, and the fleet's: full once all that live are."""
         seen = self._seen()
         found = self.comeback.report(time.monotonic())
-        fleet_full = not seen.coming and self.comeback.phase == RecoveryPhase.FULL
-        return found | {"survivors": self.asked, "coming_back": list(seen.coming), "fleet_full": fleet_full}
+        fleet_full = not seen.recovering and self.comeback.phase == RecoveryPhase.FULL
+        return found | {
+            "survivors": self.asked,
+            "coming_back": list(seen.recovering),
+            "fleet_full": fleet_full,
+        }
--- a/loadbalancer/daemon/replicated_commands.py
+++ b/loadbalancer/daemon/replicated_commands.py
@@ -111,7 +111,7 @@
         if verb == "fleet/rollout":
             return "plan", self._plan_of(order)
         if verb in ("fleet/halt", "fleet/back"):
-            plan = self.said.plan
+            plan = self.said.rollout_plan
             if plan is None or plan.stage in ("done", "ended"):
                 raise CallError(409, "no roll-out is under way")
             return "stage", StageBody(
@@ -122,7 +122,7 @@
                 plan.old_bad,
             )
         if verb == "fleet/recover":
-            return "recover", RecoverBody({name: self.said.roster.get(name, "") for name in said.roster})
+            return "recover", RecoverBody({name: self.said.voters.get(name, "") for name in said.roster})
         return None
 
     def _plan_of(self, order: Change) -> PlanBody:
@@ -139,7 +139,7 @@
 
     def _store_of(self, name: str) -> str:
         """Of one that is to vote: the store that it has said its votes are kept in."""
-        met = self.versions.cards.get(name, {}).get("store", "")
+        met = self.versions.peer_metadata.get(name, {}).get("store", "")
         if name == self.name:
             met = self._store_name
         if not met:
@@ -162,19 +162,23 @@
         self.logger(
             "fleet: recovered by an operator", f"{order.order.by}: {', '.join(order.order.roster)} vote now"
         )
-        done({"version": self.said.version, "holds": True, "roster": dict(self.said.roster)})
+        done({"version": self.said.version, "holds": True, "roster": dict(self.said.voters)})
 
     def _ended_order(self, ended: CommandCompleted) -> None:
-        found = self._orders.pop(ended.id, None)
+        found = self._orders.pop(ended.command_id, None)
         if found is None:
             return
         order, done, began = found
         if not ended.version:
-            done({"error": ended.why})
+            done({"error": ended.reason})
             return
         accepted = self.clock()
         confirming = CommitTracker(
-            ended.version, accepted, ended.lessees, self.fence.lasts, self.fence.serves
+            ended.version,
+            accepted,
+            ended.leaseholders,
+            self.fence.expiry_with_drift,
+            self.fence.serves_when_expired,
         )
         self._confirming.append((confirming, order, done, began + max(order.wait, 0.05)))
         self._look_at_confirming(accepted)
@@ -182,18 +186,18 @@
     def _look_at_confirming(self, now: float) -> None:
         if not self._confirming:
             return
-        at = {**self.versions.at, self.name: self.said.version}
-        known = [p.fact.name for p in self.view.table if p.fact.status != MemberStatus.LEFT]
-        left = [p.fact.name for p in self.view.table if p.fact.status == MemberStatus.LEFT]
+        at = {**self.versions.announced_versions, self.name: self.said.version}
+        known = [p.state.name for p in self.view.table if p.state.status != MemberStatus.LEFT]
+        left = [p.state.name for p in self.view.table if p.state.status == MemberStatus.LEFT]
         waiting = []
         for item in self._confirming:
             confirming, order, done, until = item
-            found = confirming.look(now, at, [*known, self.name], left)
-            if not found.holds and now < until:
+            found = confirming.status(now, at, [*known, self.name], left)
+            if not found.is_committed and now < until:
                 waiting.append(item)
                 continue
-            box: dict[str, Any] = {"version": confirming.version, "holds": found.holds}
-            if not found.holds:
-                box["missing"], box["until_s"] = list(found.missing), found.until
+            box: dict[str, Any] = {"version": confirming.version, "holds": found.is_committed}
+            if not found.is_committed:
+                box["missing"], box["until_s"] = list(found.unconfirmed), found.time_remaining
             done({**self.control.told(order), **box})
         self._confirming = waiting
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -117,11 +117,11 @@
             identity.opened,
             self.said,
             random.Random(source.getrandbits(60)),
-            self.fence.let_on,
+            self.fence.active_leaseholders,
         )
-        self.versions.log, self.versions.met = log, met
+        self.versions.command_log, self.versions.observed_stores = log, met
         if vote is not None and vote.slot == self.said.version + 1:
-            self.versions.vote = vote
+            self.versions.acceptor_state = vote
         self._identity, self._store_name = identity, identity.store
         self._config = ""  # digest of the file that runs
         ReplicatedCommands.__init__(self, clock)
@@ -138,7 +138,7 @@
         self._drive_at = 0.0
         self._stage_began = (0, 0.0)
         self.rolling = RolloutService(daemon, table.name, path, self.ask_named, self._requests, self._changed)
-        link.ruling = self._hear
+        link.send_replication = self._hear
 
     @property
     def control(self) -> AdminServer:
@@ -152,7 +152,7 @@
     def start(self) -> None:
         """Vote once it is on disk that this store was opened again."""
         self._restore()
-        self.versions.card = self._card()
+        self.versions.metadata = self._card()
         if self.store is not None:
 
             def job(view: StoreView) -> None:
@@ -160,7 +160,7 @@
 
             def opened(_: None, problem: StoreError | None) -> None:
                 if problem is None:
-                    self.versions.store = self._store_name
+                    self.versions.store_id = self._store_name
                 else:
                     self.logger("fleet: this instance does not vote", problem)
 
@@ -178,10 +178,10 @@
 
     def _restore(self) -> None:
         """What was kept is in force from the start."""
-        for pool, marks in self.said.marks.items():
+        for pool, marks in self.said.overrides.items():
             for member in marks:
                 self._in_force(("mark", pool, member))
-        for pool in self.said.moves:
+        for pool in self.said.migrations:
             self._in_force(("move", pool))
         for pool in self.said.frozen:
             self._in_force(("freeze", pool))
@@ -196,7 +196,7 @@
     def _card(self) -> dict[str, str]:
         """What else this instance runs under, for people."""
         found = {"build": BUILD, "store": self._store_name, "config": self._config}
-        if report := self.rolling.report(self.said.plan):
+        if report := self.rolling.report(self.said.rollout_plan):
             found["plan"] = report
         for name, pool in sorted(self.daemon.pools.items())[:4]:
             listed = ",".join(sorted(pool.overlay.listed()))
@@ -216,18 +216,18 @@
 
     def _step(self, now: float) -> None:
         living = tuple(
-            peer.fact.name for peer in self.view.table.living if peer.fact.status == MemberStatus.ALIVE
+            peer.state.name for peer in self.view.table.living if peer.state.status == MemberStatus.ALIVE
         )
         self._hand(TimerExpired(living))
-        if now >= self.fence.due:
-            number = self.fence.ask(now)
-            for name in self.said.roster:
+        if now >= self.fence.next_timer:
+            number = self.fence.request(now)
+            for name in self.said.voters:
                 self._send(name, form.LeaseRequest(number, self.said.version))
         if now >= self._ends_at:
             self._ends_at = now + ENDS_S
             self._end_by_time(now)
             self._roll(now)
-            self.versions.card = self._card()
+            self.versions.metadata = self._card()
         self._look_at_confirming(now)
 
     def _schedule(self) -> None:
@@ -235,7 +235,7 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        due = min(self.versions.due, self.fence.due, self._ends_at)
+        due = min(self.versions.next_timer, self.fence.next_timer, self._ends_at)
         wait = min(max(0.002, due - clock()), CONFIRM_S if self._confirming else ENDS_S)
         self._timer = self._loop.call_later(wait, self._tick)
 
@@ -263,30 +263,30 @@
         return served + bad, bad
 
     def _changed(self) -> None:
-        self.versions.card = self._card()
-        self._do(self.versions.tell_all())
+        self.versions.metadata = self._card()
+        self._do(self.versions.announce_to_all())
 
     def _roll(self, now: float) -> None:
         """Do this instance's part; the first of the living voters also says what follows."""
-        plan = self.said.plan
+        plan = self.said.rollout_plan
         names = sorted(
             {
                 self.name,
-                *(peer.fact.name for peer in self.view.table if peer.fact.status != MemberStatus.LEFT),
+                *(peer.state.name for peer in self.view.table if peer.state.status != MemberStatus.LEFT),
             }
         )
         self.rolling.look(plan, names)
         if plan is None or plan.stage not in OPEN:
             return
-        self._do(self.versions.tell_voters())
+        self._do(self.versions.announce_to_voters())
         if self._stage_began[0] != plan.version:
             self._stage_began = plan.version, now
-        living = [self.name, *(peer.fact.name for peer in self.view.table.living)]
-        voters = sorted(name for name in living if name in self.said.roster)
+        living = [self.name, *(peer.state.name for peer in self.view.table.living)]
+        voters = sorted(name for name in living if name in self.said.voters)
         if not voters or voters[0] != self.name or now < self._drive_at + 1.0:
             return
         self._drive_at = now
-        cards = {**self.versions.cards, self.name: self._card()}
+        cards = {**self.versions.peer_metadata, self.name: self._card()}
         reports = {
             name: found
             for name, card in cards.items()
@@ -313,20 +313,30 @@
             return
         peer = self.view.table.get(to)
         if peer is not None:
-            self.link.tell(peer.fact.address, peer.fact.boot, message)
+            self.link.send_datagram(peer.state.address, peer.state.boot, message)
 
     def _hear(self, sender: str, message: Message) -> None:
         if self._ended:
             return
         now = clock()
         if isinstance(message, form.LeaseRequest):
-            self.versions.at[sender] = max(message.version, self.versions.at.get(sender, 0))
-            if self.versions.votes:
-                self.fence.let(now, sender)
-                self._send(sender, form.LeaseGrant(message.number, self.versions.accepted_top, now))
+            self.versions.announced_versions[sender] = max(
+                message.version, self.versions.announced_versions.get(sender, 0)
+            )
+            if self.versions.can_vote:
+                self.fence.grant(now, sender)
+                self._send(
+                    sender, form.LeaseGrant(message.number, self.versions.highest_accepted_version, now)
+                )
         elif isinstance(message, form.LeaseGrant):
-            self.fence.heard(
-                now, message.number, sender, message.top, message.clock, self.said.majority, self.said.version
+            self.fence.granted(
+                now,
+                message.number,
+                sender,
+                message.highest_known_version,
+                message.clock,
+                self.said.majority,
+                self.said.version,
             )
         else:
             self._hand(MessageReceived(sender, message))  # type: ignore[arg-type]
@@ -347,7 +357,7 @@
             elif isinstance(action, SnapshotInstalled):
                 self._took_whole()
             elif isinstance(action, RequestStateTransfer):
-                self._catch(action.name)
+                self._catch(action.source)
             elif isinstance(action, CommandCompleted):
                 self._ended_order(action)
 
@@ -360,19 +370,19 @@
             if problem is not None:
                 self.logger("fleet: a vote could not be kept", problem)
                 return
-            for say in action.then:
+            for say in action.then_send:
                 self._send(say.to, say.message)
 
-        self.store.do(lambda view: keep_vote(view, action.vote, action.met), done)
+        self.store.do(lambda view: keep_vote(view, action.acceptor_state, action.observed_store), done)
 
     # What is in force.
 
     def _took(self, action: CommandApplied) -> None:
-        change = action.change
+        change = action.command
         self.history.append(Epoch(action.version, describe(change), change.by, time.time()))
         for touched in action.touched:
             self._in_force(touched)
-        self.fence.settle(self.said.majority, self.said.version)
+        self.fence.extend(self.said.majority, self.said.version)
         if self.store is not None:
             items = snapshot(self.said, action.touched)
             self.store.do(lambda view: keep_items(view, items, action.version, change), self._kept)
@@ -382,13 +392,13 @@
         control = self.control
         for pool, marks in list(control.marks.items()):
             for member in list(marks):
-                if member not in self.said.marks.get(pool, {}):
+                if member not in self.said.overrides.get(pool, {}):
                     control.put_mark(pool, member, None)
         for pool in list(control.moves):
-            if pool not in self.said.moves:
+            if pool not in self.said.migrations:
                 control.put_move(pool, None)
         self._restore()
-        self.fence.settle(self.said.majority, self.said.version)
+        self.fence.extend(self.said.majority, self.said.version)
         if self.store is not None:
             items, version = all_items(self.said), self.said.version
             self.store.do(lambda view: keep_items(view, items, version, None), self._kept)
@@ -401,10 +411,10 @@
         kind, *names = touched
         stands: Any = None
         if kind == "mark":
-            stands = self.said.marks.get(names[0], {}).get(names[1])
+            stands = self.said.overrides.get(names[0], {}).get(names[1])
             self.control.put_mark(names[0], names[1], stands[0] if stands is not None else None)
         elif kind == "move":
-            stands = self.said.moves.get(names[0])
+            stands = self.said.migrations.get(names[0])
             self.control.put_move(names[0], stands[0] if stands is not None else None)
         elif kind == "freeze":
             self.control.put_freeze(names[0], names[0] in self.said.frozen)
@@ -437,14 +447,14 @@
 
     def lease(self) -> float:
         """Until when this instance may act, on `clock`; 0 where it may not."""
-        return self.fence.until if self.fence.is_open(clock()) else 0.0
+        return self.fence.expires_at if self.fence.is_open(clock()) else 0.0
 
     def take_lease(self, version: int, until: float) -> None:
         """Of the process before, whose place this one has taken: it is the name's, and the clock is the machine's.
         Guards an upgrade against a moment in which nobody of the name may act. Only where the store had all that the
         lease was given on."""
-        if self.said.version >= version and until <= clock() + self.fence.stale_most:
-            self.fence.until = until
+        if self.said.version >= version and until <= clock() + self.fence.duration:
+            self.fence.expires_at = until
 
     def may_act(self) -> bool:
         return self.fence.may_act(clock())
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -49,14 +49,14 @@
         """CallError where one is under way here."""
         if self.passing is not None and not self.passing.over:
             raise CallError(409, "a restart of the fleet is under way here")
-        names = [self.name, *(peer.fact.name for peer in self.view.table.living)]
+        names = [self.name, *(peer.state.name for peer in self.view.table.living)]
         self.passing = RollingRestart(self.name, names, change.order.group, time.monotonic())
         self._task = self._loop.create_task(self._run(self.passing))
         done(self.report())
 
     async def _run(self, passing: RollingRestart) -> None:
         while not passing.over:
-            for begin in passing.look(time.monotonic(), self._lives()):
+            for begin in passing.step(time.monotonic(), self._lives()):
                 await self._restart(begin, passing)
             await asyncio.sleep(LOOK_S)
         self.daemon.logger("fleet: restart", passing.halted or "all have restarted")
@@ -64,12 +64,12 @@
     def _lives(self) -> dict[str, MemberRestart]:
         found = {
             self.name: MemberRestart(
-                self.view.me.boot, True, self.returning.comeback.phase == RecoveryPhase.FULL
+                self.view.own_state.boot, True, self.returning.comeback.phase == RecoveryPhase.FULL
             )
         }
         for peer in self.view.table:
-            if peer.fact.status != MemberStatus.LEFT:
-                found[peer.fact.name] = MemberRestart(peer.fact.boot, peer.living, is_full(peer.phase))
+            if peer.state.status != MemberStatus.LEFT:
+                found[peer.state.name] = MemberRestart(peer.state.boot, peer.is_live, is_full(peer.phase))
         return found
 
     async def _restart(self, begin: RestartMember, passing: RollingRestart) -> None:
@@ -81,7 +81,7 @@
             if peer is None:
                 raise ConnectionError("not known")
             async for message in self.link.ask(
-                peer.fact.address, peer.fact.boot, form.QueryRequest("restart")
+                peer.state.address, peer.state.boot, form.QueryRequest("restart")
             ):
                 if isinstance(message, form.QueryResponse) and message.body != b"begun":
                     raise ConnectionError(message.body.decode("utf-8", "replace"))
@@ -114,7 +114,7 @@
             )
 
     def answer(self, message: Message) -> Iterator[tuple[Message, float]] | None:
-        if not isinstance(message, form.QueryRequest) or message.what != "restart":
+        if not isinstance(message, form.QueryRequest) or message.path != "restart":
             return None
         return iter([(form.QueryResponse((self.hand_over() or "begun").encode()), 0.0)])
 
--- a/loadbalancer/fleet/membership/events.py
+++ b/loadbalancer/fleet/membership/events.py
@@ -37,9 +37,9 @@
     """Send one datagram. `to`: the receiver's life, 0 for any."""
 
     address: Address
-    to: int
+    receiver_boot: int
     message: Message
-    facts: tuple[MemberState, ...]
+    member_states: tuple[MemberState, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
 class MembershipNotice:
     """For the log."""
 
-    kind: str
+    event: str
     text: str
 
 
--- a/loadbalancer/fleet/membership/failure_detector.py
+++ b/loadbalancer/fleet/membership/failure_detector.py
@@ -62,12 +62,12 @@
 
     def _excuse(self, late: float) -> None:
         """This instance was stopped for so long: no silence of that time counts (view.py, rule 6)."""
-        self.counts["stalls"] += 1
+        self.counters["stalls"] += 1
         self.health.worse()
         self._probe, self._help_at, self._turn_at = None, math.inf, self.now
         self._for.clear()
         for peer in self.table:
-            if peer.fact.status == MemberStatus.SUSPECT:
+            if peer.state.status == MemberStatus.SUSPECT:
                 peer.suspected_at = min(self.now, peer.suspected_at + late)  # one may be of this moment
         self._rows_at = self.now
 
@@ -92,7 +92,7 @@
     def _next(self) -> Peer | None:
         while self._wanted:
             peer = self._wanted.pop()
-            if peer.living:
+            if peer.is_live:
                 return peer
         while True:
             if not self._ring:
@@ -101,7 +101,7 @@
                 if not self._ring:
                     return None
             peer = self._ring.pop()
-            if peer.living:
+            if peer.is_live:
                 return peer
 
     def _ping(self, peer: Peer) -> int:
@@ -119,9 +119,9 @@
         chosen = self.random.sample(others, min(self.timers.helpers, len(others)))
         probe.asked = len(chosen)
         for one in chosen:
-            self._tell_peer(one, form.IndirectProbe(probe.number, probe.peer.fact.name))
+            self._tell_peer(one, form.IndirectProbe(probe.number, probe.peer.state.name))
         # And the direct way again, with our own word: it may be that we are not known there.
-        self._tell_peer(probe.peer, form.Ping(probe.number, self.table.digest, self.phase), self.me)
+        self._tell_peer(probe.peer, form.Ping(probe.number, self.table.digest, self.phase), self.own_state)
 
     def _end_turn(self) -> None:
         """Silence to its end: the other is suspected; helpers that were silent too speak against this instance."""
@@ -130,14 +130,14 @@
             return
         self._probe = None
         self.health.worse(max(0, probe.asked - probe.nacks) if probe.asked else 1)
-        if probe.peer.living:
+        if probe.peer.is_live:
             self._suspect(probe.peer)
 
     # What comes in.
 
     def _on_ping(self, packet: form.Packet, message: form.Ping) -> None:
         peer = self.table.get(packet.sender)
-        if peer is None or peer.fact.boot != packet.boot:
+        if peer is None or peer.state.boot != packet.boot:
             return  # it is not known in this life yet; its word that it lives comes with it or soon
         peer.phase = message.phase
         self._tell_peer(peer, form.Ack(message.number, self.table.digest, self.phase))
@@ -146,7 +146,7 @@
     def _on_ack(self, packet: form.Packet, message: form.Ack) -> None:
         number = message.number
         peer = self.table.get(packet.sender)
-        if peer is not None and peer.fact.boot == packet.boot:
+        if peer is not None and peer.state.boot == packet.boot:
             peer.phase = message.phase
             self._differs(peer, message.digest)
         asked = self._for.pop(number, None)
@@ -155,7 +155,7 @@
         probe = self._probe
         if probe is not None and number == probe.number:
             self._probe, self._help_at = None, math.inf
-            if packet.sender == probe.peer.fact.name:
+            if packet.sender == probe.peer.state.name:
                 self.health.better()
 
     def _pass_ack(self, asked: _Asked) -> None:
--- a/loadbalancer/fleet/membership/member_table.py
+++ b/loadbalancer/fleet/membership/member_table.py
@@ -30,7 +30,7 @@
         "corrected_at",
         "digest",
         "digest_at",
-        "fact",
+        "state",
         "heard_at",
         "phase",
         "ring",
@@ -41,7 +41,7 @@
     )
 
     def __init__(self, fact: MemberState, now: float) -> None:
-        self.fact = fact
+        self.state = fact
         self.since = now  # that it stands as it does
         self.heard_at = -math.inf  # a message of its own
         self.digest, self.digest_at = -1, -math.inf  # that it told last
@@ -53,8 +53,8 @@
         self.ring = -1  # its place among those that are probed
 
     @property
-    def living(self) -> bool:
-        return self.fact.status in LIVING
+    def is_live(self) -> bool:
+        return self.state.status in LIVING
 
 
 class MemberTable:
@@ -98,10 +98,10 @@
         peer = self.peers.get(fact.name)
         if peer is None:
             return self._first(fact, now)
-        if fact.rank <= peer.fact.rank:
+        if fact.rank <= peer.state.rank:
             return None
-        before = peer.fact
-        if (before.boot, before.incarnation) != (fact.boot, fact.incarnation) or peer.living != (
+        before = peer.state
+        if (before.boot, before.incarnation) != (fact.boot, fact.incarnation) or peer.is_live != (
             fact.status in LIVING
         ):
             self._add(before, -1, now)
@@ -110,12 +110,12 @@
             peer.since = now
         if before.boot != fact.boot:
             peer.digest, peer.digest_at, peer.heard_at, peer.phase = -1, -math.inf, -math.inf, COMING
-        was_living = peer.living
-        peer.fact = fact
+        was_living = peer.is_live
+        peer.state = fact
         if fact.status != MemberStatus.SUSPECT:
             peer.accusers.clear()
-        if peer.living != was_living:
-            self._enter(peer) if peer.living else self._leave(peer)
+        if peer.is_live != was_living:
+            self._enter(peer) if peer.is_live else self._leave(peer)
         return peer
 
     def _first(self, fact: MemberState, now: float) -> Peer | None:
@@ -132,7 +132,7 @@
     def forget(self, name: str) -> None:
         """One that does not live."""
         peer = self.peers[name]
-        assert not peer.living
+        assert not peer.is_live
         del self.peers[name]
 
     def _enter(self, peer: Peer) -> None:
--- a/loadbalancer/fleet/membership/member_updates.py
+++ b/loadbalancer/fleet/membership/member_updates.py
@@ -29,16 +29,16 @@
     def __init__(self, identity: Identity, settings: Settings, source: random.Random) -> None:
         self.identity, self.settings, self.timers = identity, settings, settings.timers
         self.random = source
-        self.now = self.born = -math.inf
+        self.now = self.started_at = -math.inf
         self.actions: list[Action] = []
-        self.opening: list[Action] = []  # of a place that was taken over, before any event
+        self.initial_actions: list[Action] = []  # of a place that was taken over, before any event
         self.table = MemberTable()
         self.rumours = GossipQueue()
         self.health = LocalHealth(settings.timers.health_most)
-        self.counts: Counter[str] = Counter()
-        self.me = self._fact(1, 0)
+        self.counters: Counter[str] = Counter()
+        self.own_state = self._fact(1, 0)
         self.phase = 0  # of coming back, as it is told to others
-        self.inside = False  # whether this instance counts as one of the fleet
+        self.joined = False  # whether this instance counts as one of the fleet
         self._rows_at = math.inf  # no row needs a look before
         self._tried_at = self._hoped_at = -math.inf
         self._exchange_at = math.inf  # the next that nothing has called for
@@ -51,16 +51,16 @@
         return MemberState(mine.name, mine.boot, life, incarnation, standing, *mine.address, mine.zone)
 
     @property
-    def fleet(self) -> int:
+    def fleet_size(self) -> int:
         """How many live, this instance among them."""
         return len(self.table.living) + 1
 
     def facts(self) -> Iterator[MemberState]:
         """All that one who exchanges with us hears: this instance first where it is in."""
-        if self.inside:
-            yield self.me
+        if self.joined:
+            yield self.own_state
         for peer in self.table:
-            yield peer.fact
+            yield peer.state
 
     # Saying.
 
@@ -81,14 +81,14 @@
         """With as many words as fit. `first`: those that go in any case. A hello says nothing to whoever hears it."""
         facts: tuple[MemberState, ...] = ()
         if isinstance(message, form.AliveNotice):
-            facts = (self.me,) if self.inside else ()
+            facts = (self.own_state,) if self.joined else ()
         elif not isinstance(message, (form.Hello, form.NameConflictNotice)):
-            facts = (*first, *self.rumours.take(self.fleet, sum(map(encoded_size, first)), name))
+            facts = (*first, *self.rumours.take(self.fleet_size, sum(map(encoded_size, first)), name))
         self.actions.append(SendPacket(address, to, message, facts))
 
     def _tell_peer(self, peer: Peer, message: form.Message, *further: MemberState) -> None:
         """The suspected and the dead hear first what is held of them."""
-        fact = peer.fact
+        fact = peer.state
         first = (fact, *further) if fact.status != MemberStatus.ALIVE else further
         self._tell(fact.address, fact.boot, message, first, fact.name)
 
@@ -102,7 +102,7 @@
         """Who speaks and does not live in this view hears so, that he may refute it. Guards, by its pause, against two
         that hold one another dead and neither of which refutes it: they would tell each other without end."""
         peer = self.table.get(packet.sender)
-        if peer is None or peer.fact.boot != packet.boot or peer.fact.status == MemberStatus.ALIVE:
+        if peer is None or peer.state.boot != packet.boot or peer.state.status == MemberStatus.ALIVE:
             return
         if self.now - peer.corrected_at >= self.timers.timeout:
             peer.corrected_at = self.now
@@ -110,10 +110,10 @@
 
     def _exchange(self, name: str, boot: int, address: Address) -> None:
         """Not more often than the size of a whole exchange allows; one that is joining may hear several."""
-        rest = self.timers.mend * max(1.0, self.fleet / MEND_FLEET)
-        if not self.inside or self.now - self._mended_at >= rest:
+        rest = self.timers.mend * max(1.0, self.fleet_size / MEND_FLEET)
+        if not self.joined or self.now - self._mended_at >= rest:
             self._mended_at = self.now
-            self.counts["exchanges"] += 1
+            self.counters["exchanges"] += 1
             self.actions.append(SynchronizeState(name, boot, address))
 
     # Taking a word.
@@ -123,12 +123,12 @@
         if (
             known is not None
             and fact.status == MemberStatus.SUSPECT
-            and known.fact.status == MemberStatus.SUSPECT
-            and fact.rank == known.fact.rank
+            and known.state.status == MemberStatus.SUSPECT
+            and fact.rank == known.state.rank
         ):
             self._confirm(known, fact)
             return
-        was = known.fact.status if known is not None else None
+        was = known.state.status if known is not None else None
         peer = self.table.take(fact, self.now)
         if peer is None:
             return
@@ -137,23 +137,23 @@
 
     def _turned(self, peer: Peer, was: MemberStatus | None) -> None:
         """A row has changed. `was`: None for a name that is new."""
-        standing, name = peer.fact.status, peer.fact.name
+        standing, name = peer.state.status, peer.state.name
         if standing == MemberStatus.SUSPECT:
             peer.suspected_at = self.now
-            peer.accusers = {peer.fact.reported_by}
-            self.counts["suspected"] += 1
+            peer.accusers = {peer.state.reported_by}
+            self.counters["suspected"] += 1
             self._check_too(peer)
         elif standing == MemberStatus.DEAD:
-            self.counts["died"] += 1
+            self.counters["died"] += 1
             peer.try_after = self.timers.try_first
             peer.try_at = self.now + peer.try_after * (0.5 + self.random.random())
-            self._note("an instance is held dead", f"{name}, by {peer.fact.reported_by or 'others'}")
+            self._note("an instance is held dead", f"{name}, by {peer.state.reported_by or 'others'}")
         elif standing == MemberStatus.LEFT:
             self._note("an instance has left", name)
         elif was is None:
-            self._note("an instance has joined", f"{name} at {peer.fact.host}:{peer.fact.port}")
+            self._note("an instance has joined", f"{name} at {peer.state.host}:{peer.state.port}")
         elif was in (MemberStatus.DEAD, MemberStatus.LEFT):
-            self.counts["returned"] += 1
+            self.counters["returned"] += 1
             self._note("an instance is back", name)
             if was == MemberStatus.DEAD:
                 self._hope()
@@ -165,14 +165,14 @@
             return
         self._hoped_at = self.now
         for peer in self.table:
-            if peer.fact.status == MemberStatus.DEAD:
+            if peer.state.status == MemberStatus.DEAD:
                 peer.try_after = self.timers.try_first
                 peer.try_at = min(peer.try_at, self.now + self.timers.try_first * self.random.random())
                 self._rows_at = min(self._rows_at, peer.try_at)
 
     def _check_too(self, peer: Peer) -> None:
         """Hearing of a suspicion, some look for themselves at once: it is confirmed, or refuted, in a period."""
-        if peer.fact.reported_by != self.identity.name and self.random.random() < CHECKERS / self.fleet:
+        if peer.state.reported_by != self.identity.name and self.random.random() < CHECKERS / self.fleet_size:
             self._wanted.append(peer)
 
     def _confirm(self, peer: Peer, fact: MemberState) -> None:
@@ -185,7 +185,7 @@
 
     def _suspect(self, peer: Peer) -> None:
         """A probe of our own has failed."""
-        old = peer.fact
+        old = peer.state
         self._take(self._say(old, MemberStatus.SUSPECT))
 
     def _say(self, old: MemberState, standing: MemberStatus) -> MemberState:
@@ -204,9 +204,9 @@
     # Time.
 
     def _row_due(self, peer: Peer) -> float:
-        standing = peer.fact.status
+        standing = peer.state.status
         if standing == MemberStatus.SUSPECT:
-            return peer.suspected_at + suspicion_timeout(self.timers, self.fleet, len(peer.accusers) - 1)
+            return peer.suspected_at + suspicion_timeout(self.timers, self.fleet_size, len(peer.accusers) - 1)
         if standing == MemberStatus.DEAD:
             return min(peer.try_at, peer.since + self.timers.forget)
         return peer.since + self.timers.forget if standing == MemberStatus.LEFT else math.inf
@@ -231,16 +231,16 @@
             return
         self._rows_at = math.inf
         for peer in list(self.table):
-            if peer.fact.status != MemberStatus.ALIVE:
+            if peer.state.status != MemberStatus.ALIVE:
                 if self._row_due(peer) <= self.now:
                     self._row_step(peer)
                 self._rows_at = min(self._rows_at, self._row_due(peer))
 
     def _row_step(self, peer: Peer) -> None:
-        if peer.fact.status == MemberStatus.SUSPECT:
-            self._take(self._say(peer.fact, MemberStatus.DEAD))
+        if peer.state.status == MemberStatus.SUSPECT:
+            self._take(self._say(peer.state, MemberStatus.DEAD))
         elif self.now >= peer.since + self.timers.forget:
-            self.table.forget(peer.fact.name)
+            self.table.forget(peer.state.name)
             peer.since = math.inf
         elif self.now >= self._tried_at + self.timers.try_each:
             self._try(peer)
@@ -252,15 +252,15 @@
         old = self.now - peer.since > timers.late_after
         peer.try_after = min(timers.try_late if old else timers.try_most, peer.try_after * 2)
         peer.try_at = self.now + peer.try_after * (0.75 + 0.5 * self.random.random())
-        self.counts["tries"] += 1
-        self._tell(peer.fact.address, 0, self._hello())
+        self.counters["tries"] += 1
+        self._tell(peer.state.address, 0, self._hello())
 
     def _exchange_with(self, peer: Peer) -> None:
-        self._exchange(peer.fact.name, peer.fact.boot, peer.fact.address)
+        self._exchange(peer.state.name, peer.state.boot, peer.state.address)
 
     def _differs(self, peer: Peer, digest: int) -> None:
         """What a peer told of its view: where both have had time to settle and differ, hear all of it."""
         peer.digest, peer.digest_at = digest, self.now
         own = self.table
-        if digest != own.digest and self.now - own.changed_at > self.timers.period and peer.living:
+        if digest != own.digest and self.now - own.changed_at > self.timers.period and peer.is_live:
             self._exchange_with(peer)
--- a/loadbalancer/fleet/membership/name_conflicts.py
+++ b/loadbalancer/fleet/membership/name_conflicts.py
@@ -27,19 +27,19 @@
 
     def __init__(self, identity: Identity, settings: Settings, source: random.Random) -> None:
         super().__init__(identity, settings, source)
-        self.out = False  # another process has the name
+        self.name_lost = False  # another process has the name
         self._rival: MemberState | None = None  # another life, until it is known whether it lives
         self._rival_until = math.inf
 
     def _said_of_me(self, fact: MemberState) -> None:
-        mine = self.me
+        mine = self.own_state
         if fact.boot == self.identity.boot:
-            if fact.status != MemberStatus.ALIVE and self.inside and fact.incarnation >= mine.incarnation:
-                self.counts["refuted"] += 1
+            if fact.status != MemberStatus.ALIVE and self.joined and fact.incarnation >= mine.incarnation:
+                self.counters["refuted"] += 1
                 self.health.worse()
                 self._become(mine.life, fact.incarnation + 1)
             return
-        if (fact.life, fact.boot) < (mine.life, mine.boot) and self.inside:
+        if (fact.life, fact.boot) < (mine.life, mine.boot) and self.joined:
             return  # a life that is over
         if fact.status not in LIVING or fact.address == self.identity.address:
             self._succeed(fact)
@@ -50,13 +50,13 @@
     def _succeed(self, over: MemberState) -> None:
         """The other life of our name is over; ours comes after it."""
         self._rival, self._rival_until = None, math.inf
-        life = max(self.me.life, over.life + 1)
-        if self.inside:
+        life = max(self.own_state.life, over.life + 1)
+        if self.joined:
             self._become(life, 0)
-        elif self.out:
+        elif self.name_lost:
             self._enter(life)
         else:
-            self.me = self._fact(life, 0)
+            self.own_state = self._fact(life, 0)
 
     def _look_for_rival(self) -> None:
         """Nobody has answered at the place of the other life for as long as it had."""
@@ -64,7 +64,7 @@
             self._succeed(self._rival)
 
     def _clash(self, answer: bool) -> form.NameConflictNotice:
-        return form.NameConflictNotice(self.me.life, *self.identity.address, self.inside, answer)
+        return form.NameConflictNotice(self.own_state.life, *self.identity.address, self.joined, answer)
 
     def _meet_namesake(self, packet: form.Packet) -> None:
         """A message of another process under our name."""
@@ -73,7 +73,7 @@
             return
         if isinstance(message, form.NameConflictNotice) and packet.to == self.identity.boot:
             self._on_clash(packet, message)
-        elif isinstance(message, form.Hello) and self.inside:
+        elif isinstance(message, form.Hello) and self.joined:
             address = message.host, message.port
             if address != self.identity.address:  # else it was sent before we began
                 self._stay(packet.boot, address, True)
@@ -83,22 +83,22 @@
             return
         self._rival, self._rival_until = None, math.inf
         address = message.host, message.port
-        if message.inside != self.inside:
-            stays = self.inside
-        elif self.inside:
-            stays = (self.me.life, self.me.boot) < (message.life, packet.boot)
+        if message.joined != self.joined:
+            stays = self.joined
+        elif self.joined:
+            stays = (self.own_state.life, self.own_state.boot) < (message.life, packet.boot)
         else:
-            stays = self.me.boot < packet.boot
+            stays = self.own_state.boot < packet.boot
         if not stays:
-            if not self.out:
+            if not self.name_lost:
                 self._stay_out(packet.boot, address, not message.answer)
             return
         self._stay(packet.boot, address, not message.answer)
-        if self.inside and message.life >= self.me.life:
+        if self.joined and message.life >= self.own_state.life:
             self._become(message.life + 1, 0)
 
     def _stay(self, boot: int, address: Address, answers: bool) -> None:
-        self.counts["clashes"] += 1
+        self.counters["clashes"] += 1
         place = f"{address[0]}:{address[1]}"
         self._note(
             "two instances under one name", f"{self.identity.name} is at {place} too; that one stays out"
@@ -107,10 +107,10 @@
             self._tell(address, boot, self._clash(True))
 
     def _stay_out(self, boot: int, address: Address, answers: bool) -> None:
-        if self.inside:
+        if self.joined:
             self._spread_leaving()
-        self.out = True
-        self.counts["clashes"] += 1
+        self.name_lost = True
+        self.counters["clashes"] += 1
         place = f"{address[0]}:{address[1]}"
         self._note("two instances under one name", f"{self.identity.name} is at {place}; this one stays out")
         if answers:
@@ -120,25 +120,25 @@
 
     def _enter(self, life: int) -> None:
         """Count as one of the fleet from here on, and tell some at once."""
-        self.me = self._fact(max(1, life), 0)
-        self.inside, self.out = True, False
-        self.table.count_me(self.me, None, self.now)
+        self.own_state = self._fact(max(1, life), 0)
+        self.joined, self.name_lost = True, False
+        self.table.count_me(self.own_state, None, self.now)
         self._begin_probes(self.now)
         self._announce()
 
     def _become(self, life: int, incarnation: int) -> None:
-        before, self.me = self.me, self._fact(life, incarnation)
-        self.table.count_me(self.me, before, self.now)
+        before, self.own_state = self.own_state, self._fact(life, incarnation)
+        self.table.count_me(self.own_state, before, self.now)
         self._announce()
 
     def _announce(self) -> None:
-        self.rumours.add(self.me)
+        self.rumours.add(self.own_state)
         self._spread(self.timers.helpers)
 
     def _spread_leaving(self) -> None:
-        gone = self._fact(self.me.life, self.me.incarnation, MemberStatus.LEFT)
-        self.table.count_me(gone, self.me, self.now)
-        self.me, self.inside = gone, False
+        gone = self._fact(self.own_state.life, self.own_state.incarnation, MemberStatus.LEFT)
+        self.table.count_me(gone, self.own_state, self.now)
+        self.own_state, self.joined = gone, False
         self.rumours.add(gone)
         self._spread(LEAVING)
 
--- a/loadbalancer/fleet/membership/view.py
+++ b/loadbalancer/fleet/membership/view.py
@@ -50,7 +50,7 @@
 
     def __init__(self, identity: Identity, settings: Settings, seed: int) -> None:
         super().__init__(identity, settings, random.Random(seed))
-        self.gone = False
+        self.has_left = False
         self._hello_at = self._join_by = -math.inf
         self._react: dict[type, Callable[[Any], None]] = {
             PacketReceived: self._on_arrived,
@@ -72,7 +72,7 @@
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """What is to be done, in order."""
-        if self.born < 0:
+        if self.started_at < 0:
             self._begin(now)
         self.now = max(self.now, now)
         self.actions = []
@@ -80,24 +80,24 @@
         return self.actions
 
     def _begin(self, now: float) -> None:
-        self.born = self.now = now
+        self.started_at = self.now = now
         self._hello_at, self._join_by = now, now + self.timers.joining
 
     @property
     def state(self) -> str:
-        if self.gone:
+        if self.has_left:
             return "gone"
-        return "member" if self.inside else "out" if self.out else "joining"
+        return "member" if self.joined else "out" if self.name_lost else "joining"
 
     @property
-    def due(self) -> float:
+    def next_timer(self) -> float:
         """On the clock of `handle`; in the past at first."""
-        if self.gone:
+        if self.has_left:
             return math.inf
         due = min(self._hello_at, self._rival_until)
-        if self.inside:
+        if self.joined:
             return min(due, self._next_probe_step(), self._next_row_step())
-        return due if self.out or self._rival is not None else min(due, self._join_by)
+        return due if self.name_lost or self._rival is not None else min(due, self._join_by)
 
     def resume(self, now: float, life: int, facts: Sequence[MemberState]) -> list[Action]:
         """Take the place of the process before, which has passed it on (`pass_on`): the next life of the name, known
@@ -110,19 +110,19 @@
         self._enter(life + 1)
         return self.actions
 
-    def pass_on(self) -> tuple[int, list[MemberState]]:
+    def hand_over(self) -> tuple[int, list[MemberState]]:
         """What a successor goes on from: the number of this life, and the others."""
-        return self.me.life, [peer.fact for peer in self.table]
+        return self.own_state.life, [peer.state for peer in self.table]
 
     # Time.
 
     def _on_tick(self, event: TimerExpired) -> None:
         self._look_for_rival()
-        if not self.inside and not self.out and self._rival is None and self.now >= self._join_by:
-            self._enter(self.me.life)
+        if not self.joined and not self.name_lost and self._rival is None and self.now >= self._join_by:
+            self._enter(self.own_state.life)
         if self.now >= self._hello_at:
             self._call_seeds()
-        if self.inside:
+        if self.joined:
             late = self.now - self._turn_at
             if late > self.timers.timeout:  # rule 6
                 self._excuse(late)
@@ -131,18 +131,18 @@
 
     def _call_seeds(self) -> None:
         """Rule 4 for seeds: they are called as long as they are not known to live, and while this instance is out."""
-        known = {peer.fact.address for peer in self.table.living} if self.inside else set()
+        known = {peer.state.address for peer in self.table.living} if self.joined else set()
         for seed in self.settings.seeds:
             if seed not in known and seed != self.identity.address:
                 self._tell(seed, 0, self._hello())
-        slow = 1.0 if self.now - self.born < YOUNG_S else SLOW
+        slow = 1.0 if self.now - self.started_at < YOUNG_S else SLOW
         self._hello_at = self.now + self.timers.hello * slow * (0.75 + 0.5 * self.random.random())
 
     # What arrives.
 
     def _on_arrived(self, event: PacketReceived) -> None:
         packet = event.packet
-        if self.gone:
+        if self.has_left:
             return
         if packet.sender == self.identity.name:
             self._meet_namesake(packet)
@@ -151,7 +151,7 @@
             self._not_for_me(packet)
             return
         peer = self.table.get(packet.sender)
-        if peer is not None and peer.fact.boot == packet.boot:
+        if peer is not None and peer.state.boot == packet.boot:
             peer.heard_at = self.now
         exchanged = isinstance(packet.message, form.Piece)
         for fact in packet.facts:
@@ -164,7 +164,7 @@
         if isinstance(message, form.Hello):
             self._on_hello(packet, message)
         elif (peer := self.table.get(packet.sender)) is not None and packet.to != 0:
-            self._tell(peer.fact.address, packet.boot, self._here())
+            self._tell(peer.state.address, packet.boot, self._here())
 
     def _here(self) -> form.AliveNotice:
         return form.AliveNotice(*self.identity.address, self.phase)
@@ -175,9 +175,9 @@
     def _on_here(self, packet: form.Packet, message: form.AliveNotice) -> None:
         """One that is there and does not live in this view, or lives in another life: hear all of it."""
         peer = self.table.get(packet.sender)
-        if peer is not None and peer.fact.boot == packet.boot:
+        if peer is not None and peer.state.boot == packet.boot:
             peer.phase = message.phase
-        if not self.inside or peer is None or not peer.living or peer.fact.boot != packet.boot:
+        if not self.joined or peer is None or not peer.is_live or peer.state.boot != packet.boot:
             self._exchange(packet.sender, packet.boot, (message.host, message.port))
         self._correct(packet)
 
@@ -186,8 +186,8 @@
 
     def _on_piece(self, packet: form.Packet, message: form.Piece) -> None:
         """Its facts have been taken; the last one ends the join."""
-        if message.last and not self.inside and not self.out and self._rival is None:
-            self._enter(self.me.life)
+        if message.last and not self.joined and not self.name_lost and self._rival is None:
+            self._enter(self.own_state.life)
         self._correct(packet)
 
     def _weigh(self, fact: MemberState, exchanged: bool) -> None:
@@ -198,9 +198,9 @@
         if (
             exchanged
             and known is not None
-            and known.living
+            and known.is_live
             and fact.status == MemberStatus.DEAD
-            and (fact.life, fact.boot) == (known.fact.life, known.fact.boot)
+            and (fact.life, fact.boot) == (known.state.life, known.state.boot)
         ):
             fact = self._say(fact, MemberStatus.SUSPECT)  # rule 3
         self._take(fact)
@@ -208,10 +208,10 @@
     # Leaving.
 
     def _on_leave(self, event: Leave) -> None:
-        if self.inside:
+        if self.joined:
             self._spread_leaving()
-        self.gone = True
+        self.has_left = True
 
     def _on_passed(self, event: ProcessReplaced) -> None:
         """A successor has the place; it says so itself."""
-        self.gone = True
+        self.has_left = True
--- a/loadbalancer/fleet/orchestration/fleet_size.py
+++ b/loadbalancer/fleet/orchestration/fleet_size.py
@@ -48,7 +48,7 @@
         self._seen, self._seen_at = 0, 0.0  # a settled view that is not believed yet
         self._moved_at = -math.inf
 
-    def look(self, now: float, living: int, settled: bool) -> SizeEstimate:
+    def step(self, now: float, living: int, settled: bool) -> SizeEstimate:
         """`living`: instances in the view, this one among them. `settled`: it has, and they agree."""
         if not settled:
             if self.standing != "configured":
--- a/loadbalancer/fleet/orchestration/recovery.py
+++ b/loadbalancer/fleet/orchestration/recovery.py
@@ -56,12 +56,12 @@
     """What an instance sees of itself and the others. `full`, `coming`: names of others that live, by what they say;
     `silent`: how many others live that have not said."""
 
-    inside: bool
+    joined: bool
     may_act: bool
-    kept: bool  # something was kept from before
-    full: tuple[str, ...]
-    coming: tuple[str, ...]
-    silent: int
+    has_stored_state: bool  # something was kept from before
+    in_full_service: tuple[str, ...]
+    recovering: tuple[str, ...]
+    unheard: int
     served: int
     ended: int  # requests, served or not
 
@@ -85,8 +85,8 @@
     """A phase has begun. `took`: seconds of the one before; `why` that ended."""
 
     phase: RecoveryPhase
-    took: float
-    why: str
+    elapsed: float
+    reason: str
 
 
 @dataclass
@@ -115,12 +115,12 @@
         """Those asked have answered, or will not."""
         self._told = True
 
-    def look(
+    def step(
         self, now: float, seen: RecoveryObservation
     ) -> list[LearnFromPeers | ConnectionPace | PhaseChanged]:
         """Call it some times a second until the phase is full, and as often as one likes after that."""
         found: list[LearnFromPeers | ConnectionPace | PhaseChanged] = []
-        if self.phase == RecoveryPhase.FINDING and seen.inside:
+        if self.phase == RecoveryPhase.FINDING and seen.joined:
             self.kind = kind_of(seen)
             found.append(self._turn(now, RecoveryPhase.STATE, "a place in the view"))
             if self.kind == "mass":
@@ -150,13 +150,13 @@
         self, now: float, seen: RecoveryObservation
     ) -> list[LearnFromPeers | ConnectionPace | PhaseChanged]:
         if not self._asked:
-            if seen.silent and not seen.full and now < self.since + KNOW_S:
+            if seen.unheard and not seen.in_full_service and now < self.since + KNOW_S:
                 return []
-            if seen.full and now < self.since + turn(self.name, seen.coming, TURN_S):
+            if seen.in_full_service and now < self.since + turn(self.name, seen.recovering, TURN_S):
                 return []  # survivors are few, and each of us has a turn
             self._asked = True
-            if seen.full:
-                return [LearnFromPeers(choose(self.name, seen.full))]
+            if seen.in_full_service:
+                return [LearnFromPeers(choose(self.name, seen.in_full_service))]
             return self._warm(now, seen, "nobody is there who could tell")
         if self._told:
             return self._warm(now, seen, "survivors have told")
@@ -199,9 +199,9 @@
 
 
 def kind_of(seen: RecoveryObservation) -> str:
-    if not seen.full and not seen.coming and not seen.silent:
-        return "alone" if seen.kept else "first"
-    return "mass" if seen.coming and len(seen.coming) >= len(seen.full) else "lone"
+    if not seen.in_full_service and not seen.recovering and not seen.unheard:
+        return "alone" if seen.has_stored_state else "first"
+    return "mass" if seen.recovering and len(seen.recovering) >= len(seen.in_full_service) else "lone"
 
 
 def turn(name: str, coming: Sequence[str], each: float, most: float = TURNS_S) -> float:
--- a/loadbalancer/fleet/orchestration/rolling_restart.py
+++ b/loadbalancer/fleet/orchestration/rolling_restart.py
@@ -23,8 +23,8 @@
     """One instance, as the view has it now."""
 
     boot: int
-    living: bool
-    full: bool
+    is_live: bool
+    in_full_service: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,17 +50,17 @@
     def over(self) -> bool:
         return bool(self.halted) or not self.groups
 
-    def look(self, now: float, lives: Mapping[str, MemberRestart]) -> list[RestartMember]:
+    def step(self, now: float, lives: Mapping[str, MemberRestart]) -> list[RestartMember]:
         if self.over:
             return []
         group = self.groups[0]
         if self._before:
             return self._wait(now, group, lives)
-        gone = [name for name in group if name not in lives or not lives[name].living]
+        gone = [name for name in group if name not in lives or not lives[name].is_live]
         if gone:
             self.halted = f"{', '.join(gone)} does not live"
             return []
-        sick = sorted(name for name, life in lives.items() if not (life.living and life.full))
+        sick = sorted(name for name, life in lives.items() if not (life.is_live and life.in_full_service))
         if sick:
             if now - self._since > GROUP_S:
                 self.halted = f"not whole for {GROUP_S:.0f} s: {', '.join(sick)}"
@@ -82,4 +82,4 @@
 
     def _is_back(self, name: str, lives: Mapping[str, MemberRestart]) -> bool:
         life = lives.get(name)
-        return life is not None and life.living and life.full and life.boot != self._before[name]
+        return life is not None and life.is_live and life.in_full_service and life.boot != self._before[name]
--- a/loadbalancer/fleet/replication/commit_tracking.py
+++ b/loadbalancer/fleet/replication/commit_tracking.py
@@ -19,9 +19,9 @@
 class CommitStatus:
     """`missing`: who has not confirmed. `until`: seconds left by which their time is over; None where it never is."""
 
-    holds: bool
-    missing: tuple[str, ...]
-    until: float | None
+    is_committed: bool
+    unconfirmed: tuple[str, ...]
+    time_remaining: float | None
 
 
 class CommitTracker:
@@ -31,19 +31,21 @@
         self, version: int, accepted_at: float, lessees: Collection[str] | None, lasts: float, serves: bool
     ) -> None:
         """`accepted_at`: on the clock of `look`. `serves`: rule 3's exception holds for all of the fleet."""
-        self.version, self.accepted_at, self.lessees = version, accepted_at, lessees
-        self.lasts, self.serves = lasts, serves
+        self.version, self.accepted_at, self.leaseholders = version, accepted_at, lessees
+        self.lease_duration, self.serves_when_expired = lasts, serves
 
-    def look(
+    def status(
         self, now: float, at: Mapping[str, int], known: Collection[str], left: Collection[str]
     ) -> CommitStatus:
         """`at`: the versions that instances say they act on. `known`: names of the view, but for those that have left
         (`left`)."""
-        wanted = (set(known) if self.lessees is None or self.serves else set(self.lessees)) - set(left)
+        wanted = (
+            set(known) if self.leaseholders is None or self.serves_when_expired else set(self.leaseholders)
+        ) - set(left)
         missing = tuple(sorted(name for name in wanted if at.get(name, 0) < self.version))
-        remains = max(0.0, self.accepted_at + self.lasts - now)
-        over = remains == 0.0 and not self.serves
-        if self.lessees is None and not self.serves and not over:
+        remains = max(0.0, self.accepted_at + self.lease_duration - now)
+        over = remains == 0.0 and not self.serves_when_expired
+        if self.leaseholders is None and not self.serves_when_expired and not over:
             return CommitStatus(False, missing, remains)
         holds = not missing or over
-        return CommitStatus(holds, missing, 0.0 if holds else None if self.serves else remains)
+        return CommitStatus(holds, missing, 0.0 if holds else None if self.serves_when_expired else remains)
--- a/loadbalancer/fleet/replication/epochs.py
+++ b/loadbalancer/fleet/replication/epochs.py
@@ -50,9 +50,13 @@
     except StateError as problem:
         return str(problem)
     if isinstance(body, MarkBody):
-        return f"{body.pool}: " + ", ".join(f"{name} {_word(mark)}" for name, mark in body.marks.items())
+        return f"{body.pool}: " + ", ".join(f"{name} {_word(mark)}" for name, mark in body.overrides.items())
     if isinstance(body, MoveBody):
-        move = f"{body.move.share:g} to {body.move.other}" if body.move is not None else "move ended"
+        move = (
+            f"{body.migration.share:g} to {body.migration.other}"
+            if body.migration is not None
+            else "move ended"
+        )
         return f"{body.pool}: {move}"
     if isinstance(body, FreezeBody):
         return f"{body.pool}: {'frozen' if body.frozen else 'thawed'}"
@@ -63,7 +67,7 @@
     if isinstance(body, StageBody):
         return f"roll-out {body.id}: {body.frm} to {body.to}" + (f", {body.why}" if body.why else "")
     if isinstance(body, RecoverBody):
-        return f"recovered: {', '.join(sorted(body.roster))} vote"
+        return f"recovered: {', '.join(sorted(body.voters))} vote"
     return "nothing"
 
 
--- a/loadbalancer/fleet/replication/lease.py
+++ b/loadbalancer/fleet/replication/lease.py
@@ -38,39 +38,39 @@
 
     def __init__(self, stale_most: float, serves: bool) -> None:
         """`serves`: rule 4."""
-        self.stale_most, self.serves = stale_most, serves
-        self.until = -math.inf  # it may act before this
-        self.needs = 0  # the version that answers named, where it is not reached yet
-        self.drifts = ""  # whose clock runs away from ours
+        self.duration, self.serves_when_expired = stale_most, serves
+        self.expires_at = -math.inf  # it may act before this
+        self.required_version = 0  # the version that answers named, where it is not reached yet
+        self.clock_drift = ""  # whose clock runs away from ours
         self._number = 0
         self._questions: dict[int, _Question] = {}
         self._ask_at = -math.inf
         self._clocks: dict[str, tuple[float, float]] = {}  # of voters: theirs and ours, when first heard
-        self.lessees: dict[str, float] = {}  # as a voter: who may act until when, by our clock
+        self.leaseholders: dict[str, float] = {}  # as a voter: who may act until when, by our clock
         self._begun = math.inf  # when this voter began: of those that it let go on before it knows nothing
 
     def is_open(self, now: float) -> bool:
-        return now < self.until and not self.drifts
+        return now < self.expires_at and not self.clock_drift
 
     def may_act(self, now: float) -> bool:
         """Asked ahead of every send."""
-        return self.serves or (now < self.until and not self.drifts)
+        return self.serves_when_expired or (now < self.expires_at and not self.clock_drift)
 
     @property
-    def due(self) -> float:
+    def next_timer(self) -> float:
         return self._ask_at
 
-    def ask(self, now: float) -> int:
+    def request(self, now: float) -> int:
         """The number of a question that leaves now."""
         self._begun = min(self._begun, now)
         self._number += 1
-        self._ask_at = now + (self.stale_most / ASKS if self.is_open(now) else SHUT_ASK_S)
+        self._ask_at = now + (self.duration / ASKS if self.is_open(now) else SHUT_ASK_S)
         self._questions[self._number] = _Question(now)
-        for old in [number for number, one in self._questions.items() if now - one.sent > self.stale_most]:
+        for old in [number for number, one in self._questions.items() if now - one.sent > self.duration]:
             del self._questions[old]
         return self._number
 
-    def heard(
+    def granted(
         self, now: float, number: int, voter: str, top: int, clock: float, majority: int, applied: int
     ) -> None:
         """A voter's answer. `applied`: the version that this instance acts on."""
@@ -78,21 +78,21 @@
         question = self._questions.get(number)
         if question is not None:
             question.heard[voter] = top
-            self.settle(majority, applied)
+            self.extend(majority, applied)
 
-    def settle(self, majority: int, applied: int) -> None:
+    def extend(self, majority: int, applied: int) -> None:
         """Rule 1; also when a version has been taken up."""
         for number, question in list(self._questions.items()):
             if len(question.heard) < majority:
                 continue
             top = max(question.heard.values())
             if applied >= top:
-                self.until = max(self.until, question.sent + self.stale_most)
-                self.needs = 0
+                self.expires_at = max(self.expires_at, question.sent + self.duration)
+                self.required_version = 0
                 if len(question.heard) > majority:
                     del self._questions[number]
             else:
-                self.needs = top
+                self.required_version = top
 
     def _measure(self, now: float, voter: str, clock: float) -> None:
         first = self._clocks.setdefault(voter, (clock, now))
@@ -101,27 +101,27 @@
             return
         off = abs((clock - first[0]) - ours) - RATE_ERROR_S
         if off > 2 * DRIFT * ours:
-            self.drifts = f"{voter}: {clock - first[0]:.2f} s there, {ours:.2f} s here"
-        elif self.drifts.startswith(f"{voter}:"):
-            self.drifts = ""
+            self.clock_drift = f"{voter}: {clock - first[0]:.2f} s there, {ours:.2f} s here"
+        elif self.clock_drift.startswith(f"{voter}:"):
+            self.clock_drift = ""
         if ours > 20 * RATE_S:
             self._clocks[voter] = clock, now
 
     # As a voter.
 
-    def let(self, now: float, name: str) -> None:
+    def grant(self, now: float, name: str) -> None:
         """An answer that lets `name` go on leaves now."""
-        self.lessees[name] = now + self.lasts
-        if len(self.lessees) > 64:
-            self.lessees = {one: until for one, until in self.lessees.items() if until > now}
+        self.leaseholders[name] = now + self.expiry_with_drift
+        if len(self.leaseholders) > 64:
+            self.leaseholders = {one: until for one, until in self.leaseholders.items() if until > now}
 
-    def let_on(self, now: float, most: int = 24) -> tuple[tuple[str, ...], bool]:
+    def active_leaseholders(self, now: float, most: int = 24) -> tuple[tuple[str, ...], bool]:
         """Who may act yet by this voter's answers, and whether there may be more: over `most`, or let go on by the
         process before this one."""
-        names = sorted(name for name, until in self.lessees.items() if until > now)
-        return tuple(names[:most]), len(names) > most or now < self._begun + self.lasts
+        names = sorted(name for name, until in self.leaseholders.items() if until > now)
+        return tuple(names[:most]), len(names) > most or now < self._begun + self.expiry_with_drift
 
     @property
-    def lasts(self) -> float:
+    def expiry_with_drift(self) -> float:
         """Seconds after a change was accepted by which nobody acts on older versions, by this instance's clock."""
-        return self.stale_most * (1 + 2 * DRIFT)
+        return self.duration * (1 + 2 * DRIFT)
--- a/loadbalancer/fleet/replication/messages.py
+++ b/loadbalancer/fleet/replication/messages.py
@@ -27,15 +27,15 @@
     slot: Number
     ballot: Ballot
     ok: bool
-    held: Ballot
+    blocking_ballot: Ballot
     accepted: Ballot
-    change: Command | None
+    command: Command | None
 
 
 class Accept(Struct, frozen=True, array_like=True, tag=22):
     slot: Number
     ballot: Ballot
-    change: Command
+    command: Command
 
 
 class Accepted(Struct, frozen=True, array_like=True, tag=23):
@@ -45,21 +45,21 @@
     slot: Number
     ballot: Ballot
     ok: bool
-    held: Ballot
-    lessees: tuple[Annotated[str, Meta(max_length=48)], ...] = ()
-    more: bool = False
+    blocking_ballot: Ballot
+    leaseholders: tuple[Annotated[str, Meta(max_length=48)], ...] = ()
+    has_more: bool = False
 
 
 class Decided(Struct, frozen=True, array_like=True, tag=24):
     version: Number
-    change: Command
+    command: Command
 
 
 class VersionAnnouncement(Struct, frozen=True, array_like=True, tag=25):
     """This instance acts on this version. `card`: what else it runs under, for people."""
 
     version: Number
-    card: dict[Annotated[str, Meta(max_length=64)], Annotated[str, Meta(max_length=64)]] = {}
+    metadata: dict[Annotated[str, Meta(max_length=64)], Annotated[str, Meta(max_length=64)]] = {}
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True, tag=26):
@@ -73,7 +73,7 @@
     """`top`: the greatest version that this voter knows of, also one that is not decided yet."""
 
     number: Number
-    top: Number
+    highest_known_version: Number
     clock: float
 
 
@@ -90,7 +90,7 @@
     store: Annotated[str, Meta(max_length=40)]
     generation: Number
     ok: bool
-    why: Annotated[str, Meta(max_length=200)] = ""
+    reason: Annotated[str, Meta(max_length=200)] = ""
 
 
 class StateRequest(Struct, frozen=True, array_like=True, tag=30):
@@ -105,9 +105,9 @@
 class LogEntries(Struct, frozen=True, array_like=True, tag=31):
     """Changes in order, the first that of version `first`. `last`: nothing follows."""
 
-    first: Number
-    changes: tuple[Command, ...]
-    last: bool
+    first_version: Number
+    commands: tuple[Command, ...]
+    is_last: bool
 
 
 class SnapshotChunk(Struct, frozen=True, array_like=True, tag=32):
@@ -123,7 +123,7 @@
 class QueryRequest(Struct, frozen=True, array_like=True, tag=33):
     """What operators want to read of this instance, from another; `what` as operators' calls have it."""
 
-    what: Annotated[str, Meta(max_length=200)]
+    path: Annotated[str, Meta(max_length=200)]
 
 
 class QueryResponse(Struct, frozen=True, array_like=True, tag=34):
@@ -153,7 +153,7 @@
     slot: int
     promised: Ballot
     accepted: Ballot
-    change: Command | None
+    command: Command | None
 
 
 class ObservedStore(Struct, array_like=True):
--- a/loadbalancer/fleet/replication/replica.py
+++ b/loadbalancer/fleet/replication/replica.py
@@ -57,9 +57,9 @@
 class Propose:
     """An operator's change. `if_version`: only if it comes right after this one. `until`: when it is given up."""
 
-    change: Command
-    until: float
-    if_version: int = -1
+    command: Command
+    expires_at: float
+    expected_version: int = -1
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,15 +72,15 @@
 class TimerExpired:
     """Time has come to `due`. `living`: the names that the view holds alive, without this one's."""
 
-    living: tuple[str, ...]
+    live_members: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class CommandsReceived:
     """Changes past the version of this instance, in order, that another one has decided upon."""
 
-    first: int
-    changes: tuple[Command, ...]
+    first_version: int
+    commands: tuple[Command, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,9 +100,9 @@
 class Persist:
     """Put on disk; then say. `vote`, `met`: None leaves what was there."""
 
-    vote: AcceptorState | None
-    met: tuple[str, ObservedStore] | None
-    then: tuple[SendMessage, ...]
+    acceptor_state: AcceptorState | None
+    observed_store: tuple[str, ObservedStore] | None
+    then_send: tuple[SendMessage, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,7 +110,7 @@
     """A change is in force here from now on, and is to be kept. `touched`: as state.py has it."""
 
     version: int
-    change: Command
+    command: Command
     touched: tuple[tuple[str, ...], ...]
 
 
@@ -123,7 +123,7 @@
 class RequestStateTransfer:
     """Ask this one for what is lacking."""
 
-    name: str
+    source: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,10 +131,10 @@
     """What became of a change of this instance. `version`: 0 where it does not stand; `why` says why, or that it is not
     known. `lessees`: who may act on older versions yet; None where that is not known."""
 
-    id: str
+    command_id: str
     version: int
-    why: str = ""
-    lessees: frozenset[str] | None = None
+    reason: str = ""
+    leaseholders: frozenset[str] | None = None
 
 
 Event = Union[Propose, MessageReceived, TimerExpired, CommandsReceived, SnapshotReceived]
@@ -176,21 +176,23 @@
         lessees: Callable[[float], tuple[tuple[str, ...], bool]] = no_leaseholders,
     ) -> None:
         """`store`: empty for one that keeps nothing, and never votes."""
-        self.name, self.store, self.generation = name, store, generation
-        self.said, self.random, self._lessees = said, source, lessees
-        self.log: dict[int, Command] = {}
-        self.vote = AcceptorState(said.version + 1, NO_BALLOT, NO_BALLOT, None)
-        self.met: dict[str, ObservedStore] = {}
-        self.top = said.version  # the greatest version that is known to be decided somewhere
-        self.stuck = ""  # why it can't go on
-        self.greeted: set[str] = set()
-        self.lost = ""  # why its votes do not count
-        self.counts: Counter[str] = Counter()
-        self.at: dict[str, int] = {}  # the versions that others say they act on
-        self.cards: dict[str, Mapping[str, str]] = {}
-        self.card: dict[str, str] = {}
+        self.name, self.store_id, self.generation = name, store, generation
+        self.state, self.random, self._lessees = said, source, lessees
+        self.command_log: dict[int, Command] = {}
+        self.acceptor_state = AcceptorState(said.version + 1, NO_BALLOT, NO_BALLOT, None)
+        self.observed_stores: dict[str, ObservedStore] = {}
+        self.highest_known_version = (
+            said.version
+        )  # the greatest version that is known to be decided somewhere
+        self.blocked_reason = ""  # why it can't go on
+        self.confirmed_voters: set[str] = set()
+        self.vote_suspension = ""  # why its votes do not count
+        self.counters: Counter[str] = Counter()
+        self.announced_versions: dict[str, int] = {}  # the versions that others say they act on
+        self.peer_metadata: dict[str, Mapping[str, str]] = {}
+        self.metadata: dict[str, str] = {}
         self.now = 0.0
-        self.living: tuple[str, ...] = ()
+        self.live_members: tuple[str, ...] = ()
         self.actions: list[Action] = []
         self._queue: deque[Propose] = deque()
         self._risked: dict[str, int] = {}  # changes that voters may hold: for which version they were told to
@@ -220,42 +222,42 @@
             if react is not None:
                 react(event.sender, event.message)
         elif isinstance(event, TimerExpired):
-            self.living = event.living
+            self.live_members = event.live_members
             self._step()
         elif isinstance(event, Propose):
             self._propose(event)
         elif isinstance(event, CommandsReceived):
-            for number, change in enumerate(event.changes):
-                if event.first + number == self.said.version + 1 and not self.stuck:
+            for number, change in enumerate(event.commands):
+                if event.first_version + number == self.state.version + 1 and not self.blocked_reason:
                     self._take(change)
         else:
             self._take_whole(event.data)
         return self.actions
 
     @property
-    def due(self) -> float:
+    def next_timer(self) -> float:
         wanted = [self._tell_at]
         if self._ballot is not None:
             wanted.append(min(self._ballot.again_at, self._ballot.began + BALLOT_TIMEOUT_S))
-        elif (self._queue or self._hangs_at < math.inf) and not self.behind:
+        elif (self._queue or self._hangs_at < math.inf) and not self.is_behind:
             wanted.append(max(self._begin_at, self._hangs_at if not self._queue else -math.inf))
         if self._queue:
-            wanted.append(min(one.until for one in self._queue))
-        if self.store and not self.votes:
+            wanted.append(min(one.expires_at for one in self._queue))
+        if self.store_id and not self.can_vote:
             wanted.append(self._greet_at)
         return min(wanted)
 
     @property
-    def votes(self) -> bool:
+    def can_vote(self) -> bool:
         """Whether this instance's vote counts. One of a fleet of one has nobody to ask."""
-        mine = self.said.roster.get(self.name)
-        if not self.store or mine is None or self.lost:
+        mine = self.state.voters.get(self.name)
+        if not self.store_id or mine is None or self.vote_suspension:
             return False
-        return mine in ("", self.store) and len(self.greeted | {self.name}) >= self.said.majority
+        return mine in ("", self.store_id) and len(self.confirmed_voters | {self.name}) >= self.state.majority
 
     @property
-    def behind(self) -> bool:
-        return bool(self.stuck) or self.top > self.said.version
+    def is_behind(self) -> bool:
+        return bool(self.blocked_reason) or self.highest_known_version > self.state.version
 
     def _say(self, to: str, message: ReplicationMessage) -> None:
         self.actions.append(SendMessage(to, message))
@@ -263,7 +265,7 @@
     # Time.
 
     def _step(self) -> None:
-        for one in [one for one in self._queue if self.now >= one.until]:
+        for one in [one for one in self._queue if self.now >= one.expires_at]:
             self._give_up(one)
         ballot = self._ballot
         if ballot is not None:
@@ -271,89 +273,92 @@
                 self._end_ballot()
             elif self.now >= ballot.again_at:
                 self._ask(ballot)
-        if self._ballot is None and self.now >= self._begin_at and not self.behind:
+        if self._ballot is None and self.now >= self._begin_at and not self.is_behind:
             if self._queue:
                 self._begin(self._queue[0])
             elif self.now >= self._hangs_at:
                 self._begin(None)
         if self.now >= self._tell_at:
             self._tell()
-        if self.store and not self.votes and self.now >= self._greet_at:
+        if self.store_id and not self.can_vote and self.now >= self._greet_at:
             self._greet()
 
     def _give_up(self, one: Propose) -> None:
         """Its time is over. Whether it stands is not known where a voter may have accepted it, under this ballot or one
         before, for a version that is not decided yet."""
         self._queue.remove(one)
-        open_yet = self._risked.pop(one.change.id, 0) > self.said.version
+        open_yet = self._risked.pop(one.command.id, 0) > self.state.version
         if self._ballot is not None and self._ballot.own is one:
             self._ballot = None
         end = "; it may stand yet" if open_yet else "; it does not stand"
         why = f"no majority has answered in its time{end}"
-        self.actions.append(CommandCompleted(one.change.id, 0, why))
+        self.actions.append(CommandCompleted(one.command.id, 0, why))
 
     def _tell(self) -> None:
         self._tell_at = self.now + ANNOUNCE_INTERVAL_S * (0.75 + 0.5 * self.random.random())
-        for name in self.random.sample(self.living, min(3, len(self.living))):
-            self._say(name, form.VersionAnnouncement(self.said.version, self.card))
+        for name in self.random.sample(self.live_members, min(3, len(self.live_members))):
+            self._say(name, form.VersionAnnouncement(self.state.version, self.metadata))
 
     def recover(self, change: Command) -> list[Action]:
         """An operator's word after a majority was lost for good: in force here without anybody's vote, and told to all
         that can be reached. Harm: who comes back with more has another history, and must begin anew."""
         self.actions = []
         self._take(change)
-        for name in self.living:
-            self._say(name, form.Decided(self.said.version, change))
+        for name in self.live_members:
+            self._say(name, form.Decided(self.state.version, change))
         return self.actions
 
-    def tell_voters(self) -> list[Action]:
+    def announce_to_voters(self) -> list[Action]:
         """The same to those that drive a roll-out."""
         return [
-            SendMessage(name, form.VersionAnnouncement(self.said.version, self.card))
-            for name in self.said.roster
+            SendMessage(name, form.VersionAnnouncement(self.state.version, self.metadata))
+            for name in self.state.voters
             if name != self.name
         ]
 
-    def tell_all(self) -> list[Action]:
+    def announce_to_all(self) -> list[Action]:
         """Say to all at once which version this instance acts on."""
         return [
-            SendMessage(name, form.VersionAnnouncement(self.said.version, self.card)) for name in self.living
+            SendMessage(name, form.VersionAnnouncement(self.state.version, self.metadata))
+            for name in self.live_members
         ]
 
     # Proposing.
 
     def _propose(self, event: Propose) -> None:
         try:
-            self.said.check(event.change)
+            self.state.check(event.command)
         except StateError as problem:
-            self.actions.append(CommandCompleted(event.change.id, 0, f"{problem}; it does not stand"))
+            self.actions.append(CommandCompleted(event.command.id, 0, f"{problem}; it does not stand"))
             return
         if len(self._queue) >= MAX_QUEUED_COMMANDS:
             self.actions.append(
-                CommandCompleted(event.change.id, 0, f"{MAX_QUEUED_COMMANDS} changes wait; it does not stand")
+                CommandCompleted(
+                    event.command.id, 0, f"{MAX_QUEUED_COMMANDS} changes wait; it does not stand"
+                )
             )
             return
         self._queue.append(event)
-        if self._ballot is None and self.now >= self._begin_at and not self.behind:
+        if self._ballot is None and self.now >= self._begin_at and not self.is_behind:
             self._begin(self._queue[0])
 
     def _begin(self, own: Propose | None) -> None:
-        slot = self.said.version + 1
-        if own is not None and own.if_version >= 0 and own.if_version != slot - 1:
+        slot = self.state.version + 1
+        if own is not None and own.expected_version >= 0 and own.expected_version != slot - 1:
             self._queue.popleft()
-            why = f"the state is at version {slot - 1}, not {own.if_version}; it does not stand"
-            self.actions.append(CommandCompleted(own.change.id, 0, why))
+            why = f"the state is at version {slot - 1}, not {own.expected_version}; it does not stand"
+            self.actions.append(CommandCompleted(own.command.id, 0, why))
             return
-        self._round = max(self._round, self.vote.promised[0], self.vote.accepted[0]) + 1
+        self._round = max(self._round, self.acceptor_state.promised[0], self.acceptor_state.accepted[0]) + 1
         self._ballot = _Ballot(own, slot, (self._round, self.name), self.now, self.now)
-        self.counts["ballots"] += 1
+        self.counters["ballots"] += 1
         self._ask(self._ballot)
 
     def _ask(self, ballot: _Ballot) -> None:
         """Those voters that have not answered."""
         ballot.again_at = self.now + RETRY_INTERVAL_S
         done = ballot.accepts if ballot.change is not None else ballot.promises.keys()
-        for name in self.said.roster:
+        for name in self.state.voters:
             if name in done:
                 continue
             if ballot.change is not None:
@@ -386,17 +391,17 @@
         ):
             return
         if not message.ok:
-            self._end_ballot(message.held)
+            self._end_ballot(message.blocking_ballot)
             return
-        if sender in self.said.roster:
-            ballot.promises[sender] = message.accepted, message.change
-        if len(ballot.promises) < self.said.majority:
+        if sender in self.state.voters:
+            ballot.promises[sender] = message.accepted, message.command
+        if len(ballot.promises) < self.state.majority:
             return
         found, change = max(ballot.promises.values(), key=lambda one: one[0])
         if found != NO_BALLOT and change is not None:
             ballot.change = change  # rule 3
         else:
-            ballot.change = ballot.own.change if ballot.own is not None else NO_OPERATION
+            ballot.change = ballot.own.command if ballot.own is not None else NO_OPERATION
         self._ask(ballot)
 
     def _on_accepted(self, sender: str, message: form.Accepted) -> None:
@@ -409,60 +414,60 @@
         ):
             return
         if not message.ok:
-            self._end_ballot(message.held)
+            self._end_ballot(message.blocking_ballot)
             return
-        if sender not in self.said.roster:
+        if sender not in self.state.voters:
             return
         ballot.accepts.add(sender)
-        ballot.lessees.update(message.lessees)
-        ballot.more |= message.more
-        if len(ballot.accepts) >= self.said.majority:
+        ballot.lessees.update(message.leaseholders)
+        ballot.more |= message.has_more
+        if len(ballot.accepts) >= self.state.majority:
             self._decide(ballot)
 
     def _decide(self, ballot: _Ballot) -> None:
         assert ballot.change is not None
         self._ballot, self._back, self._begin_at = None, MIN_BACKOFF_S, -math.inf
         decided = form.Decided(ballot.slot, ballot.change)
-        for name in dict.fromkeys((*self.said.roster, *self.living)):
+        for name in dict.fromkeys((*self.state.voters, *self.live_members)):
             if name != self.name:
                 self._say(name, decided)
         self._take(ballot.change, None if ballot.more else frozenset(ballot.lessees))
-        if self._queue and not self.behind:
+        if self._queue and not self.is_behind:
             self._begin(self._queue[0])
 
     # Voting.
 
     def _level(self, sender: str, slot: int) -> bool:
         """Whether the question is on the version that this voter votes on now. Who is behind is told, or we ask him."""
-        version = self.said.version
+        version = self.state.version
         if slot <= version:
             for number in range(slot, min(version, slot + 3) + 1):
-                if number in self.log:
-                    self._say(sender, form.Decided(number, self.log[number]))
-            if slot not in self.log:
-                self._say(sender, form.VersionAnnouncement(version, self.card))
+                if number in self.command_log:
+                    self._say(sender, form.Decided(number, self.command_log[number]))
+            if slot not in self.command_log:
+                self._say(sender, form.VersionAnnouncement(version, self.metadata))
         elif slot > version + 1:
             self._lacks(sender, slot - 1)
-        return slot == version + 1 and not self.stuck and self.votes
+        return slot == version + 1 and not self.blocked_reason and self.can_vote
 
     def _on_prepare(self, sender: str, message: form.Prepare) -> None:
         if not self._level(sender, message.slot):
             return
-        vote = self.vote
+        vote = self.acceptor_state
         ok = message.ballot >= vote.promised
         if ok:
             vote.promised = message.ballot
-        answer = form.Promise(message.slot, message.ballot, ok, vote.promised, vote.accepted, vote.change)
+        answer = form.Promise(message.slot, message.ballot, ok, vote.promised, vote.accepted, vote.command)
         self._answer(ok, sender, answer)
 
     def _on_accept(self, sender: str, message: form.Accept) -> None:
         if not self._level(sender, message.slot):
             return
-        vote = self.vote
+        vote = self.acceptor_state
         ok = message.ballot >= vote.promised
         if ok:
             vote.promised = vote.accepted = message.ballot
-            vote.change = message.change
+            vote.command = message.command
             self._hangs_at = self.now + UNDECIDED_TIMEOUT_S * (1 + self.random.random())
         names, more = self._lessees(self.now)
         answer = form.Accepted(message.slot, message.ballot, ok, vote.promised, names, more)
@@ -471,34 +476,45 @@
     def _answer(self, changed: bool, to: str, message: ReplicationMessage) -> None:
         """Rule 2."""
         if changed:
-            vote = AcceptorState(self.vote.slot, self.vote.promised, self.vote.accepted, self.vote.change)
+            vote = AcceptorState(
+                self.acceptor_state.slot,
+                self.acceptor_state.promised,
+                self.acceptor_state.accepted,
+                self.acceptor_state.command,
+            )
             self.actions.append(Persist(vote, None, (SendMessage(to, message),)))
         else:
             self._say(to, message)
 
     @property
-    def accepted_top(self) -> int:
+    def highest_accepted_version(self) -> int:
         """The greatest version that this voter knows of, decided or not."""
-        return max(self.top, self.vote.slot if self.vote.change is not None else 0)
+        return max(
+            self.highest_known_version,
+            self.acceptor_state.slot if self.acceptor_state.command is not None else 0,
+        )
 
     # Learning.
 
     def _take(self, change: Command, lessees: frozenset[str] | None = None) -> None:
         """The next version is decided."""
         try:
-            touched = self.said.apply(change)
+            touched = self.state.apply(change)
         except StateError as problem:
-            self.stuck, self.top = str(problem), max(self.top, self.said.version + 1)
-            self.counts["stuck"] += 1
+            self.blocked_reason, self.highest_known_version = (
+                str(problem),
+                max(self.highest_known_version, self.state.version + 1),
+            )
+            self.counters["stuck"] += 1
             return
-        version = self.said.version
-        self.top = max(self.top, version)
+        version = self.state.version
+        self.highest_known_version = max(self.highest_known_version, version)
         self._risked = {name: slot for name, slot in self._risked.items() if slot > version}
-        self.log[version] = change
-        self.log.pop(version - RETAINED_COMMANDS, None)
+        self.command_log[version] = change
+        self.command_log.pop(version - RETAINED_COMMANDS, None)
         self._fresh()
         self.actions.append(CommandApplied(version, change, tuple(touched)))
-        if self._queue and self._queue[0].change.id == change.id:
+        if self._queue and self._queue[0].command.id == change.id:
             self._queue.popleft()
             self.actions.append(CommandCompleted(change.id, version, "", lessees))
         for kind, *names in touched:
@@ -507,52 +523,55 @@
 
     def _listed(self, name: str) -> None:
         """The roster says another thing of a voter: its store is the one that counts from here on."""
-        store = self.said.roster.get(name)
+        store = self.state.voters.get(name)
         if store:
-            self.met[name] = ObservedStore(store, 0)
-        if name == self.name and store == self.store:
-            self.lost, self._restored = "", False
+            self.observed_stores[name] = ObservedStore(store, 0)
+        if name == self.name and store == self.store_id:
+            self.vote_suspension, self._restored = "", False
 
     def _fresh(self) -> None:
         """Nothing is voted on yet for the next version."""
-        self.vote = AcceptorState(self.said.version + 1, NO_BALLOT, NO_BALLOT, None)
+        self.acceptor_state = AcceptorState(self.state.version + 1, NO_BALLOT, NO_BALLOT, None)
         self._hangs_at = math.inf
-        if self._ballot is not None and self._ballot.slot <= self.said.version:
+        if self._ballot is not None and self._ballot.slot <= self.state.version:
             self._ballot = None
 
     def _take_whole(self, data: bytes) -> None:
-        before = self.said.version
-        self.said.take_whole(data)
-        if self.said.version < before:
+        before = self.state.version
+        self.state.install_snapshot(data)
+        if self.state.version < before:
             raise AssertionError("a state of an older version was asked for by nobody")
-        self.log.clear()
-        self.top, self.stuck = max(self.top, self.said.version), ""
+        self.command_log.clear()
+        self.highest_known_version, self.blocked_reason = (
+            max(self.highest_known_version, self.state.version),
+            "",
+        )
         self._fresh()
         self.actions.append(SnapshotInstalled())
-        for name in self.said.roster:
+        for name in self.state.voters:
             self._listed(name)
 
     def _on_decided(self, sender: str, message: form.Decided) -> None:
-        if message.version == self.said.version + 1 and not self.stuck:
-            self._take(message.change)
-            self._say(sender, form.VersionAnnouncement(self.said.version, self.card))
-            if self._ballot is None and self._queue and not self.behind:
+        if message.version == self.state.version + 1 and not self.blocked_reason:
+            self._take(message.command)
+            self._say(sender, form.VersionAnnouncement(self.state.version, self.metadata))
+            if self._ballot is None and self._queue and not self.is_behind:
                 self._begin(self._queue[0])
-        elif message.version > self.said.version:
+        elif message.version > self.state.version:
             self._lacks(sender, message.version)
         else:
-            self._say(sender, form.VersionAnnouncement(self.said.version, self.card))
+            self._say(sender, form.VersionAnnouncement(self.state.version, self.metadata))
 
     def _on_at(self, sender: str, message: form.VersionAnnouncement) -> None:
-        self.at[sender] = max(message.version, self.at.get(sender, 0))
-        self.cards[sender] = message.card
-        if message.version > self.said.version:
+        self.announced_versions[sender] = max(message.version, self.announced_versions.get(sender, 0))
+        self.peer_metadata[sender] = message.metadata
+        if message.version > self.state.version:
             self._lacks(sender, message.version)
 
     def _lacks(self, sender: str, version: int) -> None:
         """Rule 7."""
-        self.top = max(self.top, version)
-        if self.now >= self._caught_at + RETRY_INTERVAL_S and not self.stuck:
+        self.highest_known_version = max(self.highest_known_version, version)
+        if self.now >= self._caught_at + RETRY_INTERVAL_S and not self.blocked_reason:
             self._caught_at = self.now
             self.actions.append(RequestStateTransfer(sender))
 
@@ -560,26 +579,26 @@
 
     def _greet(self) -> None:
         self._greet_at = self.now + GREETING_INTERVAL_S
-        mine = self.said.roster.get(self.name)
+        mine = self.state.voters.get(self.name)
         if mine is None:
             return
-        if mine not in ("", self.store):
-            self.lost = self.lost or "another store holds this name's votes"
-        if self.lost and not self._restored and not self.behind:
+        if mine not in ("", self.store_id):
+            self.vote_suspension = self.vote_suspension or "another store holds this name's votes"
+        if self.vote_suspension and not self._restored and not self.is_behind:
             self._restore()
-        for name in self.said.roster:
-            if name != self.name and name not in self.greeted:
-                self._say(name, form.VoterGreeting(self.store, self.generation))
+        for name in self.state.voters:
+            if name != self.name and name not in self.confirmed_voters:
+                self._say(name, form.VoterGreeting(self.store_id, self.generation))
 
     def _restore(self) -> None:
         """Rule 5; this instance has all changes that the others know of by now."""
-        if len(self.greeted) < self.said.majority:
+        if len(self.confirmed_voters) < self.state.majority:
             return
         self._restored = True
         change = Command(
-            f"{self.name}-{self.store}-{self.said.version}",
+            f"{self.name}-{self.store_id}-{self.state.version}",
             "roster",
-            write_body(RosterBody(self.name, self.store)),
+            write_body(RosterBody(self.name, self.store_id)),
             self.name,
             "its store was lost",
         )
@@ -587,9 +606,9 @@
 
     def _on_greet(self, sender: str, message: form.VoterGreeting) -> None:
         """Whether votes of this store may count: it is the one on the roster, or was met, and is not older."""
-        if not self.store or sender not in self.said.roster:
+        if not self.store_id or sender not in self.state.voters:
             return
-        known, listed = self.met.get(sender), self.said.roster.get(sender)
+        known, listed = self.observed_stores.get(sender), self.state.voters.get(sender)
         why = ""
         if known is not None and known.store != message.store and listed != message.store:
             why = f"{sender} had another store, {known.store}"
@@ -604,15 +623,15 @@
         if why or known == met:
             self._say(sender, answer)
             return
-        self.met[sender] = met
+        self.observed_stores[sender] = met
         self.actions.append(Persist(None, (sender, met), (SendMessage(sender, answer),)))
 
     def _on_greeted(self, sender: str, message: form.VoterGreetingReply) -> None:
-        if message.store != self.store or message.generation != self.generation:
+        if message.store != self.store_id or message.generation != self.generation:
             return
-        self.greeted.add(sender)
+        self.confirmed_voters.add(sender)
         if not message.ok:
-            self.lost = message.why
+            self.vote_suspension = message.reason
 
 
 def is_older(generation: int, met: int) -> bool:
--- a/loadbalancer/fleet/replication/replicated_state.py
+++ b/loadbalancer/fleet/replication/replicated_state.py
@@ -49,16 +49,16 @@
     `of`: only where it was version `of` that has said what stands; 0 in any case."""
 
     pool: Text
-    marks: dict[str, AdminOverride | None]
-    lasts: float = 0.0
-    of: int = 0
+    overrides: dict[str, AdminOverride | None]
+    duration: float = 0.0
+    expected_version: int = 0
 
 
 class MoveBody(Struct, frozen=True, array_like=True):
     pool: Text
-    move: Migration | None
-    lasts: float = 0.0
-    of: int = 0
+    migration: Migration | None
+    duration: float = 0.0
+    expected_version: int = 0
 
 
 class FreezeBody(Struct, frozen=True, array_like=True):
@@ -76,7 +76,7 @@
 class RecoverBody(Struct, frozen=True, array_like=True):
     """An operator's word after a majority was lost for good: who votes from here on."""
 
-    roster: dict[str, str]
+    voters: dict[str, str]
 
 
 class StateError(ValueError):
@@ -93,13 +93,13 @@
     """A state in one piece. Its bytes are the same at all instances of one version."""
 
     version: int
-    marks: dict[
+    overrides: dict[
         str, dict[str, tuple[AdminOverride, float, int]]
     ]  # with how long it lasts, and the version that said so
-    moves: dict[str, tuple[Migration, float, int]]
+    migrations: dict[str, tuple[Migration, float, int]]
     frozen: list[str]
-    roster: dict[str, str]
-    plan: RolloutPlan | None = None
+    voters: dict[str, str]
+    rollout_plan: RolloutPlan | None = None
 
 
 class ReplicatedState:
@@ -107,11 +107,11 @@
 
     def __init__(self, roster: Mapping[str, str]) -> None:
         self.version = 0
-        self.marks: dict[str, dict[str, tuple[AdminOverride, float, int]]] = {}
-        self.moves: dict[str, tuple[Migration, float, int]] = {}
+        self.overrides: dict[str, dict[str, tuple[AdminOverride, float, int]]] = {}
+        self.migrations: dict[str, tuple[Migration, float, int]] = {}
         self.frozen: set[str] = set()
-        self.plan: RolloutPlan | None = None  # the latest roll-out
-        self.roster: dict[str, str] = dict(roster)
+        self.rollout_plan: RolloutPlan | None = None  # the latest roll-out
+        self.voters: dict[str, str] = dict(roster)
         self._count = 0
         self._takes: Mapping[type, Callable[[Any], list[tuple[str, ...]]]] = {
             MarkBody: self._take_marks,
@@ -125,7 +125,7 @@
 
     @property
     def majority(self) -> int:
-        return len(self.roster) // 2 + 1
+        return len(self.voters) // 2 + 1
 
     def apply(self, change: Command) -> list[tuple[str, ...]]:
         """Take up the next change. StateError, and nothing has changed, where this build can't read it."""
@@ -135,17 +135,20 @@
         return take(body) if take is not None else []
 
     def _take_marks(self, body: MarkBody) -> list[tuple[str, ...]]:
-        touched = [member for member in body.marks if self._is_of(body, member)]
+        touched = [member for member in body.overrides if self._is_of(body, member)]
         for member in touched:
-            self._mark(body.pool, member, body.marks[member], body.lasts)
+            self._mark(body.pool, member, body.overrides[member], body.duration)
         return [("mark", body.pool, member) for member in touched]
 
     def _take_move(self, body: MoveBody) -> list[tuple[str, ...]]:
-        if body.of and self.moves.get(body.pool, (None, 0.0, 0))[2] != body.of:
+        if (
+            body.expected_version
+            and self.migrations.get(body.pool, (None, 0.0, 0))[2] != body.expected_version
+        ):
             return []
-        self.moves.pop(body.pool, None)
-        if body.move is not None:
-            self.moves[body.pool] = body.move, body.lasts, self.version
+        self.migrations.pop(body.pool, None)
+        if body.migration is not None:
+            self.migrations[body.pool] = body.migration, body.duration, self.version
         return [("move", body.pool)]
 
     def _take_freeze(self, body: FreezeBody) -> list[tuple[str, ...]]:
@@ -154,75 +157,81 @@
 
     def _take_roster(self, body: RosterBody) -> list[tuple[str, ...]]:
         if body.store:
-            self.roster[body.name] = body.store
+            self.voters[body.name] = body.store
         else:
-            self.roster.pop(body.name, None)
+            self.voters.pop(body.name, None)
         return [("roster", body.name)]
 
     def _take_recover(self, body: RecoverBody) -> list[tuple[str, ...]]:
-        self.roster = dict(body.roster)
-        return [("roster", name) for name in body.roster]
+        self.voters = dict(body.voters)
+        return [("roster", name) for name in body.voters]
 
     def _take_plan(self, body: PlanBody) -> list[tuple[str, ...]]:
-        self.plan = RolloutPlan(body.id, body.digest, body.origin, body.soak, version=self.version)
+        self.rollout_plan = RolloutPlan(body.id, body.digest, body.origin, body.soak, version=self.version)
         return [("plan",)]
 
     def _stage(self, body: StageBody) -> list[tuple[str, ...]]:
-        plan = self.plan
+        plan = self.rollout_plan
         if plan is None or plan.id != body.id or plan.stage != body.frm:
             return []  # another has been there first
         plan.stage, plan.why, plan.old_bad, plan.version = body.to, body.why, body.old_bad, self.version
         return [("plan",)]
 
     def _is_of(self, body: MarkBody, member: str) -> bool:
-        stands = self.marks.get(body.pool, {}).get(member)
-        return not body.of or (stands is not None and stands[2] == body.of)
+        stands = self.overrides.get(body.pool, {}).get(member)
+        return not body.expected_version or (stands is not None and stands[2] == body.expected_version)
 
     def _mark(self, pool: str, member: str, mark: AdminOverride | None, lasts: float) -> None:
-        marks = self.marks.setdefault(pool, {})
+        marks = self.overrides.setdefault(pool, {})
         self._count -= marks.pop(member, None) is not None
         if mark is not None:
             marks[member] = mark, lasts, self.version
             self._count += 1
         elif not marks:
-            del self.marks[pool]
+            del self.overrides[pool]
 
     def check(self, change: Command) -> None:
         """StateError where it may not be proposed now."""
         body = read_body(change)
-        if isinstance(body, MarkBody) and self._count + len(body.marks) > MARKS_MOST:
+        if isinstance(body, MarkBody) and self._count + len(body.overrides) > MARKS_MOST:
             raise StateError(f"{self._count} marks stand; at most {MARKS_MOST}")
-        if isinstance(body, PlanBody) and self.plan is not None and self.plan.stage in (*OPEN, "halted"):
-            raise StateError(f"roll-out {self.plan.id} is under way ({self.plan.stage}); take it back first")
+        if (
+            isinstance(body, PlanBody)
+            and self.rollout_plan is not None
+            and self.rollout_plan.stage in (*OPEN, "halted")
+        ):
+            raise StateError(
+                f"roll-out {self.rollout_plan.id} is under way ({self.rollout_plan.stage}); take it back first"
+            )
         if isinstance(body, RosterBody):
-            if body.store and body.name not in self.roster and len(self.roster) >= ROSTER_MOST:
-                raise StateError(f"{len(self.roster)} vote; at most {ROSTER_MOST}")
-            if not body.store and body.name not in self.roster:
-                raise StateError(f"{body.name!r} is not on the roster: {', '.join(sorted(self.roster))}")
-            if not body.store and len(self.roster) == 1:
+            if body.store and body.name not in self.voters and len(self.voters) >= ROSTER_MOST:
+                raise StateError(f"{len(self.voters)} vote; at most {ROSTER_MOST}")
+            if not body.store and body.name not in self.voters:
+                raise StateError(f"{body.name!r} is not on the roster: {', '.join(sorted(self.voters))}")
+            if not body.store and len(self.voters) == 1:
                 raise StateError("the last one who votes can't be taken off")
 
     # Whole.
 
     def encode(self) -> bytes:
-        marks = {pool: dict(sorted(those.items())) for pool, those in sorted(self.marks.items())}
-        roster, moves = dict(sorted(self.roster.items())), dict(sorted(self.moves.items()))
+        marks = {pool: dict(sorted(those.items())) for pool, those in sorted(self.overrides.items())}
+        roster, moves = dict(sorted(self.voters.items())), dict(sorted(self.migrations.items()))
         return msgspec.msgpack.encode(
-            Snapshot(self.version, marks, moves, sorted(self.frozen), roster, self.plan)
+            Snapshot(self.version, marks, moves, sorted(self.frozen), roster, self.rollout_plan)
         )
 
     def digest(self) -> str:
         return blake3(self.encode()).hexdigest(16)
 
-    def take_whole(self, data: bytes) -> None:
+    def install_snapshot(self, data: bytes) -> None:
         """StateError, and nothing has changed, for bytes that are no state."""
         try:
             found = msgspec.msgpack.decode(data, type=Snapshot)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
             raise StateError(f"no state: {problem}") from None
-        self.version, self.marks, self.moves = found.version, found.marks, found.moves
-        self.frozen, self.roster, self.plan = set(found.frozen), found.roster, found.plan
-        self._count = sum(map(len, found.marks.values()))
+        self.version, self.overrides, self.migrations = found.version, found.overrides, found.migrations
+        self.frozen, self.voters, self.rollout_plan = set(found.frozen), found.voters, found.rollout_plan
+        self._count = sum(map(len, found.overrides.values()))
 
 
 def read_body(change: Command) -> Any:
--- a/loadbalancer/fleet/replication/state_transfer.py
+++ b/loadbalancer/fleet/replication/state_transfer.py
@@ -27,7 +27,7 @@
 
     def answer(self, want: StateRequest) -> Iterator[LogEntries | SnapshotChunk]:
         """In order; whoever sends them may stop at any time."""
-        log, now = self.versions.log, self.versions.said.version
+        log, now = self.versions.command_log, self.versions.state.version
         if want.version >= now:
             yield LogEntries(want.version + 1, (), True)
         elif want.version + 1 in log and not want.offset:
@@ -39,7 +39,7 @@
         part: list[Command] = []
         size = 0
         for version in range(first, last + 1):
-            change = self.versions.log[version]
+            change = self.versions.command_log[version]
             part.append(change)
             size += len(change.body) + 120
             if size >= PART or version == last:
@@ -47,7 +47,7 @@
                 part, size = [], 0
 
     def _slices(self, want: StateRequest) -> Iterator[SnapshotChunk]:
-        said = self.versions.said
+        said = self.versions.state
         if self._version != said.version:
             self._version, self._data = said.version, said.encode()
             self._digest = blake3(self._data).hexdigest(16)
@@ -74,7 +74,7 @@
         come is thrown away then."""
         if isinstance(message, LogEntries):
             self._forget()
-            return CommandsReceived(message.first, message.changes), message.last
+            return CommandsReceived(message.first_version, message.commands), message.is_last
         if message.digest != self._digest:
             self._forget()
             self._digest, self._size = message.digest, message.size
--- a/loadbalancer/fleet/report.py
+++ b/loadbalancer/fleet/report.py
@@ -29,10 +29,10 @@
 def is_settled(view: MembershipView, now: float) -> bool:
     """Unchanged for `hold`, nobody is suspected, and those heard of late hold the same. One that is alone is settled
     with itself."""
-    if not view.inside or now - view.table.changed_at < view.timers.hold:
+    if not view.joined or now - view.table.changed_at < view.timers.hold:
         return False
     living = view.table.living
-    if any(peer.fact.status == MemberStatus.SUSPECT for peer in living):
+    if any(peer.state.status == MemberStatus.SUSPECT for peer in living):
         return False
     same, other = agreeing(view)
     return other == 0 and same >= min(len(living), WITNESSES)
@@ -40,7 +40,7 @@
 
 def rows(view: MembershipView, now: float) -> list[dict[str, Any]]:
     """A row for each name, this instance first, then the living, then the rest."""
-    mine = view.me
+    mine = view.own_state
     found = [
         {
             "instance": mine.name,
@@ -56,15 +56,17 @@
             "suspicion": None,
         }
     ]
-    order = sorted(view.table, key=lambda peer: (peer.fact.status, peer.fact.name))
+    order = sorted(view.table, key=lambda peer: (peer.state.status, peer.state.name))
     return found + [_row(view, peer, now) for peer in order]
 
 
 def _row(view: MembershipView, peer: Peer, now: float) -> dict[str, Any]:
-    fact = peer.fact
+    fact = peer.state
     suspicion = None
     if fact.status == MemberStatus.SUSPECT:
-        left = peer.suspected_at + suspicion_timeout(view.timers, view.fleet, len(peer.accusers) - 1) - now
+        left = (
+            peer.suspected_at + suspicion_timeout(view.timers, view.fleet_size, len(peer.accusers) - 1) - now
+        )
         suspicion = f"by {', '.join(sorted(peer.accusers))}; dead in {max(0.0, left):.1f} s"
     return {
         "instance": fact.name,
@@ -87,7 +89,7 @@
 
 def status(view: MembershipView, now: float) -> dict[str, Any]:
     """The view in figures. `digest`: over name, boot and incarnation of all that live."""
-    standings = [peer.fact.status for peer in view.table]
+    standings = [peer.state.status for peer in view.table]
     same, other = agreeing(view)
     return {
         "instance": view.identity.name,
@@ -95,7 +97,7 @@
         "settled": is_settled(view, now),
         "digest": f"{view.table.digest:016x}",
         "unchanged_s": _age(view.table.changed_at, now),
-        "living": view.fleet if view.inside else len(view.table.living),
+        "living": view.fleet_size if view.joined else len(view.table.living),
         "suspected": standings.count(MemberStatus.SUSPECT),
         "dead": standings.count(MemberStatus.DEAD),
         "left": standings.count(MemberStatus.LEFT),
@@ -104,5 +106,5 @@
         "differ": other,
         "doubt": view.health.doubt,
         "names_refused": view.table.refused,
-        "counts": dict(sorted(view.counts.items())),
+        "counts": dict(sorted(view.counters.items())),
     }
--- a/loadbalancer/fleet/transport.py
+++ b/loadbalancer/fleet/transport.py
@@ -58,7 +58,7 @@
     """The view, as the sockets see it."""
 
     @property
-    def due(self) -> float: ...
+    def next_timer(self) -> float: ...
     def handle(self, now: float, event: Event) -> list[Action]: ...
     def facts(self) -> Iterable[MemberState]: ...
 
@@ -77,7 +77,7 @@
         claimed: tuple[socket.socket | None, socket.socket | None],
     ) -> None:
         """OSError where `bind` can't be had."""
-        self.view, self.name, self.boot, self.sealer, self.note = view, name, boot, sealer, note
+        self.view, self.name, self.boot, self.sealer, self.log_notice = view, name, boot, sealer, note
         self.counts: Counter[str] = Counter()
         self.replays = ReplayProtection()
         self._loop = asyncio.get_running_loop()
@@ -89,7 +89,9 @@
         self._own: asyncio.Task[None] | None = None  # the exchange that we have begun
         self._in: set[asyncio.Task[None]] = set()
         self._reading = self._closed = False
-        self.ruling: Callable[[str, Message], None] | None = None  # who hears of the versioned state
+        self.send_replication: Callable[[str, Message], None] | None = (
+            None  # who hears of the versioned state
+        )
         self.streams: Callable[[Message], Iterator[tuple[Message, float]] | None] = lambda message: None
 
     def _sockets(
@@ -133,7 +135,7 @@
         self._do(actions)
         self._tick()
 
-    def deafen(self) -> None:
+    def pause_reading(self) -> None:
         """Read no more: another process does. The sockets stay."""
         if self._reading:
             self._reading = False
@@ -142,7 +144,7 @@
 
     def close(self) -> None:
         self._closed = True
-        self.deafen()
+        self.pause_reading()
         if self._timer is not None:
             self._timer.cancel()
         for task in (*self._in, *([self._own] if self._own is not None else [])):
@@ -158,7 +160,7 @@
         self._wake()
 
     def _wake(self) -> None:
-        due = self.view.due
+        due = self.view.next_timer
         if self._closed or due == self._timer_at and self._timer is not None:
             return
         if self._timer is not None:
@@ -184,16 +186,18 @@
                     self._own = self._loop.create_task(self._exchange(action))
                     self._own.add_done_callback(self._own_ended)
             elif isinstance(action, MembershipNotice):
-                self.note(action.kind, action.text)
+                self.log_notice(action.event, action.text)
 
     def _packet(self, to: int, message: Message, facts: tuple[MemberState, ...]) -> bytes:
         self._numbers += 1
         return self.sealer.seal(Packet(self.name, self.boot, to, self._numbers, message, facts))
 
     def _send(self, tell: SendPacket) -> None:
-        self.tell(tell.address, tell.to, tell.message, tell.facts)
+        self.send_datagram(tell.address, tell.receiver_boot, tell.message, tell.member_states)
 
-    def tell(self, address: Address, to: int, message: Message, facts: tuple[MemberState, ...] = ()) -> None:
+    def send_datagram(
+        self, address: Address, to: int, message: Message, facts: tuple[MemberState, ...] = ()
+    ) -> None:
         """One datagram."""
         data = self._packet(to, message, facts)
         if len(data) > DATAGRAM_MOST:
@@ -230,8 +234,8 @@
         if not isinstance(packet.message, RULINGS):
             if not isinstance(packet.message, STREAMED):
                 self.hand(PacketReceived(packet))
-        elif self.ruling is not None and packet.to == self.boot:
-            self.ruling(packet.sender, packet.message)
+        elif self.send_replication is not None and packet.to == self.boot:
+            self.send_replication(packet.sender, packet.message)
 
     def _open(self, data: bytes, most: int) -> Packet | None:
         """None for what is not of the fleet, can't be read, or has come before; each is counted."""
@@ -282,7 +286,7 @@
             OSError
         ) as problem:  # no descriptor: datagrams go on, and the exchange is tried again by the other
             self.counts["exchanges not accepted"] += 1
-            self.note("fleet: accept", str(problem))
+            self.log_notice("fleet: accept", str(problem))
             self._loop.remove_reader(self.tcp)
             self._loop.call_later(REST_S, self._accept_again)
             return
--- a/loadbalancer/fleet/wire.py
+++ b/loadbalancer/fleet/wire.py
@@ -97,7 +97,7 @@
     life: Count
     host: Host
     port: Port
-    inside: bool
+    joined: bool
     answer: bool
 
 
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -82,32 +82,32 @@
 ])  # fmt: skip
 def test_the_kind_of_a_start_is_told_by_the_view(more: dict[str, Any], kind: str) -> None:
     comeback = RecoveryCoordinator("a", 0.0)
-    assert comeback.look(0.1, seen(inside=False)) == []
-    comeback.look(0.2, seen(**more))
+    assert comeback.step(0.1, seen(inside=False)) == []
+    comeback.step(0.2, seen(**more))
     assert comeback.kind == kind
 
 
 def test_a_lone_start_that_is_one_of_many_is_found_out_and_paced() -> None:
     comeback = RecoveryCoordinator("a", 0.0)
-    assert not any(isinstance(one, LearnFromPeers) for one in comeback.look(0.1, seen(silent=7)))
-    comeback.look(0.8, seen(silent=7))
+    assert not any(isinstance(one, LearnFromPeers) for one in comeback.step(0.1, seen(silent=7)))
+    comeback.step(0.8, seen(silent=7))
     assert (comeback.kind, comeback.phase) == ("lone", RecoveryPhase.WARMING)  # nobody has said how far he is
-    assert ConnectionPace(1.0) in comeback.look(0.9, seen(silent=3, full=("b",), coming=("c", "d", "e")))
+    assert ConnectionPace(1.0) in comeback.step(0.9, seen(silent=3, full=("b",), coming=("c", "d", "e")))
     assert comeback.kind == "mass"
 
 
 def test_each_phase_has_its_end_and_its_bound() -> None:
     comeback = RecoveryCoordinator("a", 0.0)
     full = ("b", "c", "d", "e")
-    assert phases(comeback, comeback.look(1.0, seen(full=full, may_act=False))) == [RecoveryPhase.STATE]
-    assert comeback.look(60.0, seen(full=full, may_act=False)) == []  # shut out as long as it has to be
-    found = comeback.look(61.0, seen(full=full))
+    assert phases(comeback, comeback.step(1.0, seen(full=full, may_act=False))) == [RecoveryPhase.STATE]
+    assert comeback.step(60.0, seen(full=full, may_act=False)) == []  # shut out as long as it has to be
+    found = comeback.step(61.0, seen(full=full))
     assert phases(comeback, found) == [RecoveryPhase.LEARNING]
-    found += comeback.look(61.3, seen(full=full))
+    found += comeback.step(61.3, seen(full=full))
     learn = [one for one in found if isinstance(one, LearnFromPeers)]
     assert len(learn) == 1 and len(learn[0].names) == ASKED
-    assert comeback.look(61.4, seen(full=full)) == []
-    found = comeback.look(61.1 + LEARN_S, seen(full=full))  # nobody has told
+    assert comeback.step(61.4, seen(full=full)) == []
+    found = comeback.step(61.1 + LEARN_S, seen(full=full))  # nobody has told
     assert phases(comeback, found) == [RecoveryPhase.WARMING] and not any(
         isinstance(one, ConnectionPace) for one in found
     )
@@ -116,27 +116,27 @@
     while comeback.phase == RecoveryPhase.WARMING and now < 200:
         now += 0.3
         served += 10
-        comeback.look(now, seen(full=full, served=served, ended=2 * served))
+        comeback.step(now, seen(full=full, served=served, ended=2 * served))
     assert "not full in time" in comeback.times[-1][2] and now > 61 + WARM_S and not comeback.full_after
 
 
 def test_full_service_is_a_second_of_good_windows_and_its_time_is_told() -> None:
     comeback = RecoveryCoordinator("a", 0.0)
-    comeback.look(1.0, seen(coming=("b",), kept=False))
+    comeback.step(1.0, seen(coming=("b",), kept=False))
     now, served, ended = 1.0, 0, 0
     while comeback.phase != RecoveryPhase.FULL:
         now += 0.26
         ended += 100
         served += 100 if now > 4 else 90
-        comeback.look(now, seen(coming=("b",), served=served, ended=ended))
+        comeback.step(now, seen(coming=("b",), served=served, ended=ended))
     assert 3.7 < comeback.full_after < 4.0 + FULL_S and now < 6.0
 
 
 def test_a_pace_holds_only_where_many_come_back() -> None:
     many, one = RecoveryCoordinator("a", 0.0), RecoveryCoordinator("a", 0.0)
-    found = many.look(1.0, seen(coming=("b", "c", "d"))) + many.look(1.5, seen(coming=("b", "c", "d")))
+    found = many.step(1.0, seen(coming=("b", "c", "d"))) + many.step(1.5, seen(coming=("b", "c", "d")))
     assert ConnectionPace(1.0) in found
-    assert not any(isinstance(wish, ConnectionPace) for wish in one.look(1.0, seen()) + one.look(1.5, seen()))
+    assert not any(isinstance(wish, ConnectionPace) for wish in one.step(1.0, seen()) + one.step(1.5, seen()))
 
 
 @given(st.sets(st.text(min_size=1, max_size=5), min_size=1, max_size=40))
@@ -258,17 +258,17 @@
 
 def test_a_restart_goes_group_by_group_and_halts_by_itself() -> None:
     passing, all_ = RollingRestart("b", ["a", "b", "c"], 1, 0.0), lives("a", "b", "c")
-    assert passing.look(0.0, all_) == [RestartMember("a")] and passing.look(1.0, all_) == []
-    assert passing.look(2.0, all_ | lives("a", boot=2, full=False)) == []  # another life, and not full yet
-    assert passing.look(3.0, all_ | lives("a", boot=2)) == [] and passing.done == ["a"]
+    assert passing.step(0.0, all_) == [RestartMember("a")] and passing.step(1.0, all_) == []
+    assert passing.step(2.0, all_ | lives("a", boot=2, full=False)) == []  # another life, and not full yet
+    assert passing.step(3.0, all_ | lives("a", boot=2)) == [] and passing.done == ["a"]
     assert (
-        passing.look(3.5, all_ | lives("a", boot=2, living=False)) == []
+        passing.step(3.5, all_ | lives("a", boot=2, living=False)) == []
     )  # nobody is next while one is down
-    assert passing.look(4.0, all_ | lives("a", boot=2)) == [RestartMember("c")]
-    assert passing.look(4.0 + GROUP_S + 1, all_ | lives("a", boot=2)) == [] and "not back" in passing.halted
+    assert passing.step(4.0, all_ | lives("a", boot=2)) == [RestartMember("c")]
+    assert passing.step(4.0 + GROUP_S + 1, all_ | lives("a", boot=2)) == [] and "not back" in passing.halted
     two = RollingRestart("a", ["a", "b", "c"], 2, 0.0)
-    assert two.look(0.0, all_) == [RestartMember("b"), RestartMember("c")] and two.groups[-1] == ["a"]
-    assert RollingRestart("a", ["a", "b"], 1, 0.0).look(0.0, lives("a")) == []
+    assert two.step(0.0, all_) == [RestartMember("b"), RestartMember("c")] and two.groups[-1] == ["a"]
+    assert RollingRestart("a", ["a", "b"], 1, 0.0).step(0.0, lives("a")) == []
 
 
 def test_each_measure_is_worth_something_in_a_large_fleet() -> None:
@@ -554,10 +554,10 @@
 def test_an_older_build_that_says_no_phase_counts_as_full(tmp_path: Path) -> None:
     """It neither tells nor asks; who comes back beside it gets on without."""
     old = (
-        "from loadbalancer.daemon.recovery import Returning\n"
-        "Returning.start = lambda self, upgraded: setattr(self.view, 'phase', 0)\n"
-        "Returning.look = lambda self: None\n"
-        "Returning.answer = lambda self, message: None\n"
+        "from loadbalancer.daemon.recovery import RecoveryService\n"
+        "RecoveryService.start = lambda self, upgraded: setattr(self.view, 'phase', 0)\n"
+        "RecoveryService.look = lambda self: None\n"
+        "RecoveryService.answer = lambda self, message: None\n"
     )
 
     async def scene() -> None:
--- a/tests/fleet/test_share.py
+++ b/tests/fleet/test_share.py
@@ -8,15 +8,15 @@
 def followed(share: FleetSize, seconds: float, living: int, settled: bool, now: float) -> float:
     for _ in range(int(seconds * 4)):
         now += 0.25
-        share.look(now, living, settled)
+        share.step(now, living, settled)
     return now
 
 
 def test_until_a_view_has_settled_the_configuration_counts() -> None:
     share = FleetSize(8)
-    assert share.look(1.0, 1, False).instances == 8
-    assert share.look(2.0, 1, False).standing == "configured"
-    assert share.look(3.0, 8, True).standing == "settled"
+    assert share.step(1.0, 1, False).instances == 8
+    assert share.step(2.0, 1, False).standing == "configured"
+    assert share.step(3.0, 8, True).standing == "settled"
 
 
 def test_one_that_is_cut_off_keeps_the_last_settled_number_and_never_counts_one() -> None:
--- a/tests/fleet/test_versions_model.py
+++ b/tests/fleet/test_versions_model.py
@@ -47,26 +47,26 @@
         for one in self.model.all.values():
             if not one.lives:
                 continue
-            for version, change in one.versions.log.items():
+            for version, change in one.versions.command_log.items():
                 assert self.order.setdefault(version, change.id) == change.id, (
                     f"two orders at version {version}"
                 )
             for ended in one.ended.values():
                 if ended.version:
-                    self.stands.setdefault(ended.id, (ended.version, now))
-                elif "does not stand" in ended.why:
-                    self.refused.add(ended.id)
+                    self.stands.setdefault(ended.command_id, (ended.version, now))
+                elif "does not stand" in ended.reason:
+                    self.refused.add(ended.command_id)
         for one in self.model.up:
             if one.fence.may_act(one.clock()):
                 for version, at in self.stands.values():
-                    waits = one.fence.lasts + 0.1
-                    assert one.versions.said.version >= version or now < at + waits, (
+                    waits = one.fence.expiry_with_drift + 0.1
+                    assert one.versions.state.version >= version or now < at + waits, (
                         f"{one.name} acts on an old one"
                     )
 
     def end(self) -> None:
         """After all has healed."""
-        log = self.model.up[0].versions.log
+        log = self.model.up[0].versions.command_log
         ids = {change.id for change in log.values()}
         assert all(log[version].id == name for name, (version, _) in self.stands.items())
         assert not self.refused & ids, "a change that was refused stands"
@@ -214,12 +214,20 @@
 DEFECTS: dict[str, tuple[Any, Any, str, Any]] = {
     "the fence is off": (seeds, Lease, "may_act", lambda self, now: True),
     "one is a majority": (seeds, ReplicatedState, "majority", property(lambda self: 1)),
-    "a voter that lost its store votes": (a_store_is_lost_between_two_majorities, PaxosReplica, "_on_greeted",
-                                          lambda self, sender, message: self.greeted.add(sender)),
-    "nothing is kept before an answer": (a_voter_dies_between_its_vote_and_the_decision, Instance, "keep",
-                                         lambda self, action: [self.send(say.to, say.message) for say in action.then]),
+    "a voter that lost its store votes": (
+        a_store_is_lost_between_two_majorities,
+        PaxosReplica,
+        "_on_greeted",
+        lambda self, sender, message: self.confirmed_voters.add(sender),
+    ),
+    "nothing is kept before an answer": (
+        a_voter_dies_between_its_vote_and_the_decision,
+        Instance,
+        "keep",
+        lambda self, action: [self.send(say.to, say.message) for say in action.then_send],
+    ),
     "a refusal that is not sure": (seeds, PaxosReplica, "_risks", lambda self, change: None),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
@@ -250,29 +258,29 @@
             self.disks[name] = {"state": b"", "log": {}, "vote": None, "met": {}, "opened": 0}
             self.start(name)
         for name, other in (("a", "b"), ("a", "c"), ("b", "a"), ("b", "c"), ("c", "a"), ("c", "b")):
-            self.all[name].greeted.add(other)
+            self.all[name].confirmed_voters.add(other)
 
     def start(self, name: str) -> None:
         disk = self.disks[name]
         disk["opened"] += 1
         said = ReplicatedState({"a": "", "b": "", "c": ""})
         if disk["state"]:
-            said.take_whole(disk["state"])
+            said.install_snapshot(disk["state"])
         made = PaxosReplica(name, f"s{name}", disk["opened"] << 20, said, random.Random(1))
-        made.log, made.met = dict(disk["log"]), dict(disk["met"])
+        made.command_log, made.observed_stores = dict(disk["log"]), dict(disk["met"])
         if disk["vote"] is not None and disk["vote"].slot == said.version + 1:
-            made.vote = form.AcceptorState(
-                *[getattr(disk["vote"], f) for f in ("slot", "promised", "accepted", "change")]
+            made.acceptor_state = form.AcceptorState(
+                *[getattr(disk["vote"], f) for f in ("slot", "promised", "accepted", "command")]
             )
         self.all[name] = made
 
     def keep(self, name: str, action: machine.Persist, dies: bool) -> None:
         disk = self.disks[name]
-        disk["vote"] = action.vote or disk["vote"]
-        if action.met:
-            disk["met"][action.met[0]] = action.met[1]
+        disk["vote"] = action.acceptor_state or disk["vote"]
+        if action.observed_store:
+            disk["met"][action.observed_store[0]] = action.observed_store[1]
         if not dies:
-            self.queue.extend((name, say.to, say.message) for say in action.then)
+            self.queue.extend((name, say.to, say.message) for say in action.then_send)
 
     def hand(self, name: str, event: Any, dies: bool = False) -> None:
         versions, disk = self.all[name], self.disks[name]
@@ -282,18 +290,18 @@
             elif isinstance(action, machine.Persist):
                 self.keep(name, action, dies)
             elif isinstance(action, (machine.CommandApplied, machine.SnapshotInstalled)):
-                disk["state"], disk["log"] = versions.said.encode(), dict(versions.log)
-                for version, change in versions.log.items():
+                disk["state"], disk["log"] = versions.state.encode(), dict(versions.command_log)
+                for version, change in versions.command_log.items():
                     self.logs.setdefault(version, set()).add(change.id)
             elif isinstance(action, machine.RequestStateTransfer):
-                for part in StateSender(self.all[action.name]).answer(
-                    form.StateRequest(versions.said.version)
+                for part in StateSender(self.all[action.source]).answer(
+                    form.StateRequest(versions.state.version)
                 ):
                     found, _ = StateReceiver().take(part)
                     if found is not None:
                         self.hand(name, found)
             elif isinstance(action, machine.CommandCompleted):
-                self.ended[action.id] = action
+                self.ended[action.command_id] = action
 
     def deliver(self) -> None:
         sender, to, message = self.queue.pop(0)
@@ -328,7 +336,7 @@
         by_version = {version: next(iter(ids)) for version, ids in self.logs.items()}
         for ended in self.ended.values():
             if ended.version:
-                assert by_version[ended.version] == ended.id
+                assert by_version[ended.version] == ended.command_id
         found = [one for one in by_version.values() if one]
         assert len(found) == len(set(found)), "a change stands twice"
 
@@ -370,8 +378,8 @@
     versions = PaxosReplica("b", "", 0, said, random.Random(1))
     later = Command("x", "later", b"", "test")
     actions = versions.handle(0.0, CommandsReceived(1, (mark(1), later, mark(3))))
-    assert said.version == 1 and versions.behind and "does not know" in versions.stuck
-    assert [type(one).__name__ for one in actions] == ["Took"]
+    assert said.version == 1 and versions.is_behind and "does not know" in versions.blocked_reason
+    assert [type(one).__name__ for one in actions] == ["CommandApplied"]
 
 
 @pytest.mark.parametrize("count", [3, 500, 5000])
@@ -381,8 +389,8 @@
         ahead.handle(0.0, CommandsReceived(number + 1, (mark(number, f"m{number}"),)))
     behind, taker = PaxosReplica("b", "", 0, ReplicatedState({"a": ""}), random.Random(1)), StateReceiver()
     cuts = 0
-    while behind.said.version < count:
-        for number, part in enumerate(StateSender(ahead).answer(taker.want(behind.said.version))):
+    while behind.state.version < count:
+        for number, part in enumerate(StateSender(ahead).answer(taker.want(behind.state.version))):
             if cuts < 5 and number == 2:
                 cuts += 1
                 break  # the stream is cut; what has come stays
@@ -390,7 +398,7 @@
             found, _ = taker.take(part)
             if found is not None:
                 behind.handle(1.0, found)
-    assert behind.said.digest() == ahead.said.digest()
+    assert behind.state.digest() == ahead.state.digest()
 
 
 def test_a_state_that_was_changed_on_the_way_is_not_taken() -> None:
@@ -431,16 +439,16 @@
     model.all["i1"].propose(mark(2), if_version=0)
     model.all["i2"].propose(mark(3), if_version=1)
     model.run(1)
-    assert "not 0; it does not stand" in model.all["i1"].ended["c2"].why
+    assert "not 0; it does not stand" in model.all["i1"].ended["c2"].reason
     assert model.all["i2"].ended["c3"].version == 2
 
 
 def test_a_clock_that_runs_away_shuts_its_instance_out() -> None:
     fence = Lease(10.0, False)
     for second in range(0, 60):
-        number = fence.ask(float(second))
-        fence.heard(float(second), number, "v", 0, second * 1.2, 1, 0)
-    assert fence.drifts and not fence.may_act(60.0)
+        number = fence.request(float(second))
+        fence.granted(float(second), number, "v", 0, second * 1.2, 1, 0)
+    assert fence.clock_drift and not fence.may_act(60.0)
     assert not Lease(10.0, False).may_act(0.0) and Lease(10.0, True).may_act(0.0)
 
 
@@ -456,4 +464,4 @@
     model.all["i0"].propose(mark(2))
     model.run(8)
     assert not model.all["i0"].ended["c2"].version
-    assert not model.all["i1"].versions.votes and model.all["i1"].versions.lost
+    assert not model.all["i1"].versions.can_vote and model.all["i1"].versions.vote_suspension
--- a/tests/fleet/test_versions_processes.py
+++ b/tests/fleet/test_versions_processes.py
@@ -64,7 +64,7 @@
 
 def test_without_the_fence_a_stopped_one_sends_to_a_drained_member(tmp_path: Path) -> None:
     """The same count, with a defect: so it can fail."""
-    defect = "from loadbalancer.fleet.replication.lease import Fence; Fence.may_act = lambda self, now: True"
+    defect = "from loadbalancer.fleet.replication.lease import Lease; Lease.may_act = lambda self, now: True"
 
     async def scene() -> None:
         members = Members(2)
--- a/tests/fleet/test_view_model.py
+++ b/tests/fleet/test_view_model.py
@@ -79,7 +79,7 @@
         assert model.until(model.settled, 20.0) is not None
         model.instances[-1].start()
         assert model.until(model.settled, 20.0) is not None
-        assert model.instances[-1].view.me.life == 2
+        assert model.instances[-1].view.own_state.life == 2
 
 
 def test_every_schedule_of_the_first_datagrams_of_a_join_ends_in_agreement() -> None:
@@ -117,7 +117,7 @@
     one.stop()
     model.run(20)
     one.go_on()
-    return model.until(model.settled, SETTLE_S) is not None and one.view.me.life == 1
+    return model.until(model.settled, SETTLE_S) is not None and one.view.own_state.life == 1
 
 
 def holds_no_grudge() -> bool:
@@ -127,7 +127,7 @@
     one, other = model.instances[5], model.instances[6]
     other.stop()
     assert (
-        model.until(lambda: one.view.table.peers["i6"].fact.status == MemberStatus.SUSPECT, 10.0) is not None
+        model.until(lambda: one.view.table.peers["i6"].state.status == MemberStatus.SUSPECT, 10.0) is not None
     )
     one.stop()
     other.go_on()
@@ -135,7 +135,7 @@
     one.waits.clear()
     one.go_on()
     found = model.until(model.settled, SETTLE_S) is not None
-    return found and not one.view.counts["died"]
+    return found and not one.view.counters["died"]
 
 
 def goes_round() -> bool:
@@ -144,7 +144,7 @@
     assert model.start_all() is not None
     model.net.cut = {(2, 3), (3, 2)}
     model.run(60)
-    return not any(one.view.counts["suspected"] for one in model.instances)
+    return not any(one.view.counters["suspected"] for one in model.instances)
 
 
 DEFECTS: dict[str, tuple[Callable[[], bool], type, str, Callable[..., None]]] = {
@@ -220,7 +220,7 @@
         hear(made, 3.0, fact("b"))
         for word in random.Random(seed).sample(words, len(words)):
             hear(made, 3.0, word)
-        found.add(made.table.peers["b"].fact.rank)
+        found.add(made.table.peers["b"].state.rank)
     assert found == {max(word.rank for word in words)}
 
 
@@ -236,7 +236,7 @@
     model = FleetModel(5, 7)
     assert model.start_all() is not None
     old = model.instances[2]
-    life, facts = old.view.pass_on()
+    life, facts = old.view.hand_over()
     waits, old.waits = old.waits, []
     old.up = False
     old.start()  # another process at the same sockets
@@ -246,8 +246,8 @@
     old.wake()
     assert model.until(model.settled, SETTLE_S) is not None and not waits
     for one in model.instances:
-        assert not one.view.counts["died"] and not one.view.counts["suspected"]
-    assert old.view.me.life == 2
+        assert not one.view.counters["died"] and not one.view.counters["suspected"]
+    assert old.view.own_state.life == 2
 
 
 def test_timers_of_all_profiles_hold_together() -> None:
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -88,12 +88,15 @@
     """The dead are not called, and seeds neither: the same scene finds it, so it can fail."""
     defect = (
         "import math\n"
-        "from loadbalancer.fleet.membership.member_updates import Members as M; "
-        "from loadbalancer.fleet.membership.view import View as V\n"
+        "from loadbalancer.fleet.membership.member_updates import MemberUpdates as M; "
+        "from loadbalancer.fleet.membership.view import MembershipView as V\n"
         "M._try = lambda self, peer: setattr(peer, 'try_at', math.inf)\n"
-        "V._call_seeds = lambda self: setattr(self, '_hello_at', math.inf) if self.inside else _seeds(self)\n"
+        "V._call_seeds = lambda self: setattr(self, '_hello_at', math.inf) if self.joined else _seeds(self)\n"
+    )
+    whole = (
+        "from loadbalancer.fleet.membership.view import MembershipView as V; _seeds = V._call_seeds\n"
+        + defect
     )
-    whole = "from loadbalancer.fleet.membership.view import View as V; _seeds = V._call_seeds\n" + defect
 
     async def scene() -> None:
         async with fleet(tmp_path, 4, 0) as made:
