--- /dev/null
+++ b/tests/known_red.py
@@ -0,0 +1,54 @@
+"""The list of tests that may fail for a known fault (KNOWN-RED.txt)."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import NamedTuple
+
+KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
+
+
+class KnownFailure(NamedTuple):
+    """One entry of the list."""
+
+    test: str
+    """The test's id, as pytest prints it."""
+    command: str
+    """The command, and the seed, that show the fault."""
+    seen: str
+    """What was seen."""
+    issue: str
+    """The issue that is open for it."""
+
+
+def read_known_failures(text: str) -> list[KnownFailure]:
+    """Read the list.
+
+    Args:
+        text: The file's content; empty lines and lines that begin with ``#`` are passed over.
+
+    Returns:
+        The entries, in the file's order.
+
+    Raises:
+        ValueError: An entry does not have four fields; names its line.
+    """
+    found = []
+    for number, line in enumerate(text.splitlines(), 1):
+        if not line.strip() or line.startswith("#"):
+            continue
+        fields = [field.strip() for field in line.split(" | ")]
+        if len(fields) != len(KnownFailure._fields) or not all(fields):
+            raise ValueError(
+                f"KNOWN-RED.txt, line {number}: not 'test | command and seed | seen | issue': {line!r}"
+            )
+        found.append(KnownFailure(*fields))
+    return found
+
+
+def find_known_failure(entries: list[KnownFailure], node_id: str) -> KnownFailure | None:
+    """The entry that names this test, if there is one; an entry without parameters names all of them."""
+    for entry in entries:
+        if node_id == entry.test or node_id.startswith(f"{entry.test}["):
+            return entry
+    return None
