--- a/loadbalancer/platform/main.py
+++ b/loadbalancer/platform/main.py
@@ -120,7 +120,7 @@
 
 
 def _stop(reason: str) -> NoReturn:
-    sys.stderr.write(f"spokemast: {reason}\n")
+    sys.stderr.write(f"micastand: {reason}\n")
     raise SystemExit(2)
 
 
--- a/loadbalancer/platform/node.py
+++ b/loadbalancer/platform/node.py
@@ -77,7 +77,7 @@
         else:
             where = self.listener.listen(self.configuration.listen)
         told = self.configuration.told
-        sys.stderr.write(f"spokemast: listening on {where[0]}:{where[1]}, limits {told}\n")
+        sys.stderr.write(f"micastand: listening on {where[0]}:{where[1]}, limits {told}\n")
 
     def serves(self) -> bool:
         """Whether clients who come now are taken, and there is a list to send them by."""
--- a/loadbalancer/platform/simulator.py
+++ b/loadbalancer/platform/simulator.py
@@ -194,7 +194,7 @@
 
 
 def _stop(reason: str) -> NoReturn:
-    sys.stderr.write(f"spokemast: {reason}\n")
+    sys.stderr.write(f"micastand: {reason}\n")
     raise SystemExit(2)
 
 
--- a/loadbalancer/resource_limits.py
+++ b/loadbalancer/resource_limits.py
@@ -121,4 +121,4 @@
         line = (
             str(text)[:200].encode("unicode_escape").decode()
         )  # what peers sent may not write lines of its own
-        sys.stderr.write(f"spokemast: {kind}: {line}{more}\n")
+        sys.stderr.write(f"micastand: {kind}: {line}{more}\n")
