--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -60,12 +60,12 @@
 
 def seen(**more: Any) -> RecoveryObservation:
     base: dict[str, Any] = {
-        "inside": True,
+        "joined": True,
         "may_act": True,
-        "kept": True,
-        "full": (),
-        "coming": (),
-        "silent": 0,
+        "has_stored_state": True,
+        "in_full_service": (),
+        "recovering": (),
+        "unheard": 0,
         "served": 0,
         "ended": 0,
     }
@@ -76,38 +76,50 @@
     return [one.phase for one in found if isinstance(one, PhaseChanged)]
 
 
-@pytest.mark.parametrize(("more", "kind"), [
-    ({"kept": False}, "first"), ({}, "alone"), ({"full": ("b", "c", "d"), "coming": ("e",)}, "lone"),
-    ({"full": ("b",), "coming": ("c", "d")}, "mass"), ({"coming": ("b",)}, "mass"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("more", "kind"),
+    [
+        ({"has_stored_state": False}, "first"),
+        ({}, "alone"),
+        ({"in_full_service": ("b", "c", "d"), "recovering": ("e",)}, "lone"),
+        ({"in_full_service": ("b",), "recovering": ("c", "d")}, "mass"),
+        ({"recovering": ("b",)}, "mass"),
+    ],
+)
 def test_the_kind_of_a_start_is_told_by_the_view(more: dict[str, Any], kind: str) -> None:
     comeback = RecoveryCoordinator("a", 0.0)
-    assert comeback.step(0.1, seen(inside=False)) == []
+    assert comeback.step(0.1, seen(joined=False)) == []
     comeback.step(0.2, seen(**more))
     assert comeback.kind == kind
 
 
 def test_a_lone_start_that_is_one_of_many_is_found_out_and_paced() -> None:
     comeback = RecoveryCoordinator("a", 0.0)
-    assert not any(isinstance(one, LearnFromPeers) for one in comeback.step(0.1, seen(silent=7)))
-    comeback.step(0.8, seen(silent=7))
+    assert not any(isinstance(one, LearnFromPeers) for one in comeback.step(0.1, seen(unheard=7)))
+    comeback.step(0.8, seen(unheard=7))
     assert (comeback.kind, comeback.phase) == ("lone", RecoveryPhase.WARMING)  # nobody has said how far he is
-    assert ConnectionPace(1.0) in comeback.step(0.9, seen(silent=3, full=("b",), coming=("c", "d", "e")))
+    assert ConnectionPace(1.0) in comeback.step(
+        0.9, seen(unheard=3, in_full_service=("b",), recovering=("c", "d", "e"))
+    )
     assert comeback.kind == "mass"
 
 
 def test_each_phase_has_its_end_and_its_bound() -> None:
     comeback = RecoveryCoordinator("a", 0.0)
     full = ("b", "c", "d", "e")
-    assert phases(comeback, comeback.step(1.0, seen(full=full, may_act=False))) == [RecoveryPhase.STATE]
-    assert comeback.step(60.0, seen(full=full, may_act=False)) == []  # shut out as long as it has to be
-    found = comeback.step(61.0, seen(full=full))
+    assert phases(comeback, comeback.step(1.0, seen(in_full_service=full, may_act=False))) == [
+        RecoveryPhase.STATE
+    ]
+    assert (
+        comeback.step(60.0, seen(in_full_service=full, may_act=False)) == []
+    )  # shut out as long as it has to be
+    found = comeback.step(61.0, seen(in_full_service=full))
     assert phases(comeback, found) == [RecoveryPhase.LEARNING]
-    found += comeback.step(61.3, seen(full=full))
+    found += comeback.step(61.3, seen(in_full_service=full))
     learn = [one for one in found if isinstance(one, LearnFromPeers)]
     assert len(learn) == 1 and len(learn[0].names) == ASKED
-    assert comeback.step(61.4, seen(full=full)) == []
-    found = comeback.step(61.1 + LEARN_S, seen(full=full))  # nobody has told
+    assert comeback.step(61.4, seen(in_full_service=full)) == []
+    found = comeback.step(61.1 + LEARN_S, seen(in_full_service=full))  # nobody has told
     assert phases(comeback, found) == [RecoveryPhase.WARMING] and not any(
         isinstance(one, ConnectionPace) for one in found
     )
@@ -116,25 +128,27 @@
     while comeback.phase == RecoveryPhase.WARMING and now < 200:
         now += 0.3
         served += 10
-        comeback.step(now, seen(full=full, served=served, ended=2 * served))
+        comeback.step(now, seen(in_full_service=full, served=served, ended=2 * served))
     assert "not full in time" in comeback.times[-1][2] and now > 61 + WARM_S and not comeback.full_after
 
 
 def test_full_service_is_a_second_of_good_windows_and_its_time_is_told() -> None:
     comeback = RecoveryCoordinator("a", 0.0)
-    comeback.step(1.0, seen(coming=("b",), kept=False))
+    comeback.step(1.0, seen(recovering=("b",), has_stored_state=False))
     now, served, ended = 1.0, 0, 0
     while comeback.phase != RecoveryPhase.FULL:
         now += 0.26
         ended += 100
         served += 100 if now > 4 else 90
-        comeback.step(now, seen(coming=("b",), served=served, ended=ended))
+        comeback.step(now, seen(recovering=("b",), served=served, ended=ended))
     assert 3.7 < comeback.full_after < 4.0 + FULL_S and now < 6.0
 
 
 def test_a_pace_holds_only_where_many_come_back() -> None:
     many, one = RecoveryCoordinator("a", 0.0), RecoveryCoordinator("a", 0.0)
-    found = many.step(1.0, seen(coming=("b", "c", "d"))) + many.step(1.5, seen(coming=("b", "c", "d")))
+    found = many.step(1.0, seen(recovering=("b", "c", "d"))) + many.step(
+        1.5, seen(recovering=("b", "c", "d"))
+    )
     assert ConnectionPace(1.0) in found
     assert not any(isinstance(wish, ConnectionPace) for wish in one.step(1.0, seen()) + one.step(1.5, seen()))
 
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -115,7 +115,7 @@
     actions = b.handle(103.0, [Request(900, 0, 4.0, sticky_endpoint="a", sticky_required=True)])
     assert Reject(900) in actions and not any(isinstance(a, Send) for a in actions)
     assert sends(b, 301, "a") == "b"
-    assert sends(b, 302, "nobody", bound=True) == "b"
+    assert sends(b, 302, "nobody", sticky_required=True) == "b"
 
 
 def test_a_stopped_members_sessions_have_its_redirect() -> None:
