--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -29,14 +29,14 @@
 from benchmarks.scene import Quiet
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
-from loadbalancer.store.engine import Bounds, Engine, Put
+from loadbalancer.store.engine import Engine, Put, StoreBounds
 from loadbalancer.store.files import DiskFiles
 from loadbalancer.store.keeper import Store, StoreView
 from standins.kills import Killing
 from standins.member import Fleet
 
 VALUE = b"v" * 200
-WIDE = Bounds(keys=10_000_000, bytes=4 << 30)
+WIDE = StoreBounds(max_keys=10_000_000, max_bytes=4 << 30)
 
 
 class Sqlite:
@@ -87,7 +87,7 @@
 
 
 class Ours:
-    def __init__(self, folder: Path, bounds: Bounds = WIDE) -> None:
+    def __init__(self, folder: Path, bounds: StoreBounds = WIDE) -> None:
         self.engine = Engine(DiskFiles(folder / "store"), time.time, bounds)
         self.engine.open()
         self.store = Store(self.engine, lambda what, why: print("!", what, why))
@@ -214,7 +214,7 @@
 
 
 def fill(folder: Path, keys: int) -> None:
-    engine = Engine(DiskFiles(folder / "many"), time.time, Bounds(keys=keys + 1, bytes=8 << 30))
+    engine = Engine(DiskFiles(folder / "many"), time.time, StoreBounds(max_keys=keys + 1, max_bytes=8 << 30))
     engine.open()
     for begin in range(0, keys, 5000):
         engine.commit([Put(b"key-%012d" % n, VALUE) for n in range(begin, min(keys, begin + 5000))])
@@ -239,7 +239,7 @@
 
 async def stalls(folder: Path, seconds: float) -> None:
     """Appends of which most write over the same keys, while the store compacts beside them."""
-    ours = Ours(folder, Bounds(segment=1 << 20, keys=10_000_000, bytes=4 << 30))
+    ours = Ours(folder, StoreBounds(segment_bytes=1 << 20, max_keys=10_000_000, max_bytes=4 << 30))
 
     async def put(key: bytes) -> None:
         await ours.put(key[-3:])
--- a/loadbalancer/cli/store.py
+++ b/loadbalancer/cli/store.py
@@ -48,12 +48,12 @@
                 print(json.dumps(_line(key, engine.get(key) or b"")))
             return 0
         if options.kind == "compact":
-            before = engine.log.size()
+            before = engine.log.size_bytes()
             while engine.compact(4096):
                 pass
-            print(f"{before} bytes before, {engine.log.size()} now, of each copy")
-        print("\n".join(found.words()))
-        return 0 if found.sound else 1
+            print(f"{before} bytes before, {engine.log.size_bytes()} now, of each copy")
+        print("\n".join(found.lines()))
+        return 0 if found.is_intact else 1
     except StoreError as problem:
         sys.stderr.write(f"{options.folder}: {problem}\n")
         return 1
@@ -63,15 +63,15 @@
 
 def _line(key: bytes, value: bytes) -> dict[str, Any]:
     """What an entry says, without the bodies of answers: they are the clients'."""
-    from loadbalancer.store.ledger import PREFIX, Answered, decode
+    from loadbalancer.store.ledger import KEY_PREFIX, Answered, decode
 
-    if not key.startswith(PREFIX):
+    if not key.startswith(KEY_PREFIX):
         return {"key": key.decode("utf-8", "replace"), "value": value.decode("utf-8", "replace")}
     try:
         entry = decode(value)
     except ValueError:
         return {"key": key.hex(), "state": "not readable"}
-    box: dict[str, Any] = {"key": key[len(PREFIX) :].hex()}
+    box: dict[str, Any] = {"key": key[len(KEY_PREFIX) :].hex()}
     if isinstance(entry, Answered):
         kept = len(entry.body) if entry.body is not None else None
         return box | {"state": "answered", "at": entry.at, "status": entry.status, "bytes": kept}
--- a/loadbalancer/daemon/admin_server.py
+++ b/loadbalancer/daemon/admin_server.py
@@ -201,14 +201,14 @@
                 self.marks.get(name, {}).pop(member, None)
                 self.logger("a mark has ended", f"{member} of pool {name}")
                 if self._store is not None:
-                    self._store.do(partial(delete, mark_key(name, member)), forget)
+                    self._store.submit(partial(delete, mark_key(name, member)), forget)
         now = time.time()
         for name, moves in self.moves.items():
             if moves.move is not None and moves.move.is_over(now):
                 self._say_move(name, None)
                 self.logger("a move has ended", f"all of {name} stays with it")
                 if self._store is not None:
-                    self._store.do(partial(delete, MOVES + name.encode()), forget)
+                    self._store.submit(partial(delete, MOVES + name.encode()), forget)
 
     # Changing.
 
@@ -279,7 +279,7 @@
             self.audit.note(change, f"taken back: {problem}")
             done({"error": f"could not be kept, so nothing has changed: {problem}"})
 
-        self._store.do(job, ended)
+        self._store.submit(job, ended)
 
     def _set_level(self, level: str) -> str:
         setter = getattr(self.logger, "set_level", None)
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -164,7 +164,7 @@
                 else:
                     self.logger("fleet: this instance does not vote", problem)
 
-            self.store.do(job, opened)
+            self.store.submit(job, opened)
         self._tick()
 
     def end(self) -> None:
@@ -373,7 +373,7 @@
             for say in action.then_send:
                 self._send(say.to, say.message)
 
-        self.store.do(lambda view: keep_vote(view, action.acceptor_state, action.observed_store), done)
+        self.store.submit(lambda view: keep_vote(view, action.acceptor_state, action.observed_store), done)
 
     # What is in force.
 
@@ -385,7 +385,7 @@
         self.fence.extend(self.said.majority, self.said.version)
         if self.store is not None:
             items = snapshot(self.said, action.touched)
-            self.store.do(lambda view: keep_items(view, items, action.version, change), self._kept)
+            self.store.submit(lambda view: keep_items(view, items, action.version, change), self._kept)
 
     def _took_whole(self) -> None:
         self.history.append(Epoch(self.said.version, WHOLE, "", time.time()))
@@ -401,7 +401,7 @@
         self.fence.extend(self.said.majority, self.said.version)
         if self.store is not None:
             items, version = all_items(self.said), self.said.version
-            self.store.do(lambda view: keep_items(view, items, version, None), self._kept)
+            self.store.submit(lambda view: keep_items(view, items, version, None), self._kept)
 
     def _kept(self, _: None, problem: StoreError | None) -> None:
         if problem is not None:
--- a/loadbalancer/daemon/storage.py
+++ b/loadbalancer/daemon/storage.py
@@ -17,7 +17,7 @@
 )
 from loadbalancer.proxy.idempotent_requests import IdempotencyLedger, KeyTerms
 from loadbalancer.resource_limits import RateLimitedLogger
-from loadbalancer.store.engine import Bounds, Engine
+from loadbalancer.store.engine import Engine, StoreBounds
 from loadbalancer.store.errors import StoreError
 from loadbalancer.store.files import DiskFiles
 from loadbalancer.store.keeper import Store
@@ -58,7 +58,7 @@
 
         def make() -> Engine:
             folder = DiskFiles(path.parent / table.folder)
-            return Engine(folder, time.time, Bounds(bytes=table.size, keys=table.keys))
+            return Engine(folder, time.time, StoreBounds(max_bytes=table.size, max_keys=table.keys))
 
         engine = make()
         try:
@@ -67,7 +67,7 @@
             found = engine.open()
         except (StoreError, OSError) as problem:
             raise ConfigError([Problem(str(path), "store.folder", f"{table.folder}: {problem}")]) from None
-        for words in found.words():
+        for words in found.lines():
             logger(f"store: {words.partition(':')[0]}" if ":" in words else "store", words)
         made = cls(table, Store(engine, logger), logger)
         made._reopen = make
--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -63,9 +63,9 @@
         self, to: RouteTarget, head: PlainHead, cls: int, body: bytearray | None
     ) -> IdempotencyTerms | None:
         """None where the request brings no key, or its class is not the one that is remembered."""
-        from loadbalancer.store.ledger import digest, is_key, scope
+        from loadbalancer.store.ledger import digest, find_key, scope
 
-        key = is_key(head.noted, to.classes.key_header) if cls == self.terms.cls else None
+        key = find_key(head.noted, to.classes.key_header) if cls == self.terms.cls else None
         if key is None:
             return None
         found = digest(head.method, head.url, body)
--- a/loadbalancer/proxy/idempotent_requests.py
+++ b/loadbalancer/proxy/idempotent_requests.py
@@ -25,7 +25,7 @@
 #: An answer that waits for the disk goes out this long before its client's time is up, in seconds.
 SPARE_S = 0.02
 #: While the store passes to a daemon that takes over, which will know of the key.
-ELSEWHERE = Ruling(Disposition.REFUSED, status=503, why="another process takes over; it has not run")
+ELSEWHERE = Ruling(Disposition.REFUSED, status=503, reason="another process takes over; it has not run")
 
 
 class KeyTerms(NamedTuple):
@@ -98,19 +98,19 @@
         if self.ledger.lent:
             asyncio.get_running_loop().call_soon(self._ruled, ELSEWHERE, None)
             return
-        self.ledger.store.do(self._rule, self._ruled)
+        self.ledger.store.submit(self._rule, self._ruled)
 
     def _rule(self, view: StoreView) -> Ruling:
         """In the store's thread: what is known of the key, and that it begins."""
         terms, now = self.terms, view.now()
         in_progress = self.ledger.in_progress.get(self.key, self) is not self  # a batch may be tried twice
         ruling = decide(decode(view.get(self.key)), self.digest, now, in_progress, terms.all_drop)
-        if ruling.way == Disposition.FIRST:
+        if ruling.disposition == Disposition.FIRST:
             if in_progress:  # it was taken back, and its request has not ended yet
-                return Ruling(Disposition.REFUSED, status=409, why="a request with the key is in progress")
+                return Ruling(Disposition.REFUSED, status=409, reason="a request with the key is in progress")
             begun = Begun(self.digest, now, terms.window)
             view.put(self.key, encode(begun), now + max(terms.remember, terms.window))
-        if ruling.way in (Disposition.FIRST, Disposition.AGAIN):
+        if ruling.disposition in (Disposition.FIRST, Disposition.AGAIN):
             self.ledger.in_progress[self.key] = self
         return ruling
 
@@ -120,24 +120,24 @@
             self.ledger.logger("keyed work refused", problem)
             self._answer_self(503, [], b"the key can't be remembered now; it has not run\n")
             return
-        self.first = ruling.way == Disposition.FIRST
-        goes = ruling.way in (Disposition.FIRST, Disposition.AGAIN)
+        self.first = ruling.disposition == Disposition.FIRST
+        goes = ruling.disposition in (Disposition.FIRST, Disposition.AGAIN)
         left = self.deadline - time.monotonic()
-        if ruling.way == Disposition.AGAIN:
-            left = min(left, ruling.left)
+        if ruling.disposition == Disposition.AGAIN:
+            left = min(left, ruling.time_remaining)
         if client is None or (goes and left <= 0):
             self._take_back()
             self._answer_self(503, [], b"no time was left once the key was on disk; it has not run\n")
-        elif ruling.way == Disposition.REPLAY:
+        elif ruling.disposition == Disposition.REPLAY:
             kept = ruling.answer
             assert kept is not None and kept.body is not None
             self._release()
             self.proxy.drop(self.request)
             self.proxy.figures.count(self.terms.cls, RequestResult.PASSED)
             client.answer(kept.status, [*kept.lines, REPLAYED], kept.body, False, None, kept.reason)
-        elif ruling.way == Disposition.REFUSED:
+        elif ruling.disposition == Disposition.REFUSED:
             lines = [b"Retry-After: 1\r\n"] if ruling is ELSEWHERE else []
-            self._answer_self(ruling.status, lines, ruling.why.encode() + b"\n")
+            self._answer_self(ruling.status, lines, ruling.reason.encode() + b"\n")
         else:
             self._hand_over(self.terms.cls if self.first else self.terms.again, left)
             if self.client is not None:
@@ -190,7 +190,7 @@
             if self.timer is not None:
                 deliver()
 
-        self.ledger.store.do(note, noted)
+        self.ledger.store.submit(note, noted)
 
     def _late(self, deliver: Callable[[], None]) -> None:
         self.ledger.logger("an answer went out before the disk had it", "its key stands as begun until then")
@@ -239,7 +239,7 @@
         """It is known not to have run: a repeat is a first one again. Nobody waits for that to be on disk: until it is,
         a repeat hears that the key is begun, which is safe."""
         if self.first:
-            self.ledger.store.do(lambda view: view.delete(self.key), lambda _, problem: None)
+            self.ledger.store.submit(lambda view: view.delete(self.key), lambda _, problem: None)
 
     def _release(self) -> None:
         self.client = None
--- a/loadbalancer/store/engine.py
+++ b/loadbalancer/store/engine.py
@@ -1,16 +1,17 @@
-"""The store as one thread sees it: opened, appended to in batches, compacted, closed. No thread, loop or clock of its
-own.
+"""The storage engine: a key-value store that is opened, appended to in batches, compacted and closed.
 
-**What an acknowledgement means**: `commit` returns once the batch is on disk in both copies of its segment, by fsync of
-each file; the folder was synced when the segment was made. What `commit` raises for is not in the store.
+It has no thread, event loop or clock of its own.
 
-Files: `SEGMENT.a` and `SEGMENT.b`, alike byte for byte, and `lock`. A segment is sealed once the next one exists, so
+**What an acknowledgement means**: `Engine.commit` returns once the batch is on disk in both copies of its segment, by
+an fsync of each file; the directory was synced when the segment was made. What `commit` raises for is not in the store.
+
+**Files**: `NUMBER.a` and `NUMBER.b`, alike byte for byte, and `lock`. A segment is sealed once the next one exists, so
 one that is missing is told from one that was never made. Opening always begins a new segment: nothing is appended
-behind bytes that were not written by this process.
+behind bytes that this process has not written.
 
-**Compaction** takes the oldest segment: what still counts in it is appended anew, then DROP is written and both copies
-are removed. A cut in between leaves a value twice, which is the same value; a DELETE may go with the oldest segment,
-since nothing older is left that it could hide.
+**Compaction** takes the oldest segment: what is current in it is appended anew, then a DROP is written and both copies
+are removed. An interruption in between leaves a value twice, which is the same value; a DELETE may go with the oldest
+segment, since nothing older is left that it could hide.
 """
 
 from __future__ import annotations
@@ -21,260 +22,343 @@
 
 from loadbalancer.store.errors import FullError, LockedError, ReadOnlyError
 from loadbalancer.store.files import Files
-from loadbalancer.store.index import Index
-from loadbalancer.store.log import Log, Segment
+from loadbalancer.store.index import Index, RecordLocation
+from loadbalancer.store.log import Segment, SegmentLog
 from loadbalancer.store.records import (
-    NUMBER,
-    Kind,
+    NUMBER_LAYOUT,
     Record,
-    delete_payload,
-    put_payload,
-    read_delete,
-    read_key,
-    read_number,
-    read_put,
-)  # fmt: skip
-from loadbalancer.store.recovery import Reading, Recovery
+    RecordKind,
+    decode_delete,
+    decode_number,
+    decode_put,
+    decode_put_key,
+    encode_delete,
+    encode_put,
+)
+from loadbalancer.store.recovery import RecoveryReport, StoreReader
+
+MS_PER_S = 1000
 
 
 class Put(NamedTuple):
-    """`expires`: Unix seconds, 0 for never."""
+    """Store a value under a key."""
 
     key: bytes
+    """The key."""
     value: bytes
+    """The value."""
     expires: float = 0.0
+    """Unix seconds after which the key is gone; 0 for never."""
 
 
 class Delete(NamedTuple):
+    """Remove a key."""
+
     key: bytes
+    """The key."""
+
 
+Write = Put | Delete
 
-Change = Put | Delete
+
+class EncodedBatch(NamedTuple):
+    """A batch as it will stand in its segment."""
+
+    data: bytes
+    """Its bytes."""
+    offsets: list[int]
+    """Where the record of each write begins, and, last, where the batch ends."""
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """`segment`: bytes after which the next one is begun. `bytes`: of all segments, one copy counted. `keys`: alive."""
+class StoreBounds:
+    """How large a store may get."""
+
+    segment_bytes: int = 8 << 20
+    """Bytes after which the next segment is begun."""
+    max_bytes: int = 256 << 20
+    """Bytes of all segments, one copy counted."""
+    max_keys: int = 1_000_000
+    """Keys that have a value."""
+
 
-    segment: int = 8 << 20
-    bytes: int = 256 << 20
-    keys: int = 1_000_000
+DEFAULT_BOUNDS = StoreBounds()
+COMPACTION_STEP = 256
+"""Records that one step of compaction moves at most."""
 
 
 class Engine:
-    """One store. Every call is from one thread at a time."""
+    """One store. Every call is from one thread at a time. It owns the segment log until `close`."""
 
     def __init__(
         self,
         files: Files,
         clock: Callable[[], float],
-        bounds: Bounds = Bounds(),
+        bounds: StoreBounds = DEFAULT_BOUNDS,
         new_id: Callable[[int], bytes] = os.urandom,
     ) -> None:
-        """`clock`: Unix seconds; it may go back. `new_id`: bytes for the id of a new store."""
-        self.bounds, self._clock = bounds, clock
-        self.log = Log(files, new_id)
+        """Work on a directory, which `open` reads.
+
+        Args:
+            files: The directory.
+            clock: Unix seconds; it may go back.
+            bounds: How large the store may get.
+            new_id: Makes the id of a new store, of as many bytes as asked.
+        """
+        self.bounds = bounds
+        self.log = SegmentLog(files, new_id)
         self.index = Index()
-        self.recovery = Recovery()
-        self._latest = 0.0  # the latest time that any batch was written at
+        self.recovery = RecoveryReport()
+        self._clock = clock
+        self._latest_time = 0.0  # of all batches, Unix seconds
 
     @property
     def read_only(self) -> str:
-        """Why nothing is taken any more, or nothing."""
+        """Why no changes are taken any more; empty where they are."""
         return self.log.read_only
 
     def now(self) -> float:
-        """Unix seconds that never go back, over restarts neither: what has expired has, whatever the clock does.
+        """Unix seconds that never go back, not even over restarts: what has expired stays so, whatever the clock does.
 
-        Harm: a clock that once was far ahead makes keys last until the right time has come to it."""
-        self._latest = max(self._latest, self._clock())
-        return self._latest
+        A clock that once was far ahead makes keys last until the right time has caught up.
+        """
+        self._latest_time = max(self._latest_time, self._clock())
+        return self._latest_time
 
-    # Opening.
+    def open(self) -> RecoveryReport:
+        """Read the directory, repair copies, begin a new segment.
 
-    def open(self) -> Recovery:
-        """Read what is there, mend copies, begin a new segment. LockedError, NewerError, OSError where that can't be.
+        Where acknowledged data is damaged in both copies, or a segment is missing, what is left can be read and the
+        store is read-only: nobody can say which keys it has lost.
 
-        Where acknowledged data is damaged in both copies, or a segment is missing, what is left is read, and the store
-        is read-only: nobody can say which keys it has lost."""
-        log = self.log
+        Returns:
+            What was found.
+
+        Raises:
+            LockedError: Another process has the store open.
+            NewerError: It is of a newer format.
+            OSError: The directory cannot be read, or a new segment not be made.
+        """
         try:
-            log.files.lock()
+            self.log.files.lock()
         except BlockingIOError:
             raise LockedError("another process has the store open; one writer at a time") from None
         try:
-            self._read()
-            if self.recovery.sound:
-                for segment in list(log.segments.values())[:-1]:
-                    log.seal(segment)  # one that a cut has left so
-                log.begin()
-            else:
-                log.read_only = "acknowledged data is damaged: " + "; ".join(self.recovery.words()[1:])
+            self._read_segments()
+            self._begin_writing()
         except BaseException:
             self.close()
             raise
         return self.recovery
 
-    def _read(self) -> None:
-        reading, log = Reading(self.log.files), self.log
-        found = self.recovery = reading.read()
-        log.store, log.first = reading.store, reading.first
-        for number, read in reading.scans.items():
-            segment = log.segments[number] = Segment(number, log.store, None, read.end)
-            segment.sealed = read.sealed
-            found.records += len(read.records)
-            found.torn += read.torn
-            for record in read.records:
+    def _begin_writing(self) -> None:
+        log = self.log
+        if not self.recovery.is_intact:
+            log.read_only = "acknowledged data is damaged: " + "; ".join(self.recovery.lines()[1:])
+            return
+        for segment in list(log.segments.values())[:-1]:
+            log.seal_segment(segment)
+        log.begin_segment()
+
+    def _read_segments(self) -> None:
+        reader = StoreReader(self.log.files)
+        report = self.recovery = reader.read()
+        self.log.store_id = reader.store_id
+        self.log.first_segment = reader.first_segment
+        for number, scan in reader.scans.items():
+            segment = Segment(number, self.log.store_id, None, scan.end)
+            segment.sealed = scan.sealed
+            self.log.segments[number] = segment
+            report.records += len(scan.records)
+            report.torn_bytes += scan.torn_bytes
+            for record in scan.records:
                 self._apply(segment, record)
-        found.segments, found.keys = len(log.segments), len(self.index)
-        if found.sound:  # else what is there may be of use to somebody as it is
-            for number in reading.useless:
-                log.remove(number)
-            for number, read in reading.scans.items():
-                if any(read.wrong):
-                    log.mend(number, read, found)
+        report.segments = len(self.log.segments)
+        report.keys = len(self.index)
+        if report.is_intact:  # otherwise the files are left for whoever tries to rescue something
+            self._repair(reader)
+
+    def _repair(self, reader: StoreReader) -> None:
+        """Remove segments that are not part of the store, and write damaged copies anew."""
+        for number in reader.obsolete_segments:
+            self.log.remove(number)
+        for number, scan in reader.scans.items():
+            if any(scan.needs_repair):
+                self.log.repair(number, scan, self.recovery)
 
     def _apply(self, segment: Segment, record: Record) -> None:
-        if record.kind == Kind.PUT:
-            key, expires = read_key(record.payload)
-            before = self.index.put(key, segment.number, record.at, record.size, expires)
-            segment.live += 1
-            self._uncount(before)
-        elif record.kind == Kind.DELETE:
-            self._uncount(self.index.drop(read_delete(record.payload)))
-        elif record.kind == Kind.TIME:
-            self._latest = max(self._latest, read_number(record.payload) / 1000)
-
-    def _uncount(self, before: int | None) -> None:
-        """`before`: number of the segment in which a record has ceased to count."""
-        if before is not None and (old := self.log.segments.get(before)) is not None:
-            old.live -= 1
-
-    # Writing.
-
-    def commit(self, changes: Sequence[Change]) -> None:
-        """All of them on disk, or an error and none of them in the store: FullError, ReadOnlyError, StoreError."""
+        if record.kind == RecordKind.PUT:
+            key, expires_ms = decode_put_key(record.payload)
+            location = RecordLocation(segment.number, record.offset, record.size, expires_ms)
+            self._count_put(segment, key, location)
+        elif record.kind == RecordKind.DELETE:
+            self._count_removed(self.index.remove(decode_delete(record.payload)))
+        elif record.kind == RecordKind.TIME:
+            self._latest_time = max(self._latest_time, decode_number(record.payload) / MS_PER_S)
+
+    def _count_put(self, segment: Segment, key: bytes, location: RecordLocation) -> None:
+        before = self.index.put(key, location)
+        segment.live_records += 1
+        self._count_removed(before)
+
+    def _count_removed(self, number: int | None) -> None:
+        """Note that a record of this segment is not current any more; None for no segment."""
+        if number is None:
+            return
+        segment = self.log.segments.get(number)
+        if segment is not None:
+            segment.live_records -= 1
+
+    def commit(self, writes: Sequence[Write]) -> None:
+        """Write a batch: all of it is on disk, or an error is raised and none of it is in the store.
+
+        Raises:
+            FullError: A bound or the disk has no room.
+            ReadOnlyError: No changes are taken any more.
+            StoreError: A key or a value is too long.
+        """
         if self.read_only:
             raise ReadOnlyError(self.read_only)
-        self._check_room(changes)
-        self._append(changes)
+        self._check_room(writes)
+        self._append(writes)
 
-    def _append(self, changes: Sequence[Change]) -> None:
-        """Past the bounds: what is moved is there already."""
-        log = self.log
-        if log.last().end >= self.bounds.segment:
+    def _append(self, writes: Sequence[Write]) -> None:
+        """Write a batch past the bounds; compaction moves what is counted already."""
+        if self.log.newest().end >= self.bounds.segment_bytes:
             try:
-                log.begin()
+                self.log.begin_segment()
             except OSError as problem:
                 raise FullError(f"no new segment could be begun: {problem}") from None
-        segment = log.last()
-        data, places = self._encode(segment, self.now(), changes)
-        log.write(segment, data)
-        self._note(segment, changes, places)
-
-    def _check_room(self, changes: Sequence[Change]) -> None:
-        """Refuse rather than forget: at a bound nothing new is taken, and deletes still are."""
-        new = {c.key for c in changes if isinstance(c, Put) and c.key not in self.index}
+        segment = self.log.newest()
+        batch = self._encode(segment, self.now(), writes)
+        self.log.write(segment, batch.data)
+        self._count(segment, writes, batch.offsets)
+
+    def _check_room(self, writes: Sequence[Write]) -> None:
+        """Refuse rather than forget: at a bound no new key is taken, while deletes still are."""
+        new = {write.key for write in writes if isinstance(write, Put) and write.key not in self.index}
         if not new:
             return
-        if len(self.index) + len(new) > self.bounds.keys:
+        max_keys = self.bounds.max_keys
+        if len(self.index) + len(new) > max_keys:
             self.expire()
-            if len(self.index) + len(new) > self.bounds.keys:
-                raise FullError(
-                    f"{self.bounds.keys} keys are held, the bound; raise keys or wait until some expire"
-                )
-        if self.log.size() > self.bounds.bytes:
-            raise FullError(
-                f"{self.bounds.bytes} bytes are held, the bound; raise bytes or wait until some expire"
-            )
+            if len(self.index) + len(new) > max_keys:
+                raise FullError(f"{max_keys} keys are held, the bound; raise keys or wait until some expire")
+        max_bytes = self.bounds.max_bytes
+        if self.log.size_bytes() > max_bytes:
+            raise FullError(f"{max_bytes} bytes are held, the bound; raise bytes or wait until some expire")
 
     @staticmethod
-    def _encode(segment: Segment, now: float, changes: Sequence[Change]) -> tuple[bytes, list[int]]:
-        """The batch's bytes, and where each change's record begins, and the last one ends."""
-        encode = segment.seal.encode
-        parts = [encode(segment.end, Kind.TIME, NUMBER.pack(int(now * 1000)))]
-        at = segment.end + len(parts[0])
-        places = [at]
-        for change in changes:
-            if isinstance(change, Put):
-                data = encode(at, Kind.PUT, put_payload(change.key, change.value, int(change.expires * 1000)))
+    def _encode(segment: Segment, now: float, writes: Sequence[Write]) -> EncodedBatch:
+        """Encode a batch that will stand at the segment's end; `now` in Unix seconds."""
+        encode = segment.codec.encode
+        parts = [encode(segment.end, RecordKind.TIME, NUMBER_LAYOUT.pack(int(now * MS_PER_S)))]
+        offset = segment.end + len(parts[0])
+        offsets = [offset]
+        for write in writes:
+            if isinstance(write, Put):
+                payload = encode_put(write.key, write.value, int(write.expires * MS_PER_S))
+                data = encode(offset, RecordKind.PUT, payload)
             else:
-                data = encode(at, Kind.DELETE, delete_payload(change.key))
+                data = encode(offset, RecordKind.DELETE, encode_delete(write.key))
             parts.append(data)
-            at += len(data)
-            places.append(at)
-        return b"".join(parts), places
-
-    def _note(self, segment: Segment, changes: Sequence[Change], places: Sequence[int]) -> None:
-        """What is on disk now counts."""
-        for change, at, end in zip(changes, places, places[1:], strict=False):
-            if isinstance(change, Put):
-                before = self.index.put(change.key, segment.number, at, end - at, int(change.expires * 1000))
-                segment.live += 1
+            offset += len(data)
+            offsets.append(offset)
+        return EncodedBatch(b"".join(parts), offsets)
+
+    def _count(self, segment: Segment, writes: Sequence[Write], offsets: Sequence[int]) -> None:
+        """Enter a batch that is on disk into the index."""
+        for write, offset, end in zip(writes, offsets, offsets[1:], strict=False):
+            if isinstance(write, Put):
+                expires_ms = int(write.expires * MS_PER_S)
+                location = RecordLocation(segment.number, offset, end - offset, expires_ms)
+                self._count_put(segment, write.key, location)
             else:
-                before = self.index.drop(change.key)
-            self._uncount(before)
-
-    # Reading.
+                self._count_removed(self.index.remove(write.key))
 
     def get(self, key: bytes) -> bytes | None:
-        """The value, None where there is none or it has expired. StoreError where both copies fail to give it."""
-        found = self.index.find(key)
-        if found is None or found.is_over(self.now()):
+        """The value of a key; None where there is none or it has expired.
+
+        Raises:
+            StoreError: Neither copy gives it.
+        """
+        location = self.index.find(key)
+        if location is None or location.has_expired(self.now()):
             return None
-        return read_put(self.log.value(self.log.segments[found.number], found.at, found.size).payload)[1]
+        return self._read_value(location)
+
+    def _read_value(self, location: RecordLocation) -> bytes:
+        segment = self.log.segments[location.segment_number]
+        record = self.log.read_record(segment, location.offset, location.size)
+        return decode_put(record.payload).value
 
     def keys(self, prefix: bytes = b"") -> Iterator[bytes]:
-        """Those that have not expired."""
+        """The keys with a prefix that have not expired."""
         now = self.now()
         for key in list(self.index.keys()):
-            if (
-                key.startswith(prefix)
-                and (found := self.index.find(key)) is not None
-                and not found.is_over(now)
-            ):
+            if not key.startswith(prefix):
+                continue
+            location = self.index.find(key)
+            if location is not None and not location.has_expired(now):
                 yield key
 
-    # Keeping it small.
-
     def expire(self) -> int:
-        """Forget what has expired; how many that were. Its bytes go with their segment."""
-        over = self.index.over(self.now())
-        for key in over:
-            self._uncount(self.index.drop(key))
-        return len(over)
+        """Forget what has expired; its bytes go with their segment.
+
+        Returns:
+            How many keys that were.
+        """
+        expired = self.index.take_expired(self.now())
+        for key in expired:
+            self._count_removed(self.index.remove(key))
+        return len(expired)
 
     def wants_compaction(self) -> bool:
-        """Whether more than half of what is held counts no more, past a segment, or the oldest holds nothing at all."""
+        """Whether over half of the bytes, and more than a segment, are not current, or the oldest segment is empty."""
         if self.read_only or len(self.log.segments) < 2:
             return False
-        oldest = next(iter(self.log.segments.values()))
-        return oldest.live <= 0 or self.log.size() > 2 * self.index.bytes + self.bounds.segment
+        if self.log.oldest().live_records <= 0:
+            return True
+        return self.log.size_bytes() > 2 * self.index.bytes + self.bounds.segment_bytes
+
+    def compact(self, limit: int = COMPACTION_STEP) -> bool:
+        """One step of compaction: move records of the oldest segment, or remove it once none is current.
 
-    def compact(self, most: int = 256) -> bool:
-        """One step: up to `most` records of the oldest segment are appended anew, and once none counts there it goes.
-        Whether there is more to do. A step is one batch, so an append waits for no more than that."""
+        A step is one batch, so an append waits no longer than for that.
+
+        Args:
+            limit: Records that are moved at most.
+
+        Returns:
+            Whether there is more to do.
+        """
         self.expire()
         if not self.wants_compaction():
             return False
-        oldest = next(iter(self.log.segments.values()))
-        those = self.index.of(oldest.number, most)
-        if those:
-            try:
-                self._append(
-                    [self._moved(oldest, key, found.at, found.size, found.expires_ms) for key, found in those]
-                )
-            except BaseException:
-                self.index.keep(oldest.number, [key for key, _ in those])
-                raise
-        elif oldest.live:
-            self.log.fail(f"segment {oldest.number} holds {oldest.live} records that the index does not know")
+        oldest = self.log.oldest()
+        moving = self.index.take_keys_of_segment(oldest.number, limit)
+        if moving:
+            self._move(oldest, moving)
+        elif oldest.live_records:
+            reason = f"{oldest.live_records} records that the index does not know"
+            self.log.fail(f"segment {oldest.number} holds {reason}")
         else:
-            self.log.drop(oldest)
+            self.log.drop_oldest()
         return self.wants_compaction()
 
-    def _moved(self, segment: Segment, key: bytes, at: int, size: int, expires_ms: int) -> Put:
-        return Put(key, read_put(self.log.value(segment, at, size).payload)[1], expires_ms / 1000)
+    def _move(self, segment: Segment, moving: list[tuple[bytes, RecordLocation]]) -> None:
+        """Append these records anew."""
+        try:
+            self._append(
+                [
+                    Put(key, self._read_value(location), location.expires_ms / MS_PER_S)
+                    for key, location in moving
+                ]
+            )
+        except BaseException:
+            self.index.restore_keys_of_segment(segment.number, [key for key, _ in moving])
+            raise
 
     def close(self) -> None:
+        """Release files and lock; what is acknowledged is on disk already."""
         self.log.close()
--- a/loadbalancer/store/errors.py
+++ b/loadbalancer/store/errors.py
@@ -1,23 +1,23 @@
-"""What the store says when it can't do what was asked. Each tells why, and what would be right."""
+"""Errors of the store. Each message says what could not be done, where, and what was found or is wanted."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """The store can't do what was asked."""
+    """The store cannot do what was asked."""
 
 
 class NewerError(StoreError):
-    """Written by a later version of this program."""
+    """The store was written by a later version of the program."""
 
 
 class FullError(StoreError):
-    """A bound of the store, or the disk, has no room for more. What is there stays, and may be deleted."""
+    """A bound of the store, or the disk, has no room for more. What is stored stays, and may be deleted."""
 
 
 class ReadOnlyError(StoreError):
-    """The store takes nothing any more: an fsync has failed, or what it was opened on is damaged."""
+    """The store takes no changes any more: an fsync has failed, or acknowledged data is damaged."""
 
 
 class LockedError(StoreError):
-    """Another process writes to the store."""
+    """Another process has the store open."""
--- a/loadbalancer/store/files.py
+++ b/loadbalancer/store/files.py
@@ -1,4 +1,4 @@
-"""The narrow way to files that the store has; tests put their own in its place. The one file here that does I/O."""
+"""The store's interface to files, and the one implementation that does I/O; tests use another one."""
 
 from __future__ import annotations
 
@@ -12,64 +12,101 @@
     """One file that is written at its end."""
 
     def write(self, data: bytes) -> None:
-        """All of it, OSError where that can't be."""
+        """Append all of it.
+
+        Raises:
+            OSError: It could not all be written; a part of it may have been.
+        """
 
     def sync(self) -> None:
-        """Back once what was written is on disk; OSError is final for the file."""
+        """Return once what was written is on disk.
+
+        Raises:
+            OSError: It may not be; final for the file.
+        """
+
+    def truncate(self, size: int) -> None:
+        """Cut the file to a size in bytes."""
 
-    def cut(self, size: int) -> None: ...
-    def read_at(self, at: int, size: int) -> bytes: ...
-    def close(self) -> None: ...
+    def read_at(self, at: int, size: int) -> bytes:
+        """Read from an offset, without moving the end."""
+
+    def close(self) -> None:
+        """Release the descriptor."""
 
 
 class Files(Protocol):
-    """One folder. Names are those of files in it."""
+    """One directory; names are those of the files in it."""
+
+    def list_names(self) -> list[str]:
+        """All names, sorted."""
+
+    def read(self, name: str) -> bytes:
+        """The whole content of a file."""
 
-    def names(self) -> list[str]: ...
-    def read(self, name: str) -> bytes: ...
     def create(self, name: str) -> File:
-        """A new file; FileExistsError where there is one."""
+        """A new file.
+
+        Raises:
+            FileExistsError: There is one of this name.
+        """
 
     def open(self, name: str) -> File:
-        """One that is there, at its end."""
+        """An existing file, at its end."""
+
+    def replace(self, old: str, new: str) -> None:
+        """Rename a file over another one."""
+
+    def remove(self, name: str) -> None:
+        """Remove a file."""
 
-    def replace(self, old: str, new: str) -> None: ...
-    def remove(self, name: str) -> None: ...
-    def sync_folder(self) -> None:
-        """Back once names that were made, moved and removed are on disk."""
+    def sync_directory(self) -> None:
+        """Return once created, renamed and removed names are on disk."""
 
     def lock(self) -> None:
-        """BlockingIOError where another writer has it; held until `unlock` or the end of the process."""
+        """Become the only writer, until `unlock` or the end of the process.
 
-    def unlock(self) -> None: ...
+        Raises:
+            BlockingIOError: Another process is the writer.
+        """
+
+    def unlock(self) -> None:
+        """Release the lock, if it is held."""
 
 
 class DiskFile:
-    """A file by its descriptor."""
+    """A file by its descriptor; whoever created or opened it closes it."""
 
     def __init__(self, path: str, flags: int) -> None:
-        self.fd = os.open(path, flags | os.O_RDWR | os.O_CLOEXEC, 0o600)
+        self.descriptor = os.open(path, flags | os.O_RDWR | os.O_CLOEXEC, 0o600)
 
     def write(self, data: bytes) -> None:
+        """Append all of it."""
         view = memoryview(data)
         while view:
-            view = view[os.write(self.fd, view) :]
+            view = view[os.write(self.descriptor, view) :]
 
     def sync(self) -> None:
-        os.fdatasync(self.fd)
+        """Return once what was written is on disk."""
+        os.fdatasync(self.descriptor)
 
-    def cut(self, size: int) -> None:
-        os.ftruncate(self.fd, size)
+    def truncate(self, size: int) -> None:
+        """Cut the file to a size in bytes."""
+        os.ftruncate(self.descriptor, size)
 
     def read_at(self, at: int, size: int) -> bytes:
-        return os.pread(self.fd, size, at)
+        """Read from an offset."""
+        return os.pread(self.descriptor, size, at)
 
     def close(self) -> None:
-        os.close(self.fd)
+        """Release the descriptor."""
+        os.close(self.descriptor)
 
 
 class DiskFiles:
-    """A folder on disk, made if it is not there, for its owner alone."""
+    """A directory on disk, made for its owner alone if it does not exist."""
+
+    LOCK_NAME = "lock"
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -78,49 +115,57 @@
     def _path(self, name: str) -> str:
         return os.path.join(self.folder, name)
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
+        """All names, sorted."""
         return sorted(os.listdir(self.folder))
 
     def read(self, name: str) -> bytes:
+        """The whole content of a file."""
         with open(self._path(name), "rb") as file:
             return file.read()
 
     def create(self, name: str) -> DiskFile:
+        """A new file."""
         return DiskFile(self._path(name), os.O_CREAT | os.O_EXCL | os.O_APPEND)
 
     def open(self, name: str) -> DiskFile:
+        """An existing file, at its end."""
         return DiskFile(self._path(name), os.O_APPEND)
 
     def replace(self, old: str, new: str) -> None:
+        """Rename a file over another one."""
         os.replace(self._path(old), self._path(new))
 
     def remove(self, name: str) -> None:
+        """Remove a file."""
         os.unlink(self._path(name))
 
-    def sync_folder(self) -> None:
-        fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        try:
-            os.fsync(fd)
-        finally:
-            os.close(fd)
+    def sync_directory(self) -> None:
+        """Return once created, renamed and removed names are on disk."""
+        _sync_path(self.folder)
 
     def lock(self) -> None:
+        """Become the only writer."""
         if not self.folder.is_dir():
             self.folder.mkdir(parents=True, mode=0o700)
-            parent = os.open(self.folder.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-            try:
-                os.fsync(parent)
-            finally:
-                os.close(parent)
-        self._lock = os.open(self._path("lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+            _sync_path(self.folder.parent)
+        self._lock = os.open(self._path(self.LOCK_NAME), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(self._lock)
-            self._lock = None
+            self.unlock()
             raise
 
     def unlock(self) -> None:
+        """Release the lock, if it is held."""
         if self._lock is not None:
             os.close(self._lock)
             self._lock = None
+
+
+def _sync_path(folder: Path) -> None:
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
--- a/loadbalancer/store/index.py
+++ b/loadbalancer/store/index.py
@@ -1,7 +1,7 @@
-"""Where each key's record stands. Pure; a million keys fit in a few hundred megabytes.
+"""Index of the store: where the current record of each key stands. No I/O.
 
-An entry is one integer: expiry (ms, 48 bits), segment (32), place (32), size (24). A key's segment is looked up by the
-lists that compaction walks, one for each segment, in which what has moved on is passed over.
+A million keys fit in a few hundred megabytes: an entry is one integer that packs expiry (ms, 48 bits), segment number
+(32), offset (32) and size (24).
 """
 
 from __future__ import annotations
@@ -9,36 +9,58 @@
 import heapq
 from typing import Iterator, NamedTuple
 
-_SIZE, _AT, _NUMBER = 24, 32, 32
-_MASK_SIZE, _MASK_AT, _MASK_NUMBER = (1 << _SIZE) - 1, (1 << _AT) - 1, (1 << _NUMBER) - 1
+_SIZE_BITS = 24
+_OFFSET_BITS = 32
+_SEGMENT_BITS = 32
+_SIZE_MASK = (1 << _SIZE_BITS) - 1
+_OFFSET_MASK = (1 << _OFFSET_BITS) - 1
+_SEGMENT_MASK = (1 << _SEGMENT_BITS) - 1
 
 
-class Found(NamedTuple):
-    """`expires_ms`: Unix milliseconds, 0 for never."""
+class RecordLocation(NamedTuple):
+    """Where a key's record stands."""
 
-    number: int
-    at: int
+    segment_number: int
+    """The segment."""
+    offset: int
+    """Bytes from the segment's start."""
     size: int
+    """Bytes of the record."""
     expires_ms: int
+    """Unix milliseconds after which the key is gone; 0 for never."""
 
-    def is_over(self, now: float) -> bool:
+    def has_expired(self, now: float) -> bool:
+        """Whether the key is gone at this Unix time, in seconds."""
         return 0 < self.expires_ms <= now * 1000
 
 
-def _unpack(entry: int) -> Found:
-    size = entry & _MASK_SIZE
-    entry >>= _SIZE
-    at = entry & _MASK_AT
-    entry >>= _AT
-    return Found(entry & _MASK_NUMBER, at, size, entry >> _NUMBER)
+def _pack(location: RecordLocation) -> int:
+    entry = location.expires_ms
+    entry = entry << _SEGMENT_BITS | location.segment_number
+    entry = entry << _OFFSET_BITS | location.offset
+    return entry << _SIZE_BITS | location.size
+
+
+def _unpack(entry: int) -> RecordLocation:
+    size = entry & _SIZE_MASK
+    entry >>= _SIZE_BITS
+    offset = entry & _OFFSET_MASK
+    entry >>= _OFFSET_BITS
+    return RecordLocation(entry & _SEGMENT_MASK, offset, size, entry >> _SEGMENT_BITS)
 
 
 class Index:
+    """Locations by key.
+
+    Compaction walks a list of keys for each segment; a key that has moved on stays in its old list and is skipped
+    there.
+    """
+
     def __init__(self) -> None:
+        self.bytes = 0  # of the records that are current
         self._entries: dict[bytes, int] = {}
-        self._by_segment: dict[int, list[bytes]] = {}
-        self._expiring: list[tuple[int, bytes]] = []  # a heap; what was put again has another entry
-        self.bytes = 0  # of the records that count
+        self._keys_by_segment: dict[int, list[bytes]] = {}
+        self._expiring: list[tuple[int, bytes]] = []  # a heap; a key that was put again has another entry
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -47,61 +69,69 @@
         return key in self._entries
 
     def keys(self) -> Iterator[bytes]:
+        """All keys, expired ones among them."""
         return iter(self._entries)
 
-    def find(self, key: bytes) -> Found | None:
+    def find(self, key: bytes) -> RecordLocation | None:
+        """Where the key's record stands."""
         entry = self._entries.get(key)
         return None if entry is None else _unpack(entry)
 
-    def put(self, key: bytes, number: int, at: int, size: int, expires: int) -> int | None:
-        """The key's record stands here now; number of the segment where it stood before."""
-        before = self._forget(key) if key in self._entries else None
-        self._entries[key] = ((expires << _NUMBER | number) << _AT | at) << _SIZE | size
-        self.bytes += size
-        if number not in self._by_segment:
-            self._by_segment[number] = []
-        self._by_segment[number].append(key)
-        if expires:
-            heapq.heappush(self._expiring, (expires, key))
+    def put(self, key: bytes, location: RecordLocation) -> int | None:
+        """Note that the key's record stands here now.
+
+        Returns:
+            The number of the segment where it stood before, if it stood anywhere.
+        """
+        before = self.remove(key)
+        self._entries[key] = _pack(location)
+        self.bytes += location.size
+        self._keys_by_segment.setdefault(location.segment_number, []).append(key)
+        if location.expires_ms:
+            heapq.heappush(self._expiring, (location.expires_ms, key))
         return before
 
-    def drop(self, key: bytes) -> int | None:
-        """There is no such key any more; number of the segment where it stood."""
-        return self._forget(key)
+    def remove(self, key: bytes) -> int | None:
+        """Forget a key.
 
-    def _forget(self, key: bytes) -> int | None:
+        Returns:
+            The number of the segment where it stood, if it stood anywhere.
+        """
         entry = self._entries.pop(key, None)
         if entry is None:
             return None
-        found = _unpack(entry)
-        self.bytes -= found.size
-        return found.number
+        location = _unpack(entry)
+        self.bytes -= location.size
+        return location.segment_number
 
-    def over(self, now: float) -> list[bytes]:
-        """The keys that have expired by now, each told once."""
-        keys = []
+    def take_expired(self, now: float) -> list[bytes]:
+        """The keys that have expired by this Unix time, in seconds; each is named once."""
+        expired = []
         while self._expiring and self._expiring[0][0] <= now * 1000:
-            expires, key = heapq.heappop(self._expiring)
-            found = self.find(key)
-            if found is not None and found.expires_ms == expires:
-                keys.append(key)
-        return list(dict.fromkeys(keys))
-
-    def of(self, number: int, most: int) -> list[tuple[bytes, Found]]:
-        """Up to `most` keys whose records stand in a segment, from its end; what has moved on is forgotten here."""
-        those = self._by_segment.get(number, [])
-        found: list[tuple[bytes, Found]] = []
+            expires_ms, key = heapq.heappop(self._expiring)
+            location = self.find(key)
+            if location is not None and location.expires_ms == expires_ms:
+                expired.append(key)
+        return list(dict.fromkeys(expired))
+
+    def take_keys_of_segment(self, number: int, limit: int) -> list[tuple[bytes, RecordLocation]]:
+        """Up to `limit` keys whose current records stand in a segment, the latest first.
+
+        A key is named once, unless `restore_keys_of_segment` gives it back.
+        """
+        keys = self._keys_by_segment.get(number, [])
+        found: list[tuple[bytes, RecordLocation]] = []
         seen: set[bytes] = set()
-        while those and len(found) < most:
-            key = those.pop()
-            one = self.find(key)
-            if one is not None and one.number == number and key not in seen:
+        while keys and len(found) < limit:
+            key = keys.pop()
+            location = self.find(key)
+            if location is not None and location.segment_number == number and key not in seen:
                 seen.add(key)
-                found.append((key, one))
-        if not those:
-            self._by_segment.pop(number, None)
+                found.append((key, location))
+        if not keys:
+            self._keys_by_segment.pop(number, None)
         return found
 
-    def keep(self, number: int, keys: list[bytes]) -> None:
-        """What `of` has told could not be moved: it is told again."""
-        self._by_segment.setdefault(number, []).extend(keys)
+    def restore_keys_of_segment(self, number: int, keys: list[bytes]) -> None:
+        """Give keys back that `take_keys_of_segment` has named and that could not be moved."""
+        self._keys_by_segment.setdefault(number, []).extend(keys)
--- a/loadbalancer/store/keeper.py
+++ b/loadbalancer/store/keeper.py
@@ -1,8 +1,8 @@
-"""The store beside an event loop: one thread that writes, and all that wait for one fsync together.
+"""The store beside an event loop: one thread that writes, and one fsync for all jobs that wait.
 
-A job is a function of a `StoreView`: it reads, decides and changes, in the writer's thread, and sees what the jobs
-before it have done. Its result is told on the loop once its changes are on disk, or the error in its place. Between
-batches the thread compacts, a step at a time.
+A job is a function of a `StoreView`: it reads, decides and writes in the writer's thread, and sees what the jobs before
+it have done. Its result, or an error, is delivered on the loop once its writes are on disk. Between batches the thread
+compacts, a step at a time.
 """
 
 from __future__ import annotations
@@ -10,166 +10,212 @@
 import asyncio
 import threading
 from collections import deque
-from typing import Any, Callable, Sequence, TypeVar
+from typing import Any, Callable, NamedTuple, Sequence, TypeVar
 
-from loadbalancer.store.engine import Change, Delete, Engine, Put
+from loadbalancer.store.engine import Delete, Engine, Put, Write
 from loadbalancer.store.errors import FullError, StoreError
 
 T = TypeVar("T")
-#: Jobs of one batch, and bytes after which the next one waits.
-JOBS_MOST = 512
-#: Batches after which a step of compaction comes in between, however many wait.
-STEP_EACH = 8
-#: Jobs that may wait; past that new ones are refused, since the disk does not follow.
-WAITING_MOST = 20_000
+MAX_BATCH_JOBS = 512
+BATCHES_PER_COMPACTION_STEP = 8
+"""Batches after which a step of compaction runs, however many jobs wait."""
+MAX_QUEUED_JOBS = 20_000
+"""Jobs that may wait; past that new ones are refused, since the disk does not keep up."""
+IDLE_INTERVAL_S = 1.0
+"""Seconds after which an idle thread looks whether there is something to compact."""
 
 
 class StoreView:
-    """The store as one job sees it: on disk, under what its batch changes."""
+    """The store as one job sees it: what is on disk, under the writes of its batch."""
 
     def __init__(self, engine: Engine) -> None:
+        self.writes: list[Write] = []
         self._engine = engine
-        self._over: dict[bytes, bytes | None] = {}
-        self.changes: list[Change] = []
+        self._written: dict[bytes, bytes | None] = {}  # None for a key that was deleted
 
     def now(self) -> float:
+        """Unix seconds that never go back."""
         return self._engine.now()
 
     def get(self, key: bytes) -> bytes | None:
-        if key in self._over:
-            return self._over[key]
+        """The value of a key, if it has one.
+
+        Raises:
+            StoreError: It cannot be read.
+        """
+        if key in self._written:
+            return self._written[key]
         return self._engine.get(key)
 
     def keys(self, prefix: bytes) -> list[bytes]:
-        found = {key for key in self._engine.keys(prefix) if self._over.get(key, b"") is not None}
-        return sorted(found | {k for k, v in self._over.items() if v is not None and k.startswith(prefix)})
+        """The keys with a prefix, sorted."""
+        stored = {key for key in self._engine.keys(prefix) if self._written.get(key, b"") is not None}
+        added = {key for key, value in self._written.items() if value is not None and key.startswith(prefix)}
+        return sorted(stored | added)
 
     def put(self, key: bytes, value: bytes, expires: float = 0.0) -> None:
-        """`expires`: Unix seconds, 0 for never."""
-        self._over[key] = value
-        self.changes.append(Put(key, value, expires))
+        """Store a value; `expires` in Unix seconds, 0 for never."""
+        self._written[key] = value
+        self.writes.append(Put(key, value, expires))
 
     def delete(self, key: bytes) -> None:
+        """Remove a key, if it has a value."""
         if self.get(key) is not None:
-            self._over[key] = None
-            self.changes.append(Delete(key))
+            self._written[key] = None
+            self.writes.append(Delete(key))
 
 
 Job = Callable[[StoreView], T]
 Done = Callable[[Any, "StoreError | None"], None]
+"""Called on the loop with a job's result, or None and an error."""
+
+
+class _QueuedJob(NamedTuple):
+    """A job that waits for the writer's thread."""
+
+    run: Job[Any]
+    done: Done
+
+
+class _JobResult(NamedTuple):
+    """What a job has come to."""
+
+    done: Done
+    result: Any
+    error: StoreError | None
 
 
 class Store:
-    """An engine and its thread. `close` waits for what was begun, and releases both."""
+    """An engine and its thread, both owned until `close`, which writes what waits first."""
 
-    def __init__(self, engine: Engine, logger: Callable[[str, object], None]) -> None:
-        """`engine` is open. Complaints come on the loop."""
-        self.engine, self._logger = engine, logger
+    def __init__(self, engine: Engine, log_event: Callable[[str, object], None]) -> None:
+        """Start the thread; to be called on the loop.
+
+        Args:
+            engine: An open engine.
+            log_event: Called on the loop with an event and its text.
+        """
+        self.engine = engine
+        self.read_only = engine.read_only  # as the loop knows it
+        self._log_event = log_event
         self._loop = asyncio.get_running_loop()
         self._ready = threading.Condition()
-        self._jobs: deque[tuple[Job[Any], Done]] = deque()
+        self._queue: deque[_QueuedJob] = deque()
         self._closing = False
-        self.read_only = engine.read_only  # as the loop knows it
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
-    def do(self, job: Job[T], done: Done) -> None:
-        """`done` hears the job's result once it is on disk, or an error, on the loop, later."""
+    @property
+    def closed(self) -> bool:
+        """Whether `close` was called."""
+        return self._closing
+
+    def submit(self, job: Job[T], done: Done) -> None:
+        """Queue a job; `done` is called on the loop, later, also where the job is refused."""
         with self._ready:
-            if not self._closing and len(self._jobs) < WAITING_MOST:
-                self._jobs.append((job, done))
+            if not self._closing and len(self._queue) < MAX_QUEUED_JOBS:
+                self._queue.append(_QueuedJob(job, done))
                 self._ready.notify()
                 return
-        why = "it is closing" if self._closing else f"{WAITING_MOST} jobs wait for the disk"
-        self._loop.call_soon(done, None, FullError(f"the store takes nothing: {why}"))
+        reason = "it is closing" if self._closing else f"{MAX_QUEUED_JOBS} jobs wait for the disk"
+        self._loop.call_soon(done, None, FullError(f"the store takes nothing: {reason}"))
 
     async def call(self, job: Job[T]) -> T:
-        """The same, for who can wait."""
+        """Run a job and wait for its result.
+
+        Raises:
+            StoreError: The job or its writes failed; nothing of them is stored.
+        """
         future: asyncio.Future[T] = self._loop.create_future()
 
-        def done(result: T, problem: StoreError | None) -> None:
+        def done(result: T, error: StoreError | None) -> None:
             if future.done():
                 return
-            if problem is not None:
-                future.set_exception(problem)
+            if error is not None:
+                future.set_exception(error)
             else:
                 future.set_result(result)
 
-        self.do(job, done)
+        self.submit(job, done)
         return await future
 
+    def close(self) -> None:
+        """Write what waits, end the thread and close the engine."""
+        with self._ready:
+            self._closing = True
+            self._ready.notify()
+        self._thread.join()
+        self.engine.close()
+
     # The writer's thread.
 
     def _run(self) -> None:
         batches = 0
         while True:
-            with self._ready:
-                while not self._jobs and not self._closing:
-                    if self.engine.wants_compaction() or not self._ready.wait(1.0):
-                        break
-                if self._closing and not self._jobs:
-                    return
-                batch = [self._jobs.popleft() for _ in range(min(JOBS_MOST, len(self._jobs)))]
+            batch = self._take_batch()
+            if batch is None:
+                return
             if batch:
                 self._commit(batch)
                 batches += 1
-            if not batch or batches % STEP_EACH == 0:
+            if not batch or batches % BATCHES_PER_COMPACTION_STEP == 0:
                 self._compact()
 
+    def _take_batch(self) -> list[_QueuedJob] | None:
+        """The next jobs, none where there is something to compact; None once the store closes and none waits."""
+        with self._ready:
+            while not self._queue and not self._closing:
+                if self.engine.wants_compaction() or not self._ready.wait(IDLE_INTERVAL_S):
+                    break
+            if self._closing and not self._queue:
+                return None
+            return [self._queue.popleft() for _ in range(min(MAX_BATCH_JOBS, len(self._queue)))]
+
     def _compact(self) -> None:
         try:
             self.engine.compact()
         except (StoreError, OSError) as problem:
-            self._tell_later("the store could not be compacted", problem)
-
-    def _commit(self, batch: Sequence[tuple[Job[Any], Done]]) -> None:
-        told = self._try(batch)
-        if isinstance(told, FullError) and len(batch) > 1:
-            # One that asks for too much, or what frees room, is not held back by the others.
-            results = [(one[1], *self._alone(one)) for one in batch]
-        elif isinstance(told, StoreError):
-            results = [(done, None, told) for _, done in batch]
+            self._log_on_loop("the store could not be compacted", problem)
+
+    def _commit(self, batch: Sequence[_QueuedJob]) -> None:
+        outcome = self._execute(batch)
+        if isinstance(outcome, FullError) and len(batch) > 1:
+            # A job that asks for too much does not hold back the others, nor one that frees room.
+            results = [self._execute_alone(job) for job in batch]
+        elif isinstance(outcome, StoreError):
+            results = [_JobResult(job.done, None, outcome) for job in batch]
         else:
-            results = [(done, result, None) for (_, done), result in zip(batch, told, strict=True)]
+            results = [_JobResult(job.done, result, None) for job, result in zip(batch, outcome, strict=True)]
         self._loop.call_soon_threadsafe(self._deliver, results, self.engine.read_only)
 
-    def _alone(self, one: tuple[Job[Any], Done]) -> tuple[Any, StoreError | None]:
-        told = self._try([one])
-        return (None, told) if isinstance(told, StoreError) else (told[0], None)
+    def _execute_alone(self, job: _QueuedJob) -> _JobResult:
+        outcome = self._execute([job])
+        if isinstance(outcome, StoreError):
+            return _JobResult(job.done, None, outcome)
+        return _JobResult(job.done, outcome[0], None)
 
-    def _try(self, batch: Sequence[tuple[Job[Any], Done]]) -> list[Any] | StoreError:
+    def _execute(self, batch: Sequence[_QueuedJob]) -> list[Any] | StoreError:
+        """Run the jobs and write what they have changed: their results, or the error that all of them get."""
         view = StoreView(self.engine)
         try:
-            results = [job(view) for job, _ in batch]
-            if view.changes:
-                self.engine.commit(view.changes)
+            results = [job.run(view) for job in batch]
+            if view.writes:
+                self.engine.commit(view.writes)
         except StoreError as problem:
             return problem
-        except Exception as problem:  # whatever a job or the disk does, the thread goes on
-            self._tell_later("defect in the store", repr(problem))
+        except Exception as problem:  # a defect in a job must not end the thread
+            self._log_on_loop("defect in the store", repr(problem))
             return StoreError(f"a defect: {problem!r}")
         return results
 
-    def _tell_later(self, what: str, problem: object) -> None:
-        self._loop.call_soon_threadsafe(self._logger, what, problem)
+    def _log_on_loop(self, event: str, problem: object) -> None:
+        self._loop.call_soon_threadsafe(self._log_event, event, problem)
 
     # On the loop.
 
-    def _deliver(self, results: Sequence[tuple[Done, Any, StoreError | None]], read_only: str) -> None:
+    def _deliver(self, results: Sequence[_JobResult], read_only: str) -> None:
         if read_only and not self.read_only:
-            self._logger("the store takes nothing any more", read_only)
+            self._log_event("the store takes nothing any more", read_only)
         self.read_only = read_only
-        for done, result, problem in results:
-            done(result, problem)
-
-    @property
-    def closed(self) -> bool:
-        return self._closing
-
-    def close(self) -> None:
-        """What waits is written first."""
-        with self._ready:
-            self._closing = True
-            self._ready.notify()
-        self._thread.join()
-        self.engine.close()
+        for result in results:
+            result.done(result.result, result.error)
--- a/loadbalancer/store/ledger.py
+++ b/loadbalancer/store/ledger.py
@@ -1,17 +1,17 @@
-"""What a repeated key gets. Pure: what is known of the key, and the time, in; a ruling out.
+"""The idempotency ledger: what a request with a repeated key gets. No I/O.
 
 | known of the key | the client gets |
 | --- | --- |
-| nothing | it goes to a member, once that it has begun is on disk |
+| nothing | it goes to an endpoint, once it is on disk that it has begun |
 | another request's body, method or path under it | 422: one key is one request |
 | begun here, and not ended | 409: in progress |
-| begun, not resolved, inside the window in which members drop repeats, and all of them do | one attempt more, that must leave inside the window; its answer resolves the key |
-| begun, not resolved, past that | 409: whether it ran is not known, and it is not sent blind |
+| begun, not resolved, inside the deduplication window, and all endpoints drop repeats | one more attempt, which must be answered inside the window; the answer resolves the key |
+| begun, not resolved, past that | 409: whether it ran is not known, and it is not sent blindly |
 | answered, and the answer is kept | the answer, marked `Idempotent-Replayed: true` |
 | answered, and the answer was too long to keep | 409, with its status and digest |
 
-`begun` is on disk before the first attempt leaves, `answered` before the client hears it: a cut in between leaves a key
-that is begun and not resolved. A refusal of what never ran takes the key back.
+`Begun` is on disk before the first attempt leaves, `Answered` before the client gets the answer: an interruption in
+between leaves a key that is begun and not resolved. A rejection of what never ran takes the key back.
 """  # noqa: E501
 
 from __future__ import annotations
@@ -22,31 +22,42 @@
 
 import msgspec
 
-#: A repeat must be with its member this long before the window ends, in seconds: for the way, and for clocks.
-MARGIN_S = 0.25
-#: Bytes of a digest.
-DIGEST = 16
-PREFIX = b"key\0"
+RETRY_MARGIN_S = 0.25
+"""Seconds before the end of the deduplication window by which a retry must have arrived, for delay and clocks."""
+DIGEST_BYTES = 16
+SCOPED_KEY_BYTES = 32
+KEY_PREFIX = b"key\0"
+"""What the ledger's keys begin with in the store."""
 
 
 class Begun(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A first attempt may have left. `at`: Unix seconds; `window`: seconds in which members drop repeats."""
+    """A first attempt may have left."""
 
-    digest: bytes  # of the request
+    digest: bytes
+    """Of the request."""
     at: float
+    """When, in Unix seconds."""
     window: float
+    """Seconds in which endpoints drop repeats."""
 
 
 class Answered(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A member's answer. `body` is None where it was too long; its digest is kept in any case."""
+    """An endpoint has answered."""
 
     digest: bytes
+    """Of the request."""
     at: float
+    """When, in Unix seconds."""
     status: int
+    """Of the answer."""
     reason: bytes
+    """The reason phrase of the answer."""
     lines: list[bytes]
+    """The header lines of the answer."""
     body: bytes | None
+    """Of the answer; None where it was too long."""
     body_digest: bytes
+    """Of the answer's body, also where it is not kept."""
 
 
 Entry = Union[Begun, Answered]
@@ -55,83 +66,117 @@
 
 
 def encode(entry: Entry) -> bytes:
+    """An entry as it is stored."""
     return _encode(entry)
 
 
 def decode(data: bytes | None) -> Entry | None:
-    """ValueError (msgspec's) where it is none."""
+    """An entry from what is stored; None for none.
+
+    Raises:
+        ValueError: The bytes are no entry.
+    """
     return None if data is None else _decode(data)
 
 
 def scope(tenant: str, route: str, key: bytes) -> bytes:
-    """A key as the store has it: the same words mean another key for another tenant or route, whatever they hold.
+    """The key in the store: the same key of another tenant or route is another one.
 
-    A long key is kept by its hash, which is as good as the key: 32 bytes of BLAKE2b."""
-    name = hashlib.blake2b(
-        b"%d\0%b%d\0%b%b" % (len(tenant.encode()), tenant.encode(), len(route.encode()), route.encode(), key),
-        digest_size=32,
-    )
-    return PREFIX + name.digest()
+    It is a hash (BLAKE2b, 32 bytes), so that keys of any length take the same room.
+    """
+    tenant_name = tenant.encode()
+    route_name = route.encode()
+    text = b"%d\0%b%d\0%b%b" % (len(tenant_name), tenant_name, len(route_name), route_name, key)
+    return KEY_PREFIX + hashlib.blake2b(text, digest_size=SCOPED_KEY_BYTES).digest()
 
 
 def digest(method: bytes, target: bytes, body: bytes | bytearray | None) -> bytes:
     """What tells one request under a key from another."""
-    made = hashlib.blake2b(b"%b %b\0" % (method, target), digest_size=DIGEST)
-    made.update(body or b"")
-    return made.digest()
+    hashed = hashlib.blake2b(b"%b %b\0" % (method, target), digest_size=DIGEST_BYTES)
+    hashed.update(body or b"")
+    return hashed.digest()
 
 
 class Disposition(enum.Enum):
-    FIRST = "it goes to a member"
-    AGAIN = "one attempt more, inside the window"
+    """What becomes of a request with a key."""
+
+    FIRST = "it goes to an endpoint"
+    AGAIN = "one more attempt, inside the window"
     REPLAY = "the answer that was given"
     REFUSED = "an error that says why"
 
 
 class Ruling(NamedTuple):
-    """`left`: seconds in which an AGAIN may be answered; `status`, `why`: of a REFUSED; `answer`: of a REPLAY."""
+    """What a request with a key gets."""
 
-    way: Disposition
-    left: float = 0.0
+    disposition: Disposition
+    """What becomes of it."""
+    time_remaining: float = 0.0
+    """Seconds in which it may be answered; of AGAIN."""
     status: int = 0
-    why: str = ""
+    """Of the error; of REFUSED."""
+    reason: str = ""
+    """Why, for the client; of REFUSED."""
     answer: Answered | None = None
+    """The answer that was given; of REPLAY."""
 
 
 FIRST = Ruling(Disposition.FIRST)
 
 
 def decide(entry: Entry | None, request: bytes, now: float, in_progress: bool, all_drop: bool) -> Ruling:
-    """`request`: its digest. `now`: Unix seconds by the store's clock. `all_drop`: every member drops the repeats of
-    every other, so that it does not matter which had the first."""
+    """What a request gets, by the table above.
+
+    Args:
+        entry: What is known of its key.
+        request: The request's digest.
+        now: Unix seconds by the store's clock.
+        in_progress: Whether a request with the key is open here.
+        all_drop: Whether every endpoint drops the repeats of every other, so that it does not matter which had the
+            first attempt.
+    """
     if entry is None:
         return FIRST
     if entry.digest != request:
-        return Ruling(Disposition.REFUSED, status=422, why="the key has been used with another request")
+        return _refuse(422, "the key has been used with another request")
     if isinstance(entry, Answered):
         if entry.body is None:
-            why = f"answered with {entry.status}; the answer was too long to be kept, digest {entry.body_digest.hex()}"
-            return Ruling(Disposition.REFUSED, status=409, why=why)
+            digest_text = entry.body_digest.hex()
+            return _refuse(
+                409,
+                f"answered with {entry.status}; the answer was too long to be kept, digest {digest_text}",
+            )
         return Ruling(Disposition.REPLAY, answer=entry)
     if in_progress:
-        return Ruling(Disposition.REFUSED, status=409, why="a request with the key is in progress")
-    left = entry.at + entry.window - MARGIN_S - now
-    if all_drop and 0 < left <= entry.window:
-        return Ruling(Disposition.AGAIN, left=left)
-    return Ruling(
-        Disposition.REFUSED, status=409, why="begun before and not resolved: whether it ran is not known"
-    )
+        return _refuse(409, "a request with the key is in progress")
+    time_remaining = entry.at + entry.window - RETRY_MARGIN_S - now
+    if all_drop and 0 < time_remaining <= entry.window:
+        return Ruling(Disposition.AGAIN, time_remaining=time_remaining)
+    return _refuse(409, "begun before and not resolved: whether it ran is not known")
 
 
-def answered(
-    begun_digest: bytes, now: float, status: int, reason: bytes, lines: list[bytes], body: bytes, most: int
-) -> Answered:
-    """The entry of an answer; past `most` bytes its body is left out."""
-    kept = body if len(body) + sum(map(len, lines)) <= most else None
-    summed = hashlib.blake2b(body, digest_size=DIGEST).digest()
-    return Answered(begun_digest, now, status, reason, lines if kept is not None else [], kept, summed)
+def _refuse(status: int, reason: str) -> Ruling:
+    return Ruling(Disposition.REFUSED, status=status, reason=reason)
 
 
-def is_key(headers: Mapping[bytes, bytes], name: str | None) -> bytes | None:
-    """The key that a request brings, None for none."""
-    return headers.get(name.encode()) or None if name is not None else None
+def answered(
+    begun_digest: bytes,
+    now: float,
+    status: int,
+    reason: bytes,
+    lines: list[bytes],
+    body: bytes,
+    max_bytes: int,
+) -> Answered:
+    """The entry of an answer; the body is left out where it and the lines take over `max_bytes` bytes."""
+    body_digest = hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest()
+    if len(body) + sum(map(len, lines)) > max_bytes:
+        return Answered(begun_digest, now, status, reason, [], None, body_digest)
+    return Answered(begun_digest, now, status, reason, lines, body, body_digest)
+
+
+def find_key(headers: Mapping[bytes, bytes], name: str | None) -> bytes | None:
+    """The key that a request carries in the header of this name; None for none."""
+    if name is None:
+        return None
+    return headers.get(name.encode()) or None
--- a/loadbalancer/store/log.py
+++ b/loadbalancer/store/log.py
@@ -1,190 +1,244 @@
-"""The log: segments in two copies, and the one place where bytes of them are written, cut off, sealed and removed."""
+"""The segment log: two copies of each segment, and the one place where their bytes are written, sealed and removed."""
 
 from __future__ import annotations
 
 from concurrent.futures import ThreadPoolExecutor
-from typing import Callable
+from typing import Callable, NoReturn
 
 from loadbalancer.store.errors import FullError, ReadOnlyError, StoreError
 from loadbalancer.store.files import File, Files
-from loadbalancer.store.records import NUMBER, Kind, Record, Scan, Seal, encode_header
-from loadbalancer.store.recovery import COPIES, Recovery
+from loadbalancer.store.records import NUMBER_LAYOUT, Record, RecordCodec, RecordKind, encode_header
+from loadbalancer.store.recovery import COPIES, RecoveryReport, copy_name
+from loadbalancer.store.segment_scan import SegmentScan
+
+STORE_ID_BYTES = 8
 
 
 class Segment:
-    """One segment. `end`: bytes that are on disk; `live`: records in it that still count."""
+    """One segment of the log."""
 
-    __slots__ = ("number", "end", "live", "sealed", "files", "seal")
+    __slots__ = ("codec", "end", "files", "live_records", "number", "sealed")
 
     def __init__(self, number: int, store: bytes, files: tuple[File, File] | None, end: int) -> None:
-        self.number, self.files, self.end, self.live = number, files, end, 0
+        """Describe a segment that is on disk.
+
+        Args:
+            number: Its number.
+            store: The store's id.
+            files: Its open copies; None where it is only read, by name.
+            end: Bytes of each copy that are on disk.
+        """
+        self.number = number
+        self.files = files
+        self.end = end
+        self.live_records = 0  # records that are current
         self.sealed = False
-        self.seal = Seal.of(store, number)
+        self.codec = RecordCodec.for_segment(store, number)
 
 
-class Log:
-    """The segments of one store, the oldest first."""
+class SegmentLog:
+    """The segments of one store, the oldest first. It owns their files and the directory's lock until `close`."""
 
     def __init__(self, files: Files, new_id: Callable[[int], bytes]) -> None:
-        self.files, self._new_id = files, new_id
-        self.segments: dict[int, Segment] = {}
-        self.store = b""  # its id
-        self.first = 0  # segments before this one are gone
-        self.read_only = ""  # why nothing is taken any more
-        self._syncs = ThreadPoolExecutor(1, "store-sync")
+        """Work on a directory.
 
-    def size(self) -> int:
-        """Bytes of one copy of all."""
+        Args:
+            files: The directory.
+            new_id: Makes the id of a new store, of as many bytes as asked.
+        """
+        self.files = files
+        self.segments: dict[int, Segment] = {}
+        self.store_id = b""
+        self.first_segment = 0  # segments before this one are removed
+        self.read_only = ""  # why nothing is written any more
+        self._new_id = new_id
+        self._sync_pool = ThreadPoolExecutor(1, "store-sync")
+
+    def size_bytes(self) -> int:
+        """Bytes of one copy of all segments."""
         return sum(segment.end for segment in self.segments.values())
 
-    def last(self) -> Segment:
+    def oldest(self) -> Segment:
+        """The segment that was begun first."""
+        return next(iter(self.segments.values()))
+
+    def newest(self) -> Segment:
+        """The segment that is written to."""
         return self.segments[next(reversed(self.segments))]
 
-    def begin(self) -> None:
-        """The next segment, on disk with its name, and only then the SEAL of the one before."""
-        before = self.last() if self.segments else None
-        number = before.number + 1 if before is not None else self.first
-        self.store = self.store or self._new_id(8)
-        made = self._make(number)
+    def begin_segment(self) -> None:
+        """Begin the next segment; the one before is sealed only once the new one is on disk with its name.
+
+        Raises:
+            OSError: It could not be made; nothing of it is left.
+        """
+        before = self.newest() if self.segments else None
+        number = before.number + 1 if before is not None else self.first_segment
+        self.store_id = self.store_id or self._new_id(STORE_ID_BYTES)
+        segment = self._create_segment(number)
         if before is not None:
-            self.seal(before)
-        self.segments[number] = made
+            self.seal_segment(before)
+        self.segments[number] = segment
 
-    def seal(self, segment: Segment) -> None:
+    def seal_segment(self, segment: Segment) -> None:
+        """Write the SEAL of a segment, unless it has one, and release its files."""
         if segment.sealed:
             return
         if segment.files is None:
-            names = [f"{segment.number:016x}.{copy}" for copy in COPIES]
-            segment.files = (self.files.open(names[0]), self.files.open(names[1]))
-        self.write(segment, segment.seal.encode(segment.end, Kind.SEAL, b""))
+            first, second = (self.files.open(copy_name(segment.number, copy)) for copy in COPIES)
+            segment.files = first, second
+        self.write(segment, segment.codec.encode(segment.end, RecordKind.SEAL, b""))
         segment.sealed = True
         self._release(segment)
 
-    def _make(self, number: int) -> Segment:
-        head = encode_header(self.store, number)
-        made: list[File] = []
+    def _create_segment(self, number: int) -> Segment:
+        header = encode_header(self.store_id, number)
+        created: list[File] = []
         try:
             for copy in COPIES:
-                file = self.files.create(f"{number:016x}.{copy}")
-                made.append(file)
-                file.write(head)
+                file = self.files.create(copy_name(number, copy))
+                created.append(file)
+                file.write(header)
                 file.sync()
-            self.files.sync_folder()
+            self.files.sync_directory()
         except OSError:
-            for copy, file in zip(COPIES, made, strict=False):
+            for copy, file in zip(COPIES, created, strict=False):
                 file.close()
-                self.files.remove(f"{number:016x}.{copy}")
+                self.files.remove(copy_name(number, copy))
             raise
-        return Segment(number, self.store, (made[0], made[1]), len(head))
+        return Segment(number, self.store_id, (created[0], created[1]), len(header))
 
     @staticmethod
     def _release(segment: Segment) -> None:
-        """Its descriptors are given back; what is read of it is read by name."""
+        """Close a segment's files; it is read by name from now on."""
         if segment.files is not None:
             for file in segment.files:
                 file.close()
             segment.files = None
 
     def remove(self, number: int) -> None:
+        """Remove both copies of a segment, where they exist."""
         for copy in COPIES:
-            name = f"{number:016x}.{copy}"
-            if name in self.files.names():
+            name = copy_name(number, copy)
+            if name in self.files.list_names():
                 self.files.remove(name)
 
     def write(self, segment: Segment, data: bytes) -> None:
-        """Bytes behind the segment's end, on disk in both copies when this returns.
-
-        An fsync that fails is final: what it did not write is not written by asking again, so nothing more is taken.
-        A write that fails (a full disk) is cut off again, and that cut must reach the disk: a batch that was refused
-        may not come back after a restart."""
+        """Append to a segment; the bytes are on disk in both copies when this returns.
+
+        Raises:
+            FullError: The disk did not take them; what was written of them is cut off again, and that cut is on disk,
+                since a refused batch may not come back after a restart.
+            ReadOnlyError: An fsync failed, or the cut did: nothing is written any more, since asking again does not
+                write what a failed fsync has dropped.
+        """
         assert segment.files is not None
+        self._append(segment, segment.files, data)
+        self._sync(segment.files)
+        segment.end += len(data)
+
+    def _append(self, segment: Segment, files: tuple[File, File], data: bytes) -> None:
         try:
-            for file in segment.files:
+            for file in files:
                 file.write(data)
         except OSError as problem:
-            try:
-                for file in segment.files:
-                    file.cut(segment.end)
-                    file.sync()
-            except OSError as worse:
-                self.fail(f"a write failed ({problem}) and could not be taken back ({worse})")
+            self._take_back(segment, files, problem)
             raise FullError(f"the disk does not take it: {problem}") from None
-        first = self._syncs.submit(segment.files[0].sync)
-        problems: list[OSError] = []
-        try:
-            segment.files[1].sync()
-        except OSError as problem:
-            problems.append(problem)
+
+    def _take_back(self, segment: Segment, files: tuple[File, File], problem: OSError) -> None:
+        """Cut off what a failed write has left behind the segment's end."""
         try:
-            first.result()
-        except OSError as problem:
-            problems.append(problem)
+            for file in files:
+                file.truncate(segment.end)
+                file.sync()
+        except OSError as second:
+            self.fail(f"a write failed ({problem}) and could not be taken back ({second})")
+
+    def _sync(self, files: tuple[File, File]) -> None:
+        """Sync both copies at the same time."""
+        first = self._sync_pool.submit(files[0].sync)
+        problems: list[OSError] = []
+        for wait in (files[1].sync, first.result):
+            try:
+                wait()
+            except OSError as problem:
+                problems.append(problem)
         if problems:
             self.fail(f"fsync failed: {problems[0]}")
-        segment.end += len(data)
 
-    def fail(self, why: str) -> None:
-        self.read_only = why
-        raise ReadOnlyError(why)
-
-    def mend(self, number: int, read: Scan, recovery: Recovery) -> None:
-        """Write the copies that differ from what both say together anew, each by a rename: a cut leaves the old one."""
-        if read.damage:
-            return  # what is there may be of use to somebody
-        whole = bytearray(encode_header(self.store, number))
-        seal = Seal.of(self.store, number)
-        for record in read.records:
-            whole += seal.encode(record.at, record.kind, record.payload)
-        for copy, wrong in zip(COPIES, read.wrong, strict=True):
-            if not wrong:
-                continue
-            new, name = f"{number:016x}.{copy}.new", f"{number:016x}.{copy}"
-            file = self.files.create(new)
-            try:
-                file.write(bytes(whole))
-                file.sync()
-            finally:
-                file.close()
-            self.files.replace(new, name)
-            recovery.repaired.append(name)
-        self.files.sync_folder()
-
-    def value(self, segment: Segment, at: int, size: int) -> Record:
-        """A PUT from either copy, checked anew: a disk may have rotted since it was opened. StoreError where neither
-        copy gives it."""
-        why: object = "its checksum does not fit"
+    def fail(self, reason: str) -> NoReturn:
+        """Write nothing any more.
+
+        Raises:
+            ReadOnlyError: Always.
+        """
+        self.read_only = reason
+        raise ReadOnlyError(reason)
+
+    def repair(self, number: int, scan: SegmentScan, report: RecoveryReport) -> None:
+        """Write the copies anew that differ from what both say together, each by a rename: a cut leaves the old one."""
+        if scan.damage:
+            return  # the files are left for whoever tries to rescue something
+        content = bytearray(encode_header(self.store_id, number))
+        codec = RecordCodec.for_segment(self.store_id, number)
+        for record in scan.records:
+            content += codec.encode(record.offset, record.kind, record.payload)
+        for copy, needs_repair in zip(COPIES, scan.needs_repair, strict=True):
+            if needs_repair:
+                self._write_copy(copy_name(number, copy), bytes(content))
+                report.repaired_files.append(copy_name(number, copy))
+        self.files.sync_directory()
+
+    def _write_copy(self, name: str, content: bytes) -> None:
+        file = self.files.create(f"{name}.new")
+        try:
+            file.write(content)
+            file.sync()
+        finally:
+            file.close()
+        self.files.replace(f"{name}.new", name)
+
+    def read_record(self, segment: Segment, offset: int, size: int) -> Record:
+        """Read a PUT from either copy. Its checksum is verified again: a disk may have rotted since it was opened.
+
+        Raises:
+            StoreError: Neither copy gives it.
+        """
+        reason: object = "its checksum does not fit"
         for which in range(len(COPIES)):
             try:
-                record = segment.seal.decode_alone(self._read(segment, which, at, size), at)
+                record = segment.codec.decode_alone(self._read(segment, which, offset, size), offset)
             except OSError as problem:
-                why = problem
+                reason = problem
                 continue
-            if record is not None and record.kind == Kind.PUT:
+            if record is not None and record.kind == RecordKind.PUT:
                 return record
-        raise StoreError(f"segment {segment.number}, byte {at}: neither copy can be read: {why}")
+        raise StoreError(f"segment {segment.number}, byte {offset}: neither copy can be read: {reason}")
 
-    def _read(self, segment: Segment, which: int, at: int, size: int) -> bytes:
+    def _read(self, segment: Segment, which: int, offset: int, size: int) -> bytes:
         if segment.files is not None:
-            return segment.files[which].read_at(at, size)
-        file = self.files.open(f"{segment.number:016x}.{COPIES[which]}")
+            return segment.files[which].read_at(offset, size)
+        file = self.files.open(copy_name(segment.number, COPIES[which]))
         try:
-            return file.read_at(at, size)
+            return file.read_at(offset, size)
         finally:
             file.close()
 
-    def drop(self, oldest: Segment) -> None:
-        """The oldest segment goes: first that is on disk, then its files."""
-        segment = self.last()
-        self.write(segment, segment.seal.encode(segment.end, Kind.DROP, NUMBER.pack(oldest.number + 1)))
-        self.first = oldest.number + 1
+    def drop_oldest(self) -> None:
+        """Remove the oldest segment: first the DROP is on disk, then its files go."""
+        oldest = self.oldest()
+        segment = self.newest()
+        following = oldest.number + 1
+        self.write(segment, segment.codec.encode(segment.end, RecordKind.DROP, NUMBER_LAYOUT.pack(following)))
+        self.first_segment = following
         del self.segments[oldest.number]
         self._release(oldest)
         self.remove(oldest.number)
-        self.files.sync_folder()
+        self.files.sync_directory()
 
     def close(self) -> None:
-        """Descriptors and the lock are given back; what is acknowledged is on disk already."""
+        """Release files, thread and lock; what is acknowledged is on disk already."""
         for segment in self.segments.values():
             self._release(segment)
-        self._syncs.shutdown()
+        self._sync_pool.shutdown()
         self.files.unlock()
--- a/loadbalancer/store/recovery.py
+++ b/loadbalancer/store/recovery.py
@@ -1,163 +1,224 @@
-"""What a folder holds of a store: its segments, read as both copies say together, and what is wrong with them.
+"""Opening a store: its segments, read as both copies say together, and what is wrong with them.
 
-Nothing is changed here but the rest of a mending that was cut. What counts as acknowledged and lost is decided here:
-damage that both copies share, a segment that must be there and is not.
+Nothing is changed here but the remains of an interrupted repair. What counts as acknowledged and lost is decided here:
+damage that both copies share, and a segment that must exist and does not.
 """
 
 from __future__ import annotations
 
+import string
 from dataclasses import dataclass, field
 
 from loadbalancer.store.files import Files
 from loadbalancer.store.records import (
-    HEADER,
-    Damage,
-    Kind,
-    Scan,
-    Seal,
+    HEADER_LAYOUT,
+    RecordCodec,
+    RecordKind,
     decode_header,
+    decode_number,
     encode_header,
-    read_number,
-    scan,
 )
+from loadbalancer.store.segment_scan import Damage, SegmentScan, scan_segment
 
 COPIES = ("a", "b")
+"""Endings of the names of a segment's two copies."""
+REPAIR_ENDING = "new"
+"""Ending of the name of a copy that is being written anew."""
+LOCK_NAME = "lock"
+NUMBER_DIGITS = 16
+"""Hexadecimal digits of a segment's number in a name."""
+
+
+def copy_name(number: int, copy: str) -> str:
+    """The name of a segment's copy."""
+    return f"{number:0{NUMBER_DIGITS}x}.{copy}"
 
 
 @dataclass(slots=True)
-class Recovery:
-    """What opening has found."""
+class RecoveryReport:
+    """What opening a store has found."""
 
     segments: int = 0
+    """Segments of the store."""
     records: int = 0
+    """Valid records in them."""
     keys: int = 0
+    """Keys that have a value."""
     damage: list[Damage] = field(default_factory=list)
-    missing: list[int] = field(default_factory=list)  # segments
-    foreign: list[str] = field(
-        default_factory=list
-    )  # files that are not of this store, or not what their name says
-    repaired: list[str] = field(default_factory=list)  # files that were written anew from their other copy
-    unread: list[str] = field(default_factory=list)  # copies that the disk did not give
-    torn: int = 0  # bytes behind the last trusted record, of a batch that was never acknowledged
+    """Acknowledged bytes that neither copy has."""
+    missing_segments: list[int] = field(default_factory=list)
+    """Numbers of segments that must exist and do not."""
+    foreign_files: list[str] = field(default_factory=list)
+    """Files that are not of this store, or not of the segment that their name says."""
+    repaired_files: list[str] = field(default_factory=list)
+    """Files that were written anew from their other copy."""
+    unreadable_files: list[str] = field(default_factory=list)
+    """Files that the disk did not give, with its reason."""
+    torn_bytes: int = 0
+    """Bytes behind the last valid record, of a batch that was never acknowledged."""
 
     @property
-    def sound(self) -> bool:
+    def is_intact(self) -> bool:
         """Whether all that was acknowledged is there."""
-        return not (self.damage or self.missing)
-
-    def words(self) -> list[str]:
-        """What an operator should read, a line each."""
-        out = [f"{self.segments} segments, {self.records} records, {self.keys} keys"]
-        out += [
-            f"damaged in both copies: segment {d.number}, bytes {d.begin} to {d.end}" for d in self.damage
-        ]
-        out += [f"missing: segment {number}" for number in self.missing]
-        out += [f"not of this store, left alone: {name}" for name in self.foreign]
-        out += [f"could not be read: {name}" for name in self.unread]
-        out += [f"written anew from its other copy: {name}" for name in self.repaired]
-        if self.torn:
-            out.append(f"{self.torn} bytes of a batch that was never acknowledged")
-        return out
-
-
-class Reading:
-    """One look at a folder. After `read`: `scans` by number, `first` segment that must be there, and `useless` numbers,
-    whose files were never part of the store or are so no longer."""
+        return not (self.damage or self.missing_segments)
+
+    def lines(self) -> list[str]:
+        """What an operator should read, a line each; the first is a summary."""
+        lines = [f"{self.segments} segments, {self.records} records, {self.keys} keys"]
+        for damage in self.damage:
+            place = f"segment {damage.segment_number}, bytes {damage.start} to {damage.end}"
+            lines.append(f"damaged in both copies: {place}")
+        lines += [f"missing: segment {number}" for number in self.missing_segments]
+        lines += [f"not of this store, left alone: {name}" for name in self.foreign_files]
+        lines += [f"could not be read: {name}" for name in self.unreadable_files]
+        lines += [f"written anew from its other copy: {name}" for name in self.repaired_files]
+        if self.torn_bytes:
+            lines.append(f"{self.torn_bytes} bytes of a batch that was never acknowledged")
+        return lines
+
+
+class StoreReader:
+    """One look at a directory.
+
+    After `read`, `scans` has the segments of the store by number, `first_segment` the first that must exist, and
+    `obsolete_segments` the numbers whose files were never part of the store or are so no longer.
+    """
 
     def __init__(self, files: Files) -> None:
-        self.files, self.found = files, Recovery()
-        self.store = b""  # the id, once a header has told it
-        self.first = 0
-        self.scans: dict[int, Scan] = {}
-        self.useless: list[int] = []
-
-    def read(self) -> Recovery:
-        """NewerError, OSError of the folder; what is wrong with files is in what it returns."""
-        unread: dict[int, int] = {}
-        for number, names in sorted(self._names().items()):
-            data = self._copies(number, names)
-            copies = self._own(number, data)
-            if any(copies):
-                self.scans[number] = scan(number, Seal.of(self.store, number), copies)
+        self.files = files
+        self.report = RecoveryReport()
+        self.store_id = b""  # known once a header has told it
+        self.first_segment = 0
+        self.scans: dict[int, SegmentScan] = {}
+        self.obsolete_segments: list[int] = []
+
+    def read(self) -> RecoveryReport:
+        """Read all segments.
+
+        Returns:
+            What was found, and what is wrong with the files.
+
+        Raises:
+            NewerError: The store is of a newer format.
+            OSError: The directory cannot be read.
+        """
+        invalid_sizes: dict[int, int] = {}
+        for number, copies in sorted(self._list_segments().items()):
+            data = self._read_copies(number, copies)
+            own = self._select_own(number, data)
+            if any(own):
+                codec = RecordCodec.for_segment(self.store_id, number)
+                self.scans[number] = scan_segment(number, codec, own)
             else:
-                unread[number] = max(map(len, data))
-        self._check_whole(self.scans, unread)
-        for number in [number for number in self.scans if number < self.first]:
-            del self.scans[number]  # a cut has come between DROP and its removal
-            self.useless.append(number)
-        return self.found
-
-    def _names(self) -> dict[int, set[str]]:
-        by_number: dict[int, set[str]] = {}
-        for name in self.files.names():
-            stem, dot, copy = name.partition(".")
-            if copy in COPIES and len(stem) == 16 and all(c in "0123456789abcdef" for c in stem):
-                by_number.setdefault(int(stem, 16), set()).add(copy)
-            elif copy == "new":
-                self.files.remove(name)  # of a mending that was cut
-            elif name != "lock":
-                self.found.foreign.append(name)
-        return by_number
-
-    def _copies(self, number: int, names: set[str]) -> tuple[bytes, bytes]:
-        """Both copies; one that can't be read is as one that is lost."""
-        found = []
-        for copy in COPIES:
-            name = f"{number:016x}.{copy}"
-            try:
-                found.append(self.files.read(name) if copy in names else b"")
-            except OSError as problem:
-                self.found.unread.append(f"{name}: {problem.strerror or problem}")
-                found.append(b"")
-        return found[0], found[1]
-
-    def _own(self, number: int, data: tuple[bytes, bytes]) -> tuple[bytes, bytes]:
-        """The copies that are of this store and this number; a header that is cut or flipped counts as that of its
-        other copy, a foreign one as nothing."""
+                invalid_sizes[number] = max(map(len, data))
+        self._check_completeness(invalid_sizes)
+        self._discard_dropped()
+        return self.report
+
+    def _list_segments(self) -> dict[int, set[str]]:
+        """The copies that exist, by segment number; removes what an interrupted repair has left."""
+        found: dict[int, set[str]] = {}
+        for name in self.files.list_names():
+            stem, _, ending = name.partition(".")
+            if ending in COPIES and _is_segment_number(stem):
+                found.setdefault(int(stem, 16), set()).add(ending)
+            elif ending == REPAIR_ENDING:
+                self.files.remove(name)
+            elif name != LOCK_NAME:
+                self.report.foreign_files.append(name)
+        return found
+
+    def _read_copies(self, number: int, copies: set[str]) -> tuple[bytes, bytes]:
+        """Both copies; one that cannot be read counts as lost."""
+        first, second = (self._read_copy(number, copy) if copy in copies else b"" for copy in COPIES)
+        return first, second
+
+    def _read_copy(self, number: int, copy: str) -> bytes:
+        name = copy_name(number, copy)
+        try:
+            return self.files.read(name)
+        except OSError as problem:
+            self.report.unreadable_files.append(f"{name}: {problem.strerror or problem}")
+            return b""
+
+    def _select_own(self, number: int, data: tuple[bytes, bytes]) -> tuple[bytes, bytes]:
+        """The copies that are of this store and this segment.
+
+        A damaged header is replaced by that of the other copy; a foreign file counts as nothing.
+        """
         own = list(data)
-        heads = [decode_header(one) for one in data]
-        for which, head in enumerate(heads):
-            if head is None:
+        headers = [decode_header(content) for content in data]
+        for which, header in enumerate(headers):
+            if header is None:
                 continue
-            self.store = self.store or head[0]
-            if head != (self.store, number):
-                self.found.foreign.append(f"{number:016x}.{COPIES[which]}")
-                own[which], heads[which] = b"", None
-        if not any(heads):
-            return b"", b""  # of the number's files nothing can be trusted
-        head_bytes = encode_header(self.store, number)
-        return tuple(
-            one if heads[n] is not None or not one else head_bytes + one[HEADER.size :]
-            for n, one in enumerate(own)
-        )  # type: ignore[return-value]
-
-    def _check_whole(self, scans: dict[int, Scan], unread: dict[int, int]) -> None:
-        """Which segments must be there: from the latest DROP on, each up to the one behind the last that is sealed.
-
-        `unread`: bytes of segments of which nothing can be trusted. The one behind the last that can be read is of a
-        cut while it was made, unless that is sealed or it holds more than a header."""
-        drops = [read_number(r.payload) for s in scans.values() for r in s.records if r.kind == Kind.DROP]
-        self.first = max([*drops, 0])
-        wanted = [number for number in scans if number >= self.first]
-        last = max([*wanted, self.first])
-        if last in scans and scans[last].sealed:
+            self.store_id = self.store_id or header[0]
+            if header != (self.store_id, number):
+                self.report.foreign_files.append(copy_name(number, COPIES[which]))
+                own[which] = b""
+                headers[which] = None
+        if not any(headers):
+            return b"", b""
+        expected = encode_header(self.store_id, number)
+        for which, content in enumerate(own):
+            if headers[which] is None and content:
+                own[which] = expected + content[HEADER_LAYOUT.size :]
+        return own[0], own[1]
+
+    def _check_completeness(self, invalid_sizes: dict[int, int]) -> None:
+        """Note the segments that must exist: from the latest DROP on, each up to the one after the last sealed one.
+
+        Args:
+            invalid_sizes: Bytes of segments of which nothing is valid. The one after the last that can be read was
+                interrupted while it was made, unless that last one is sealed or it holds more than a header.
+        """
+        self.first_segment = self._find_first_segment()
+        wanted = [number for number in self.scans if number >= self.first_segment]
+        last = max([*wanted, self.first_segment])
+        if last in self.scans and self.scans[last].sealed:
             last += 1
-        for number, size in unread.items():
-            if number >= self.first and (number <= last or size > HEADER.size) and scans:
+        for number, size in invalid_sizes.items():
+            has_records = size > HEADER_LAYOUT.size
+            if number >= self.first_segment and (number <= last or has_records) and self.scans:
                 last = max(last, number)
-            elif size > HEADER.size and number >= self.first:
-                self.found.damage.append(Damage(number, 0, size))
+            elif has_records and number >= self.first_segment:
+                self.report.damage.append(Damage(number, 0, size))
             else:
-                self.useless.append(number)
-        if wanted or self.first:
-            self.found.missing += [number for number in range(self.first, last + 1) if number not in scans]
+                self.obsolete_segments.append(number)
+        if wanted or self.first_segment:
+            expected = range(self.first_segment, last + 1)
+            self.report.missing_segments += [number for number in expected if number not in self.scans]
         for number in wanted:
-            self._check_end(number, scans)
-
-    def _check_end(self, number: int, scans: dict[int, Scan]) -> None:
-        found = scans[number]
-        self.found.damage += found.damage
-        after = scans.get(number + 1)
-        if after is not None and not found.sealed and any(r.kind != Kind.SEAL for r in after.records):
-            # Nothing is written behind a segment before its SEAL is on disk: the end of this one is lost.
-            self.found.damage.append(Damage(number, found.end, found.end))
+            self._check_end(number)
+
+    def _find_first_segment(self) -> int:
+        """The number that the latest DROP names."""
+        drops = [
+            decode_number(record.payload)
+            for scan in self.scans.values()
+            for record in scan.records
+            if record.kind == RecordKind.DROP
+        ]
+        return max([*drops, 0])
+
+    def _check_end(self, number: int) -> None:
+        """Note damage inside a segment, and a lost end.
+
+        Nothing is written to a segment before the SEAL of the one before is on disk.
+        """
+        scan = self.scans[number]
+        self.report.damage += scan.damage
+        following = self.scans.get(number + 1)
+        if following is None or scan.sealed:
+            return
+        if any(record.kind != RecordKind.SEAL for record in following.records):
+            self.report.damage.append(Damage(number, scan.end, scan.end))
+
+    def _discard_dropped(self) -> None:
+        """Leave out segments whose removal was interrupted after its DROP."""
+        for number in [number for number in self.scans if number < self.first_segment]:
+            del self.scans[number]
+            self.obsolete_segments.append(number)
+
+
+def _is_segment_number(stem: str) -> bool:
+    return len(stem) == NUMBER_DIGITS and all(character in string.hexdigits.lower() for character in stem)
--- a/standins/disks.py
+++ b/standins/disks.py
@@ -43,7 +43,7 @@
             raise OSError(errno.EIO, "Input/output error")
         self.node.synced = bytes(self.node.data)
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         self.disk.step()
         if self.disk.cut_fails:
             raise OSError(errno.EIO, "Input/output error")
@@ -79,7 +79,7 @@
     def used(self) -> int:
         return sum(len(node.data) for node in self.now.values())
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         return sorted(self.now)
 
     def read(self, name: str) -> bytes:
@@ -107,7 +107,7 @@
         self.step()
         del self.now[name]
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         self.step()
         self.kept = dict(self.now)
 
--- a/tests/test_store.py
+++ b/tests/store/test_engine.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from loadbalancer.store.engine import Bounds, Delete, Engine, Put
+from loadbalancer.store.engine import Delete, Engine, Put, StoreBounds
 from loadbalancer.store.errors import FullError, LockedError, NewerError, ReadOnlyError, StoreError
 from loadbalancer.store.files import DiskFiles
-from loadbalancer.store.records import HEADER, Kind, Seal, decode_header, encode_header
+from loadbalancer.store.records import HEADER_LAYOUT, RecordCodec, RecordKind, decode_header, encode_header
 from standins.disks import CutError, MemoryDisk
 
-SMALL = Bounds(segment=600, bytes=1 << 20, keys=10_000)
+SMALL = StoreBounds(segment_bytes=600, max_bytes=1 << 20, max_keys=10_000)
 
 
 class Clock:
@@ -27,11 +27,11 @@
         return self.now
 
 
-def engine(disk: MemoryDisk, bounds: Bounds = SMALL, clock: Clock | None = None) -> Engine:
+def engine(disk: MemoryDisk, bounds: StoreBounds = SMALL, clock: Clock | None = None) -> Engine:
     return Engine(disk, clock or Clock(), bounds, lambda count: b"i" * count)
 
 
-def opened(disk: MemoryDisk, bounds: Bounds = SMALL, clock: Clock | None = None) -> Engine:
+def opened(disk: MemoryDisk, bounds: StoreBounds = SMALL, clock: Clock | None = None) -> Engine:
     made = engine(disk, bounds, clock)
     made.open()
     return made
@@ -75,7 +75,7 @@
     store, truth = filled(disk)
     store.close()
     whole = disk.copy()
-    names = [name for name in whole.names() if name.endswith((".a", ".b"))]
+    names = [name for name in whole.list_names() if name.endswith((".a", ".b"))]
     assert len(names) >= 6
     tried = 0
     for name in names:
@@ -88,8 +88,8 @@
                 one.now[name].data[:] = bad
                 again = engine(one)
                 found = again.open()
-                assert found.sound and contents(again) == truth
-                assert name in found.repaired or len(bad) == len(data)
+                assert found.is_intact and contents(again) == truth
+                assert name in found.repaired_files or len(bad) == len(data)
                 again.close()
                 tried += 1
     assert tried > 5000
@@ -100,7 +100,7 @@
     from one that was never acknowledged, and both copies of the newest segment cut alike lose what is behind."""
     disk = MemoryDisk()
     store, truth = filled(disk, 20)
-    last = store.log.last()
+    last = store.log.newest()
     before = dict(truth)
     store.commit([Put(b"the last", b"batch")])
     truth[b"the last"] = b"batch"
@@ -123,10 +123,10 @@
                 got = contents(again)
                 for key, value in got.items():
                     assert value in history(key, truth), (number, at, kind)
-                if kind == "cut" and number == last.number and at >= HEADER.size:
-                    assert found.sound
+                if kind == "cut" and number == last.number and at >= HEADER_LAYOUT.size:
+                    assert found.is_intact
                 elif got not in (truth, before):
-                    assert not found.sound and again.read_only, (number, at, kind, found)
+                    assert not found.is_intact and again.read_only, (number, at, kind, found)
                     with pytest.raises(ReadOnlyError, match="segment"):
                         again.commit([Put(b"new", b"x")])
                 again.close()
@@ -143,13 +143,16 @@
     disk = MemoryDisk()
     store, _ = filled(disk)
     store.close()
-    numbers = sorted({name[:16] for name in disk.names() if name != "lock"})
+    numbers = sorted({name[:16] for name in disk.list_names() if name != "lock"})
     number = {"first": numbers[0], "middle": numbers[1], "last": numbers[-1]}[which]
     for copy in "ab":
         disk.remove(f"{number}.{copy}")
     again = engine(disk)
     found = again.open()
-    assert found.missing == [int(number, 16)] and f"missing: segment {int(number, 16)}" in again.read_only
+    assert (
+        found.missing_segments == [int(number, 16)]
+        and f"missing: segment {int(number, 16)}" in again.read_only
+    )
 
 
 def test_a_copy_of_another_store_or_of_another_segment_is_not_believed() -> None:
@@ -160,13 +163,13 @@
     strange.open()
     strange.commit([Put(b"k1", b"of another store")])
     strange.close()
-    names = [name for name in disk.names() if name.endswith(".b")]
+    names = [name for name in disk.list_names() if name.endswith(".b")]
     disk.now[names[0]].data[:] = other.read(f"{0:016x}.a")
     disk.now[names[1]].data[:] = disk.read(names[2])  # doubled
     again = engine(disk)
     found = again.open()
-    assert found.sound and contents(again) == truth
-    assert found.foreign == names[:2]
+    assert found.is_intact and contents(again) == truth
+    assert found.foreign_files == names[:2]
 
 
 def test_both_headers_gone_is_no_empty_store() -> None:
@@ -174,20 +177,20 @@
     store = opened(disk)
     store.commit([Put(b"a", b"b")])
     store.close()
-    for name in disk.names():
+    for name in disk.list_names():
         disk.now[name].data[0] ^= 1
-    assert engine(disk).open().sound is False
+    assert engine(disk).open().is_intact is False
 
 
 def test_a_copy_that_the_disk_does_not_give_is_written_anew() -> None:
     disk = MemoryDisk()
     store, truth = filled(disk)
     store.close()
-    name = next(name for name in disk.names() if name.endswith(".a"))
+    name = next(name for name in disk.list_names() if name.endswith(".a"))
     disk.unreadable.add(name)
     again = engine(disk)
     found = again.open()
-    assert contents(again) == truth and found.unread and name in found.repaired
+    assert contents(again) == truth and found.unreadable_files and name in found.repaired_files
 
 
 def test_rot_after_opening_is_found_when_a_value_is_read() -> None:
@@ -204,7 +207,7 @@
 def test_a_newer_format_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     disk = MemoryDisk()
     with monkeypatch.context() as patch:
-        patch.setattr("loadbalancer.store.records.VERSION", 2)
+        patch.setattr("loadbalancer.store.records.FORMAT_VERSION", 2)
         opened(disk).close()
     with pytest.raises(NewerError, match="version 2, and this program knows 1"):
         engine(disk).open()
@@ -216,7 +219,7 @@
 
 def play(disk: MemoryDisk, acknowledged: dict[bytes, list[bytes | None]]) -> None:
     """Batches, deletes and compaction; each key's values in order, the last one acknowledged unless a cut came."""
-    store = opened(disk, Bounds(segment=400, bytes=1 << 20))
+    store = opened(disk, StoreBounds(segment_bytes=400, max_bytes=1 << 20))
     for number in range(26):
         key = b"k%d" % (number % 5)
         values = acknowledged.setdefault(key, [None])
@@ -236,7 +239,9 @@
     disk = MemoryDisk()
     play(disk, {})
     calls = disk.calls
-    assert calls > 150 and f"{0:016x}.a" not in disk.names()  # the first segments have been compacted away
+    assert (
+        calls > 150 and f"{0:016x}.a" not in disk.list_names()
+    )  # the first segments have been compacted away
     dropped = 0
     for at in range(1, calls + 1):
         for seed in (at, 7919 * at):
@@ -248,12 +253,12 @@
             left = disk.after_cut()
             store = engine(left)
             found = store.open()
-            assert found.sound, (at, seed, found)
+            assert found.is_intact, (at, seed, found)
             got = contents(store)
             for key, values in acknowledged.items():
                 assert got.get(key) in values, (at, seed, key)
             assert not got.keys() - acknowledged.keys()
-            dropped += found.torn > 0
+            dropped += found.torn_bytes > 0
             store.commit([Put(b"goes on", b"1")])
             store.close()
             again = opened(left.after_cut())
@@ -267,7 +272,7 @@
     disk = MemoryDisk()
     store, truth = filled(disk)
     store.close()
-    name = next(name for name in disk.names() if name.endswith(".a"))
+    name = next(name for name in disk.list_names() if name.endswith(".a"))
     disk.now[name].data[40] ^= 1
     for at in range(1, 60):
         one = disk.copy()
@@ -277,7 +282,7 @@
         except CutError:
             left = one.after_cut()
             again = engine(left)
-            assert again.open().sound and contents(again) == truth
+            assert again.open().is_intact and contents(again) == truth
             again.close()
 
 
@@ -299,7 +304,7 @@
 
 def test_a_full_disk_refuses_and_forgets_nothing_and_goes_on_once_there_is_room() -> None:
     disk = MemoryDisk()
-    store = opened(disk, Bounds(segment=1 << 20))
+    store = opened(disk, StoreBounds(segment_bytes=1 << 20))
     store.commit([Put(b"a", b"1")])
     disk.room = disk.used() + 40
     with pytest.raises(FullError, match="No space left"):
@@ -312,7 +317,7 @@
 
 def test_a_refused_batch_that_can_not_be_cut_off_ends_the_writing() -> None:
     disk = MemoryDisk()
-    store = opened(disk, Bounds(segment=1 << 20))
+    store = opened(disk, StoreBounds(segment_bytes=1 << 20))
     disk.room, disk.cut_fails = disk.used() + 10, True
     with pytest.raises(ReadOnlyError, match="could not be taken back"):
         store.commit([Put(b"b", b"2" * 100)])
@@ -320,13 +325,13 @@
 
 def test_a_full_disk_when_a_segment_is_begun_leaves_no_file() -> None:
     disk = MemoryDisk()
-    store = opened(disk, Bounds(segment=60))
+    store = opened(disk, StoreBounds(segment_bytes=60))
     store.commit([Put(b"a", b"1" * 60)])
     disk.room = disk.used() + 10
-    names = disk.names()
+    names = disk.list_names()
     with pytest.raises(FullError, match="no new segment"):
         store.commit([Put(b"b", b"2")])
-    assert disk.names() == names
+    assert disk.list_names() == names
     disk.room = 1 << 20
     store.commit([Put(b"b", b"2")])
     store.close()
@@ -335,7 +340,7 @@
 
 def test_at_the_bounds_new_keys_are_refused_and_the_old_ones_may_change_and_go() -> None:
     clock = Clock()
-    store = opened(MemoryDisk(), Bounds(keys=3), clock)
+    store = opened(MemoryDisk(), StoreBounds(max_keys=3), clock)
     store.commit([Put(b"a", b"1", 1010.0), Put(b"b", b"2"), Put(b"c", b"3")])
     with pytest.raises(FullError, match="3 keys are held"):
         store.commit([Put(b"d", b"4")])
@@ -345,7 +350,7 @@
     store.commit([Delete(b"c")])
     store.commit([Put(b"e", b"6")])
     assert contents(store) == {b"b": b"5", b"d": b"4", b"e": b"6"}
-    full = opened(MemoryDisk(), Bounds(segment=1 << 20, bytes=200))
+    full = opened(MemoryDisk(), StoreBounds(segment_bytes=1 << 20, max_bytes=200))
     full.commit([Put(b"a", b"x" * 300)])
     with pytest.raises(FullError, match="200 bytes are held"):
         full.commit([Put(b"b", b"x")])
@@ -373,7 +378,7 @@
     held = contents(store)
     store.close()
     again = Engine(DiskFiles(tmp_path / "s"), Clock(), SMALL)
-    assert again.open().sound and contents(again) == held and len(held) == 9
+    assert again.open().is_intact and contents(again) == held and len(held) == 9
     again.close()
 
 
@@ -409,7 +414,7 @@
 
 def test_compaction_keeps_what_counts_and_gives_the_rest_back() -> None:
     disk = MemoryDisk()
-    store = opened(disk, Bounds(segment=500))
+    store = opened(disk, StoreBounds(segment_bytes=500))
     for number in range(400):
         store.commit(
             [
@@ -419,7 +424,7 @@
         )
         store.compact(3)
     assert len(contents(store)) == 13 and contents(store)[b"cold0"] == b"c"
-    assert store.log.size() < 2 * store.index.bytes + 3 * 500
+    assert store.log.size_bytes() < 2 * store.index.bytes + 3 * 500
     held = contents(store)
     store.close()
     assert contents(opened(disk)) == held
@@ -427,7 +432,7 @@
 
 def test_a_step_that_fails_leaves_what_it_would_have_moved() -> None:
     disk = MemoryDisk()
-    store = opened(disk, Bounds(segment=200))
+    store = opened(disk, StoreBounds(segment_bytes=200))
     for number in range(40):
         store.commit([Put(b"k%d" % (number % 8), b"v" * 20)])
     held = contents(store)
@@ -450,14 +455,14 @@
 
 
 def test_a_record_is_believed_in_its_place_alone() -> None:
-    seal = Seal.of(b"i" * 8, 3)
-    data = seal.encode(100, Kind.DELETE, b"\1\0a")
+    seal = RecordCodec.for_segment(b"i" * 8, 3)
+    data = seal.encode(100, RecordKind.DELETE, b"\1\0a")
     assert seal.decode(b"\0" * 100 + data, 100) is not None
     assert seal.decode(b"\0" * 101 + data, 101) is None
-    assert Seal.of(b"i" * 8, 4).decode(b"\0" * 100 + data, 100) is None
-    assert Seal.of(b"j" * 8, 3).decode(b"\0" * 100 + data, 100) is None
+    assert RecordCodec.for_segment(b"i" * 8, 4).decode(b"\0" * 100 + data, 100) is None
+    assert RecordCodec.for_segment(b"j" * 8, 3).decode(b"\0" * 100 + data, 100) is None
     assert decode_header(encode_header(b"i" * 8, 3)) == (b"i" * 8, 3)
-    assert decode_header(encode_header(b"i" * 8, 3)[: HEADER.size - 1]) is None
+    assert decode_header(encode_header(b"i" * 8, 3)[: HEADER_LAYOUT.size - 1]) is None
 
 
 @pytest.mark.parametrize("key, value", [(b"", b""), (b"k" * 1025, b""), (b"k", b"v" * (1 << 20))])
@@ -479,7 +484,7 @@
         self.disk, self.clock = MemoryDisk(seed), Clock()
         self.truth: dict[bytes, tuple[bytes, float]] = {}
         self.unsure: dict[bytes, set[bytes | None]] = {}
-        self.store = opened(self.disk, Bounds(segment=300), self.clock)
+        self.store = opened(self.disk, StoreBounds(segment_bytes=300), self.clock)
 
     def now(self) -> float:
         return self.store.now()
@@ -524,8 +529,8 @@
     def reopen(self, disk: MemoryDisk, new: dict[bytes, tuple[bytes, float] | None]) -> None:
         """What was not acknowledged is there whole or not at all, and then stays so."""
         self.disk = disk
-        self.store = engine(disk, Bounds(segment=300), self.clock)
-        assert self.store.open().sound
+        self.store = engine(disk, StoreBounds(segment_bytes=300), self.clock)
+        assert self.store.open().is_intact
         for key, value in new.items():
             if self.store.get(key) == (value[0] if value is not None else None):
                 self.settle({key: value})
--- a/tests/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -16,13 +16,13 @@
 from loadbalancer.config.plan import load
 from loadbalancer.config.reader import ConfigError
 from loadbalancer.daemon.daemon import Daemon
-from loadbalancer.store.engine import Bounds, Engine, Put
+from loadbalancer.store.engine import Engine, Put, StoreBounds
 from loadbalancer.store.errors import FullError, StoreError
 from loadbalancer.store.files import DiskFiles
 from loadbalancer.store.keeper import Store, StoreView
 from loadbalancer.store.ledger import (
-    DIGEST,
-    MARGIN_S,
+    DIGEST_BYTES,
+    RETRY_MARGIN_S,
     Answered,
     Begun,
     Disposition,
@@ -38,7 +38,7 @@
 from standins.member import Member
 
 ONE, OTHER = digest(b"POST", b"/a", b"x"), digest(b"POST", b"/a", b"y")
-KEPT = Answered(ONE, 100.0, 201, b"Created", [b"A: b\r\n"], b"body", b"d" * DIGEST)
+KEPT = Answered(ONE, 100.0, 201, b"Created", [b"A: b\r\n"], b"body", b"d" * DIGEST_BYTES)
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
         (Begun(ONE, 100.0, 3.0), ONE, 101.0, True, True, Disposition.REFUSED, 409),
         (Begun(ONE, 100.0, 3.0), ONE, 101.0, False, True, Disposition.AGAIN, 0),
         (Begun(ONE, 100.0, 3.0), ONE, 101.0, False, False, Disposition.REFUSED, 409),
-        (Begun(ONE, 100.0, 3.0), ONE, 103.0 - MARGIN_S, False, True, Disposition.REFUSED, 409),
+        (Begun(ONE, 100.0, 3.0), ONE, 103.0 - RETRY_MARGIN_S, False, True, Disposition.REFUSED, 409),
         (Begun(ONE, 100.0, 3.0), ONE, 99.0, False, True, Disposition.REFUSED, 409),  # a time that can't be
     ],
 )
@@ -60,9 +60,9 @@
     entry: Any, request_: bytes, now: float, in_progress: bool, all_drop: bool, way: Disposition, status: int
 ) -> None:
     ruling = decide(entry, request_, now, in_progress, all_drop)
-    assert (ruling.way, ruling.status) == (way, status)
+    assert (ruling.disposition, ruling.status) == (way, status)
     if way == Disposition.AGAIN:
-        assert 0 < ruling.left <= 3.0 - MARGIN_S - (now - 100.0)
+        assert 0 < ruling.time_remaining <= 3.0 - RETRY_MARGIN_S - (now - 100.0)
 
 
 def test_entries_and_scopes() -> None:
@@ -74,7 +74,7 @@
     )
     assert answered(ONE, 1.0, 200, b"", [b"x" * 8], b"y" * 8, 16).body == b"y" * 8
     long = answered(ONE, 1.0, 200, b"", [b"x" * 8], b"y" * 9, 16)
-    assert long.body is None and long.lines == [] and len(long.body_digest) == DIGEST
+    assert long.body is None and long.lines == [] and len(long.body_digest) == DIGEST_BYTES
 
 
 # The store's thread.
@@ -119,7 +119,7 @@
 def test_one_job_that_asks_for_too_much_or_fails_holds_no_other_back() -> None:
     async def scene() -> None:
         heard = Heard()
-        engine = Engine(MemoryDisk(), lambda: 1.0, Bounds(keys=2))
+        engine = Engine(MemoryDisk(), lambda: 1.0, StoreBounds(max_keys=2))
         engine.open()
         store = Store(engine, heard)
         await store.call(lambda view: view.put(b"a", b"1"))
@@ -300,7 +300,7 @@
             gate = threading.Event()
             first = asyncio.ensure_future(here.ask(book("k")))
             call = await backend.until_called()
-            memory.store.do(lambda view: gate.wait(), lambda result, problem: None)  # the disk stalls
+            memory.store.submit(lambda view: gate.wait(), lambda result, problem: None)  # the disk stalls
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             assert (await first)[0] == 200
             assert here.heard.count("an answer went out before the disk had it")
@@ -318,7 +318,7 @@
             memory = here.daemon.memory
             assert memory is not None
             gate = threading.Event()
-            memory.store.do(lambda view: gate.wait(), lambda result, problem: None)
+            memory.store.submit(lambda view: gate.wait(), lambda result, problem: None)
             client = await here.connect()
             await client.send(book("k"))
             await here.until(lambda: memory.ledger.open == 1)
@@ -390,7 +390,7 @@
 
 def test_the_verbs_of_the_store(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     folder = tmp_path / "s"
-    engine = Engine(DiskFiles(folder), lambda: 1.0, Bounds(segment=400))
+    engine = Engine(DiskFiles(folder), lambda: 1.0, StoreBounds(segment_bytes=400))
     engine.open()
     for number in range(40):
         engine.commit([Put(scope("", "r", b"%d" % (number % 4)), encode(KEPT)), Put(b"mark/p/m", b"drain")])
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -29,7 +29,7 @@
 from loadbalancer.policy.settings import PolicySettings, RequestClass
 from loadbalancer.routing.traffic_migration import Migration
 from loadbalancer.store import ledger
-from loadbalancer.store.engine import Bounds, Engine
+from loadbalancer.store.engine import Engine, StoreBounds
 from loadbalancer.store.files import DiskFiles
 from loadbalancer.store.keeper import StoreView
 
@@ -46,7 +46,7 @@
 def view(tmp_path: Path) -> StoreView:
     """The stored files, opened from a copy."""
     shutil.copytree(STORED / "store", tmp_path / "store")
-    engine = Engine(DiskFiles(tmp_path / "store"), lambda: NOW, Bounds(), lambda count: b"i" * count)
+    engine = Engine(DiskFiles(tmp_path / "store"), lambda: NOW, StoreBounds(), lambda count: b"i" * count)
     engine.open()
     return StoreView(engine)
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -24,7 +24,7 @@
 from loadbalancer.daemon.hot_restart import HotRestartError, offer_path, remove_own, take
 from loadbalancer.policy.endpoints import FAILING_AFTER
 from loadbalancer.policy.selection import ERROR_LIMIT
-from loadbalancer.store.engine import Bounds, Engine
+from loadbalancer.store.engine import Engine, StoreBounds
 from loadbalancer.store.files import DiskFiles
 from standins.keyed import Effects, KeyedFleet
 from standins.kills import CONFIG as KEYED
@@ -259,7 +259,7 @@
         writer.write(b"POST /v1/cordon HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (len(order), order))
         assert b"an upgrade is under way" in await reader.read()
         writer.close()
-        there = Engine(DiskFiles(tmp_path / "state"), time.time, Bounds())
+        there = Engine(DiskFiles(tmp_path / "state"), time.time, StoreBounds())
         there.open()  # it has been let go
         there.close()
         taken.close()
