--- a/loadbalancer/discovery/endpoint_source.py
+++ b/loadbalancer/discovery/endpoint_source.py
@@ -1,32 +1,42 @@
-"""What a source of members and the one who takes its lists know of each other."""
+"""What a source of endpoints and the one who takes its lists know of each other."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from loadbalancer.policy.events import (
-    EndpointEntry,
-)
+from loadbalancer.policy.events import EndpointEntry
 
-#: An entry for the module, and where the member listens.
-Entry = tuple[EndpointEntry, tuple[str, int]]
+Address = tuple[str, int]
+"""Host and port."""
+Entry = tuple[EndpointEntry, Address]
+"""An entry for the policy, and where the endpoint listens."""
 
 
 class EndpointListener(Protocol):
-    """Who is told of members."""
+    """Who is notified of endpoints."""
 
     def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
-        """A list, or a change to it; `stale`: from before a restart."""
+        """Take a list.
+
+        Args:
+            entries: The endpoints.
+            whole: Whether these are all endpoints; otherwise they change the list that is held.
+            stale: Whether the list is from before a restart.
+        """
 
     def list_failed(self, busy: bool = False) -> None:
-        """The call failed, after waiting in line where `busy`; what was listed before stands."""
+        """Hear that a call to the source has failed; the list that is held stands.
+
+        Args:
+            busy: Whether the call had waited in line behind others' calls.
+        """
 
 
 class EndpointSource(Protocol):
-    """Where a pool's members come from."""
+    """Where a pool's endpoints come from."""
 
     def watch(self, on: bool) -> None:
-        """Whether the pool wants to be told of changes from now on."""
+        """Begin or end notifying of changes."""
 
     def close(self) -> None:
-        """Nothing more is told, and nothing stays open."""
+        """Notify of nothing any more, and release what is open."""
--- a/loadbalancer/discovery/entry_conversion.py
+++ b/loadbalancer/discovery/entry_conversion.py
@@ -1,4 +1,4 @@
-"""Members as our own files list them, in the module's form."""
+"""Endpoints as configuration files list them, as entries for the policy."""
 
 from __future__ import annotations
 
@@ -8,81 +8,89 @@
 from loadbalancer.config.reader import read_address
 from loadbalancer.config.types import MemberTable
 from loadbalancer.discovery.endpoint_source import Entry
-from loadbalancer.policy.events import (
-    STICKY_DOMAIN_PREFIX,
-    EndpointEntry,
-    EndpointState,
-)
+from loadbalancer.policy.events import STICKY_DOMAIN_PREFIX, EndpointEntry, EndpointState
 
-#: Rank of the standby members of set 0: behind every set of serving ones.
-STANDBY_RANK = 1_000_000
+STANDBY_PRIORITY = 1_000_000
+"""Priority of the standby endpoints of set 0: behind every set that serves."""
+LONG_AGO = 0.0
+"""Start time of an endpoint that does not count as just started."""
 
 
 class NameNumbering:
-    """Numbers for names as they are met; the first ones are given."""
+    """Numbers for names, in the order in which they are met."""
 
     def __init__(self, names: Iterable[str]) -> None:
         self._numbers = {name: number for number, name in enumerate(names)}
 
     def __call__(self, name: str) -> int:
+        """The number of a name, the next one where it is new."""
         return self._numbers.setdefault(name, len(self._numbers))
 
 
 class EntryConverter:
-    """Lists of members into entries; it remembers which ones it has seen, for those that appear later are new."""
+    """Converts the lists of one pool; it remembers the endpoints of the last one, to tell which are new."""
 
     def __init__(
         self, zones: Iterable[str], new_are_cold: bool, clock: Callable[[], float] = time.time
     ) -> None:
-        """`new_are_cold`: one that was not in the first list counts as started when it appeared, unless it says
-        when. `clock`: Unix time in seconds."""
-        self._zone, self._new_are_cold, self._clock = NameNumbering(zones), new_are_cold, clock
-        self._started: dict[str, float] | None = None  # of those in the last list
+        """Begin without a list.
+
+        Args:
+            zones: Names of zones; their order gives their numbers.
+            new_are_cold: Whether an endpoint that was not in the first list counts as started when it appeared,
+                unless it says when it started.
+            clock: Unix seconds.
+        """
+        self._zone_number = NameNumbering(zones)
+        self._new_are_cold = new_are_cold
+        self._clock = clock
+        self._started: dict[str, float] | None = None  # by endpoint of the last list
         self._redirects: dict[str, str] = {}
 
     def entries(self, members: Sequence[MemberTable]) -> list[Entry]:
-        """The members that may serve or finish; a stopped one is not listed at all."""
-        before, now = self._started, self._clock()
-        late = 0.0 if before is None or not self._new_are_cold else now
-        started = {}
-        entries = []
+        """The endpoints that may serve or finish; a stopped one is not listed at all."""
+        before = self._started or {}
+        new_started = LONG_AGO
+        if self._started is not None and self._new_are_cold:
+            new_started = self._clock()
         self._redirects = session_names(members)
+        self._started = {}
+        entries = []
         for member in members:
             if member.state == "stopped":
                 continue
-            since = (before or {}).get(member.id, late) if member.started is None else member.started
-            started[member.id] = since
-            entries.append((self._entry(member, since), read_address(member.address)))
-        self._started = started
+            started = before.get(member.id, new_started) if member.started is None else member.started
+            self._started[member.id] = started
+            entries.append((self._entry(member, started), read_address(member.address)))
         return entries
 
     def _entry(self, member: MemberTable, started: float) -> EndpointEntry:
-        state = EndpointState.DRAINING if member.state == "draining" else EndpointState.READY
-        rank = member.set + (STANDBY_RANK if member.state == "standby" else 0)
+        is_standby = member.state == "standby"
         return EndpointEntry(
             member.id,
-            self._zone(member.zone),
-            member.cell,
-            0,
-            state,
-            member.weight,
-            started,
-            rank,
-            member.domain or "",
-            self._redirects.get(member.redirect or "", ""),
+            zone=self._zone_number(member.zone),
+            cell=member.cell,
+            kind=0,
+            state=EndpointState.DRAINING if member.state == "draining" else EndpointState.READY,
+            weight=member.weight,
+            started=started,
+            priority=member.set + (STANDBY_PRIORITY if is_standby else 0),
+            domain=member.domain or "",
+            redirect=self._redirects.get(member.redirect or "", ""),
         )
 
 
 def session_names(members: Iterable[MemberTable]) -> dict[str, str]:
-    """Ids of members by the names that sticky sessions have for them, and domains, marked as such, by theirs. A stopped
-    one has a name only where its sessions go elsewhere."""
+    """Endpoint ids by the names that sticky sessions have for them; domains, marked as such, by theirs.
+
+    A stopped endpoint has a name only where its sessions are redirected.
+    """
     members = list(members)
+    serving = [member for member in members if member.state != "stopped"]
     names = {
-        m.domain: STICKY_DOMAIN_PREFIX + m.domain
-        for m in members
-        if m.domain is not None and m.state != "stopped"
+        member.domain: STICKY_DOMAIN_PREFIX + member.domain for member in serving if member.domain is not None
     }
-    names |= {m.route or m.id: m.id for m in members if m.state != "stopped"}
+    names |= {member.route or member.id: member.id for member in serving}
     for member in members:
         if member.state == "stopped" and member.redirect in names:
             names[member.route or member.id] = names[member.redirect]
--- a/loadbalancer/discovery/json_stream.py
+++ b/loadbalancer/discovery/json_stream.py
@@ -1,7 +1,8 @@
-"""Whole JSON values out of a stream that is cut anywhere: one a line, or each spread over lines by indentation.
+"""Complete JSON values out of a stream that is cut anywhere. No I/O.
 
-Pure: bytes in, values out. A string holds no line end (RFC 8259, section 7), so each line is judged by itself: its
-brackets outside of strings are counted, and a value is whole where the count is back at nothing.
+A value stands on one line, or is spread over lines by indentation. A string holds no line end (RFC 8259, section 7), so
+each line is judged by itself: its brackets outside of strings are counted, and a value is complete where the count is
+back at zero.
 """
 
 from __future__ import annotations
@@ -11,89 +12,109 @@
 
 import orjson
 
-#: A string; also one with a quote or backslash of its own.
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-#: What a line may end with, and the next one then begin with, inside of a value.
-OPEN_END, CLOSING = b"{[,:", b"}],:"
+"""A string, also one with escaped quotes or backslashes."""
+CONTINUED_ENDINGS = b"{[,:"
+"""What a line may end with where the next one continues the value."""
+CONTINUING_STARTS = b"}],:"
+"""What a line may begin with where it continues the value of a line with any other ending."""
 
 
 class JsonValues:
-    """Frames what comes. `most`: bytes that a value may have, which bounds what is held."""
+    """Collects complete values.
+
+    Args:
+        most: Bytes that a value may have; bounds what is held.
+    """
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self._line = bytearray()  # that has not ended
-        self._lines: list[bytes] = []  # of the value that is not whole
-        self._held = 0  # bytes of these
+        self.max_bytes = most
+        self._line = bytearray()  # the line that has not ended
+        self._lines: list[bytes] = []  # of the value that is not complete
+        self._held_bytes = 0  # of these lines
         self._depth = 0  # brackets open at their end
 
     @property
     def is_inside(self) -> bool:
-        """Whether a value has begun and is not whole."""
+        """Whether a value has begun and is not complete."""
         return bool(self._lines) or bool(self._line.strip())
 
     def feed(self, data: bytes) -> list[object]:
-        """The values that are whole by now. ValueError where what came is none, or is too long."""
+        """Take more bytes.
+
+        Returns:
+            The values that are complete by now.
+
+        Raises:
+            ValueError: What came is no value, or is too long.
+        """
         values: list[object] = []
         *lines, rest = data.split(b"\n")
         for line in lines:
-            whole = bytes(self._line) + line
+            complete_line = bytes(self._line) + line
             self._line.clear()
-            values += self._end_line(whole)
+            values += self._end_line(complete_line)
         self._line += rest
-        if self._held + len(self._line) > self.most:
-            raise ValueError(f"a value of over {self.most} bytes")
-        if rest.rstrip()[-1:] in (b"}", b"]") and self._ends_with(self._line):
-            last = bytes(self._line)  # whole, though nothing has come behind it
+        if self._held_bytes + len(self._line) > self.max_bytes:
+            raise ValueError(f"a value of over {self.max_bytes} bytes")
+        # A value may be complete though no line end has come behind it.
+        if rest.rstrip()[-1:] in (b"}", b"]") and self._completes_value(self._line):
+            complete_line = bytes(self._line)
             self._line.clear()
-            values += self._end_line(last)
+            values += self._end_line(complete_line)
         return values
 
-    def _ends_with(self, line: bytes | bytearray) -> bool:
-        bare = STRING.sub(b"", line)
-        return b'"' not in bare and self._depth + _opened(bare) == 0
+    def _completes_value(self, line: bytes | bytearray) -> bool:
+        outside_strings = STRING.sub(b"", line)
+        return b'"' not in outside_strings and self._depth + _count_open_brackets(outside_strings) == 0
 
     def _end_line(self, line: bytes) -> list[object]:
         line = line.strip()
         if not line:
-            if self._lines:  # the service rests, and says so: what came before was cut off
+            if self._lines:  # an empty line is a heartbeat between values
                 raise ValueError("a value without its end")
             return []
-        if not self._lines and (values := _read_one(line)):  # the usual form needs no brackets counted
-            return values
-        if self._lines and self._lines[-1][-1] not in OPEN_END and line[0] not in CLOSING:
+        if not self._lines:
+            values = _decode_one(line)  # the usual form needs no brackets counted
+            if values:
+                return values
+        elif self._lines[-1][-1] not in CONTINUED_ENDINGS and line[0] not in CONTINUING_STARTS:
             raise ValueError("another value inside of one")
-        bare = STRING.sub(b"", line)
-        if b'"' in bare:
+        return self._add_line(line)
+
+    def _add_line(self, line: bytes) -> list[object]:
+        """Add a line to the value that is not complete; that value where the line completes it."""
+        outside_strings = STRING.sub(b"", line)
+        if b'"' in outside_strings:
             raise ValueError("a string without its end")
-        self._depth += _opened(bare)
+        self._depth += _count_open_brackets(outside_strings)
         self._lines.append(line)
-        self._held += len(line) + 1
+        self._held_bytes += len(line) + 1
         if self._depth > 0:
             return []
-        value, self._lines, self._held, self._depth = b"\n".join(self._lines), [], 0, 0
-        return _read(value)
-
-
-def _opened(bare: bytes) -> int:
-    """Brackets that a line without its strings leaves open; under 0 where it closes more."""
-    return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+        text = b"\n".join(self._lines)
+        self._lines = []
+        self._held_bytes = 0
+        self._depth = 0
+        return _decode_one(text) or _decode_several(text.decode())
 
 
-def _read(text: bytes) -> list[object]:
-    """One value, or several on one line."""
-    return _read_one(text) or _read_several(text.decode())
+def _count_open_brackets(outside_strings: bytes) -> int:
+    """Brackets that a line without its strings leaves open; negative where it closes more."""
+    opened = outside_strings.count(b"{") + outside_strings.count(b"[")
+    return opened - outside_strings.count(b"}") - outside_strings.count(b"]")
 
 
-def _read_one(text: bytes) -> list[object]:
-    """Nothing where it is not one value."""
+def _decode_one(text: bytes) -> list[object]:
+    """The value, in a list; an empty list where the text is not one value."""
     try:
         return [orjson.loads(text)]
     except ValueError:
         return []
 
 
-def _read_several(text: str) -> list[object]:
+def _decode_several(text: str) -> list[object]:
+    """Several values on one line."""
     values = []
     try:
         while text:
--- a/loadbalancer/discovery/list_handoff.py
+++ b/loadbalancer/discovery/list_handoff.py
@@ -1,5 +1,6 @@
-"""A source's list of members as one instance hands it on to another: by names, since each numbers zones and kinds by
-its own configuration. Pure: values and bytes.
+"""A list of endpoints as one instance hands it to another. No I/O.
+
+Zones and kinds go by name, since each instance numbers them by its own configuration.
 """
 
 from __future__ import annotations
@@ -10,37 +11,48 @@
 from msgspec import Meta, Struct
 
 from loadbalancer.discovery.endpoint_source import Entry
-from loadbalancer.policy.events import (
-    EndpointEntry,
-    EndpointState,
-)
+from loadbalancer.policy.events import EndpointEntry, EndpointState
 
-#: Seconds since its source was last heard after which a list is handed on to nobody, and taken from nobody.
 AGE_MOST = 10.0
-MEMBERS_MOST = 50_000
+"""Seconds since the source was last heard after which a list is neither handed on nor taken."""
+MAX_ENDPOINTS = 50_000
+UNKNOWN_NUMBER = -1
+"""Number of a zone or kind that this instance's configuration does not name."""
 Text = Annotated[str, Meta(max_length=400)]
 
 
 class HandedEndpoint(Struct, array_like=True):
-    """One member; `zone` and `kind` by name, empty where they are not known."""
+    """One endpoint."""
 
-    server: Annotated[str, Meta(min_length=1, max_length=400)]
+    endpoint: Annotated[str, Meta(min_length=1, max_length=400)]
+    """Its id."""
     zone: Text
+    """Name of its zone; empty where it is not known."""
     cell: int
+    """Number of its cell."""
     kind: Text
+    """Name of its kind; empty where it is not known."""
     state: EndpointState
+    """What the source says of it."""
     weight: float
+    """Its share of the traffic, relative to the others."""
     started: float
+    """When it started, in Unix seconds; 0 for long ago."""
     host: Text
+    """Where it listens."""
     port: Annotated[int, Meta(ge=0, le=65535)]
+    """Where it listens."""
 
 
 class HandedList(Struct, array_like=True):
-    """`version`: as the source has it, None where it says none. `age`: seconds since it was last heard."""
+    """A list."""
 
     version: int | None
+    """As the source has it; None where it says none."""
     age: Annotated[float, Meta(ge=0, le=1e9)]
-    rows: Annotated[list[HandedEndpoint], Meta(max_length=MEMBERS_MOST)]
+    """Seconds since the source was last heard."""
+    endpoints: Annotated[list[HandedEndpoint], Meta(max_length=MAX_ENDPOINTS)]
+    """All endpoints."""
 
 
 def write(
@@ -50,46 +62,66 @@
     zones: Mapping[str, int],
     kinds: Mapping[str, int],
 ) -> bytes:
-    zone_names, kind_names = ({number: name for name, number in names.items()} for names in (zones, kinds))
-    rows = [
+    """Encode a list.
+
+    Args:
+        entries: All endpoints.
+        version: As the source has it.
+        age: Seconds since the source was last heard.
+        zones: This instance's numbers of zones, by name.
+        kinds: This instance's numbers of kinds, by name.
+    """
+    zone_names = {number: name for name, number in zones.items()}
+    kind_names = {number: name for name, number in kinds.items()}
+    endpoints = [
         HandedEndpoint(
-            one.endpoint,
-            zone_names.get(one.zone, ""),
-            one.cell,
-            kind_names.get(one.kind, ""),
-            one.state,
-            one.weight,
-            one.started,
+            entry.endpoint,
+            zone_names.get(entry.zone, ""),
+            entry.cell,
+            kind_names.get(entry.kind, ""),
+            entry.state,
+            entry.weight,
+            entry.started,
             host,
             port,
         )
-        for one, (host, port) in entries
+        for entry, (host, port) in entries
     ]
-    return msgspec.msgpack.encode(HandedList(version, age, rows))
+    return msgspec.msgpack.encode(HandedList(version, age, endpoints))
 
 
 def read(data: bytes, zones: Mapping[str, int], kinds: Mapping[str, int]) -> tuple[list[Entry], HandedList]:
-    """ValueError for what is no list, or too old."""
+    """Decode a list.
+
+    Args:
+        data: What `write` has made.
+        zones: This instance's numbers of zones, by name.
+        kinds: This instance's numbers of kinds, by name.
+
+    Returns:
+        The endpoints that exist, and the list as it came.
+
+    Raises:
+        ValueError: The bytes are no list, or the list is too old.
+    """
     try:
-        found = msgspec.msgpack.decode(data, type=HandedList)
+        handed = msgspec.msgpack.decode(data, type=HandedList)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
         raise ValueError(f"no list: {problem}") from None
-    if found.age > AGE_MOST:
-        raise ValueError(f"heard {found.age:.0f} s ago; at most {AGE_MOST:.0f}")
-    entries: list[Entry] = [
-        (
-            EndpointEntry(
-                row.server,
-                zones.get(row.zone, -1),
-                row.cell,
-                kinds.get(row.kind, -1),
-                row.state,
-                row.weight,
-                row.started,
-            ),
-            (row.host, row.port),
+    if handed.age > AGE_MOST:
+        raise ValueError(f"heard {handed.age:.0f} s ago; at most {AGE_MOST:.0f}")
+    entries: list[Entry] = []
+    for endpoint in handed.endpoints:
+        if endpoint.state == EndpointState.GONE:
+            continue
+        entry = EndpointEntry(
+            endpoint.endpoint,
+            zones.get(endpoint.zone, UNKNOWN_NUMBER),
+            endpoint.cell,
+            kinds.get(endpoint.kind, UNKNOWN_NUMBER),
+            endpoint.state,
+            endpoint.weight,
+            endpoint.started,
         )
-        for row in found.rows
-        if row.state != EndpointState.GONE
-    ]
-    return entries, found
+        entries.append((entry, (endpoint.host, endpoint.port)))
+    return entries, handed
--- a/loadbalancer/discovery/overrides.py
+++ b/loadbalancer/discovery/overrides.py
@@ -1,16 +1,17 @@
-"""What operators say of members, over what sources say. Pure: no I/O, and no clock but the times that are handed in.
+"""Administrative overrides of one pool, above what its source lists. No I/O, no clock but the one handed in.
 
 The order of the two layers, from what counts most:
 
-1. A member that no source lists and no operator has added gets nothing, whatever marks say. The mark stays for its
-   return.
+1. An endpoint that no source lists and no operator has added gets nothing, whatever its override; the override stays
+   for its return.
 2. An operator's `cordon` (nothing at all), then `drain` (its sessions go on where the pool says so), stand above the
-   source's state; `weight` above the source's. `drain` does not lift a source's stop.
-3. A member that an operator has added stands beside the source's. Once the source lists its id, the source's word
-   counts and the addition is over.
-4. A frozen source is heard and not followed: what it says last counts from the thaw on.
+   source's state; `weight` above the source's. `drain` does not lift a stop of the source.
+3. An endpoint that an operator has added stands beside the source's. Once the source lists its id, the source counts
+   and the addition is over.
+4. A frozen source is heard and not followed: its last list counts from the thaw on.
 
-A mark ends by its time, by `uncordon`, or by being set anew: of two operators the later counts, and who it was is kept.
+An override ends by its time, by `uncordon`, or by being set anew: of two operators the later counts, and who it was is
+kept.
 """
 
 from __future__ import annotations
@@ -18,32 +19,39 @@
 from dataclasses import dataclass, field, replace
 from typing import Callable, Literal, Mapping, Protocol
 
-from loadbalancer.discovery.endpoint_source import EndpointListener, Entry
-from loadbalancer.policy.events import (
-    EndpointEntry,
-    EndpointState,
-)
+from loadbalancer.discovery.endpoint_source import Address, EndpointListener, Entry
+from loadbalancer.policy.events import EndpointEntry, EndpointState
 
 OverrideState = Literal["cordon", "drain"]
 
 
 @dataclass(frozen=True, slots=True)
 class AdminOverride:
-    """What is said of one member of a pool. `until`: Unix seconds, 0 for no end. `address`: of an added one."""
+    """What operators say of one endpoint of a pool. Its fields' names are keys in the store and on the wire."""
 
     word: OverrideState | None = None
+    """The state; None for that of the source."""
     weight: float | None = None
+    """The weight; None for that of the source."""
     until: float = 0.0
+    """When it ends, in Unix seconds; 0 for never."""
     by: str = ""
+    """Which operator has set it."""
     reason: str = ""
+    """Why, in the operator's words."""
     at: float = 0.0
+    """When it was set, in Unix seconds."""
     address: tuple[str, int] | None = None
-    since: float = 0.0  # when it was added: it counts as started then
+    """Where an added endpoint listens."""
+    since: float = 0.0
+    """When it was added, in Unix seconds; it counts as started then."""
 
     def is_over(self, now: float) -> bool:
+        """Whether it has ended by this Unix time, in seconds."""
         return 0 < self.until <= now
 
     def says_nothing(self) -> bool:
+        """Whether it changes nothing."""
         return self.word is None and self.weight is None and self.address is None
 
 
@@ -51,45 +59,59 @@
     """Who gets the list that both layers make."""
 
     def cordon(self, server: str, out: bool) -> None:
-        """Leave this member out, or use it again."""
+        """Leave this endpoint out, or use it again."""
 
 
 @dataclass(slots=True)
 class _Layers:
-    listed: dict[str, Entry] = field(default_factory=dict)  # as the source has said last
-    marks: dict[str, AdminOverride] = field(default_factory=dict)
+    listed: dict[str, Entry] = field(default_factory=dict)
+    """As the source listed them last."""
+    overrides: dict[str, AdminOverride] = field(default_factory=dict)
+    """By endpoint."""
 
 
 class EndpointOverrides:
-    """The layers of one pool, between its source and its module. It is the taker of the source's lists."""
+    """Both layers of one pool, between its source and its policy; it takes the source's lists."""
 
     def __init__(
         self, told: OverriddenListListener, marks: Mapping[str, AdminOverride], now: Callable[[], float]
     ) -> None:
-        self.told, self._now = told, now
-        self._layers = _Layers(marks={name: mark for name, mark in marks.items() if not mark.is_over(now())})
-        self._out: set[str] = set()  # cordoned, as the module knows it
+        """Begin without a list.
+
+        Args:
+            told: Gets the list that both layers make.
+            marks: Overrides from before, by endpoint; those that have ended are dropped.
+            now: Unix seconds.
+        """
         self.frozen = False
-        self._heard: dict[str, Entry] | None = None  # of a frozen source
+        self._listener = told
+        self._now = now
+        current = {endpoint: override for endpoint, override in marks.items() if not override.is_over(now())}
+        self._layers = _Layers(overrides=current)
+        self._cordoned: set[str] = set()  # as the listener knows it
+        self._heard: dict[str, Entry] | None = None  # the list of a frozen source
 
     @property
     def marks(self) -> Mapping[str, AdminOverride]:
-        return self._layers.marks
+        """The overrides, by endpoint."""
+        return self._layers.overrides
 
     def listed(self) -> Mapping[str, Entry]:
-        """As the source has it and is followed."""
+        """The source's list, as it is followed."""
         return self._layers.listed
 
     def knows(self, member: str) -> bool:
-        return member in self._layers.listed or self._added(member) is not None
+        """Whether the source lists this endpoint, or an operator has added it."""
+        return member in self._layers.listed or self._is_added(member)
 
-    def _added(self, member: str) -> AdminOverride | None:
-        mark = self._layers.marks.get(member)
-        return mark if mark is not None and mark.address is not None else None
+    def _is_added(self, endpoint: str) -> bool:
+        override = self._layers.overrides.get(endpoint)
+        return override is not None and override.address is not None
 
-    # The source's side.
+    # Called by the source.
 
     def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
+        """Take a list of the source, or a change to it; see `EndpointListener`."""
         listed = {} if whole else dict(self._layers.listed if self._heard is None else self._heard)
         for entry, address in entries:
             if entry.state == EndpointState.GONE:
@@ -100,73 +122,82 @@
             self._heard = listed
             return
         self._layers.listed = listed
-        self._tell(stale)
+        self._notify(stale)
 
     def list_failed(self, busy: bool = False) -> None:
-        self.told.list_failed(busy)
+        """Pass a failure of the source on."""
+        self._listener.list_failed(busy)
 
-    # The operators' side.
+    # Called for operators.
 
     def mark(self, member: str, mark: AdminOverride) -> None:
-        """Say this of a member, in place of what was said before."""
+        """Set an endpoint's override, in place of the one before; one that says nothing removes it."""
         if mark.says_nothing():
-            self._layers.marks.pop(member, None)
+            self._layers.overrides.pop(member, None)
         else:
-            self._layers.marks[member] = mark
-        self._tell()
+            self._layers.overrides[member] = mark
+        self._notify()
 
     def freeze(self, on: bool) -> None:
+        """Stop following the source, or follow it again."""
         if on == self.frozen:
             return
         self.frozen = on
-        heard, self._heard = self._heard, None
+        heard = self._heard
+        self._heard = None
         if not on and heard is not None:
             self._layers.listed = heard
-            self._tell()
+            self._notify()
 
     def expire(self) -> list[str]:
-        """The members whose marks have ended by now."""
-        now = self._now()
-        over = [member for member, mark in self._layers.marks.items() if mark.is_over(now)]
-        for member in over:
-            del self._layers.marks[member]
-        if over:
-            self._tell()
-        return over
+        """Remove the overrides that have ended by now.
 
-    # Both.
+        Returns:
+            Their endpoints.
+        """
+        now = self._now()
+        ended = [endpoint for endpoint, override in self._layers.overrides.items() if override.is_over(now)]
+        for endpoint in ended:
+            del self._layers.overrides[endpoint]
+        if ended:
+            self._notify()
+        return ended
 
     def entries(self) -> list[Entry]:
         """The list that both layers make."""
         layers = self._layers
-        found = {
-            name: (self._under(entry, layers.marks.get(name)), address)
-            for name, (entry, address) in layers.listed.items()
+        merged = {
+            endpoint: (_override_entry(entry, layers.overrides.get(endpoint)), address)
+            for endpoint, (entry, address) in layers.listed.items()
         }
-        for name, mark in layers.marks.items():
-            if name not in found and mark.address is not None:
-                found[name] = self._under(EndpointEntry(name, started=mark.since), mark), mark.address
-        return list(found.values())
-
-    @staticmethod
-    def _under(entry: EndpointEntry, mark: AdminOverride | None) -> EndpointEntry:
-        if mark is None:
-            return entry
-        if mark.weight is not None:
-            entry = entry._replace(weight=mark.weight)
-        if mark.word == "drain" and entry.state == EndpointState.READY:
-            entry = entry._replace(state=EndpointState.DRAINING)
-        return entry
+        for endpoint, override in layers.overrides.items():
+            if endpoint not in merged and override.address is not None:
+                added = EndpointEntry(endpoint, started=override.since)
+                merged[endpoint] = _override_entry(added, override), override.address
+        return list(merged.values())
+
+    def _notify(self, stale: bool = False) -> None:
+        """The listener first hears who is cordoned, so that a new list brings nothing to them."""
+        cordoned = {
+            endpoint for endpoint, override in self._layers.overrides.items() if override.word == "cordon"
+        }
+        for endpoint in sorted(cordoned - self._cordoned):
+            self._listener.cordon(endpoint, True)
+        self._listener.take_list(self.entries(), whole=True, stale=stale)
+        for endpoint in sorted(self._cordoned - cordoned):
+            self._listener.cordon(endpoint, False)
+        self._cordoned = cordoned
+
 
-    def _tell(self, stale: bool = False) -> None:
-        """The module first hears who is out, so that a new list brings nothing to them."""
-        out = {name for name, mark in self._layers.marks.items() if mark.word == "cordon"}
-        for name in sorted(out - self._out):
-            self.told.cordon(name, True)
-        self.told.take_list(self.entries(), whole=True, stale=stale)
-        for name in sorted(self._out - out):
-            self.told.cordon(name, False)
-        self._out = out
+def _override_entry(entry: EndpointEntry, override: AdminOverride | None) -> EndpointEntry:
+    """A source's entry with the override's weight and state."""
+    if override is None:
+        return entry
+    if override.weight is not None:
+        entry = entry._replace(weight=override.weight)
+    if override.word == "drain" and entry.state == EndpointState.READY:
+        entry = entry._replace(state=EndpointState.DRAINING)
+    return entry
 
 
 def merge_override(
@@ -178,12 +209,24 @@
     *,
     word: OverrideState | None = None,
     weight: float | None = None,
-    address: tuple[str, int] | None = None,
+    address: Address | None = None,
     lift: bool = False,
 ) -> AdminOverride:
-    """What stands of a member after one more word: the rest of what was said before stays. `lift`: cordon and drain
-    end."""
+    """An endpoint's override after one more change; what the change does not say stays as it was.
+
+    Args:
+        before: The override so far.
+        now: Unix seconds.
+        by: Which operator.
+        reason: Why.
+        until: When it ends, in Unix seconds; 0 for never.
+        word: The new state.
+        weight: The new weight.
+        address: Where an added endpoint listens.
+        lift: Whether cordon and drain end.
+    """
     base = before or AdminOverride()
+    added_at = now if address is not None else 0.0
     return replace(
         base,
         word=None if lift else word or base.word,
@@ -193,5 +236,5 @@
         by=by,
         reason=reason,
         at=now,
-        since=base.since or (now if address is not None else 0.0),
+        since=base.since or added_at,
     )
--- a/loadbalancer/discovery/platform_overrides.py
+++ b/loadbalancer/discovery/platform_overrides.py
@@ -1,7 +1,7 @@
-"""What operators say of members, over what lists say: which are left out, by id.
+"""Administrative overrides on the platform: which endpoints are cordoned, by id. No I/O.
 
-No I/O: who keeps the marks hands over `save`, and tells when another process has changed them. The module hears of
-each change and rules; this is the memory of it, and of which ids were ever listed.
+Whoever stores the overrides hands over an `OverrideStore`, and calls `follow` when another process has changed them.
+The policy is notified of each change.
 """
 
 from __future__ import annotations
@@ -11,154 +11,197 @@
 
 import orjson
 
-#: Ids that were listed once, the latest ones; a long day brings new ones without end.
-LISTED_MOST = 20_000
-#: Form of the file. One of a later form is not half believed.
-VERSION = 1
+from loadbalancer.discovery.errors import OverridesError
 
+MAX_LISTED_IDS = 20_000
+"""Ids that were listed once and are remembered, the latest ones: a long day brings new ones without end."""
+FORM_VERSION = 1
+"""Version of the file's form; another one is refused as a whole."""
 
-class OverridesError(ValueError):
-    """What is no list of marks."""
+CordonTimes = Mapping[str, float]
+"""When each endpoint was cordoned, in Unix seconds, by id."""
 
 
-def encode(marks: Mapping[str, float]) -> bytes:
-    """Marks as bytes: a JSON object with a check sum over what it holds. `marks`: when each was made, Unix seconds."""
+def encode(marks: CordonTimes) -> bytes:
+    """The file's content: a JSON object with a checksum over what it holds."""
     body = orjson.dumps(dict(marks), option=orjson.OPT_SORT_KEYS)
-    box = {"version": VERSION, "sum": hashlib.sha256(body).hexdigest(), "out": dict(marks)}
-    return orjson.dumps(box, option=orjson.OPT_SORT_KEYS) + b"\n"
+    content = {"version": FORM_VERSION, "sum": hashlib.sha256(body).hexdigest(), "out": dict(marks)}
+    return orjson.dumps(content, option=orjson.OPT_SORT_KEYS) + b"\n"
 
 
 def decode(data: bytes) -> dict[str, float]:
-    """MarksError where anything is not as `encode` wrote it: cut, flipped, foreign, of a later form."""
+    """Read the file's content.
+
+    Raises:
+        OverridesError: Anything is not as `encode` wrote it: cut, damaged, foreign, of a later form.
+    """
     try:
-        box = orjson.loads(data)
+        content = orjson.loads(data)
     except ValueError:
         raise OverridesError("not JSON; cut or foreign") from None
-    if not isinstance(box, dict) or "version" not in box:
+    if not isinstance(content, dict) or "version" not in content:
         raise OverridesError("not a file of marks")
-    if box["version"] != VERSION:
-        raise OverridesError(f"of version {box['version']!r}; this program knows {VERSION}")
-    out = box.get("out")
+    if content["version"] != FORM_VERSION:
+        raise OverridesError(f"of version {content['version']!r}; this program knows {FORM_VERSION}")
+    out = content.get("out")
     if not isinstance(out, dict) or not all(isinstance(at, (int, float)) for at in out.values()):
         raise OverridesError("its marks are no times by id")
-    marks = {str(member): float(at) for member, at in out.items()}
-    if encode(marks) != data:
+    cordoned = {str(endpoint): float(at) for endpoint, at in out.items()}
+    if encode(cordoned) != data:
         raise OverridesError("its check sum does not fit")
-    return marks
+    return cordoned
 
 
 class OverrideListener(Protocol):
-    """Who is told of each change."""
+    """Who is notified of each change."""
 
-    def cordon(self, server: str, out: bool) -> None: ...
+    def cordon(self, server: str, out: bool) -> None:
+        """Leave an endpoint out, or use it again."""
 
 
 Change = Callable[[dict[str, float]], None]
-#: What became of a change: all marks as they are kept now, why they could not be kept, or None while that takes long.
-Kept = Mapping[str, float] | OSError | None
+"""Applies a change to the stored overrides."""
+Kept = CordonTimes | OSError | None
+"""What became of a change: all overrides as they are stored now, why they could not be, or None while it takes long."""
 
 
 class OverrideStore(Protocol):
-    """Where marks outlive the process."""
+    """Where overrides outlive the process."""
 
     def keep(self, change: Change, done: Callable[[Kept], None]) -> None:
-        """Change the kept marks, in the order of the calls. `done` hears the result once, and None before it where
-        it takes long."""
+        """Change the stored overrides, in the order of the calls.
+
+        Args:
+            change: Applies the change.
+            done: Gets the result once, and None before it where it takes long.
+        """
 
 
-class _Asked:
-    """A change that is in force and not known to be kept."""
+class _PendingChange:
+    """A change that is in force and not known to be stored."""
 
-    __slots__ = ("member", "out", "at", "answered")
+    __slots__ = ("answered", "at", "cordoned", "endpoint")
 
-    def __init__(self, member: str, out: bool, at: float) -> None:
-        self.member, self.out, self.at, self.answered = member, out, at, False
+    def __init__(self, endpoint: str, cordoned: bool, at: float) -> None:
+        self.endpoint = endpoint
+        self.cordoned = cordoned
+        self.at = at  # Unix seconds
+        self.answered = False  # the caller has had an answer
 
-    def change(self, marks: dict[str, float]) -> None:
-        if self.out:
-            marks.setdefault(self.member, self.at)
+    def apply(self, overrides: dict[str, float]) -> None:
+        """Change these overrides."""
+        if self.cordoned:
+            overrides.setdefault(self.endpoint, self.at)
         else:
-            marks.pop(self.member, None)
+            overrides.pop(self.endpoint, None)
+
+
+def _log_nothing(event: str, problem: object) -> None:
+    """Drop an event."""
 
 
 class PlatformOverrides:
-    """The members that are left out, and the ids that may be.
+    """The endpoints that are cordoned, and the ids that may be.
 
-    What is in force is what is kept, and over it, in their order, the changes asked for since: a call counts at
-    once, and no wait for a disk holds anything up. A change that can't be kept is taken back, unless its caller
-    has been told yes because keeping took long; then it stays in force here."""
+    In force is what is stored and, over it, in their order, the changes asked for since: a call counts at once, and no
+    wait for a disk holds anything up. A change that cannot be stored is taken back, unless its caller has had its
+    answer because storing took long; then it stays in force here.
+    """
 
     def __init__(
         self,
         told: OverrideListener,
         keeper: OverrideStore | None,
         clock: Callable[[], float],
-        logger: Callable[[str, object], None] = lambda what, problem: None,
+        logger: Callable[[str, object], None] = _log_nothing,
     ) -> None:
-        """`keeper`: None where marks end with the process. `clock`: Unix seconds."""
-        self.told, self._keeper, self._clock, self._logger = told, keeper, clock, logger
-        self.out: dict[str, float] = {}
-        self._kept: dict[str, float] = {}
-        self._asked: list[_Asked] = []
-        self._listed: dict[str, None] = {}  # the oldest first
+        """Begin without overrides.
+
+        Args:
+            told: Is notified of each change.
+            keeper: Stores changes; None where overrides end with the process.
+            clock: Unix seconds.
+            logger: Gets events.
+        """
+        self.out: dict[str, float] = {}  # in force: when each was cordoned, Unix seconds
+        self._listener = told
+        self._store = keeper
+        self._clock = clock
+        self._logger = logger
+        self._stored: dict[str, float] = {}
+        self._pending: list[_PendingChange] = []
+        self._listed: dict[str, None] = {}  # ids, the oldest first
 
     def listed(self, members: Iterable[str]) -> None:
-        """These are on a list now."""
-        for member in members:
-            if member not in self._listed:
-                self._listed[member] = None
-                if len(self._listed) > LISTED_MOST:
+        """Note that these endpoints are on a list."""
+        for endpoint in members:
+            if endpoint not in self._listed:
+                self._listed[endpoint] = None
+                if len(self._listed) > MAX_LISTED_IDS:
                     del self._listed[next(iter(self._listed))]
 
     def mark(self, member: str, out: bool, done: Callable[[str | None], None]) -> None:
-        """Leave a member out, or use it again; it is so at once. `done` hears None once that is kept or keeping it
-        takes long, or why it could not be kept and is taken back. Calls may come twice.
+        """Cordon an endpoint, or use it again; it is so at once. Calls may come twice.
 
-        LookupError: no member of this id was ever listed."""
+        Args:
+            member: Its id.
+            out: Whether it is cordoned.
+            done: Gets None once that is stored or storing it takes long, or why it could not be stored and is taken
+                back.
+
+        Raises:
+            LookupError: No endpoint of this id was ever listed.
+        """
         if member not in self._listed and member not in self.out:
             raise LookupError(member)
-        asked = _Asked(member, out, self._clock())
-        if self._keeper is None:
-            asked.change(self._kept)
+        change = _PendingChange(member, out, self._clock())
+        if self._store is None:
+            change.apply(self._stored)
             self._apply()
             done(None)
             return
-        # A call on the same member that could not be kept ends with this one.
-        self._asked = [one for one in self._asked if one.member != member or not one.answered]
-        self._asked.append(asked)
+        # An answered change of the same endpoint that could not be stored ends with this one.
+        self._pending = [
+            pending for pending in self._pending if pending.endpoint != member or not pending.answered
+        ]
+        self._pending.append(change)
         self._apply()
-        self._keeper.keep(asked.change, lambda kept: self._result(asked, kept, done))
+        self._store.keep(change.apply, lambda kept: self._on_result(change, kept, done))
 
-    def _result(self, asked: _Asked, kept: Kept, done: Callable[[str | None], None]) -> None:
-        if isinstance(kept, OSError) and asked.answered:
-            self._logger("a mark is in force here and not kept", f"{asked.member}: {kept}")
+    def _on_result(self, change: _PendingChange, kept: Kept, done: Callable[[str | None], None]) -> None:
+        if isinstance(kept, OSError) and change.answered:
+            self._logger("a mark is in force here and not kept", f"{change.endpoint}: {kept}")
             return
         problem = None
         if kept is None:
-            self._logger("marks are kept late", asked.member)
+            self._logger("marks are kept late", change.endpoint)
+        elif isinstance(kept, OSError):
+            self._forget(change)
+            problem = f"the mark could not be kept, so nothing has changed: {kept}"
+            self._apply()
         else:
-            if asked in self._asked:
-                self._asked.remove(asked)
-            if isinstance(kept, OSError):
-                problem = f"the mark could not be kept, so nothing has changed: {kept}"
-                self._apply()
-            else:
-                self.follow(kept)
-        if not asked.answered:
-            asked.answered = True
+            self._forget(change)
+            self.follow(kept)
+        if not change.answered:
+            change.answered = True
             done(problem)
 
-    def follow(self, marks: Mapping[str, float]) -> None:
-        """These are kept from now on, whoever made them; what differs is told."""
-        self._kept = dict(marks)
+    def _forget(self, change: _PendingChange) -> None:
+        if change in self._pending:
+            self._pending.remove(change)
+
+    def follow(self, marks: CordonTimes) -> None:
+        """Take these overrides as stored, whoever made them; the listener is notified of what differs."""
+        self._stored = dict(marks)
         self._apply()
 
     def _apply(self) -> None:
-        before, now = self.out, dict(self._kept)
-        for asked in self._asked:
-            asked.change(now)
+        before = self.out
+        now = dict(self._stored)
+        for change in self._pending:
+            change.apply(now)
         self.out = now
-        for member in [member for member in before if member not in now]:
-            self.told.cordon(member, False)
-        for member in [member for member in now if member not in before]:
-            self.told.cordon(member, True)
+        for endpoint in [endpoint for endpoint in before if endpoint not in now]:
+            self._listener.cordon(endpoint, False)
+        for endpoint in [endpoint for endpoint in now if endpoint not in before]:
+            self._listener.cordon(endpoint, True)
--- a/loadbalancer/hot_restart/shared_files.py
+++ b/loadbalancer/hot_restart/shared_files.py
@@ -15,7 +15,8 @@
 from pathlib import Path
 from typing import Callable, Iterator, Mapping
 
-from loadbalancer.discovery.platform_overrides import OverridesError, decode, encode
+from loadbalancer.discovery.errors import OverridesError
+from loadbalancer.discovery.platform_overrides import decode, encode
 from loadbalancer.hot_restart.startup_pacing import LIFE
 from loadbalancer.resource_limits import RateLimitedLogger
 
--- a/tests/test_marks.py
+++ b/tests/discovery/test_platform_overrides.py
@@ -11,10 +11,10 @@
 
 import pytest
 
+from loadbalancer.discovery.errors import OverridesError
 from loadbalancer.discovery.platform_overrides import (
     Change,
     Kept,
-    OverridesError,
     PlatformOverrides,
     decode,
     encode,
--- a/tests/test_discovery.py
+++ b/tests/discovery/test_watch.py
@@ -12,6 +12,7 @@
 from peers import OK, SETTINGS, ScriptedBackend, ScriptedDiscovery, World, answering, play, request, world
 
 from loadbalancer.discovery import watch as discovery_module
+from loadbalancer.discovery import watch_connection
 from loadbalancer.policy.events import (
     EndpointEntry,
     EndpointList,
@@ -170,8 +171,8 @@
 
 
 def test_a_silent_watch_is_dead_and_heartbeats_keep_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "SILENT_S", 0.05)
-    monkeypatch.setattr(discovery_module, "FIRST_S", 0.05)
+    monkeypatch.setattr(watch_connection, "SILENT_S", 0.05)
+    monkeypatch.setattr(watch_connection, "FIRST_S", 0.05)
 
     async def scene() -> None:
         async with world(settings=ASKED) as here:
@@ -185,7 +186,7 @@
 
 def test_a_silence_of_our_own_is_not_the_services(monkeypatch: pytest.MonkeyPatch) -> None:
     """The process stands still for longer than a silence; what came meanwhile waits in the kernel."""
-    monkeypatch.setattr(discovery_module, "SILENT_S", 0.2)
+    monkeypatch.setattr(watch_connection, "SILENT_S", 0.2)
 
     async def scene() -> None:
         async with world(settings=ASKED) as here:
@@ -202,11 +203,11 @@
     def stand_still(loop: asyncio.AbstractEventLoop, here: World, for_s: float) -> None:
         """As after SIGSTOP: the bytes are there, and so is the end of the silence."""
         asked = here.proxy.source.current  # type: ignore[union-attr]
-        assert asked is not None and asked.silence is not None
+        assert asked is not None and asked._silence is not None
         here.discovery.writers[-1].write(b"1\r\n\n\r\n")
         time.sleep(for_s)
-        asked.silence.cancel()
-        asked._doubt()  # whatever the order in which a loop looks at timers and sockets
+        asked._silence.cancel()
+        asked._on_silence()  # whatever the order in which a loop looks at timers and sockets
         time.sleep(for_s)
 
     play(scene)
@@ -255,7 +256,7 @@
 def test_a_list_that_does_not_come_to_its_end_is_asked_for_anew(
     how: Callable[[World], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery_module, "SILENT_S", 0.2)
+    monkeypatch.setattr(watch_connection, "SILENT_S", 0.2)
 
     async def scene() -> None:
         async with world(settings=ASKED) as here:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -23,7 +23,7 @@
     silent,
     world,
 )
-from test_discovery import until_lists
+from test_watch import until_lists
 
 from loadbalancer.deployment import read_deployment
 from loadbalancer.discovery.platform_overrides import PlatformOverrides
