--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -18,7 +18,7 @@
 from loadbalancer.frontends.dialect import Head, RejectError, Reply, RoutedRequest
 from loadbalancer.frontends.http1 import BODILESS, LINGER_S, READ_STALL_S, REASONS
 from loadbalancer.frontends.listener import Listener
-from loadbalancer.proxy.final_answers import own_status
+from loadbalancer.proxy.final_answers import frontend_proxy_status
 from loadbalancer.proxy.open_requests import OpenRequest
 from loadbalancer.resource_limits import BufferBudget
 from loadbalancer.streaming.streams import Stream
@@ -236,7 +236,7 @@
     def _reject(self, request: FcgiRequest, status: int, why: str) -> None:
         """Answered without the module; what still comes for it is thrown away until its STDIN has ended."""
         request.release_body()
-        lines = own_status(status) if self.listener.reader.names_itself else []
+        lines = frontend_proxy_status(status) if self.listener.reader.names_itself else []
         self.answered(request, status, REASONS.get(status, b"No Reason"), lines, why.encode() + b"\n", None)
 
     def _abort(self, request: FcgiRequest) -> None:
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -20,7 +20,7 @@
 from loadbalancer.frontends.connection import REQUEST_S, FrontConnection, Phase
 from loadbalancer.frontends.dialect import RejectError, Reply, RoutedRequest
 from loadbalancer.frontends.listener import Listener
-from loadbalancer.proxy.final_answers import own_status
+from loadbalancer.proxy.final_answers import frontend_proxy_status
 from loadbalancer.proxy.open_requests import OpenRequest
 from loadbalancer.streaming.streams import STALL_S, Stream
 from loadbalancer.streaming.tunnels import Tunnel
@@ -369,7 +369,7 @@
 
     def _own(self, status: int) -> list[bytes]:
         """What names an answer as ours."""
-        return own_status(status) if self.listener.reader.names_itself else []
+        return frontend_proxy_status(status) if self.listener.reader.names_itself else []
 
     def _turn_away(
         self, item: RoutedRequest, status: int, why: bytes, close: bool = True, lines: Sequence[bytes] = ()
--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -320,13 +320,13 @@
         noted = head.noted
         sent = pass_on(head, body, head.method in WITH_LENGTH)
         request = OpenRequest(client, 0, sent, body, head.method == b"HEAD")
-        request.most = to.attempts
-        request.repeat_on, request.repeat_statuses = to.repeat_on, to.repeat_statuses
+        request.max_attempts = to.attempts
+        request.retry_on, request.retry_statuses = to.repeat_on, to.repeat_statuses
         if to.upgrade and not body and (token := _upgrade_of(head, to.upgrade)):
             request.upgrade = token
             request.head += b"Connection: Upgrade\r\nUpgrade: %b\r\n" % token
         if to.rewrites is not None and to.rewrites.changes_answers:
-            request.edit = partial(
+            request.edit_headers = partial(
                 to.rewrites.answer,
                 base=(b"https://" if head.secure else b"http://") + head.target.authority.encode("latin-1"),
             )
--- /dev/null
+++ b/loadbalancer/proxy/answer_writer.py
@@ -0,0 +1,99 @@
+"""Final answers: what a client gets of a request that the policy rejects or fails, or that an endpoint has answered."""
+
+from __future__ import annotations
+
+from loadbalancer.metrics import RequestResult, result_of_status
+from loadbalancer.proxy.final_answers import (
+    FinalAnswer,
+    answer_failed,
+    answer_rejected,
+    is_better,
+    proxy_status,
+)
+from loadbalancer.proxy.open_requests import OpenRequest
+from loadbalancer.proxy.request_table import RequestTable
+from loadbalancer.resource_limits import BufferBudget
+from loadbalancer.upstreams.connections import UpstreamResponse
+from loadbalancer.upstreams.dialect import Dialect
+
+
+class AnswerWriter:
+    """Gives requests of one pool their final answers."""
+
+    def __init__(
+        self, table: RequestTable, budget: BufferBudget, dialect: Dialect, timeout_status: int
+    ) -> None:
+        """Write for one pool.
+
+        Args:
+            table: Where requests end.
+            budget: What kept answers are taken from.
+            dialect: What endpoints mean by their answers.
+            timeout_status: Of the answer to a request whose last attempt took too long.
+        """
+        self._table = table
+        self._budget = budget
+        self._dialect = dialect
+        self._timeout_status = timeout_status
+
+    def serve(self, request: OpenRequest, response: UpstreamResponse) -> None:
+        """Pass an endpoint's answer on."""
+        request.answered_by_endpoint = True
+        self._table.finish(request, RequestResult.PASSED)
+        self._pass_on(request, response)
+
+    def reject(self, request: OpenRequest, retry_after: float) -> None:
+        """Answer that trying again is harmless; `retry_after`: seconds, 0 to say nothing."""
+        lines = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after else []
+        self._write(request, answer_rejected(request.kept_error, request.last_result), lines)
+
+    def fail(self, request: OpenRequest) -> None:
+        """Answer that the request may have run."""
+        answer = answer_failed(
+            request.kept_error, request.is_unusable, request.last_result, self._timeout_status
+        )
+        self._write(request, answer, [])
+
+    def take_error(self, request: OpenRequest, response: UpstreamResponse) -> None:
+        """An endpoint has answered with a failure of its own.
+
+        It is kept for the client where it speaks of the way to the application, so that another attempt may do better;
+        otherwise it is the application's answer and is passed on.
+        """
+        if self._is_retryable(request, response):
+            self._keep_error(request, response)
+        else:
+            self._write(request, FinalAnswer(response), [])
+
+    def _is_retryable(self, request: OpenRequest, response: UpstreamResponse) -> bool:
+        if response.again:
+            return True
+        if request.retry_statuses is not None:
+            return response.status in request.retry_statuses
+        return self._dialect.repeats(response.status)
+
+    def _keep_error(self, request: OpenRequest, response: UpstreamResponse) -> None:
+        if not is_better(request.kept_error, response):
+            return
+        if not self._budget.take_upload(len(response.body)):
+            return
+        if request.kept_error is not None:
+            self._budget.release(len(request.kept_error.body))
+        request.kept_error = response
+
+    def _write(self, request: OpenRequest, answer: FinalAnswer, lines: list[bytes]) -> None:
+        """Answer a request; `lines`: header lines of the proxy's own answer."""
+        response = answer.endpoint_response
+        status = answer.status if response is None else response.status
+        self._table.finish(request, result_of_status(status))
+        if response is not None:
+            self._pass_on(request, response)
+            return
+        if not self._dialect.platform:
+            lines = [*lines, proxy_status(answer.error)]
+        request.client.answer(answer.status, lines, b"", close=answer.close)
+
+    @staticmethod
+    def _pass_on(request: OpenRequest, response: UpstreamResponse) -> None:
+        lines = request.response_lines(response)
+        request.client.answer(response.status, lines, response.body, False, response.length, response.reason)
--- /dev/null
+++ b/loadbalancer/proxy/attempt_runner.py
@@ -0,0 +1,181 @@
+"""Attempts: sent, timed, cancelled, and the one place where an attempt ends."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import Callable, Mapping, cast
+
+from loadbalancer.metrics import PoolMetrics
+from loadbalancer.policy.actions import Send
+from loadbalancer.policy.events import NEVER_RAN, AttemptResult, Event, Outcome
+from loadbalancer.proxy.answer_writer import AnswerWriter
+from loadbalancer.proxy.open_requests import OpenRequest, TransactionIds
+from loadbalancer.proxy.request_table import RequestTable
+from loadbalancer.proxy.response_streams import ResponseStreams
+from loadbalancer.upstreams.connections import Attempt, UpstreamPools, UpstreamResponse
+
+
+class PolicyClock:
+    """The policy's time: Unix time at the start and monotonic time since.
+
+    It only advances, and compares with the start times of endpoints.
+    """
+
+    def __init__(self) -> None:
+        self.epoch = time.time() - time.monotonic()
+
+    def now(self) -> float:
+        """Seconds."""
+        return self.epoch + time.monotonic()
+
+
+class AttemptRunner:
+    """Runs the attempts of one pool; each has exactly one outcome, which the policy is told."""
+
+    def __init__(
+        self,
+        table: RequestTable,
+        upstreams: UpstreamPools,
+        answers: AnswerWriter,
+        streams: ResponseStreams,
+        ids: TransactionIds,
+        metrics: PoolMetrics,
+        clock: PolicyClock,
+        post: Callable[[Event], None],
+    ) -> None:
+        self._table = table
+        self._upstreams = upstreams
+        self._answers = answers
+        self._streams = streams
+        self._ids = ids
+        self._metrics = metrics
+        self._clock = clock
+        self._post = post
+        self._loop = asyncio.get_running_loop()
+
+    def send(self, action: Send) -> None:
+        """Begin an attempt."""
+        request = self._table.open[action.request]
+        number = len(request.attempts)
+        attempt = Attempt(request, number, action.endpoint, self._clock.now(), action.timeout)
+        request.attempts.append(attempt)
+        request.open_attempts += 1
+        if request.done:
+            self.finish(attempt, AttemptResult.NOT_SENT)
+            return
+        if request.is_complete:
+            self._start_timer(attempt)
+        self._upstreams.send(attempt)
+
+    def restart_clocks(self, request: OpenRequest) -> None:
+        """Count the time of its open attempts from now on: the request's last byte has come."""
+        for attempt in request.attempts:
+            if not attempt.ended:
+                attempt.began = self._clock.now()
+                self._start_timer(attempt)
+
+    def _start_timer(self, attempt: Attempt) -> None:
+        attempt.timer = self._loop.call_later(attempt.timeout, self.time_out, attempt)
+
+    def time_out(self, attempt: Attempt) -> None:
+        """End an attempt that has taken too long.
+
+        What has not left whole has not run, and says more of the way to the endpoint than of its load.
+        """
+        attempt.timer = None
+        written = attempt.is_written()
+        attempt.drop()
+        if written:
+            self._upstreams.suspect(attempt)
+        self.finish(attempt, AttemptResult.TIMEOUT if written else AttemptResult.NO_CONNECTION)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """End an attempt whose answer nobody wants any more."""
+        if not attempt.ended:
+            attempt.drop()
+            self.finish(attempt, AttemptResult.CANCELLED)
+
+    def cancel_all(self, request: OpenRequest) -> None:
+        """End all attempts of a request, also where the policy may not cancel: its body never becomes whole."""
+        for attempt in list(request.attempts):
+            self.cancel(attempt)
+
+    def finish(
+        self,
+        attempt: Attempt,
+        result: AttemptResult,
+        report: Mapping[str, float] | None = None,
+        response: UpstreamResponse | None = None,
+    ) -> None:
+        """End an attempt: its request may get its answer, and the policy is told the outcome.
+
+        Args:
+            attempt: The attempt; one that has ended is passed over.
+            result: How it ended.
+            report: The load that the endpoint reports of itself.
+            response: Its answer, where it is held whole.
+        """
+        if attempt.ended:
+            return
+        attempt.ended = True
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+            attempt.timer = None
+        request = cast(OpenRequest, attempt.request)
+        self._count(request, attempt, result)
+        self._answer(request, attempt, result, response)
+        self._post_outcome(request, attempt, result, report)
+
+    def _count(self, request: OpenRequest, attempt: Attempt, result: AttemptResult) -> None:
+        request.open_attempts -= 1
+        request.last_result = result
+        if result not in NEVER_RAN:
+            request.may_have_run = True
+        self._metrics.tries[request.class_index] += attempt.is_written()
+
+    def _answer(
+        self,
+        request: OpenRequest,
+        attempt: Attempt,
+        result: AttemptResult,
+        response: UpstreamResponse | None,
+    ) -> None:
+        """Give the request its answer, if this attempt brings it."""
+        if attempt.number == request.streaming_attempt and not request.done:
+            self._streams.end(request, result)
+        if result == AttemptResult.UNUSABLE:
+            request.is_unusable = True
+            self._ids.found_unusable(request.transaction)
+        elif result == AttemptResult.ERROR and response is not None and not request.done:
+            self._answers.take_error(request, response)
+        if request.done:
+            if request.open_attempts == 0 and not request.is_released:
+                self._table.release(request)
+        elif result == AttemptResult.SERVED:
+            assert response is not None
+            self._answers.serve(request, response)
+
+    def _post_outcome(
+        self,
+        request: OpenRequest,
+        attempt: Attempt,
+        result: AttemptResult,
+        report: Mapping[str, float] | None,
+    ) -> None:
+        elapsed = self._clock.now() - attempt.began
+        time_to_first_byte = None
+        if attempt.answered_at:
+            time_to_first_byte = self._clock.epoch + attempt.answered_at - attempt.began
+        self._post(
+            Outcome(
+                request.id,
+                attempt.number,
+                attempt.server,
+                result,
+                elapsed,
+                request.done,
+                report,
+                time_to_first_byte,
+            )
+        )
--- a/loadbalancer/proxy/decision_trace.py
+++ b/loadbalancer/proxy/decision_trace.py
@@ -1,7 +1,7 @@
-"""Why a request went where it went: the decisions of the latest ones, in a bounded ring. Off unless it is configured.
+"""Why a request went where it went: the policy's decisions on the latest requests, in a bounded ring. No I/O.
 
-Pure: it is told each event and what the module ruled on it, and puts that into words when somebody asks. What clients
-sent is not kept but the id under which they know the request.
+Off unless it is configured. It is told each event and the actions on it, and describes them when somebody asks. Of what
+clients sent it keeps only the id under which they know the request.
 """
 
 from __future__ import annotations
@@ -10,164 +10,218 @@
 from collections import OrderedDict
 from typing import Any, Callable, NamedTuple, Sequence, Union
 
-from loadbalancer.policy.actions import (
-    Action,
-    Cancel,
-    Fail,
-    Reject,
-    Send,
-)
+from loadbalancer.policy.actions import Action, Cancel, Fail, Reject, Send
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
     AttemptResult,
+    BodyProgress,
     ClientCancelled,
     Event,
     Outcome,
     Request,
 )
 
-#: Steps of one request that are kept.
-STEPS_MOST = 40
-_ID = re.compile(rb"\r\nX-Request-Id: *([^\r\n]{1,200})\r\n", re.IGNORECASE)
+MAX_STEPS = 40
+"""Steps of one request that are kept."""
+MS_PER_S = 1e3
+_REQUEST_ID = re.compile(rb"\r\nX-Request-Id: *([^\r\n]{1,200})\r\n", re.IGNORECASE)
 
 Step = Union[Event, Action]
+StepDescription = dict[str, Any]
+"""A step as operators read it: JSON, with a `what` and values."""
 
 
 class TraceObservation(NamedTuple):
-    """A member as it stood when a request was sent to it."""
+    """An endpoint as it stood when a request was sent to it. The fields' names are keys of the API."""
 
     in_flight: int
+    """Attempts of this proxy that it was working on."""
     errors: float
+    """Its error rate, 0 to 1."""
     utilization: float
-    usable: int  # members that the draw was from
+    """Its reported utilization, 0 to 1."""
+    usable: int
+    """Endpoints that were available."""
     refusing: float
+    """The shed level."""
+
 
+class TracedStep(NamedTuple):
+    """One event or action of a request."""
 
-class TracedRequest(NamedTuple):
-    at: float  # seconds, on the module's clock
+    at: float
+    """Seconds on the policy's clock."""
     step: Step
-    seen: TraceObservation | None
-    version: int | None = None  # of the fleet's state, under which it was sent
+    """The event or action."""
+    observation: TraceObservation | None
+    """The endpoint that a request was sent to."""
+    version: int | None = None
+    """The version of the fleet's replicated state under which it was sent."""
 
 
-class Record:
-    """One request."""
+class RequestTrace:
+    """The steps of one request."""
 
-    __slots__ = ("id", "steps", "left_out")
+    __slots__ = ("dropped", "id", "steps")
 
     def __init__(self, name: str) -> None:
         self.id = name
-        self.steps: list[TracedRequest] = []
-        self.left_out = 0
+        self.steps: list[TracedStep] = []
+        self.dropped = 0  # steps past `MAX_STEPS`
 
-    def note(self, told: TracedRequest) -> None:
-        if len(self.steps) < STEPS_MOST:
-            self.steps.append(told)
+    def note(self, step: TracedStep) -> None:
+        """Add a step."""
+        if len(self.steps) < MAX_STEPS:
+            self.steps.append(step)
         else:
-            self.left_out += 1
+            self.dropped += 1
 
 
 class DecisionTrace:
-    """The ring of one pool. Its owner is the pool's `Proxy`."""
+    """The ring of one pool, owned by its `Proxy`."""
 
     def __init__(self, most: int) -> None:
-        """`most`: requests that are kept, ended ones among them."""
-        self.most = most
-        self._records: OrderedDict[int, Record] = OrderedDict()  # by the pool's own numbers, the oldest first
-        self._names: dict[str, int] = {}
-        self.version: Callable[[], int] | None = None  # of the fleet's state, where there is one
+        """Begin empty; `most`: requests that are kept, ended ones among them."""
+        self.max_requests = most
+        self.version: Callable[[], int] | None = None  # of the replicated state, where there is one
+        self._traces: OrderedDict[int, RequestTrace] = OrderedDict()  # by number, the oldest first
+        self._numbers: dict[str, int] = {}  # by id
+
+    def __len__(self) -> int:
+        return len(self._traces)
 
     def note(
         self, now: float, event: Event, actions: Sequence[Action], balancer: Balancer, head: bytes
     ) -> None:
-        """An event and what was ruled on it. `head`: of the request, where the event brings one."""
-        number = getattr(event, "request", None)
-        if number is not None and isinstance(event, Request):
-            self._begin(number, head)
-        if isinstance(number, int) and (record := self._records.get(number)) is not None:
-            record.note(TracedRequest(now, event, None))
+        """Add an event and the actions on it.
+
+        Args:
+            now: Seconds on the policy's clock.
+            event: What the policy was told.
+            actions: What it asked for.
+            balancer: The policy.
+            head: The request's head, where the event is a request.
+        """
+        if isinstance(event, Request):
+            self._begin(event.request, head)
+        trace = self._find(event)
+        if trace is not None:
+            trace.note(TracedStep(now, event, None))
         for action in actions:
-            number = getattr(action, "request", None)
-            if isinstance(number, int) and (record := self._records.get(number)) is not None:
-                sent = isinstance(action, Send) and self.version is not None
-                version = self.version() if sent and self.version is not None else None
-                record.note(TracedRequest(now, action, see(balancer, action), version))
+            trace = self._find(action)
+            if trace is not None:
+                trace.note(self._trace_action(now, action, balancer))
+
+    def _find(self, step: Step) -> RequestTrace | None:
+        number = getattr(step, "request", None)
+        return self._traces.get(number) if isinstance(number, int) else None
+
+    def _trace_action(self, now: float, action: Action, balancer: Balancer) -> TracedStep:
+        version = None
+        if isinstance(action, Send) and self.version is not None:
+            version = self.version()
+        return TracedStep(now, action, observe(balancer, action), version)
 
     def _begin(self, number: int, head: bytes) -> None:
-        match = _ID.search(head)
+        match = _REQUEST_ID.search(head)
         name = match[1].decode("latin-1") if match is not None else f"#{number}"
-        self._records[number] = Record(name)
-        self._names[name] = number
-        while len(self._records) > self.most:
-            old, record = self._records.popitem(last=False)
-            if self._names.get(record.id) == old:
-                del self._names[record.id]
-
-    def why(self, name: str) -> list[dict[str, Any]] | None:
-        """The steps of a request in words, by the id that its client or the proxy gave it; None where it is not (any
-        more) here."""
-        number = self._names.get(name)
+        self._traces[number] = RequestTrace(name)
+        self._numbers[name] = number
+        while len(self._traces) > self.max_requests:
+            oldest, trace = self._traces.popitem(last=False)
+            if self._numbers.get(trace.id) == oldest:
+                del self._numbers[trace.id]
+
+    def why(self, name: str) -> list[StepDescription] | None:
+        """Describe the steps of a request.
+
+        Args:
+            name: The id that its client or the proxy gave it.
+
+        Returns:
+            None where it is not (any more) in the ring.
+        """
+        number = self._numbers.get(name)
         if number is None:
             return None
-        record = self._records[number]
-        began = record.steps[0].at if record.steps else 0.0
-        found = [{"ms": round(1e3 * (told.at - began), 1), **words(told)} for told in record.steps]
-        if record.left_out:
-            found.append({"what": f"and {record.left_out} more"})
-        return found
-
-    def __len__(self) -> int:
-        return len(self._records)
-
-
-def see(balancer: Balancer, action: Action) -> TraceObservation | None:
+        trace = self._traces[number]
+        began = trace.steps[0].at if trace.steps else 0.0
+        steps = [
+            {"ms": round(MS_PER_S * (step.at - began), 1), **describe_step(step)} for step in trace.steps
+        ]
+        if trace.dropped:
+            steps.append({"what": f"and {trace.dropped} more"})
+        return steps
+
+
+def observe(balancer: Balancer, action: Action) -> TraceObservation | None:
+    """The endpoint that an action sends a request to; None for other actions."""
     if not isinstance(action, Send):
         return None
-    server = balancer.servers.get(action.endpoint)
-    if server is None:
+    endpoint = balancer.servers.get(action.endpoint)
+    if endpoint is None:
         return None
-    usable = sum(not balancer.avoids(one.id) for one in balancer.ready)
     return TraceObservation(
-        len(server.in_flight) + len(server.responding),
-        round(server.error_rate, 3),
-        round(server.utilization, 2),
-        usable,
+        len(endpoint.in_flight) + len(endpoint.responding),
+        round(endpoint.error_rate, 3),
+        round(endpoint.utilization, 2),
+        sum(not balancer.avoids(ready.id) for ready in balancer.ready),
         round(balancer.shed_level, 2),
     )
 
 
-def words(told: TracedRequest) -> dict[str, Any]:
-    """A step as operators read it."""
-    step = told.step
+def describe_step(traced: TracedStep) -> StepDescription:
+    """A step as operators read it; values that say nothing are left out."""
+    step = traced.step
     if isinstance(step, Request):
-        box = {
-            "what": "came",
-            "left_s": round(step.time_remaining, 3),
-            "session": step.sticky_endpoint,
-            "bound": step.sticky_required or None,
-            "keyed": step.key is not None or None,
-        }
+        description = _describe_request(step)
     elif isinstance(step, Send):
-        box = {"what": "sent", "member": step.endpoint, "timeout_s": round(step.timeout, 3)}
-        if told.seen is not None:
-            box |= told.seen._asdict()
-        box["version"] = told.version
+        description = _describe_send(step, traced)
     elif isinstance(step, Outcome):
-        box = {
-            "what": f"attempt {step.attempt} ended",
-            "member": step.endpoint,
-            "result": AttemptResult(step.result).name.lower(),
-            "took_s": round(step.elapsed, 3),
-            "answered": step.request_ended or None,
-        }
+        description = _describe_outcome(step)
     elif isinstance(step, Reject):
-        box = {"what": "refused: trying again is harmless", "retry_after_s": step.retry_after or None}
-    elif isinstance(step, Fail):
-        box = {"what": "failed: nothing is promised"}
-    elif isinstance(step, ClientCancelled):
-        box = {"what": "its client has gone, or it was ended here"}
-    elif isinstance(step, Cancel):
-        box = {"what": f"attempt {step.attempt} is given up"}
+        retry_after = step.retry_after or None
+        description = {"what": "refused: trying again is harmless", "retry_after_s": retry_after}
     else:
-        box = {"what": type(step).__name__.lower()}
-    return {key: value for key, value in box.items() if value is not None}
+        description = {"what": _describe_other(step)}
+    return {key: value for key, value in description.items() if value is not None}
+
+
+def _describe_request(request: Request) -> StepDescription:
+    return {
+        "what": "came",
+        "left_s": round(request.time_remaining, 3),
+        "session": request.sticky_endpoint,
+        "bound": request.sticky_required or None,
+        "keyed": request.key is not None or None,
+    }
+
+
+def _describe_send(send: Send, traced: TracedStep) -> StepDescription:
+    description = {"what": "sent", "member": send.endpoint, "timeout_s": round(send.timeout, 3)}
+    if traced.observation is not None:
+        description |= traced.observation._asdict()
+    description["version"] = traced.version
+    return description
+
+
+def _describe_outcome(outcome: Outcome) -> StepDescription:
+    return {
+        "what": f"attempt {outcome.attempt} ended",
+        "member": outcome.endpoint,
+        "result": AttemptResult(outcome.result).name.lower(),
+        "took_s": round(outcome.elapsed, 3),
+        "answered": outcome.request_ended or None,
+    }
+
+
+def _describe_other(step: Step) -> str:
+    if isinstance(step, Fail):
+        return "failed: nothing is promised"
+    if isinstance(step, ClientCancelled):
+        return "its client has gone, or it was ended here"
+    if isinstance(step, Cancel):
+        return f"attempt {step.attempt} is given up"
+    if isinstance(step, BodyProgress):
+        return "body"
+    return type(step).__name__.lower()
--- a/loadbalancer/proxy/final_answers.py
+++ b/loadbalancer/proxy/final_answers.py
@@ -1,8 +1,8 @@
-"""What a client hears of a request that the module has given up: an answer that a member made, or the proxy's own.
+"""What a client gets of a request that the policy rejects or fails: an endpoint's answer, or the proxy's own. No I/O.
 
-Pure: no socket and no clock. The module says whether trying again is harmless (a refusal) or nothing is promised (a
-failure); which words say so to the client is decided here, by one table. `python -m loadbalancer.proxy.final_answers`
-prints it for docs/operating/answers.md; a test compares the two, and plays each row.
+The policy says whether trying again is harmless (a rejection) or nothing is promised (a failure); how the client is
+told is decided here, by one table. `python -m loadbalancer.proxy.final_answers` prints it for
+docs/operating/answers.md; a test compares the two, and plays each row.
 """
 
 from __future__ import annotations
@@ -15,23 +15,31 @@
 )
 from loadbalancer.upstreams.connections import UpstreamResponse
 
-#: What says most of the application comes first; then what says most of the way to it. Others stand with 500.
 STATUS_PREFERENCE = {501: 0, 500: 1, 502: 2, 504: 3, 503: 4}
-#: Our name in Proxy-Status (RFC 9209, 2).
-NAME = b"micastand"
+"""Which of two endpoints' failures is kept: what says most of the application comes first, then what says most of the
+way to it."""
+DEFAULT_PREFERENCE = STATUS_PREFERENCE[500]
+PROXY_STATUS_NAME = b"micastand"
+"""Name of the proxy in Proxy-Status (RFC 9209, 2)."""
+TIMEOUT_STATUS = 0
+"""Stands for the status that the pool has for time-outs; 504 for ordinary clients."""
 
 
 class FinalAnswerRule(NamedTuple):
-    """A way to end. `last`: what became of the last attempt, None where there was none. `error`: RFC 9209, 2.3."""
+    """One row of the table."""
 
-    refused: bool
+    rejected: bool
+    """Whether the policy rejects the request; otherwise it fails it."""
     last: AttemptResult | None
+    """The result of the last attempt; None where there was none."""
     status: int
+    """What the client gets; `TIMEOUT_STATUS` for that of the pool."""
     error: str
+    """The error in Proxy-Status (RFC 9209, 2.3)."""
     what: str
+    """The row in words, for operators."""
 
 
-#: 0 as status: the pool's word for time-outs, 504 for ordinary clients.
 FINAL_ANSWER_RULES = (
     FinalAnswerRule(
         True,
@@ -83,7 +91,11 @@
         "no connection came up; an earlier one may have run",
     ),
     FinalAnswerRule(
-        False, AttemptResult.TIMEOUT, 0, "http_response_timeout", "the last attempt took too long"
+        False,
+        AttemptResult.TIMEOUT,
+        TIMEOUT_STATUS,
+        "http_response_timeout",
+        "the last attempt took too long",
     ),
     FinalAnswerRule(
         False,
@@ -117,9 +129,8 @@
         False, AttemptResult.UNUSABLE, 400, "http_request_error", "no member can use it; the connection ends"
     ),
 )
-_BY = {(row.refused, row.last): row for row in FINAL_ANSWER_RULES}
+_RULES = {(row.rejected, row.last): row for row in FINAL_ANSWER_RULES}
 
-#: Errors of what a front answers before any pool has the request, by status.
 FRONTEND_ERRORS = {
     400: "http_request_error",
     404: "destination_not_found",
@@ -134,64 +145,84 @@
     501: "http_request_error",
     503: "connection_limit_reached",
 }
+"""Errors in Proxy-Status of what a front end answers before any pool has the request, by status."""
 
 
 class FinalAnswer(NamedTuple):
-    """Exactly one of the two: a member's answer, or a status of the proxy's own with its error."""
+    """What the client gets: an endpoint's answer, or the proxy's own."""
 
-    kept: UpstreamResponse | None
+    endpoint_response: UpstreamResponse | None
+    """The endpoint's answer; None for the proxy's own."""
     status: int = 0
+    """Status of the proxy's own answer."""
     close: bool = False
+    """Whether the client's connection ends with it."""
     error: str = ""
+    """Its error in Proxy-Status."""
+
+
+def is_better(kept: UpstreamResponse | None, other: UpstreamResponse) -> bool:
+    """Whether another endpoint's failure is the one to keep; of two alike, the later."""
+    return kept is None or _preference(other.status) <= _preference(kept.status)
+
 
+def _preference(status: int) -> int:
+    return STATUS_PREFERENCE.get(status, DEFAULT_PREFERENCE)
 
-def better(kept: UpstreamResponse | None, other: UpstreamResponse) -> bool:
-    """Whether another answer that a member made of its failure is the one to keep. Of two alike, the later."""
-    return kept is None or STATUS_PREFERENCE.get(other.status, 1) <= STATUS_PREFERENCE.get(kept.status, 1)
 
+def answer_rejected(kept: UpstreamResponse | None, last: AttemptResult | None = None) -> FinalAnswer:
+    """The policy has rejected the request: trying again is harmless, whoever says so.
 
-def refused(kept: UpstreamResponse | None, last: AttemptResult | None = None) -> FinalAnswer:
-    """The module has refused the request: trying again is harmless, whoever says so."""
+    Args:
+        kept: An endpoint's answer to its own failure.
+        last: The result of the last attempt.
+    """
     if kept is not None:
         return FinalAnswer(kept)
-    row = _BY.get((True, last)) or _BY[True, None]
-    return FinalAnswer(None, row.status, False, row.error)
+    rule = _RULES.get((True, last)) or _RULES[True, None]
+    return FinalAnswer(None, rule.status, False, rule.error)
 
 
-def failed(
+def answer_failed(
     kept: UpstreamResponse | None, unusable: bool, last: AttemptResult | None, timeout_status: int
 ) -> FinalAnswer:
-    """The module has failed it: it may have run. An answer of a member stands above all but a time-out and what would
-    promise that trying again is harmless."""
-    row = _BY[False, AttemptResult.UNUSABLE] if unusable else _BY.get((False, last)) or _BY[False, None]
-    if (
-        not unusable
-        and last != AttemptResult.TIMEOUT
-        and kept is not None
-        and kept.status not in RETRYABLE_STATUSES
-    ):
+    """The policy has failed the request: it may have run.
+
+    An endpoint's answer counts more than all but a time-out, unless it would promise that trying again is harmless.
+
+    Args:
+        kept: An endpoint's answer to its own failure.
+        unusable: Whether an endpoint has found the request itself wrong.
+        last: The result of the last attempt.
+        timeout_status: The pool's status for time-outs.
+    """
+    if unusable:
+        rule = _RULES[False, AttemptResult.UNUSABLE]
+        return FinalAnswer(None, rule.status, True, rule.error)
+    if last != AttemptResult.TIMEOUT and kept is not None and kept.status not in RETRYABLE_STATUSES:
         return FinalAnswer(kept)
-    return FinalAnswer(None, row.status or timeout_status, unusable, row.error)
+    rule = _RULES.get((False, last)) or _RULES[False, None]
+    return FinalAnswer(None, rule.status or timeout_status, False, rule.error)
 
 
 def proxy_status(error: str) -> bytes:
-    """The field that names an answer as ours (RFC 9209)."""
-    return b"Proxy-Status: %b; error=%b\r\n" % (NAME, error.encode())
+    """The header line that names an answer as the proxy's own (RFC 9209)."""
+    return b"Proxy-Status: %b; error=%b\r\n" % (PROXY_STATUS_NAME, error.encode())
 
 
-def own_status(status: int) -> list[bytes]:
-    """The same for what a front answers itself."""
+def frontend_proxy_status(status: int) -> list[bytes]:
+    """That header line of what a front end answers itself; none where the status has no error."""
     return [proxy_status(FRONTEND_ERRORS[status])] if status in FRONTEND_ERRORS else []
 
 
 def document() -> str:
-    """The table as it stands in the docs."""
+    """The tables as they stand in docs/operating/answers.md."""
     out = [
         "| the module's word | last attempt | the client hears | Proxy-Status error | |",
         "| --- | --- | --- | --- | --- |",
     ]
     for row in FINAL_ANSWER_RULES:
-        word = "refused" if row.refused else "failed"
+        word = "refused" if row.rejected else "failed"
         last = row.last.name.lower().replace("_", " ") if row.last is not None else "none"
         out.append(f"| {word} | {last} | {row.status or 504} | `{row.error}` | {row.what} |")
     out += ["", "| a front's own answer | error |", "| --- | --- |"]
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -1,7 +1,7 @@
-"""The proxy between its sockets and the module: events go in, actions are carried out, in order.
+"""The proxy between its sockets and the policy: events go in, actions are carried out, in order.
 
-Only this file calls `Balancer.handle`. Whatever a socket does is told here; here each request gets its
-one answer, and each Send its one Outcome.
+Only this file calls `Balancer.handle`. Front ends hand requests in, upstream connections tell how attempts go; each
+request gets one final answer, and each `Send` one `Outcome`.
 """
 
 from __future__ import annotations
@@ -28,21 +28,20 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
-    NEVER_RAN,
     AttemptResult,
     BodyProgress,
     ClientCancelled,
-    Cordon,
-    EndpointList,
-    EndpointState,
     Event,
     FirstByte,
-    Outcome,
     Request,
     TimerFired,
 )
-from loadbalancer.proxy.final_answers import FinalAnswer, better, failed, proxy_status, refused
+from loadbalancer.proxy.answer_writer import AnswerWriter
+from loadbalancer.proxy.attempt_runner import AttemptRunner, PolicyClock
+from loadbalancer.proxy.endpoint_directory import EndpointDirectory
 from loadbalancer.proxy.open_requests import Client, OpenRequest, TransactionIds
+from loadbalancer.proxy.request_table import RequestTable
+from loadbalancer.proxy.response_streams import ResponseStreams
 from loadbalancer.resource_limits import (
     MAX_STREAMED_BODY_BYTES,
     BufferBudget,
@@ -50,40 +49,45 @@
     RateLimitedLogger,
     describe_exception,
 )
-from loadbalancer.streaming.streams import STALL_S, Stream, StreamProducer
-from loadbalancer.streaming.tunnels import Tunnel, TunnelLimits, Tunnels
-from loadbalancer.streaming.tunnels import TunnelEnd as TunnelEnd
+from loadbalancer.streaming.streams import Stream, StreamProducer
+from loadbalancer.streaming.tunnels import Tunnel, TunnelEnd, TunnelLimits, Tunnels
 from loadbalancer.upstreams.connections import Attempt, Upstream, UpstreamPools, UpstreamResponse
 from loadbalancer.upstreams.dialect import Dialect
 from loadbalancer.upstreams.http1 import Http1UpstreamConnection
 
 if TYPE_CHECKING:  # loaded where operators may ask why
     from loadbalancer.proxy.decision_trace import DecisionTrace
-if TYPE_CHECKING:  # loaded where operators can mark members
+if TYPE_CHECKING:  # loaded where operators can cordon endpoints
     from loadbalancer.discovery.platform_overrides import PlatformOverrides
 
-#: A request that the module has not answered this long after its client's time is up is failed here.
-OVERDUE_S = 0.03
-#: How often limits in time are looked at.
 SWEEP_S = 0.25
-#: Share of the members' descriptors that bodies may hold that are sent on as they come.
+"""Seconds between two looks at limits in time."""
 UPLOAD_SHARE = 0.25
+"""Share of the descriptors for endpoints that may be held by bodies that are sent on as they come."""
+DEFAULT_RETRY_AFTER_S = 1
+"""Seconds after which a client may come back that is told to return for the proxy's sake."""
+BAD_GATEWAY = 502
 
 
 class PluginGate(Protocol):
     """Who says whether a pool may take one more request now, where several share the process."""
 
-    def admit(self, pool: str) -> bool: ...
+    def admit(self, pool: str) -> bool:
+        """Whether the pool of this name may take one more."""
 
 
 class TunnelClient(Client, TunnelEnd, Protocol):
     """A connection of a client that can go over to another protocol."""
 
-    def begin_tunnel(self, lines: list[bytes], reason: bytes, tunnel: Tunnel) -> None: ...
+    def begin_tunnel(self, lines: list[bytes], reason: bytes, tunnel: Tunnel) -> None:
+        """Write the head of the answer, and pass bytes on from here on."""
 
 
 class Proxy:
-    """One pool's open requests, their attempts and timers; the only caller of the module."""
+    """One pool: its open requests, their attempts and connections; the only caller of the policy.
+
+    It owns its timers, its source of endpoints and its connections until `close`.
+    """
 
     def __init__(
         self,
@@ -94,113 +98,228 @@
         dialect: Dialect | None = None,
         connect: Callable[..., Upstream] = Http1UpstreamConnection,
         ids: TransactionIds | None = None,
-        timeout_status: int = 502,
+        timeout_status: int = BAD_GATEWAY,
         tunnels: TunnelLimits | None = None,
     ) -> None:
-        """`connect` makes connections to members, in HTTP/1.1 if it is not given. `dialect` is what its members
-        mean by their answers, the platform's if it is not given. `ids` is shared by all pools
-        whose requests bear ids of clients. `timeout_status` is what a client hears of a request that failed
-        because its last attempt took too long."""
-        self.balancer = Balancer(deployment.settings, seed)
+        """Begin without endpoints; to be called on the loop.
+
+        Args:
+            deployment: Settings, and times of connections.
+            seed: Of the policy's random choices.
+            limits: What the pool may hold.
+            logger: Gets events.
+            dialect: What endpoints mean by their answers; the platform's if it is not given.
+            connect: Makes connections to endpoints; HTTP/1.1 if it is not given.
+            ids: Transaction ids, shared by all pools whose requests have them.
+            timeout_status: Of the answer to a request that failed because its last attempt took too long.
+            tunnels: Limits on connections that have gone over to another protocol.
+        """
         self.logger = logger
-        self.budget = BufferBudget(limits.buffered)
-        self.timeout_status = timeout_status
-        self.max_open_requests = limits.max_open_requests
+        self.name = ""  # by which pools that share a process know this one
         self.turns: PluginGate | None = None  # where several pools share the processor
-        self.name = ""  # by which they know this one
-        self.figures = PoolMetrics(len(deployment.settings.classes))
         self.trace: DecisionTrace | None = None  # of the latest requests, where operators may ask why
-        self.marks: PlatformOverrides | None = None  # what operators say of members, where they can
-        self.fresh = False  # a list has come since the start, or a change to one
+        self.fence: Callable[[], bool] | None = None  # whether this instance holds a lease, in a fleet
+        self.return_s = DEFAULT_RETRY_AFTER_S
         self.closed = False
-        self.fence: Callable[[], bool] | None = None  # whether this instance may act, where a fleet says so
-        self.return_s = 1  # after which a client may come back that is told so for its sake
-        dialect = dialect or Dialect(
-            report_fields=deployment.settings.report_fields,
-            stream_most=MAX_STREAMED_BODY_BYTES,
-            close_delimited=True,
-        )
-        self.dialect = dialect
+        self.source: EndpointSource | None = None
+        self.takes_uploads: bool = getattr(connect, "takes_uploads", False)
+        self.max_open_requests = limits.max_open_requests
+        self.balancer = Balancer(deployment.settings, seed)
+        self.budget = BufferBudget(limits.buffered)
+        self.figures = PoolMetrics(len(deployment.settings.classes))
         self.tunnels = Tunnels(tunnels or TunnelLimits(), time.monotonic)
-        make = partial(connect, dialect=dialect, not_passed=dialect.not_passed())
-        self.backends = UpstreamPools(
+        self.ids = ids or TransactionIds()
+        self.dialect = dialect or _platform_dialect(deployment)
+        self.backends = self._make_upstreams(deployment, limits, connect)
+        self._compose(timeout_status)
+        self._events: deque[Event] = deque()
+        self._is_handling = False
+        self._loop = asyncio.get_running_loop()
+        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
+
+    def _make_upstreams(
+        self, deployment: Deployment, limits: PoolLimits, connect: Callable[..., Upstream]
+    ) -> UpstreamPools:
+        return UpstreamPools(
             self,
             self.budget,
-            logger,
+            self.logger,
             limits.backend_sockets,
-            make,
+            partial(connect, dialect=self.dialect, not_passed=self.dialect.not_passed()),
             deployment.settings.limits.connect_timeout,
             deployment.idle_timeout,
             deployment.max_idle_connections,
         )
-        self.source: EndpointSource | None = None  # of the list of members
-        self.open: dict[int, OpenRequest] = {}
-        self.streams: set[OpenRequest] = set()  # those whose answers come by a stream
-        self.takes_uploads = getattr(connect, "takes_uploads", False)
-        self.uploads = 0  # open requests whose bodies are sent on as they come
-        self.ids = ids or TransactionIds()
-        self.listed: set[str] = set()
-        self._last_id = 0
-        self._events: deque[Event] = deque()
-        self._busy = False
-        self._finished: list[OpenRequest] = []
-        self._epoch = time.time() - time.monotonic()
-        self._loop = asyncio.get_running_loop()
-        self._sweeping = self._loop.call_later(SWEEP_S, self._sweep)
-        self._carry: dict[type, Callable[[Any], None]] = {
-            Send: self._send,
+
+    def _compose(self, timeout_status: int) -> None:
+        self._clock = PolicyClock()
+        self._table = RequestTable(self.figures, self.budget, self.ids, self._on_overdue)
+        self._answers = AnswerWriter(self._table, self.budget, self.dialect, timeout_status)
+        self._streams = ResponseStreams(self._table)
+        self._attempts = AttemptRunner(
+            self._table,
+            self.backends,
+            self._answers,
+            self._streams,
+            self.ids,
+            self.figures,
+            self._clock,
+            self.post,
+        )
+        self._directory = EndpointDirectory(self.backends, self.tunnels, self.post)
+        self._carry_out: dict[type, Callable[[Any], None]] = {
+            Send: self._attempts.send,
             SetTimer: self._set_timer,
-            Reject: self._refuse,
+            Reject: self._reject,
             Fail: self._fail,
             Cancel: self._cancel,
             WatchEndpoints: self._watch,
-            CloseIdleConnections: lambda action: self.backends.close_idle(action.endpoint),
-            LogMessage: lambda action: self.logger("module", action.text),
+            CloseIdleConnections: self._close_idle,
+            LogMessage: self._log,
         }
 
+    # What others read.
+
+    @property
+    def open(self) -> dict[int, OpenRequest]:
+        """The open requests, by number."""
+        return self._table.open
+
+    @property
+    def streams(self) -> set[OpenRequest]:
+        """The requests whose answers are passed on as they come."""
+        return self._table.streaming
+
+    @property
+    def uploads(self) -> int:
+        """How many open requests have bodies that are sent on as they come."""
+        return self._table.open_uploads
+
+    @property
+    def listed(self) -> set[str]:
+        """The endpoints that are listed."""
+        return self._directory.listed
+
+    @property
+    def fresh(self) -> bool:
+        """Whether a list, or a change to it, has come since the start."""
+        return self._directory.fresh
+
+    @property
+    def marks(self) -> PlatformOverrides | None:
+        """The platform's overrides, where operators can cordon endpoints."""
+        return self._directory.overrides
+
+    @marks.setter
+    def marks(self, overrides: PlatformOverrides | None) -> None:
+        self._directory.overrides = overrides
+
     def now(self) -> float:
-        """Unix time at the start and monotonic time since: it only advances, and compares with starts."""
-        return self._epoch + time.monotonic()
+        """The policy's time, in seconds."""
+        return self._clock.now()
+
+    def tries(self) -> list[int]:
+        """Attempts that were written whole, for each class: those that have ended, and those still out."""
+        tries = list(self.figures.tries)
+        for request in self.open.values():
+            if not request.open_attempts:
+                continue
+            for attempt in request.attempts:
+                tries[request.class_index] += not attempt.ended and attempt.is_written()
+        return tries
+
+    def skipped(self) -> int:
+        """Listed endpoints that get nothing now, by the policy's choice, by hand or by their state."""
+        return sum(self.balancer.avoids(endpoint) for endpoint in self.listed)
+
+    def is_shut_out(self) -> bool:
+        """Whether this instance has lost its lease: clients are told to return."""
+        return self.fence is not None and not self.fence()
+
+    def has_room(self) -> bool:
+        """Whether one more request may be open.
+
+        Without a bound the requests of a pool that hangs would come to hold every connection of clients, and with them
+        those of the other pools.
+        """
+        if self.closed or len(self.open) >= self.max_open_requests:
+            return False
+        return self.turns is None or self.turns.admit(self.name)
+
+    def may_upload(self) -> bool:
+        """Whether one more body may be sent on as it comes; each holds a connection as long as its client takes."""
+        return self.uploads < max(1, int(self.backends.sockets * UPLOAD_SHARE))
+
+    def is_known(self, request: OpenRequest) -> bool:
+        """Whether a request of its transaction id is open, or was unusable."""
+        return self.ids.is_known(request.transaction)
+
+    # The policy.
 
     def post(self, event: Event) -> None:
-        """The one way to the module. What its actions lead to at once waits for its turn."""
+        """Tell the policy of an event, and carry out its actions; events that these lead to wait for their turn."""
         self._events.append(event)
-        if self._busy:
+        if self._is_handling:
             return
-        self._busy = True
+        self._is_handling = True
         try:
             while self._events:
-                event = self._events.popleft()
-                try:
-                    now = self.now()
-                    actions = self.balancer.handle(now, (event,))
-                    if self.trace is not None:
-                        self._note(self.trace, now, event, actions)
-                    for action in actions:
-                        self._carry[type(action)](action)
-                except Exception as problem:  # whatever it is, it may not reach the other requests
-                    self._contain(event, problem)
-            for request in self._finished:  # the module has been told all there was to tell
-                self.open.pop(request.id, None)
-                request.attempts.clear()  # they hold one another, and would stay until the collector comes by
-            self._finished.clear()
+                self._handle(self._events.popleft())
+            self._table.forget_released()
         finally:
-            self._busy = False
+            self._is_handling = False
+
+    def _handle(self, event: Event) -> None:
+        try:
+            now = self._clock.now()
+            actions = self.balancer.handle(now, (event,))
+            if self.trace is not None:
+                self._note(self.trace, now, event, actions)
+            for action in actions:
+                self._carry_out[type(action)](action)
+        except Exception as problem:  # whatever it is, it may not reach the other requests
+            self._contain(event, problem)
 
     def _note(self, trace: DecisionTrace, now: float, event: Event, actions: list[Action]) -> None:
         request = self.open.get(event.request) if isinstance(event, Request) else None
         trace.note(now, event, actions, self.balancer, request.head if request is not None else b"")
 
     def _contain(self, event: Event, problem: Exception) -> None:
-        """Guards against any defect in the decisions or in carrying them out: the request that it met gets
-        its answer, the rest goes on. Also where a list makes the module fail: the one before stands, in part.
-        Harm: a defect that comes with each request looks like a service that fails, not like a crash."""
+        """Log a defect, and fail the request that it met; others go on, and a list stands as far as it was taken."""
         self.logger("defect", f"{describe_exception(problem)} on {type(event).__name__}")
-        request = self.open.get(getattr(event, "request", -1))
+        request = self.open.get(getattr(event, "request", 0))
         if request is not None:
             self._abandon(request)
 
-    # Requests.
+    def _set_timer(self, action: SetTimer) -> None:
+        self._loop.call_later(action.delay, self.post, TimerFired(action.token))
+
+    def _reject(self, action: Reject) -> None:
+        request = self.open[action.request]
+        if not request.done:
+            self._answers.reject(request, action.retry_after)
+
+    def _fail(self, action: Fail) -> None:
+        request = self.open[action.request]
+        if not request.done:
+            self._answers.fail(request)
+
+    def _cancel(self, action: Cancel) -> None:
+        request = self.open.get(action.request)
+        if request is not None:  # else all its attempts have ended
+            self._attempts.cancel(request.attempts[action.attempt])
+
+    def _watch(self, action: WatchEndpoints) -> None:
+        if self.source is not None:
+            self.source.watch(action.enabled)
+
+    def _close_idle(self, action: CloseIdleConnections) -> None:
+        self.backends.close_idle(action.endpoint)
+
+    def _log(self, action: LogMessage) -> None:
+        self.logger("module", action.text)
+
+    # Called by front ends.
 
     def take(
         self,
@@ -214,17 +333,20 @@
         member: str | None = None,
         bound: bool = False,
     ) -> None:
-        """`left`: seconds until the client gives up. `member`: where a sticky session wants it to go."""
-        self._last_id += 1
-        request.id, request.cls = self._last_id, cls
-        request.owner = self
-        self.open[request.id] = request
-        self.ids.opened(request.txn)
-        request.left = left
-        request.whole = request.upload is None or request.upload.whole
-        self.uploads += request.upload is not None
-        if request.whole:
-            self._begin(request)
+        """Take a request.
+
+        Args:
+            request: The request.
+            cls: Number of its class.
+            left: Seconds until the client gives up.
+            tenant: Number of its tenant.
+            key: Its idempotency key.
+            hint: The work that it is expected to take, in seconds of a standard core.
+            retry: Whether the client says that it is a retry.
+            member: The endpoint, or the domain of endpoints, that its sticky session wants.
+            bound: Whether its session may not go anywhere else.
+        """
+        self._table.add(request, self, cls, left)
         self.post(
             Request(
                 request.id,
@@ -236,168 +358,84 @@
                 retry,
                 False,
                 member,
-                not request.whole,
+                not request.is_complete,
                 bound,
-                request.most,
-                request.repeat_on,
+                request.max_attempts,
+                request.retry_on,
             )
         )
 
-    def _begin(self, request: OpenRequest) -> None:
-        """Its last byte has come: from now on it counts."""
-        self.figures.open += 1
-        request.timer = self._loop.call_later(request.left + OVERDUE_S, self._overdue, request)
+    def drop(self, request: OpenRequest) -> None:
+        """Release a request that ends before it was taken."""
+        self._table.discard_body(request)
 
-    def may_upload(self) -> bool:
-        """Whether one more body may be sent on as it comes.
+    def turned_away(self, request: OpenRequest, cls: int, status: int) -> None:
+        """Count a whole request that the front end answers with an error; it was not taken, and has not run."""
+        self.drop(request)
+        self.figures.count(cls, result_of_status(status))
 
-        Guards members' connections against slow uploads: each holds one for as long as its client takes."""
-        return self.uploads < max(1, int(self.backends.sockets * UPLOAD_SHARE))
+    def withdraw(self, request: OpenRequest) -> None:
+        """The client has gone."""
+        if request.done:
+            return
+        self._table.finish(request, RequestResult.FAILED)
+        if request.stream is not None:
+            request.stream.leave()
+        self.post(ClientCancelled(request.id))
+        if not request.is_complete:
+            self._attempts.cancel_all(request)
 
     def uploaded(self, request: OpenRequest) -> None:
-        """The last byte of a body that was sent on as it came has come."""
-        if request.done or request.whole:
+        """The last byte of a body has come that is sent on as it comes."""
+        if request.done or request.is_complete:
             return
-        request.whole = True
-        self._begin(request)
-        for attempt in request.attempts:
-            if not attempt.ended:
-                attempt.began = self.now()
-                self._time(attempt)
-        self._tell_body(request)
+        request.is_complete = True
+        self._table.start_clock(request)
+        self._attempts.restart_clocks(request)
+        self._post_body_progress(request)
 
     def upload_lost(self, request: OpenRequest) -> None:
-        """A byte of it has left that is not kept."""
+        """A byte of such a body has left and is not kept."""
         if not request.done:
-            self._tell_body(request)
+            self._post_body_progress(request)
 
-    def _tell_body(self, request: OpenRequest) -> None:
+    def _post_body_progress(self, request: OpenRequest) -> None:
         assert request.upload is not None
-        self.post(BodyProgress(request.id, request.whole, request.upload.kept is not None))
+        self.post(BodyProgress(request.id, request.is_complete, request.upload.kept is not None))
 
     def upload_failed(self, request: OpenRequest, status: int) -> None:
-        """The client sends no more of a body that is not whole: it never became a request, and none has run."""
-        if not request.done:
-            self._finish_request(request, result_of_status(status))
-            request.client.answer(status, [], b"", close=True)
-            self.post(ClientCancelled(request.id))
-            self._drop_attempts(request)
-
-    def _drop_attempts(self, request: OpenRequest) -> None:
-        """Guards members against halves of bodies that stay open, also where the module may not cancel."""
-        for attempt in list(request.attempts):
-            self._give_up(attempt)
-
-    def _give_up(self, attempt: Attempt) -> None:
-        """Nobody wants its answer any more."""
-        if not attempt.ended:
-            attempt.drop()
-            self.finish_attempt(attempt, AttemptResult.CANCELLED)
-
-    def is_shut_out(self) -> bool:
-        """Whether the fleet goes on without this instance: what comes is told to return."""
-        return self.fence is not None and not self.fence()
-
-    def has_room(self) -> bool:
-        """Whether one more request may be open.
-
-        Guards against a pool that hangs: without a bound its requests would come to hold every connection
-        that clients may have, and with them the other pools. Harm: a burst is turned away that would have
-        passed."""
-        if self.closed or len(self.open) >= self.max_open_requests:
-            return False
-        return self.turns is None or self.turns.admit(self.name)
-
-    def resize(self, limits: PoolLimits) -> None:
-        """Other limits from now on; what is idle past them goes."""
-        self.budget.resize(limits.buffered)
-        self.backends.resize(limits.backend_sockets)
-        self.max_open_requests = limits.max_open_requests
-
-    def tries(self) -> list[int]:
-        """Attempts written whole, for each class: those that have ended, and those still out."""
-        tries = list(self.figures.tries)
-        for request in self.open.values():
-            for attempt in request.attempts if request.live else ():
-                tries[request.cls] += not attempt.ended and attempt.is_written()
-        return tries
-
-    def is_known(self, request: OpenRequest) -> bool:
-        return self.ids.is_known(request.txn)
-
-    def drop(self, request: OpenRequest) -> None:
-        """A request that ends before it was taken."""
-        if request.body is not None:
-            self.budget.release(len(request.body))
-            request.body = None
-
-    def withdraw(self, request: OpenRequest) -> None:
-        """The client has gone away."""
-        if not request.done:
-            self._finish_request(request, RequestResult.FAILED)
-            if request.stream is not None:
-                request.stream.leave()
-            self.post(ClientCancelled(request.id))
-            if not request.whole:
-                self._drop_attempts(request)
-
-    def turned_away(self, request: OpenRequest, cls: int, status: int) -> None:
-        """A whole request that the front answers with an error: it was not taken, and has not run."""
-        self.drop(request)
-        self.figures.count(cls, result_of_status(status))
-
-    def end_all(self) -> None:
-        """The process ends: what is still held has failed, and what comes is turned away."""
-        self.closed = True
-        for request in list(self.open.values()):
-            self._abandon(request)
+        """The client sends no more of such a body: it never became a request, and has not run."""
+        if request.done:
+            return
+        self._table.finish(request, result_of_status(status))
+        request.client.answer(status, [], b"", close=True)
+        self.post(ClientCancelled(request.id))
+        self._attempts.cancel_all(request)
 
     def _abandon(self, request: OpenRequest) -> None:
-        """Fail a request without the module's word; it is told, and cancels what is still out."""
-        if not request.done:
-            self._finish_request(request, RequestResult.FAILED)
-            if request.stream is not None:
-                request.stream.cut()
-            else:
-                request.client.answer(502, [], b"")
-            self.post(ClientCancelled(request.id))
-
-    def _overdue(self, request: OpenRequest) -> None:
-        """Guards against any way in which a request could stay without its answer. Harm: none while the
-        module keeps its own times, which end earlier."""
-        request.timer = None
-        if not request.done:
-            self.logger("overdue request failed", request.id)
-            self._abandon(request)
+        """Fail a request without the policy's word; the policy is told, and cancels what is still out."""
+        if request.done:
+            return
+        self._table.finish(request, RequestResult.FAILED)
+        if request.stream is not None:
+            request.stream.cut()
+        else:
+            request.client.answer(BAD_GATEWAY, [], b"")
+        self.post(ClientCancelled(request.id))
 
-    def _finish_request(self, request: OpenRequest, end: RequestResult) -> None:
-        """The one place where a request ends. The caller gives the answer, where one is due."""
-        request.done = True
-        self.streams.discard(request)
-        self.figures.open -= request.whole
-        if (
-            request.whole or end == RequestResult.DROPPED
-        ):  # what never came whole was no request, but to be told to try again
-            self.figures.count(request.cls, end)
-        if request.timer is not None:
-            request.timer.cancel()
-            request.timer = None
-        if request.live == 0:
-            self._release(request)
-
-    def _release(self, request: OpenRequest) -> None:
-        request.released = True
-        self.drop(request)
-        if request.upload is not None:
-            request.upload.close()
-            self.uploads -= 1
-        if request.error is not None:
-            self.budget.release(len(request.error.body))
-            request.error = None
-        self.ids.ended(request.txn)
-        self._finished.append(request)
+    def _on_overdue(self, request: OpenRequest) -> None:
+        """Fail a request that the policy has not answered in time; the policy's own times end earlier."""
+        self.logger("overdue request failed", request.id)
+        self._abandon(request)
 
-    # Attempts.
+    # Called by upstream connections.
+
+    def bars(self, attempt: Attempt, late: bool) -> bool:
+        """Whether an attempt may not leave any more; see `AttemptOwner`."""
+        request = cast(OpenRequest, attempt.request)
+        if request.done or request.client.has_left():
+            return True
+        return late and not self.balancer.may_leave(self.now(), request.id, attempt.number)
 
     def finish_attempt(
         self,
@@ -406,261 +444,103 @@
         report: Mapping[str, float] | None = None,
         answer: UpstreamResponse | None = None,
     ) -> None:
-        """The one place where an attempt ends, and its Outcome is told."""
-        if attempt.ended:
-            return
-        attempt.ended = True
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-            attempt.timer = None
-        request = cast(OpenRequest, attempt.request)
-        request.live -= 1
-        self.figures.tries[request.cls] += attempt.is_written()
-        request.last = result
-        request.ran = request.ran or result not in NEVER_RAN
-        if attempt.number == request.giving and not request.done:
-            self._end_stream(request, result)
-        if result == AttemptResult.UNUSABLE:
-            request.unusable = True
-            self.ids.found_unusable(request.txn)
-        elif result == AttemptResult.ERROR and answer is not None and not request.done:
-            if self._repeats(request, answer):
-                self._keep_error(request, answer)
-            else:
-                self._tell(
-                    request, FinalAnswer(answer), []
-                )  # an answer of the application, and no failure of the way
-        if request.done:
-            if request.live == 0 and not request.released:
-                self._release(request)
-        elif result == AttemptResult.SERVED:
-            assert answer is not None
-            request.made = True
-            self._finish_request(request, RequestResult.PASSED)
-            request.client.answer(
-                answer.status, request.lines(answer), answer.body, False, answer.length, answer.reason
-            )
-        now = self.now()
-        first = self._epoch + attempt.answered_at - attempt.began if attempt.answered_at else None
-        self.post(
-            Outcome(
-                request.id,
-                attempt.number,
-                attempt.server,
-                result,
-                now - attempt.began,
-                request.done,
-                report,
-                first,
-            )
-        )
-
-    def bars(self, attempt: Attempt, late: bool) -> bool:
-        """Whether an attempt may not leave any more (connections.py)."""
-        request = cast(OpenRequest, attempt.request)
-        if request.done or request.client.has_left():
-            return True
-        return late and not self.balancer.may_leave(self.now(), request.id, attempt.number)
+        """An attempt has ended; see `AttemptRunner.finish`."""
+        self._attempts.finish(attempt, result, report, answer)
 
     def begin_answer(
         self, attempt: Attempt, answer: UpstreamResponse, giver: StreamProducer
     ) -> Stream | None:
-        """A long answer goes to the client from here on, and no other attempt's can."""
+        """A long answer has begun; None where nobody wants it any more."""
         request = cast(OpenRequest, attempt.request)
         if request.done or request.stream is not None:
             attempt.drop()
-            self.finish_attempt(attempt, AttemptResult.CANCELLED)
+            self._attempts.finish(attempt, AttemptResult.CANCELLED)
             return None
-        request.giving = attempt.number
-        for timer in (attempt.timer, request.timer):
-            if timer is not None:
-                timer.cancel()
-        attempt.timer = request.timer = None
-        stream = request.stream = Stream(giver, request.client)
-        self.streams.add(request)
-        request.client.begin_answer(
-            answer.status, request.lines(answer), answer.length, answer.reason, stream
-        )
-        took = self.now() - attempt.began
-        self.post(FirstByte(request.id, attempt.number, attempt.server, took))
+        stream = self._streams.begin(request, attempt, answer, giver)
+        elapsed = self.now() - attempt.began
+        self.post(FirstByte(request.id, attempt.number, attempt.server, elapsed))
         return stream
 
     def begin_tunnel(self, attempt: Attempt, answer: UpstreamResponse, member: TunnelEnd) -> Tunnel | None:
-        """The member has gone over to the protocol that the client asked for: the request is served, and what follows
-        is no request."""
+        """The endpoint has gone over to the protocol that the client asked for: the request is served."""
         request = cast(OpenRequest, attempt.request)
         if request.done or not self.tunnels.has_room():
             return None
         client = cast(TunnelClient, request.client)
         tunnel = self.tunnels.begin(attempt.server, client, member)
-        request.made = True
-        self._finish_request(request, RequestResult.PASSED)
+        request.answered_by_endpoint = True
+        self._table.finish(request, RequestResult.PASSED)
         client.begin_tunnel(answer.lines, answer.reason, tunnel)
-        self.finish_attempt(attempt, AttemptResult.SERVED)
+        self._attempts.finish(attempt, AttemptResult.SERVED)
         return tunnel
 
-    def _end_stream(self, request: OpenRequest, result: AttemptResult) -> None:
-        """The attempt whose answer goes out has ended, and with it the request."""
-        assert request.stream is not None
-        served = result == AttemptResult.SERVED
-        self._finish_request(request, RequestResult.PASSED if served else RequestResult.FAILED)
-        (request.stream.end if served else request.stream.cut)()
-
-    def _check_streams(self, now: float) -> None:
-        """Guards against streams that stand still for good; one that moves is never cut."""
-        for request in list(self.streams):
-            stream = request.stream
-            assert stream is not None
-            if not stream.stands():
-                request.moved_at = now
-            elif now - request.moved_at > STALL_S:
-                self.logger("answer broken off", "nothing moved on it")
-                attempt = request.attempts[request.giving]
-                attempt.drop()
-                self.finish_attempt(attempt, AttemptResult.RESET)
-
-    def _repeats(self, request: OpenRequest, answer: UpstreamResponse) -> bool:
-        """Whether a member's failure speaks of the way: by its status, or by its own word."""
-        if answer.again:
-            return True
-        own = request.repeat_statuses
-        return self.dialect.repeats(answer.status) if own is None else answer.status in own
-
-    def _keep_error(self, request: OpenRequest, answer: UpstreamResponse) -> None:
-        """What a backend said of its failure, for the client if nothing better comes."""
-        if not better(request.error, answer) or not self.budget.take_upload(len(answer.body)):
-            return
-        if request.error is not None:
-            self.budget.release(len(request.error.body))
-        request.error = answer
-
-    # Actions.
-
-    def _send(self, action: Send) -> None:
-        request = self.open[action.request]
-        attempt = Attempt(request, len(request.attempts), action.endpoint, self.now(), action.timeout)
-        request.attempts.append(attempt)
-        request.live += 1
-        if request.done:
-            self.finish_attempt(attempt, AttemptResult.NOT_SENT)
-            return
-        if request.whole:
-            self._time(attempt)
-        self.backends.send(attempt)
-
-    def _time(self, attempt: Attempt) -> None:
-        attempt.timer = self._loop.call_later(attempt.timeout, self._timed_out, attempt)
-
-    def _timed_out(self, attempt: Attempt) -> None:
-        attempt.timer = None
-        written = attempt.is_written()
-        attempt.drop()
-        if written:
-            self.backends.suspect(attempt)
-        # What has not left whole has not run, and says more of the way to the backend than of its load.
-        self.finish_attempt(attempt, AttemptResult.TIMEOUT if written else AttemptResult.NO_CONNECTION)
-
-    def _cancel(self, action: Cancel) -> None:
-        request = self.open.get(action.request)
-        if request is None:  # all its attempts have ended
-            return
-        self._give_up(request.attempts[action.attempt])
-
-    def _refuse(self, action: Reject) -> None:
-        request = self.open[action.request]
-        if not request.done:
-            lines = [b"Retry-After: %.3f\r\n" % action.retry_after] if action.retry_after else []
-            self._tell(request, refused(request.error, request.last), lines)
-
-    def _fail(self, action: Fail) -> None:
-        request = self.open[action.request]
-        if not request.done:
-            heard = failed(request.error, request.unusable, request.last, self.timeout_status)
-            self._tell(request, heard, [])
-
-    def _tell(self, request: OpenRequest, heard: FinalAnswer, lines: list[bytes]) -> None:
-        """The final answer of a request that was given up. `lines`: headers of the proxy's own answer."""
-        kept = heard.kept
-        self._finish_request(request, result_of_status(kept.status if kept is not None else heard.status))
-        if kept is not None:
-            request.client.answer(
-                kept.status, request.lines(kept), kept.body, False, kept.length, kept.reason
-            )
-        else:
-            if not self.dialect.platform:
-                lines = [*lines, proxy_status(heard.error)]
-            request.client.answer(heard.status, lines, b"", close=heard.close)
-
-    def _set_timer(self, action: SetTimer) -> None:
-        self._loop.call_later(action.delay, self.post, TimerFired(action.token))
+    # Called by sources of endpoints and for operators.
 
-    def _watch(self, action: WatchEndpoints) -> None:
-        if self.source is not None:
-            self.source.watch(action.enabled)
+    def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
+        """Take a list, or a change to it; see `EndpointListener`."""
+        self._directory.take_list(entries, whole, stale)
 
-    # The list, and what operators say of members.
+    def list_failed(self, busy: bool = False) -> None:
+        """A call for the list has failed; see `EndpointListener`."""
+        self._directory.list_failed(busy)
 
     def cordon(self, server: str, out: bool) -> None:
-        """Leave this member out, or use it again; also one that is not listed now."""
-        if out:
-            self.tunnels.leave({server})
-        self.post(Cordon(server, out))
+        """Leave an endpoint out, or use it again; also one that is not listed now."""
+        self._directory.cordon(server, out)
 
-    def skipped(self) -> int:
-        """Listed members that get nothing now, by the module's choice, by hand or by their state."""
-        return sum(self.balancer.avoids(server) for server in self.listed)
+    # Limits, and the end.
 
-    def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
-        """A list, or a change: addresses are for the connections, the rest for the module."""
-        named = set()
-        self.fresh = self.fresh or not stale
-        for entry, address in entries:
-            if entry.state == EndpointState.GONE:
-                self.backends.gone(entry.endpoint)
-                self.listed.discard(entry.endpoint)
-            else:
-                self.backends.listed(
-                    entry.endpoint, (address, entry.started), entry.state == EndpointState.READY
-                )
-                named.add(entry.endpoint)
-        if whole:
-            for server in self.listed - named:
-                self.backends.gone(server)
-            self.listed = named
-        else:
-            self.listed |= named
-        if self.marks is not None:
-            self.marks.listed(named)
-        if self.tunnels.open:
-            serving = {entry.endpoint for entry, _ in entries if entry.state == EndpointState.READY}
-            told = {entry.endpoint for entry, _ in entries}
-            self.tunnels.leave({t.server for t in self.tunnels.open if (whole or t.server in told)} - serving)
-        self.post(EndpointList(tuple(entry for entry, _ in entries), whole, False, stale))
+    def resize(self, limits: PoolLimits) -> None:
+        """Take other limits; idle connections past them are closed."""
+        self.budget.resize(limits.buffered)
+        self.backends.resize(limits.backend_sockets)
+        self.max_open_requests = limits.max_open_requests
 
     def _sweep(self) -> None:
         now = time.monotonic()
         self.backends.sweep(now)
-        self._check_streams(now)
+        self._cut_stalled_streams(now)
         if self.tunnels.open:
             self.tunnels.sweep()
-        self._sweeping = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
+
+    def _cut_stalled_streams(self, now: float) -> None:
+        for request in self._streams.find_stalled(now):
+            if request.done:
+                continue
+            self.logger("answer broken off", "nothing moved on it")
+            attempt = request.attempts[request.streaming_attempt]
+            attempt.drop()
+            self._attempts.finish(attempt, AttemptResult.RESET)
 
     def retire(self) -> None:
         """Keep no connection; what is open, or on its way, is still served."""
-        for server in list(self.backends.table):
-            self.backends.retire(server)
+        for endpoint in list(self.backends.table):
+            self.backends.retire(endpoint)
         self.tunnels.retire()
 
+    def end_all(self) -> None:
+        """Fail what is still open, and take nothing more: the process ends."""
+        self.closed = True
+        for request in list(self.open.values()):
+            self._abandon(request)
+
     def close(self) -> None:
-        """Nothing new comes: what is still open has failed, and its connections, timers and source go."""
+        """Fail what is still open, and release connections, timers and the source of endpoints."""
         self.end_all()
         self.tunnels.close()
-        self._sweeping.cancel()
+        self._sweep_timer.cancel()
         if self.source is not None:
             self.source.close()
             self.source = None
-        for server in list(self.backends.table):
-            self.backends.gone(server)
+        for endpoint in list(self.backends.table):
+            self.backends.gone(endpoint)
 
-    def list_failed(self, busy: bool = False) -> None:
-        self.post(EndpointList(failed=True, busy=busy))
+
+def _platform_dialect(deployment: Deployment) -> Dialect:
+    """What the platform's endpoints mean by their answers."""
+    return Dialect(
+        report_fields=deployment.settings.report_fields,
+        stream_most=MAX_STREAMED_BODY_BYTES,
+        close_delimited=True,
+    )
--- /dev/null
+++ b/loadbalancer/proxy/response_streams.py
@@ -0,0 +1,64 @@
+"""Answers that are passed on as they come: begun, ended, and cut off where nothing moves."""
+
+from __future__ import annotations
+
+from loadbalancer.metrics import RequestResult
+from loadbalancer.policy.events import AttemptResult
+from loadbalancer.proxy.open_requests import OpenRequest
+from loadbalancer.proxy.request_table import RequestTable
+from loadbalancer.streaming.streams import STALL_S, Stream, StreamProducer
+from loadbalancer.upstreams.connections import Attempt, UpstreamResponse
+
+
+class ResponseStreams:
+    """The streams of one pool's answers. Each is owned by its request, and ends with it."""
+
+    def __init__(self, table: RequestTable) -> None:
+        self._table = table
+
+    def begin(
+        self,
+        request: OpenRequest,
+        attempt: Attempt,
+        response: UpstreamResponse,
+        producer: StreamProducer,
+    ) -> Stream:
+        """Pass an answer on from here on; no other attempt's can be passed on any more."""
+        request.streaming_attempt = attempt.number
+        for timer in (attempt.timer, request.timer):
+            if timer is not None:
+                timer.cancel()
+        attempt.timer = None
+        request.timer = None
+        stream = Stream(producer, request.client)
+        request.stream = stream
+        self._table.streaming.add(request)
+        lines = request.response_lines(response)
+        request.client.begin_answer(response.status, lines, response.length, response.reason, stream)
+        return stream
+
+    def end(self, request: OpenRequest, result: AttemptResult) -> None:
+        """The attempt whose answer is passed on has ended, and with it the request."""
+        stream = request.stream
+        assert stream is not None
+        if result == AttemptResult.SERVED:
+            self._table.finish(request, RequestResult.PASSED)
+            stream.end()
+        else:
+            self._table.finish(request, RequestResult.FAILED)
+            stream.cut()
+
+    def find_stalled(self, now: float) -> list[OpenRequest]:
+        """The requests on whose streams nothing has moved for too long; one that moves is never cut off.
+
+        Args:
+            now: Monotonic seconds.
+        """
+        stalled = []
+        for request in self._table.streaming:
+            assert request.stream is not None
+            if not request.stream.stands():
+                request.stream_moved_at = now
+            elif now - request.stream_moved_at > STALL_S:
+                stalled.append(request)
+        return stalled
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -32,7 +32,7 @@
 from loadbalancer.policy.settings import (
     PolicyLimits,
 )
-from loadbalancer.proxy.final_answers import FINAL_ANSWER_RULES, FRONTEND_ERRORS, NAME, document
+from loadbalancer.proxy.final_answers import FINAL_ANSWER_RULES, FRONTEND_ERRORS, PROXY_STATUS_NAME, document
 from loadbalancer.streaming.tunnels import TunnelLimits, Tunnels
 from standins.member import Member
 
@@ -48,7 +48,7 @@
 
 def error_in(head: bytes) -> str:
     for line in head.split(b"\r\n"):
-        if line.lower().startswith(b"proxy-status: " + NAME):
+        if line.lower().startswith(b"proxy-status: " + PROXY_STATUS_NAME):
             return line.partition(b"error=")[2].decode()
     return ""
 
@@ -59,7 +59,7 @@
 
 
 def test_every_row_is_one_way_to_end() -> None:
-    assert len({(row.refused, row.last) for row in FINAL_ANSWER_RULES}) == len(FINAL_ANSWER_RULES)
+    assert len({(row.rejected, row.last) for row in FINAL_ANSWER_RULES}) == len(FINAL_ANSWER_RULES)
     assert all(row.status in (0, 400, 502, 503, 504) for row in FINAL_ANSWER_RULES)
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,7 +14,7 @@
 from loadbalancer.policy.events import (
     AttemptResult,
 )
-from loadbalancer.proxy.final_answers import FinalAnswer, better, failed, refused
+from loadbalancer.proxy.final_answers import FinalAnswer, answer_failed, answer_rejected, is_better
 from loadbalancer.upstreams.connections import UpstreamResponse
 
 
@@ -25,30 +25,34 @@
 @pytest.mark.parametrize("status", [500, 501, 502, 503, 504, 429, 599])
 def test_the_table(status: int) -> None:
     answer = kept(status)
-    assert refused(answer) == FinalAnswer(answer)
-    theirs = failed(answer, False, AttemptResult.ERROR, 504)
+    assert answer_rejected(answer) == FinalAnswer(answer)
+    theirs = answer_failed(answer, False, AttemptResult.ERROR, 504)
     assert theirs == (
         FinalAnswer(None, 502, False, "http_response_incomplete")
         if status in RETRYABLE_STATUSES
         else FinalAnswer(answer)
     )
-    assert failed(answer, False, AttemptResult.TIMEOUT, 504) == FinalAnswer(
+    assert answer_failed(answer, False, AttemptResult.TIMEOUT, 504) == FinalAnswer(
         None, 504, False, "http_response_timeout"
     )
-    assert failed(answer, True, AttemptResult.UNUSABLE, 504) == FinalAnswer(
+    assert answer_failed(answer, True, AttemptResult.UNUSABLE, 504) == FinalAnswer(
         None, 400, True, "http_request_error"
     )
-    assert refused(None).status == 503 and failed(None, False, None, 504).status == 502
+    assert answer_rejected(None).status == 503 and answer_failed(None, False, None, 504).status == 502
 
 
 def test_the_best_of_several_does_not_depend_on_their_order() -> None:
     for order in permutations([501, 500, 502, 504, 503]):
         best: UpstreamResponse | None = None
         for status in order:
-            if better(best, kept(status)):
+            if is_better(best, kept(status)):
                 best = kept(status)
         assert best is not None and best.status == 501
-    assert better(kept(500), kept(500)) and better(kept(500), kept(599)) and not better(kept(500), kept(502))
+    assert (
+        is_better(kept(500), kept(500))
+        and is_better(kept(500), kept(599))
+        and not is_better(kept(500), kept(502))
+    )
 
 
 def page(status: int, body: bytes = b"sorry") -> bytes:
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -13,8 +13,10 @@
 
 from loadbalancer.fastcgi.cgi import write_answer
 from loadbalancer.fastcgi.records import Status, Type, encode, encode_begin, encode_end, encode_stream
+from loadbalancer.policy.actions import Action
 from loadbalancer.policy.events import (
     AttemptResult,
+    Event,
     Outcome,
 )
 from standins.fastcgi import Application, FcgiCall, Script, WebServer, saying
@@ -41,16 +43,15 @@
 
 def outcomes(here: Ground, name: str = "p") -> list[AttemptResult]:
     """Watch the results that the module is told from here on."""
-    proxy = here.daemon.pools[name].proxy
+    balancer = here.daemon.pools[name].proxy.balancer
     seen: list[AttemptResult] = []
-    post = proxy.post
+    handle = balancer.handle
 
-    def watched(event: Any) -> None:
-        if isinstance(event, Outcome):
-            seen.append(event.result)
-        post(event)
+    def watched(now: float, events: Sequence[Event]) -> list[Action]:
+        seen.extend(event.result for event in events if isinstance(event, Outcome))
+        return handle(now, events)
 
-    proxy.post = watched  # type: ignore[method-assign]
+    balancer.handle = watched  # type: ignore[method-assign]
     return seen
 
 
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -121,7 +121,7 @@
             clients = await several(here, app, gate, 2)
             proxy = here.daemon.pools["p"].proxy
             request = min(proxy.open.values(), key=lambda r: r.id)
-            proxy._timed_out(request.attempts[0])
+            proxy._attempts.time_out(request.attempts[0])
             assert (await clients[0].read())[0] == 504
             gate.let(b"1")
             assert (await clients[1].read())[0] == 200 and app.connections == 1
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -19,7 +19,7 @@
     Outcome,
     Request,
 )
-from loadbalancer.proxy import proxy
+from loadbalancer.proxy import response_streams
 from loadbalancer.resource_limits import MAX_HELD_BODY_BYTES, MAX_STREAMED_BODY_BYTES, BufferBudget
 from loadbalancer.streaming.streams import STALL_S
 from loadbalancer.streaming.uploads import Upload
@@ -357,7 +357,7 @@
     they all share for longer than one on the way may stand still."""
     for limit in ("BODY_STALL_S", "READ_STALL_S", "STALL_S"):
         monkeypatch.setattr(http1, limit, 60.0)
-    monkeypatch.setattr(proxy, "STALL_S", 60.0)
+    monkeypatch.setattr(response_streams, "STALL_S", 60.0)
 
     async def scene() -> None:
         count, part = 64, bytes(1 << 18)
