--- a/loadbalancer/daemon/logs.py
+++ b/loadbalancer/daemon/logs.py
@@ -117,7 +117,7 @@
         made = object.__new__(StructuredLogger)
         made.__dict__ = dict(self.__dict__)
         made._fields = {**self._fields, **fields}
-        made._kinds = {}  # floods of one pool silence no other's
+        made._limits = {}  # floods of one pool silence no other's
         return made
 
     def __call__(self, kind: str, text: object = "") -> None:
--- a/loadbalancer/frontends/connection.py
+++ b/loadbalancer/frontends/connection.py
@@ -125,7 +125,7 @@
         if budget is not None:
             self._charged = self.transport.get_write_buffer_size()
             self._charged_to = budget
-            budget.held += self._charged
+            budget.held_bytes += self._charged
 
     def takes(self) -> bool:
         """Whether the client has taken some of what was written since the last call."""
--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -193,7 +193,7 @@
             request.body = bytearray()
         if len(request.body) + len(data) > (request.length or 0):
             self._reject(request, 400, "more on STDIN than CONTENT_LENGTH states")
-        elif not destination.budget.take_upload(len(data)):
+        elif not destination.budget.try_acquire_upload(len(data)):
             self._reject(request, 503, "too much is being uploaded")
         else:
             request.body += data
@@ -331,7 +331,7 @@
     def _hold(self, on: bool) -> None:
         for request in list(self.requests.values()):
             if request.stream is not None:
-                request.stream.full(on)
+                request.stream.set_full(on)
 
     def _read_on(self, on: bool) -> None:
         if on == self.paused and self.transport is not None and not self.transport.is_closing():
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -154,7 +154,7 @@
         if self.body is None:
             self.body = bytearray()
         self.long = self.long or self.uploaded > destination.body_most
-        if not destination.budget.take_upload(len(data)):
+        if not destination.budget.try_acquire_upload(len(data)):
             raise RejectError(503, "too much is being uploaded")
         self.body += data
 
@@ -252,7 +252,7 @@
     def _go_on_with(self, upload: Upload) -> None:
         parts, self.parts = self.parts, []
         if parts:
-            upload.give(b"".join(parts))
+            upload.receive(b"".join(parts))
         if self.upload is upload and not self.reading_upload:  # neither answered meanwhile nor still coming
             self.upload = None
             upload.end()
@@ -530,20 +530,20 @@
 
     def pause_writing(self) -> None:
         if self.tunnel is not None:
-            self.tunnel.full(False, True)
+            self.tunnel.set_full(False, True)
             return
         destination = self.head.destination
         self.charge(destination.budget if destination is not None else None)
         if self.stream is not None:
-            self.stream.full(True)
+            self.stream.set_full(True)
 
     def resume_writing(self) -> None:
         if self.tunnel is not None:
-            self.tunnel.full(False, False)
+            self.tunnel.set_full(False, False)
             return
         self.uncharge()
         if self.stream is not None:
-            self.stream.full(False)
+            self.stream.set_full(False)
 
     def eof_received(self) -> bool | None:
         """The client has gone away; the transport closes. Of a tunnel, one direction does."""
--- a/loadbalancer/metrics.py
+++ b/loadbalancer/metrics.py
@@ -1,39 +1,41 @@
-"""What is counted of requests and attempts, from the start of the process.
+"""Counters of requests and attempts since the start of the process. No I/O, no clock.
 
-Plain counters, each added to in one place (proxy/proxy.py): no I/O and no clock. What they are called outside is the
-matter of who shows them.
+`proxy/` adds to them, each in one place; how they are named outside is up to those who show them.
 """
 
 from __future__ import annotations
 
 from enum import IntEnum
 
-#: Statuses that tell a client that trying again is harmless.
 RETRYABLE_STATUSES = frozenset((429, 503))
+"""Statuses that tell a client that trying again is harmless."""
 
 
 class RequestResult(IntEnum):
     """How a request ended, as its client saw it."""
 
-    PASSED = 0  # a member's answer, whole
-    DROPPED = 1  # refused: trying again is harmless
-    FAILED = 2  # any other answer, one broken off half way, or the client left before it
+    PASSED = 0
+    """With an endpoint's answer, whole."""
+    DROPPED = 1
+    """Rejected: trying again is harmless."""
+    FAILED = 2
+    """With any other answer, one that was cut off, or because the client left before it."""
 
 
 def result_of_status(status: int) -> RequestResult:
-    """Of an answer that the proxy made itself."""
+    """The result of an answer that the proxy itself made."""
     return RequestResult.DROPPED if status in RETRYABLE_STATUSES else RequestResult.FAILED
 
 
 class PoolMetrics:
-    """One pool's counters."""
+    """The counters of one pool."""
 
     def __init__(self, classes: int) -> None:
-        """`classes`: how many there are; they go by their numbers."""
-        self.open = 0  # requests taken and not ended
-        self.ended = [[0] * len(RequestResult) for _ in range(classes)]
-        self.tries = [0] * classes  # of attempts that have ended
+        """Begin at zero; `classes`: how many request classes there are."""
+        self.open = 0  # requests that were taken and have not ended
+        self.ended = [[0] * len(RequestResult) for _ in range(classes)]  # by class and result
+        self.tries = [0] * classes  # attempts that were written whole and have ended, by class
 
     def count(self, cls: int, end: RequestResult) -> None:
-        """A request of this class is no more."""
+        """Count a request of a class that has ended."""
         self.ended[cls][end] += 1
--- a/loadbalancer/proxy/answer_writer.py
+++ b/loadbalancer/proxy/answer_writer.py
@@ -75,7 +75,7 @@
     def _keep_error(self, request: OpenRequest, response: UpstreamResponse) -> None:
         if not is_better(request.kept_error, response):
             return
-        if not self._budget.take_upload(len(response.body)):
+        if not self._budget.try_acquire_upload(len(response.body)):
             return
         if request.kept_error is not None:
             self._budget.release(len(request.kept_error.body))
--- a/loadbalancer/proxy/endpoint_directory.py
+++ b/loadbalancer/proxy/endpoint_directory.py
@@ -27,7 +27,7 @@
     def cordon(self, endpoint: str, cordoned: bool) -> None:
         """Leave an endpoint out, or use it again; also one that is not listed now."""
         if cordoned:
-            self._tunnels.leave({endpoint})
+            self._tunnels.drain_endpoints({endpoint})
         self._post(Cordon(endpoint, cordoned))
 
     def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
@@ -71,5 +71,5 @@
         """End tunnels to endpoints that do not serve any more."""
         serving = {entry.endpoint for entry, _ in entries if entry.state == EndpointState.READY}
         named = {entry.endpoint for entry, _ in entries}
-        concerned = {tunnel.server for tunnel in self._tunnels.open if whole or tunnel.server in named}
-        self._tunnels.leave(concerned - serving)
+        concerned = {tunnel.endpoint for tunnel in self._tunnels.open if whole or tunnel.endpoint in named}
+        self._tunnels.drain_endpoints(concerned - serving)
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -401,7 +401,7 @@
 
     def _post_body_progress(self, request: OpenRequest) -> None:
         assert request.upload is not None
-        self.post(BodyProgress(request.id, request.is_complete, request.upload.kept is not None))
+        self.post(BodyProgress(request.id, request.is_complete, request.upload.kept_bytes is not None))
 
     def upload_failed(self, request: OpenRequest, status: int) -> None:
         """The client sends no more of such a body: it never became a request, and has not run."""
@@ -467,7 +467,7 @@
         if request.done or not self.tunnels.has_room():
             return None
         client = cast(TunnelClient, request.client)
-        tunnel = self.tunnels.begin(attempt.server, client, member)
+        tunnel = self.tunnels.open_tunnel(attempt.server, client, member)
         request.answered_by_endpoint = True
         self._table.finish(request, RequestResult.PASSED)
         client.begin_tunnel(answer.lines, answer.reason, tunnel)
--- a/loadbalancer/proxy/request_table.py
+++ b/loadbalancer/proxy/request_table.py
@@ -49,7 +49,7 @@
         request.class_index = class_index
         request.owner = owner
         request.time_remaining = time_remaining
-        request.is_complete = request.upload is None or request.upload.whole
+        request.is_complete = request.upload is None or request.upload.is_complete
         self.open[request.id] = request
         self._ids.opened(request.transaction)
         if request.upload is not None:
--- a/loadbalancer/proxy/response_streams.py
+++ b/loadbalancer/proxy/response_streams.py
@@ -57,7 +57,7 @@
         stalled = []
         for request in self._table.streaming:
             assert request.stream is not None
-            if not request.stream.stands():
+            if not request.stream.is_stalled():
                 request.stream_moved_at = now
             elif now - request.stream_moved_at > STALL_S:
                 stalled.append(request)
--- a/loadbalancer/streaming/streams.py
+++ b/loadbalancer/streaming/streams.py
@@ -1,16 +1,15 @@
-"""A body on its way from one connection to another: in order, bounded, with back-pressure.
+"""A body on its way from one connection to another: in order, bounded, with back-pressure. No I/O, no clock.
 
-One object stands between the two sides, so that a front and an upstream never know each other: what one side gives, the
-other takes, and the giver is held while the taker is full. No socket and no clock here; whoever sweeps brings the time.
+One `Stream` stands between the two sides, so that a front end and an upstream connection never know each other: what
+the producer sends, the consumer takes, and the producer is held while the consumer is full.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-#: A stream on which nothing has moved for this long, in seconds, is broken off. Guards a connection on either side
-#: against peers that have vanished. Harm: a member that pauses for longer in the middle of an answer.
 STALL_S = 10.0
+"""Seconds without a byte after which a stream is cut off, since the peer may have vanished."""
 
 
 class StreamProducer(Protocol):
@@ -21,68 +20,73 @@
 
 
 class StreamConsumer(Protocol):
-    """Where they go."""
+    """Where the bytes go."""
 
     def take_part(self, data: bytes) -> None:
-        """The next bytes; `Stream.full` tells the giver when there are too many."""
+        """Take the next bytes; see `Stream.set_full` for when there are too many."""
 
     def take_end(self) -> None:
-        """That was all."""
+        """The body is complete."""
 
     def break_off(self) -> None:
-        """There is no more, and it was not all: the other end must be able to tell."""
+        """The body ends before it is complete; the peer must be able to tell."""
 
 
 class Stream:
-    """One body. Either side may end it; nothing is heard of it after that."""
+    """One body. Either side may end it; it passes nothing on after that."""
 
-    __slots__ = ("giver", "taker", "passed", "moved", "over", "_full")
+    __slots__ = ("_has_ended", "_has_moved", "_is_full", "consumer", "passed_bytes", "producer")
 
     def __init__(self, giver: StreamProducer, taker: StreamConsumer) -> None:
-        self.giver, self.taker = giver, taker
-        self.passed = 0  # bytes
-        self.moved = True  # since the last sweep
-        self.over = False
-        self._full = False
-
-    def give(self, data: bytes) -> None:
-        if self.over or not data:
+        self.producer = giver
+        self.consumer = taker
+        self.passed_bytes = 0
+        self._has_moved = True  # since the last call of `is_stalled`
+        self._has_ended = False
+        self._is_full = False
+
+    def send(self, data: bytes) -> None:
+        """Pass bytes on."""
+        if self._has_ended or not data:
             return
-        self.moved = True
-        self.passed += len(data)
-        self.taker.take_part(data)
+        self._has_moved = True
+        self.passed_bytes += len(data)
+        self.consumer.take_part(data)
 
     def end(self) -> None:
-        if not self.over:
-            self.over = True
-            self.taker.take_end()
+        """The producer has sent all of it."""
+        if not self._has_ended:
+            self._has_ended = True
+            self.consumer.take_end()
 
     def cut(self) -> None:
-        """The giver has no more, though more was to come."""
-        if not self.over:
-            self.over = True
-            self.taker.break_off()
+        """The producer has no more, though more was to come."""
+        if not self._has_ended:
+            self._has_ended = True
+            self.consumer.break_off()
 
     def leave(self) -> None:
-        """The taker is gone; what is still given goes nowhere."""
-        if not self.over:
-            self.over = True
+        """The consumer is gone; what is still sent goes nowhere."""
+        if not self._has_ended:
+            self._has_ended = True
             self._hold(False)
 
-    def full(self, on: bool) -> None:
-        """The taker has as much as it can hold, or has room again."""
-        self.moved = True
-        if not self.over:
+    def set_full(self, on: bool) -> None:
+        """The consumer has as much as it can hold, or has room again."""
+        self._has_moved = True
+        if not self._has_ended:
             self._hold(on)
 
-    def stands(self) -> bool:
-        """Whether nothing has come since the last call, though the taker has room; a taker that is full is watched by
-        whoever owns it."""
-        stands = not (self.moved or self._full)
-        self.moved = False
-        return stands
+    def is_stalled(self) -> bool:
+        """Whether nothing has come since the last call though the consumer has room.
+
+        A consumer that is full is watched by its owner.
+        """
+        stalled = not (self._has_moved or self._is_full)
+        self._has_moved = False
+        return stalled
 
     def _hold(self, on: bool) -> None:
-        if on != self._full:
-            self._full = on
-            self.giver.hold(on)
+        if on != self._is_full:
+            self._is_full = on
+            self.producer.hold(on)
--- a/loadbalancer/streaming/tunnels.py
+++ b/loadbalancer/streaming/tunnels.py
@@ -1,29 +1,38 @@
-"""Connections that have gone over to another protocol (RFC 9110, 7.8): bytes both ways, bounded in number, time and
-buffers. No socket and no clock but those that are handed in.
+"""Connections that have gone over to another protocol (RFC 9110, 7.8): bytes both ways. No I/O.
 
-A tunnel is no request any more: its request was served with 101, the module has heard so, and what is open here counts
-apart. Each tunnel has one owner, `Tunnels` of its pool, and ends in one place, `Tunnel.close`.
+A tunnel is no request any more: its request was served with 101, and the policy has been told so. Tunnels are bounded
+in number, time and buffers. Each is owned by the `Tunnels` of its pool, and ends in one place, `Tunnel.close`.
 """
 
 from __future__ import annotations
 
 from typing import Callable, NamedTuple, Protocol
 
+CLIENT = 0
+"""Index of the client's side."""
+ENDPOINT = 1
+"""Index of the endpoint's side."""
+
 
 class TunnelLimits(NamedTuple):
-    """`most`: tunnels of one pool at once; `idle`, `life`, `grace`: seconds without a byte, in all, and after it
-    was told to end."""
+    """Limits on the tunnels of one pool."""
 
-    most: int = 256
-    idle: float = 300.0
-    life: float = 12 * 3600.0
-    grace: float = 5.0
+    max_open: int = 256
+    """Tunnels at once."""
+    idle_timeout: float = 300.0
+    """Seconds without a byte."""
+    max_lifetime: float = 12 * 3600.0
+    """Seconds in all."""
+    drain_timeout: float = 5.0
+    """Seconds that a tunnel has which is told to end."""
 
 
 class TunnelEnd(Protocol):
-    """One of the two connections of a tunnel, as the other sees it."""
+    """One of the two connections of a tunnel, as the other side sees it."""
+
+    def send(self, data: bytes) -> None:
+        """Pass bytes to the peer."""
 
-    def send(self, data: bytes) -> None: ...
     def hold(self, on: bool) -> None:
         """Read no more for now, or read again."""
 
@@ -38,120 +47,156 @@
 
 
 class Tunnel:
-    """Two ends and what holds between them. `until`: when it ends, by whatever comes first."""
+    """Two ends and what is counted of them."""
 
     __slots__ = (
-        "tunnels",
-        "server",
-        "client",
-        "member",
-        "began",
-        "moved",
-        "told",
-        "passed",
-        "finished",
-        "closed",
+        "_has_finished",
+        "_is_closed",
+        "_tunnels",
+        "client_end",
+        "drain_started_at",
+        "endpoint",
+        "endpoint_end",
+        "moved_at",
+        "opened_at",
+        "passed_bytes",
     )
 
     def __init__(
         self, tunnels: Tunnels, server: str, client: TunnelEnd, member: TunnelEnd, now: float
     ) -> None:
-        self.tunnels, self.server, self.client, self.member = tunnels, server, client, member
-        self.began = self.moved = now
-        self.told = 0.0  # since when it is to end; 0: it is not
-        self.passed = [0, 0]  # bytes from the client, from the member
-        self.finished = [False, False]
-        self.closed = False
+        """Begin to pass bytes.
+
+        Args:
+            tunnels: The owner.
+            server: Id of the endpoint.
+            client: The client's connection.
+            member: The endpoint's connection.
+            now: Seconds on the owner's clock.
+        """
+        self.endpoint = server
+        self.client_end = client
+        self.endpoint_end = member
+        self.opened_at = now
+        self.moved_at = now  # when a byte last came
+        self.drain_started_at = 0.0  # 0: it is not told to end
+        self.passed_bytes = [0, 0]  # by the side that they came from
+        self._tunnels = tunnels
+        self._has_finished = [False, False]  # by side
+        self._is_closed = False
 
     def from_client(self, data: bytes) -> None:
-        self._pass(0, self.member, data)
+        """Pass bytes of the client on."""
+        self._pass(CLIENT, self.endpoint_end, data)
 
-    def from_member(self, data: bytes) -> None:
-        self._pass(1, self.client, data)
+    def from_endpoint(self, data: bytes) -> None:
+        """Pass bytes of the endpoint on."""
+        self._pass(ENDPOINT, self.client_end, data)
 
-    def _pass(self, side: int, to: TunnelEnd, data: bytes) -> None:
-        if not self.closed:
-            self.passed[side] += len(data)
-            self.moved = self.tunnels.clock()
-            to.send(data)
+    def _pass(self, side: int, receiver: TunnelEnd, data: bytes) -> None:
+        if not self._is_closed:
+            self.passed_bytes[side] += len(data)
+            self.moved_at = self._tunnels.clock()
+            receiver.send(data)
 
-    def full(self, member: bool, on: bool) -> None:
-        """An end takes no more for now: the other is not read."""
-        if not self.closed:
-            (self.client if member else self.member).hold(on)
+    def set_full(self, member: bool, on: bool) -> None:
+        """An end takes no more for now, or has room again; the other one is held meanwhile."""
+        if not self._is_closed:
+            self._other_end(member).hold(on)
 
     def finish(self, member: bool) -> None:
-        """An end sends no more; once both do not, it is over."""
-        if self.closed or self.finished[member]:
+        """An end sends no more; once neither does, the tunnel closes."""
+        if self._is_closed or self._has_finished[member]:
             return
-        self.finished[member] = True
-        if all(self.finished):
+        self._has_finished[member] = True
+        if all(self._has_finished):
             self.close(orderly=True)
         else:
-            (self.client if member else self.member).finish()
+            self._other_end(member).finish()
+
+    def _other_end(self, member: bool) -> TunnelEnd:
+        return self.client_end if member else self.endpoint_end
 
     def lost(self) -> None:
         """A connection is gone."""
         self.close()
 
     def close(self, orderly: bool = False) -> None:
-        """`orderly`: both ends have sent all; otherwise what waits for an end that does not read is lost."""
-        if not self.closed:
-            self.closed = True
-            self.tunnels.ended(self)
-            for end in (self.client, self.member):
-                (end.shut if orderly else end.abort)()
-
-    def is_over(self, now: float, terms: TunnelLimits) -> bool:
-        if self.told and now - self.told > terms.grace:
+        """Close both ends.
+
+        Args:
+            orderly: Whether both have sent all; otherwise what waits for an end that does not read is lost.
+        """
+        if self._is_closed:
+            return
+        self._is_closed = True
+        self._tunnels.on_closed(self)
+        for end in (self.client_end, self.endpoint_end):
+            if orderly:
+                end.shut()
+            else:
+                end.abort()
+
+    def has_expired(self, now: float, limits: TunnelLimits) -> bool:
+        """Whether a limit in time is over."""
+        if self.drain_started_at and now - self.drain_started_at > limits.drain_timeout:
+            return True
+        if now - self.moved_at > limits.idle_timeout:
             return True
-        return now - self.moved > terms.idle or now - self.began > terms.life
+        return now - self.opened_at > limits.max_lifetime
 
 
 class Tunnels:
     """The tunnels of one pool."""
 
     def __init__(self, terms: TunnelLimits, clock: Callable[[], float]) -> None:
-        self.terms, self.clock = terms, clock
+        """Begin without tunnels; `clock`: monotonic seconds."""
+        self.limits = terms
+        self.clock = clock
         self.open: set[Tunnel] = set()
-        self.begun = 0  # in all
-        self.retired = False
-        self.passed = [0, 0]  # bytes of those that have ended
+        self.opened_count = 0  # in all
+        self.is_retired = False
+        self.passed_bytes = [0, 0]  # of tunnels that have closed, by side
 
     def has_room(self) -> bool:
-        return not self.retired and len(self.open) < self.terms.most
-
-    def begin(self, server: str, client: TunnelEnd, member: TunnelEnd) -> Tunnel:
-        made = Tunnel(self, server, client, member, self.clock())
-        self.open.add(made)
-        self.begun += 1
-        return made
-
-    def ended(self, tunnel: Tunnel) -> None:
+        """Whether one more may be opened."""
+        return not self.is_retired and len(self.open) < self.limits.max_open
+
+    def open_tunnel(self, server: str, client: TunnelEnd, member: TunnelEnd) -> Tunnel:
+        """Join two connections; see `Tunnel`."""
+        tunnel = Tunnel(self, server, client, member, self.clock())
+        self.open.add(tunnel)
+        self.opened_count += 1
+        return tunnel
+
+    def on_closed(self, tunnel: Tunnel) -> None:
+        """Forget a tunnel that closes."""
         self.open.discard(tunnel)
-        for side in (0, 1):
-            self.passed[side] += tunnel.passed[side]
+        for side in (CLIENT, ENDPOINT):
+            self.passed_bytes[side] += tunnel.passed_bytes[side]
 
     def retire(self) -> None:
-        """The pool or the process ends: each gets the grace, and no new one begins."""
-        self.retired = True
-        self._tell(lambda tunnel: True)
+        """Open no more, and drain all: the pool or the process ends."""
+        self.is_retired = True
+        self._drain(lambda _tunnel: True)
 
-    def leave(self, servers: set[str]) -> None:
-        """These members drain, are taken out or are gone."""
-        self._tell(lambda tunnel: tunnel.server in servers)
+    def drain_endpoints(self, servers: set[str]) -> None:
+        """Drain the tunnels to these endpoints."""
+        self._drain(lambda tunnel: tunnel.endpoint in servers)
 
-    def _tell(self, which: Callable[[Tunnel], bool]) -> None:
+    def _drain(self, concerns: Callable[[Tunnel], bool]) -> None:
         now = self.clock()
         for tunnel in self.open:
-            if which(tunnel) and not tunnel.told:
-                tunnel.told = now
+            if concerns(tunnel) and not tunnel.drain_started_at:
+                tunnel.drain_started_at = now
 
     def sweep(self) -> None:
+        """Close the tunnels whose time is over."""
         now = self.clock()
-        for tunnel in [tunnel for tunnel in self.open if tunnel.is_over(now, self.terms)]:
+        for tunnel in [tunnel for tunnel in self.open if tunnel.has_expired(now, self.limits)]:
             tunnel.close()
 
     def close(self) -> None:
+        """Close all."""
         for tunnel in list(self.open):
             tunnel.close()
--- a/loadbalancer/streaming/uploads.py
+++ b/loadbalancer/streaming/uploads.py
@@ -1,7 +1,7 @@
-"""A request's body that is too long to be held: on its way to a member while it still comes.
+"""A request's body that is too long to be held: sent to an endpoint while it still comes. No I/O, no clock.
 
-No socket and no clock here. The client's connection gives, the member's takes; whether it may be sent again is told by
-whether all that has come is still kept.
+The client's connection produces, the endpoint's consumes. The body may be sent again as long as all that has come is
+still kept.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 
 class Upload:
-    """One body, from the moment that it is too long until its request ends."""
+    """One body, from the moment that it is too long until its request ends. It owns the bytes that it keeps."""
 
     __slots__ = (
-        "giver",
-        "length",
-        "passed",
-        "whole",
-        "kept",
         "_budget",
-        "_taker",
-        "_holds",
-        "_over",
-        "_lost",
+        "_consumer",
+        "_is_closed",
+        "_is_held",
+        "_on_lost",
+        "is_complete",
+        "kept_bytes",
+        "length",
+        "producer",
+        "received_bytes",
     )
 
     def __init__(
@@ -36,78 +36,90 @@
         budget: BufferBudget,
         lost: Callable[[], None],
     ) -> None:
-        """`length`: as stated, None where it comes in chunks. `kept`: what has come, charged to `budget`. `lost` is
-        called once: a byte is gone that is not kept, so the body can't be sent again."""
-        self.giver, self.length, self._budget, self._lost = giver, length, budget, lost
-        self.kept: bytearray | None = kept
-        self.passed = len(kept)  # bytes that have come
-        self.whole = False
-        self._taker: StreamConsumer | None = None
-        self._holds = self._over = False
-        self._hold(True)  # until a member takes it
-
-    # The client's side.
-
-    def give(self, data: bytes) -> None:
-        """The next bytes."""
-        self.passed += len(data)
-        if self._over:
+        """Hold the producer until an endpoint takes the body.
+
+        Args:
+            giver: The client's connection.
+            length: Bytes of the body as stated; None where it comes in chunks.
+            kept: What has come, charged to the budget.
+            budget: What kept bytes are taken from.
+            lost: Called once when a byte is gone that is not kept, so that the body cannot be sent again.
+        """
+        self.producer = giver
+        self.length = length
+        self.kept_bytes: bytearray | None = kept
+        self.received_bytes = len(kept)
+        self.is_complete = False
+        self._budget = budget
+        self._on_lost = lost
+        self._consumer: StreamConsumer | None = None
+        self._is_held = False
+        self._is_closed = False
+        self._hold(True)
+
+    # Called by the client's connection.
+
+    def receive(self, data: bytes) -> None:
+        """Take the next bytes."""
+        self.received_bytes += len(data)
+        if self._is_closed:
             return
-        if self._taker is None and self.kept is not None:
-            self.kept += data
-            self._budget.held += len(data)  # what came behind the hold: one read at most
+        if self._consumer is None and self.kept_bytes is not None:
+            # What came before the hold took effect: one read at most.
+            self.kept_bytes += data
+            self._budget.held_bytes += len(data)
             return
-        if self.kept is not None:
-            self._forget()
-            self._lost()
-        if self._taker is not None:
-            self._taker.take_part(data)
+        if self.kept_bytes is not None:
+            self._discard_kept()
+            self._on_lost()
+        if self._consumer is not None:
+            self._consumer.take_part(data)
 
     def end(self) -> None:
-        """That was all."""
-        self.whole = True
-        if self._taker is not None:
-            self._taker.take_end()
+        """The body is complete."""
+        self.is_complete = True
+        if self._consumer is not None:
+            self._consumer.take_end()
 
-    # The member's side.
+    # Called by the endpoint's connection.
 
     def attach(self, taker: StreamConsumer) -> None:
-        """A member takes it from the beginning; only while all of it is kept."""
-        assert self.kept is not None
-        self._taker = taker
-        if self.kept:
-            taker.take_part(bytes(self.kept))
-        if self._taker is not taker:  # it broke over the first bytes
+        """Send the body to an endpoint from its beginning; only while all of it is kept."""
+        assert self.kept_bytes is not None
+        self._consumer = taker
+        if self.kept_bytes:
+            taker.take_part(bytes(self.kept_bytes))
+        if self._consumer is not taker:  # it broke over the first bytes
             return
-        if self.whole:
+        if self.is_complete:
             taker.take_end()
         else:
             self._hold(False)
 
     def detach(self, taker: StreamConsumer) -> None:
-        """This member takes no more; the next one gets all of it, if that is still kept."""
-        if self._taker is taker:
-            self._taker = None
+        """This endpoint takes no more; the next one gets all of it, if that is still kept."""
+        if self._consumer is taker:
+            self._consumer = None
             self._hold(True)
 
-    def full(self, on: bool) -> None:
-        """The member has as much as it can hold, or has room again."""
-        if self._taker is not None:
+    def set_full(self, on: bool) -> None:
+        """The endpoint's connection has as much as it can hold, or has room again."""
+        if self._consumer is not None:
             self._hold(on)
 
     def close(self) -> None:
         """The request has ended: what still comes goes nowhere."""
-        self._over = True
-        self._taker = None
-        self._forget()
+        self._is_closed = True
+        self._consumer = None
+        self._discard_kept()
         self._hold(False)
 
-    def _forget(self) -> None:
-        if self.kept is not None:
-            self._budget.release(len(self.kept))
-            self.kept = None
+    def _discard_kept(self) -> None:
+        if self.kept_bytes is not None:
+            self._budget.release(len(self.kept_bytes))
+            self.kept_bytes = None
 
     def _hold(self, on: bool) -> None:
-        if on != self._holds:
-            self._holds = on
-            self.giver.hold(on)
+        if on != self._is_held:
+            self._is_held = on
+            self.producer.hold(on)
--- a/loadbalancer/upstreams/fastcgi.py
+++ b/loadbalancer/upstreams/fastcgi.py
@@ -147,13 +147,13 @@
         assert self.head is not None
         data, length = self.side.exchange.draw(), self.head.length
         self._charge()
-        if stream.passed + len(data) > (self.dialect.stream_most if length is None else length):
+        if stream.passed_bytes + len(data) > (self.dialect.stream_most if length is None else length):
             self._spoilt("too large")
             return
-        stream.give(data)
+        stream.send(data)
         if end is None or self.closed:
             return
-        whole = stream.passed == length if length is not None else not self.side.status
+        whole = stream.passed_bytes == length if length is not None else not self.side.status
         if end != End.ANSWERED or not whole:
             self._spoilt("it ended before its end")
             return
@@ -163,7 +163,7 @@
     def _charge(self) -> None:
         more = len(self.side.stdout) - self.held
         self.held += more
-        self.pool.budget.held += more
+        self.pool.budget.held_bytes += more
 
     def _spoilt(self, why: object) -> None:
         """Guards against whatever is no answer, before any of it has reached the client; as in HTTP."""
--- a/loadbalancer/upstreams/http1.py
+++ b/loadbalancer/upstreams/http1.py
@@ -139,19 +139,19 @@
 
     def pause_writing(self) -> None:
         if self.tunnel is not None:
-            self.tunnel.full(True, True)
+            self.tunnel.set_full(True, True)
             return
         self.unsent = True
         if self.upload is not None:
-            self.upload.full(True)
+            self.upload.set_full(True)
 
     def resume_writing(self) -> None:
         if self.tunnel is not None:
-            self.tunnel.full(True, False)
+            self.tunnel.set_full(True, False)
             return
         self.unsent = False
         if self.upload is not None:
-            self.upload.full(False)
+            self.upload.set_full(False)
 
     # What the parser finds; it is acted on once the parser is done, outside its callbacks.
 
@@ -206,7 +206,7 @@
         elif not self.surplus and (self.status == 200 or not self.dialect.platform):
             self.body.append(body)
             self.held += len(body)
-            self.pool.budget.held += len(body)
+            self.pool.budget.held_bytes += len(body)
 
     def on_message_complete(self) -> None:
         if self.surplus or self.parser is None or self.length_only:
@@ -228,7 +228,7 @@
         self.received += len(data)
         self.note_heard()
         if self.tunnel is not None:
-            self.tunnel.from_member(data)
+            self.tunnel.from_endpoint(data)
             return
         if self.left:
             self._pass_on(data)
@@ -286,15 +286,15 @@
         """Pass on what has come. It breaks off where the answer turns out to be none."""
         data = b"".join(self.body)
         self._release()
-        if self.dialect.stream_most < stream.passed + len(data):
+        if self.dialect.stream_most < stream.passed_bytes + len(data):
             self._spoilt("too large")
             return
-        stream.give(data)
+        stream.send(data)
         if self.complete and not self.closed:
             self._finish()
         elif self.length is not None and not self.coded:
-            self.left = self.length - stream.passed
-        elif self.received > PIECES * stream.passed + BESIDE_MOST:
+            self.left = self.length - stream.passed_bytes
+        elif self.received > PIECES * stream.passed_bytes + BESIDE_MOST:
             self._spoilt("without end")
 
     def _pass_on(self, data: bytes) -> None:
@@ -305,10 +305,10 @@
         assert stream is not None and self.parser is not None
         if len(data) < self.left:
             self.left -= len(data)
-            stream.give(data)
+            stream.send(data)
             return
         self.surplus = len(data) > self.left
-        stream.give(data[: self.left] if self.surplus else data)
+        stream.send(data[: self.left] if self.surplus else data)
         self.left, self.complete, self.keep = 0, True, self.parser.should_keep_alive()
         self.stale = True
         if not self.closed:
@@ -385,7 +385,7 @@
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=TUNNEL_BUFFER)
         if rest:
-            self.tunnel.from_member(rest)
+            self.tunnel.from_endpoint(rest)
 
     def send(self, data: bytes) -> None:
         if self.transport is not None and not self.closed:
--- a/loadbalancer/upstreams/multiplex.py
+++ b/loadbalancer/upstreams/multiplex.py
@@ -53,7 +53,7 @@
     def charge(self) -> None:
         more = len(self.exchange.stdout) - self.held
         self.held += more
-        self.trunk.pool.budget.held += more
+        self.trunk.pool.budget.held_bytes += more
 
     def release(self) -> None:
         self.trunk.pool.budget.release(self.held)
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -9,28 +9,30 @@
 from typing import Any, Awaitable, Callable
 
 import pytest
-from peers import OK, SETTINGS, ScriptedBackend, ScriptedDiscovery, World, answering, play, request, world
+from peers import (
+    OK,
+    SETTINGS,
+    ScriptedBackend,
+    ScriptedDiscovery,
+    World,
+    answering,
+    lists,
+    play,
+    request,
+    until_lists,
+    world,
+)
 
 from loadbalancer.discovery import watch as discovery_module
 from loadbalancer.discovery import watch_connection
 from loadbalancer.policy.events import (
     EndpointEntry,
-    EndpointList,
     EndpointState,
 )
 
 ASKED = {**SETTINGS, "registry-mode": "subscribe"}
 
 
-def lists(here: World) -> list[EndpointList]:
-    return [e for e in here.proxy.told if isinstance(e, EndpointList)]
-
-
-async def until_lists(here: World, count: int) -> EndpointList:
-    await here.proxy.until(lambda: len(lists(here)) >= count)
-    return lists(here)[count - 1]
-
-
 def entry(name: str, **other: Any) -> dict[str, Any]:
     return {
         "id": name,
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -25,6 +25,7 @@
 from loadbalancer.frontends.platform_http import PlatformReader
 from loadbalancer.frontends.tls_listener import TlsAcceptor
 from loadbalancer.policy.events import (
+    EndpointList,
     Event,
     Outcome,
 )
@@ -372,3 +373,12 @@
         await asyncio.wait_for(scene(), 6 * PATIENCE)
 
     uvloop.run(run())
+
+
+def lists(here: World) -> list[EndpointList]:
+    return [e for e in here.proxy.told if isinstance(e, EndpointList)]
+
+
+async def until_lists(here: World, count: int) -> EndpointList:
+    await here.proxy.until(lambda: len(lists(here)) >= count)
+    return lists(here)[count - 1]
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -328,7 +328,7 @@
             gate.set()
             await here.until(lambda: memory.ledger.open == 0)
             await memory.store.call(lambda view: None)
-            assert not memory.ledger.in_progress and pool_.budget.held == 0
+            assert not memory.ledger.in_progress and pool_.budget.held_bytes == 0
             assert (await here.ask(book("k")))[0] == 200 and member.counts.by_key == {"k": 1}
 
     run(scene)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -378,7 +378,7 @@
             client.writer.write_eof()
             assert await client.reader.read() == b""
             await here.until(lambda: not tunnels(here).open)
-            assert tunnels(here).passed == [5 + len(big), 10 + len(big)]
+            assert tunnels(here).passed_bytes == [5 + len(big), 10 + len(big)]
             assert here.daemon.pools["p"].proxy.backends.open == 0
 
     run(scene)
@@ -454,9 +454,9 @@
             client = await here.connect()
             await client.send(UPGRADE)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await here.until(lambda: tunnels(here).begun == 1)
+            await here.until(lambda: tunnels(here).opened_count == 1)
             await here.until(lambda: not tunnels(here).open)
-            assert tunnels(here).passed[1] < 32 << 20
+            assert tunnels(here).passed_bytes[1] < 32 << 20
 
     run(scene)
 
@@ -477,10 +477,10 @@
                 assert (await head_of(client)).startswith(b"HTTP/1.1 101 ")
                 clients.append(client)
             before = tunnels(here)
-            mine = {t.server for t in before.open}
+            mine = {t.endpoint for t in before.open}
             assert mine == {"a", "b"}
             await here.reload(both().replace('id = "a"', 'id = "a"\nstate = "draining"'))
-            await here.until(lambda: {t.server for t in before.open} == {"b"})
+            await here.until(lambda: {t.endpoint for t in before.open} == {"b"})
             here.daemon.pools["p"].proxy.cordon("b", True)
             await here.until(lambda: not before.open)
             for client in clients:
@@ -533,9 +533,11 @@
 
 def test_the_times_of_a_tunnel() -> None:
     now = [0.0]
-    those = Tunnels(TunnelLimits(most=3, idle=10.0, life=25.0, grace=5.0), lambda: now[0])
+    those = Tunnels(
+        TunnelLimits(max_open=3, idle_timeout=10.0, max_lifetime=25.0, drain_timeout=5.0), lambda: now[0]
+    )
     client, member = FakeEnd(), FakeEnd()
-    tunnel = those.begin("a", client, member)
+    tunnel = those.open_tunnel("a", client, member)
     for second in range(0, 25, 8):
         now[0] = float(second)
         tunnel.from_client(b"x")
@@ -544,22 +546,22 @@
     now[0] = 25.5
     those.sweep()  # its life is over, though it moves
     assert not those.open and client.said[-1] == member.said[-1] == "abort"
-    tunnel.from_member(b"late")
+    tunnel.from_endpoint(b"late")
     tunnel.close()
     assert client.said.count("abort") == 1 and b"late" not in client.said
-    other = those.begin("b", client, member)
-    those.leave({"a"})
+    other = those.open_tunnel("b", client, member)
+    those.drain_endpoints({"a"})
     now[0] += 6.0
     those.sweep()
     assert those.open == {other}
-    those.leave({"b"})
+    those.drain_endpoints({"b"})
     now[0] += 4.0
     other.from_client(b"still")
     those.sweep()
     assert those.open
     now[0] += 2.0
     those.sweep()
-    assert not those.open and not those.retired
+    assert not those.open and not those.is_retired
     those.retire()
     assert not those.has_room()
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -88,7 +88,7 @@
                 assert status == 503  # certain never to have run, so a refusal
             else:
                 assert status == 502  # it may have run
-            assert not here.proxy.open and here.proxy.budget.held == 0
+            assert not here.proxy.open and here.proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -379,7 +379,7 @@
             assert await client.ask(request("keyed")) == (200, b"hi")
             outcomes = await here.proxy.until_outcomes(2)
             assert [o.result for o in outcomes] == [AttemptResult.RESET, AttemptResult.SERVED]
-            assert here.proxy.budget.held == 0
+            assert here.proxy.budget.held_bytes == 0
 
     play(scene)
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -163,12 +163,12 @@
         async with world(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
             await client.send(request("unsafe", bytes(60_000))[:-20_000])
-            while here.proxy.budget.held == 0:
+            while here.proxy.budget.held_bytes == 0:
                 await asyncio.sleep(0)
             client.writer.transport.abort()
             while here.server.connections:
                 await asyncio.sleep(0)
-            assert here.proxy.budget.held == 0 and not here.proxy.told[1:]
+            assert here.proxy.budget.held_bytes == 0 and not here.proxy.told[1:]
 
     play(scene)
 
@@ -182,7 +182,7 @@
             client = await here.connect()
             await client.send(request("unsafe", b"x" * 100)[:cut])
             assert (await client.read())[0] == 408
-            assert await client.ended() == b"" and here.proxy.budget.held == 0
+            assert await client.ended() == b"" and here.proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -228,7 +228,7 @@
             client = await here.connect()
             data = request("unsafe", bytes(64_000))
             await client.send(data[:-32_000])
-            while here.proxy.budget.held < 32_000:
+            while here.proxy.budget.held_bytes < 32_000:
                 await asyncio.sleep(0)
             (connection,) = here.connections()
             connection.sweep(connection.since + connection_module.REQUEST_S)
@@ -253,7 +253,7 @@
                 if not connection.request and not connection.closing:
                     await client.send(request())
                 await asyncio.sleep(0)
-            assert here.proxy.budget.held == 0
+            assert here.proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -267,7 +267,7 @@
             client = await here.connect()
             body = bytes(range(256)) * 256
             assert await client.ask(request("unsafe", body)) == (200, body)
-            assert here.proxy.budget.held == 0
+            assert here.proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -294,7 +294,7 @@
             first = [await here.connect() for _ in range(count)]
             for client in first:
                 await client.send(data[:-1])
-            while here.proxy.budget.held < count * 59_999:
+            while here.proxy.budget.held_bytes < count * 59_999:
                 await asyncio.sleep(0)
             second = await here.connect()
             assert (await second.ask(request("unsafe", bytes(60_000))))[0] == 503
@@ -554,7 +554,7 @@
             while pool.open != (idle := sum(len(b.idle) for b in pool.table.values())):
                 await asyncio.sleep(0)  # one that was being opened is still to be given up
             assert idle <= 6 * backend_module.IDLE_MOST
-            assert here.proxy.budget.held == 0 and not here.server.idle
+            assert here.proxy.budget.held_bytes == 0 and not here.server.idle
             assert not here.proxy.balancer.requests
             assert not any(s.in_flight or s.responding for s in here.proxy.balancer.servers.values())
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -300,7 +300,7 @@
             await here.until(lambda: not here.daemon.retiring_pools and not here.daemon.retiring_listeners)
             await here.until(lambda: not here.daemon.listeners["main"].connections)
             for running in here.daemon.pools.values():
-                assert running.proxy.budget.held == 0 and not running.proxy.open
+                assert running.proxy.budget.held_bytes == 0 and not running.proxy.open
             # Beside the 500 reloads' requests and connections, which are gone, nothing has grown.
             assert sizes[1] < sizes[0] * 1.5
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -76,7 +76,7 @@
             assert b"Own Words" in head and b"text/x-own" in head and b"Retry-After: 7\r\n" in head
             proxy = here.daemon.pools["web"].proxy
             await here.until(lambda: not proxy.open)
-            assert proxy.budget.held == 0
+            assert proxy.budget.held_bytes == 0
             assert sum(map(sum, proxy.figures.ended)) == 1
 
     play(scene)
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -78,7 +78,7 @@
             assert params[b"REQUEST_METHOD"] == b"POST" and params[b"REQUEST_URI"] == b"/a?b=c"
             assert params[b"SCRIPT_FILENAME"] == b"/srv/x" and params[b"HTTP_X_A"] == b"1"
             assert params[b"REMOTE_ADDR"] == b"127.0.0.1" and 0 < int(params[b"REQUEST_TIMEOUT_MS"]) <= 30_000
-            assert here.daemon.pools["p"].proxy.budget.held == 0
+            assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -161,7 +161,7 @@
             if how == "closed":
                 await client.send(requests_to("/", "POST", b"x"))
                 assert (await client.read())[2] == b"whole body"
-            assert here.daemon.pools["p"].proxy.budget.held == 0
+            assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -276,7 +276,7 @@
                 expected = 502
             assert (status, seen[0]) == (expected, result) and set(seen) == {result}
             assert len(app.calls) == len(seen)
-            assert here.daemon.pools["p"].proxy.budget.held == 0
+            assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
             await here.reload(LISTENER, route("all", "q"), app_pool("q", [app, well]))
             asked, before = 0, len(app.calls)
             while len(app.calls) == before:
@@ -457,7 +457,7 @@
             assert not backend.calls
             assert (await web.ask(1, "POST", body=b"body")).status == 200
             proxy = here.daemon.pools["p"].proxy
-            assert not proxy.open and proxy.budget.held == 0
+            assert not proxy.open and proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -510,7 +510,7 @@
                     assert await other.ended() == b""
                 other.close()
                 await here.until(lambda: all(c.phase == 0 for c in listener.connections))
-            assert not backend.calls and here.daemon.pools["p"].proxy.budget.held == 0
+            assert not backend.calls and here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -534,7 +534,7 @@
             await web.send(head + stdin)
             assert (await web.read(1)).status == status and not backend.calls
             assert (await web.ask(2)).status == 200
-            assert here.daemon.pools["p"].proxy.budget.held == 0
+            assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -623,7 +623,7 @@
             await backend.until_called(3)
             web.close()
             await here.until(lambda: not here.daemon.pools["p"].proxy.open)
-            assert here.daemon.pools["p"].proxy.budget.held == 0
+            assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -645,7 +645,7 @@
                 await web.send(web.request(number))
                 for _ in range(200):
                     await asyncio.sleep(0)
-            assert here.daemon.pools["p"].proxy.budget.held == 0
+            assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -790,7 +790,7 @@
                 assert got == body
             assert app.connections == 1  # it is kept
             await here.until(lambda: not proxy.open)
-            assert proxy.budget.held == 0 and not proxy.streams
+            assert proxy.budget.held_bytes == 0 and not proxy.streams
 
     play(scene)
 
@@ -831,7 +831,7 @@
                     pass
             await here.until(lambda: not proxy.open)
             assert seen == [AttemptResult.RESET] and sum(len(app.calls) for app in apps) == 1
-            assert proxy.budget.held == 0
+            assert proxy.budget.held_bytes == 0
 
     play(scene)
 
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -71,7 +71,7 @@
                 gate.let(b"%d" % number)
                 assert (await clients[number].read())[2] == b"%d" % number
             proxy = here.daemon.pools["p"].proxy
-            assert proxy.budget.held == 0 and proxy.backends.open == app.connections
+            assert proxy.budget.held_bytes == 0 and proxy.backends.open == app.connections
 
     play(scene)
 
@@ -89,7 +89,7 @@
                 assert (await clients[number].read())[0] == 502
             assert len(app.calls) == 5  # none went again
             proxy = here.daemon.pools["p"].proxy
-            assert proxy.backends.open == 0 and proxy.budget.held == 0 and not proxy.open
+            assert proxy.backends.open == 0 and proxy.budget.held_bytes == 0 and not proxy.open
             assert not well.calls
 
     play(scene)
@@ -200,7 +200,7 @@
                 assert set(statuses) <= {200, 500, 502, 503, 504}
             assert all(count == 1 for count in effects.values())
             proxy = here.daemon.pools["p"].proxy
-            assert not proxy.open and proxy.budget.held == 0 and not proxy.balancer.requests
+            assert not proxy.open and proxy.budget.held_bytes == 0 and not proxy.balancer.requests
             assert not here.heard.count("defect") and not here.heard.count("overdue")
 
     play(scene)
--- a/tests/test_fastcgi_random.py
+++ b/tests/test_fastcgi_random.py
@@ -68,7 +68,7 @@
                 assert status in (200, 500, 502, 503, 504)
             assert not here.heard.count("defect") and not here.heard.count("overdue")
             proxy = here.daemon.pools["p"].proxy
-            assert not proxy.open and proxy.budget.held == 0 and not proxy.balancer.requests
+            assert not proxy.open and proxy.budget.held_bytes == 0 and not proxy.balancer.requests
             assert proxy.backends.open == sum(len(b.idle) for b in proxy.backends.table.values())
 
     play(scene)
@@ -102,7 +102,7 @@
             proxy = here.daemon.pools["p"].proxy
             await here.until(lambda: not here.daemon.listeners["main"].connections and not proxy.open)
             assert not here.heard.count("defect")
-            assert proxy.budget.held == 0 and not proxy.balancer.requests
+            assert proxy.budget.held_bytes == 0 and not proxy.balancer.requests
 
     play(scene)
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -21,9 +21,9 @@
     request,
     resetting,
     silent,
+    until_lists,
     world,
 )
-from test_watch import until_lists
 
 from loadbalancer.deployment import read_deployment
 from loadbalancer.discovery.platform_overrides import PlatformOverrides
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -343,7 +343,7 @@
         async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
             status, head, body = await here.ask(requests_to("/", "POST", b"x"))
             assert (status, body) == (500, b"why") and b"text/plain" in head
-            assert here.daemon.pools["web"].proxy.budget.held == 0
+            assert here.daemon.pools["web"].proxy.budget.held_bytes == 0
 
     play(scene)
 
@@ -409,7 +409,7 @@
             assert (await here.ask(data))[0] == 200
             _, headers = seen(backend, 1)
             assert headers["content-length"] == str(len(whole)) and "transfer-encoding" not in headers
-            assert here.daemon.pools["web"].proxy.budget.held == 0
+            assert here.daemon.pools["web"].proxy.budget.held_bytes == 0
 
     play(scene)
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -39,19 +39,19 @@
 def test_a_stream_holds_its_giver_while_the_taker_is_full_and_ends_once() -> None:
     giver, taker = End(), End()
     stream = Stream(giver, taker)
-    stream.give(b"a")
+    stream.send(b"a")
     for on in (True, True, False, True):
-        stream.full(on)
+        stream.set_full(on)
     assert giver.told == [True, False, True]
-    assert not stream.stands()  # it moved, and now it is full
-    assert not stream.stands()
-    stream.full(False)
-    assert not stream.stands() and stream.stands()
+    assert not stream.is_stalled()  # it moved, and now it is full
+    assert not stream.is_stalled()
+    stream.set_full(False)
+    assert not stream.is_stalled() and stream.is_stalled()
     stream.end()
-    stream.give(b"b")
+    stream.send(b"b")
     stream.cut()
     stream.leave()
-    assert taker.told == [b"a", "end"] and stream.passed == 1
+    assert taker.told == [b"a", "end"] and stream.passed_bytes == 1
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "connection"])
@@ -177,7 +177,7 @@
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             status, _, body = await client.read()
             assert status == 200 and len(body) == most
-            assert here.proxy.budget.held == 0
+            assert here.proxy.budget.held_bytes == 0
 
     play(scene)
 
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -32,7 +32,7 @@
 
 def upload(kept: bytes = b"ab") -> tuple[Upload, End, BufferBudget, list[str]]:
     client, budget, lost = End(), BufferBudget(100), list[str]()
-    assert budget.take_upload(len(kept))
+    assert budget.try_acquire_upload(len(kept))
     return Upload(client, None, bytearray(kept), budget, lambda: lost.append("lost")), client, budget, lost
 
 
@@ -40,17 +40,17 @@
     body, client, budget, lost = upload()
     member = End()
     assert client.told == [True]
-    body.give(b"c")  # was on its way when the client was held
+    body.receive(b"c")  # was on its way when the client was held
     body.attach(member)
-    assert member.told == [b"abc"] and client.told == [True, False] and budget.held == 3 and not lost
-    body.give(b"d")
-    body.give(b"e")
-    assert lost == ["lost"] and body.kept is None and budget.held == 0
-    body.full(True)
-    body.full(False)
+    assert member.told == [b"abc"] and client.told == [True, False] and budget.held_bytes == 3 and not lost
+    body.receive(b"d")
+    body.receive(b"e")
+    assert lost == ["lost"] and body.kept_bytes is None and budget.held_bytes == 0
+    body.set_full(True)
+    body.set_full(False)
     body.end()
     assert member.told == [b"abc", b"d", b"e", "end"] and client.told == [True, False, True, False]
-    assert body.passed == 5 and body.whole
+    assert body.received_bytes == 5 and body.is_complete
 
 
 def test_a_member_that_ends_before_more_has_left_leaves_it_whole_to_the_next() -> None:
@@ -64,8 +64,8 @@
     assert second.told == [b"ab", "end"] and not lost
     body.detach(first)  # long gone
     body.close()
-    body.give(b"c")
-    assert budget.held == 0 and client.told[-1] is False and first.told == [b"ab"]
+    body.receive(b"c")
+    assert budget.held_bytes == 0 and client.told[-1] is False and first.told == [b"ab"]
 
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -95,7 +95,7 @@
 async def settled(here: World) -> None:
     """Everything that was held for requests has been given back."""
     await here.proxy.until(lambda: not here.proxy.open)
-    assert here.proxy.uploads == 0 and here.proxy.budget.held == 0 and here.proxy.figures.open == 0
+    assert here.proxy.uploads == 0 and here.proxy.budget.held_bytes == 0 and here.proxy.figures.open == 0
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
@@ -349,7 +349,7 @@
             connections = [attempt.connection for attempt in open_.attempts]
             transports += [getattr(connection, "transport", None) for connection in connections]
         held = sum(transport.get_write_buffer_size() for transport in transports if transport is not None)
-        self.peak = max(self.peak, held + self.here.proxy.budget.held)
+        self.peak = max(self.peak, held + self.here.proxy.budget.held_bytes)
 
 
 def test_64_bodies_and_answers_of_32_mb_at_once_take_little_memory(monkeypatch: pytest.MonkeyPatch) -> None:
