--- a/benchmarks/counted.py
+++ b/benchmarks/counted.py
@@ -21,12 +21,14 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.endpoints import Endpoint
+from loadbalancer.policy.estimators import linear_decay
 from loadbalancer.policy.events import (
     AttemptResult,
     Event,
     Outcome,
     Request,
 )
+from loadbalancer.policy.load_shedding import LoadShedding
 from loadbalancer.policy.settings import (
     PolicySettings,
 )
@@ -40,9 +42,23 @@
 EVERY_S = 5
 
 
+class CountedShedding(LoadShedding):
+    """Remembers why the last request was rejected."""
+
+    why_refused = "placing"
+
+    def rejects(self, event: Request, is_late: bool, now: float) -> bool:
+        rejects = super().rejects(event, is_late, now)
+        self.why_refused = ("late" if is_late else "shed") if rejects else "placing"
+        return rejects
+
+
 class Counted(Balancer):
     """Counts what comes and what becomes of it, by class and by state of the member."""
 
+    load_shedding: CountedShedding
+    load_shedding_type = CountedShedding
+
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         super().__init__(settings, seed)
         self.count: Counter[str] = Counter()
@@ -60,20 +76,20 @@
         actions = super().handle(now, events)
         for action in actions:
             if isinstance(action, Send):
-                self.count[f"sent {self.state(self.servers[action.endpoint])}"] += 1
+                self.count[f"sent {self.state(self.endpoints[action.endpoint])}"] += 1
             elif isinstance(action, (Reject, Fail)):
                 self.count_end(action, asked, events)
         return actions
 
     def count_outcome(self, event: Outcome, now: float) -> None:
-        state = self.state(self.servers[event.endpoint])
+        state = self.state(self.endpoints[event.endpoint])
         self.count[f"{event.result.name.lower()} {state}"] += 1
         pending = self.requests.get(event.request)
         if event.result == AttemptResult.SERVED and pending is not None:
-            late = now > pending.aim
-            self.count[f"{'late' if late else 'intime'} {pending.number}"] += 1
-            self.count[f"took {pending.number} {state}"] += int(event.elapsed * 1e6)
-            self.count[f"took2 {pending.number} {state}"] += 1
+            late = now > pending.objective_at
+            self.count[f"{'late' if late else 'intime'} {pending.class_index}"] += 1
+            self.count[f"took {pending.class_index} {state}"] += int(event.elapsed * 1e6)
+            self.count[f"took2 {pending.class_index} {state}"] += 1
         if event.report and "utilization" in event.report:
             self.count["reports"] += 1
             self.count["util%"] += int(100 * event.report["utilization"])
@@ -81,25 +97,18 @@
     def count_end(self, action: Any, pending: Any, events: Sequence[Event]) -> None:
         kind = type(action).__name__.lower()
         if pending is not None:
-            self.count[f"{kind} after {len(pending.attempts)} {pending.number}"] += 1
+            self.count[f"{kind} after {len(pending.attempts)} {pending.class_index}"] += 1
             return
         for event in events:
             if isinstance(event, Request) and event.request == action.request:
-                self.count[f"{kind} {self.why_refused} {event.class_index}"] += 1
-
-    why_refused = "placing"
-
-    def _sheds(self, event: Any, cls: Any, late: bool) -> bool:
-        sheds = super()._sheds(event, cls, late)
-        self.why_refused = ("late" if late else "shed") if sheds else "placing"
-        return sheds
+                self.count[f"{kind} {self.load_shedding.why_refused} {event.class_index}"] += 1
 
     def state(self, server: Endpoint) -> str:
-        if self.now - self._began(server) < self.rules.slow_start_duration:
+        if self.now - server.warming_since() < self.settings.rules.slow_start_duration:
             return "cold"
-        if self._faded(server.error_rate, server.error_rate_at) > SICK:
+        if linear_decay(server.error_rate, server.error_rate_at, self.now) > SICK:
             return "sick"
-        util = self._faded(server.utilization, server.utilization_at)
+        util = linear_decay(server.utilization, server.utilization_at, self.now)
         return "busy" if util > BUSY else "idle" if util < IDLE else "sound"
 
     def write(self, now: float) -> None:
@@ -111,9 +120,9 @@
             line = {
                 "second": self.second,
                 "count": dict(self.count),
-                "rate": self._rate(),
-                "usual": self.usual,
-                "born": self.born,
+                "rate": self.send_rate.per_second(self.now),
+                "usual": self.typical_latency,
+                "born": self.send_rate.started_at,
             }
             sys.stderr.write(MARK + orjson.dumps(line).decode() + "\n")
         self.second = int(now) // EVERY_S * EVERY_S  # the same moments for all proxies
--- a/emulator/herd.py
+++ b/emulator/herd.py
@@ -24,7 +24,7 @@
     is_full,
     turn,
 )
-from loadbalancer.policy.state import SPARSE
+from loadbalancer.policy.idle_connections import MIN_RATE_PER_CONNECTION
 from loadbalancer.upstreams.pacing import Pacer
 
 #: Seconds: of a whole start of the program, until a word of an instance is heard by another, of an answer.
@@ -235,7 +235,7 @@
         """`comes`: how many are started at once. `rate`: requests a second of each. `handshake`: seconds of a member's
         time that a new connection takes, one after another."""
         self.measures, self.members, self.rate, self.handshake = measures, members, rate, handshake
-        self.sparse = rate < SPARSE * proxies * members  # connections are not kept
+        self.sparse = rate < MIN_RATE_PER_CONNECTION * proxies * members  # connections are not kept
         self.clock, self.told = Clock(), Told()
         draws = Draws(seed)
         self.draw, self.gap = draws.uniform("draw"), draws.exponential("gap")
--- a/emulator/rules.py
+++ b/emulator/rules.py
@@ -1,27 +1,25 @@
 """Rules of refusing that were tried in place of the program's, each a whole `Balancer` with another level.
 
-All refuse by the same order (`Refusing._sheds`: the least worth for its work first); they differ in what the level is
-taken from. `program` is the real one.
+All refuse by the same order (`LoadShedding.rejects`: the least worth for its work first); they differ in what the
+level is taken from. `program` is the real one.
 """
 
 from __future__ import annotations
 
 import math
-from typing import Mapping
+from typing import Any, Mapping
 
 from emulator.world import Make
 from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.events import (
     AttemptResult,
     Outcome,
     Request,
 )
-from loadbalancer.policy.load_shedding import SHED_GAP
+from loadbalancer.policy.load_shedding import LoadShedding
 from loadbalancer.policy.pending_requests import PendingRequest
-from loadbalancer.policy.settings import (
-    PolicySettings,
-    RequestClass,
-)
+from loadbalancer.policy.settings import PolicySettings
 
 COUNTED_NOT = (
     AttemptResult.CANCELLED,
@@ -31,14 +29,24 @@
 )
 
 
-class NoRefusing(Balancer):
+class NoLimit(ConcurrencyLimit):
+    """The program's own limit is not asked."""
+
+    def is_full(self, class_index: int, gives_way: bool) -> bool:
+        return False
+
+    def record_outcome(self, pending: PendingRequest, event: Outcome) -> None:
+        pass
+
+
+class NoShedding(LoadShedding):
     """Nothing is refused but what can't be sent: the floor."""
 
-    def _sheds(self, event: Request, cls: RequestClass, late: bool) -> bool:
+    def rejects(self, event: Request, is_late: bool, now: float) -> bool:
         return False
 
 
-class Limited(Balancer):
+class LimitShedding(LoadShedding):
     """A limit on own requests in flight, below which nothing is refused. The classes that earn least give way first:
     each rank may fill its part of the limit alone."""
 
@@ -46,54 +54,55 @@
     #: Parts of the limit that classes may fill, the dearest all of it.
     PART = 0.8
 
-    def __init__(self, settings: PolicySettings, seed: int) -> None:
-        super().__init__(settings, seed)
+    def __init__(self, settings: PolicySettings, *parts: Any) -> None:
+        super().__init__(settings, *parts)
         self.limit = self.START
         self.best = [math.inf] * len(settings.classes)  # the least time an answer took of late
         self.renewed = 0.0
 
-    def _sheds(self, event: Request, cls: RequestClass, late: bool) -> bool:
-        values = self._values()
-        rank = sum(value > values[event.class_index] for value in values) + late
+    @property
+    def in_flight(self) -> int:
+        return self._concurrency_limit.in_flight
+
+    def rejects(self, event: Request, is_late: bool, now: float) -> bool:
+        values = self._value.by_class()
+        rank = sum(value > values[event.class_index] for value in values) + is_late
         room = self.limit * self.PART**rank
         over = self.in_flight >= room
-        self.shed_level = max(0.0, self.in_flight / max(self.limit, 1e-9) - 1.0) if over else 0.0
+        self.level = max(0.0, self.in_flight / max(self.limit, 1e-9) - 1.0) if over else 0.0
         return over
 
-    def _note_load(self, pending: PendingRequest, event: Outcome) -> None:
+    def record_outcome(self, pending: PendingRequest, event: Outcome, now: float) -> None:
         if event.result in COUNTED_NOT:
             return
-        took = event.elapsed if event.time_to_first_byte is None else event.time_to_first_byte
+        took = event.response_time
         if event.result == AttemptResult.SERVED:
-            if self.now - self.renewed > 10.0:  # the fleet may have changed
-                self.best, self.renewed = [one * 1.5 for one in self.best], self.now
-            self.best[pending.number] = min(self.best[pending.number], took)
+            if now - self.renewed > 10.0:  # the fleet may have changed
+                self.best, self.renewed = [one * 1.5 for one in self.best], now
+            self.best[pending.class_index] = min(self.best[pending.class_index], took)
         self._adapt(pending, event, took)
         self.limit = min(self.MOST, max(self.LEAST, self.limit))
 
-    def _note_flight(self, pending: PendingRequest, event: Outcome) -> None:
-        """The program's own limit is not asked."""
-
     def _adapt(self, pending: PendingRequest, event: Outcome, took: float) -> None:
         raise NotImplementedError
 
 
-class Aimd(Limited):
+class AimdShedding(LimitShedding):
     """Up by one for each limit's worth of answers in time, down by a tenth for one that is late."""
 
     def _adapt(self, pending: PendingRequest, event: Outcome, took: float) -> None:
-        late = event.result != AttemptResult.SERVED or took > 0.7 * pending.cls.latency_objective
+        late = event.result != AttemptResult.SERVED or took > 0.7 * pending.request_class.latency_objective
         if late:
             self.limit *= 1 - 0.1 / max(1.0, self.limit / 10)
         elif self.in_flight > self.limit / 2:
             self.limit += 1.0 / self.limit
 
 
-class Gradient(Limited):
+class GradientShedding(LimitShedding):
     """The limit times the best time over the present one, and room for a queue of its square root."""
 
     def _adapt(self, pending: PendingRequest, event: Outcome, took: float) -> None:
-        best = self.best[pending.number]
+        best = self.best[pending.class_index]
         if not math.isfinite(best):
             return
         gradient = max(0.5, min(1.0, 2.0 * best / max(took, 1e-6)))
@@ -102,11 +111,11 @@
             self.limit += 0.05 * (wanted - self.limit) / max(1.0, self.limit / 10)
 
 
-class Vegas(Limited):
+class VegasShedding(LimitShedding):
     """Up while few of those in flight wait in queues, by the best time over the present one, and down while many do."""
 
     def _adapt(self, pending: PendingRequest, event: Outcome, took: float) -> None:
-        best = self.best[pending.number]
+        best = self.best[pending.class_index]
         if not math.isfinite(best) or event.result != AttemptResult.SERVED:
             self.limit -= 1.0 / self.limit
             return
@@ -118,61 +127,54 @@
             self.limit -= 1.0 / self.limit
 
 
-class Level(Balancer):
-    """The level alone, as the program had it before the limit (`policy/concurrency_limit.py`)."""
-
-    def _is_full(self, number: int, late: bool) -> bool:
-        return False
-
-
-class Delay(Level):
+class DelayShedding(LoadShedding):
     """The program's level, stepped by the delay over the best time in place of the share of late attempts: while even
     the quickest answer of an interval waited longer than a part of its aim, the queue stands (CoDel's idea)."""
 
     INTERVAL_S, PART, STEP = 0.5, 0.35, 0.25
 
-    def __init__(self, settings: PolicySettings, seed: int) -> None:
-        super().__init__(settings, seed)
+    def __init__(self, settings: PolicySettings, *parts: Any) -> None:
+        super().__init__(settings, *parts)
         self.least = math.inf  # of the interval, as a part of the aim
         self.until = 0.0
 
-    def _note_load(self, pending: PendingRequest, event: Outcome) -> None:
+    def record_outcome(self, pending: PendingRequest, event: Outcome, now: float) -> None:
         if event.result in COUNTED_NOT:
             return
-        took = event.elapsed if event.time_to_first_byte is None else event.time_to_first_byte
-        self.least = min(
-            self.least, took / pending.cls.latency_objective if event.result == AttemptResult.SERVED else 1.0
-        )
-        if self.now < self.until:
+        took = event.response_time
+        part = took / pending.request_class.latency_objective if event.result == AttemptResult.SERVED else 1.0
+        self.least = min(self.least, part)
+        if now < self.until:
             return
-        top = len(self.settings.classes) * (1 + SHED_GAP)
         step = self.STEP if self.least > self.PART else -self.STEP
-        self.shed_level = min(top, max(0.0, self.shed_level + step))
-        self.least, self.until = math.inf, self.now + self.INTERVAL_S
+        self.level = min(self._max_level, max(0.0, self.level + step))
+        self.least, self.until = math.inf, now + self.INTERVAL_S
 
 
-class Engaged(Balancer):
+class EngagedLimit(ConcurrencyLimit):
     """The program's limit, but there is none until more than SHARE of the latest attempts take long; it begins at
     what is in flight then, and is gone again once next to none do and it is half empty: a burst or a restart meets
     none."""
 
     SHARE, STEP, GONE, FROM, LEAST = 0.1, 0.02, 0.01, 0.7, 16.0
 
-    def __init__(self, settings: PolicySettings, seed: int) -> None:
-        super().__init__(settings, seed)
+    def __init__(self, *parts: Any) -> None:
+        super().__init__(*parts)
         self.limit, self.late, self.usual_flight = math.inf, 0.0, 0.0
 
-    def _is_full(self, number: int, late: bool) -> bool:
+    def is_full(self, class_index: int, gives_way: bool) -> bool:
         self.late_share = float(
             self.limit < math.inf
         )  # which the program asks for before it holds to a limit
-        return super()._is_full(number, late)
+        return super().is_full(class_index, gives_way)
 
-    def _note_flight(self, pending: PendingRequest, event: Outcome) -> None:
+    def record_outcome(self, pending: PendingRequest, event: Outcome) -> None:
         if event.result not in (AttemptResult.SERVED, AttemptResult.TIMEOUT, AttemptResult.FULL):
             return
-        took = event.elapsed if event.time_to_first_byte is None else event.time_to_first_byte
-        late = event.result != AttemptResult.SERVED or took > self.FROM * pending.cls.latency_objective
+        took = event.response_time
+        late = (
+            event.result != AttemptResult.SERVED or took > self.FROM * pending.request_class.latency_objective
+        )
         flight = self.in_flight + 1
         self.late += self.STEP * (late - self.late)
         self.usual_flight += self.STEP * (flight - self.usual_flight)
@@ -190,6 +192,47 @@
         self.limit = max(self.LEAST, self.limit)
 
 
+class NoRefusing(Balancer):
+    load_shedding_type = NoShedding
+
+
+class Aimd(Balancer):
+    load_shedding_type = AimdShedding
+    concurrency_limit_type = NoLimit
+
+
+class Gradient(Balancer):
+    load_shedding_type = GradientShedding
+    concurrency_limit_type = NoLimit
+
+
+class Vegas(Balancer):
+    load_shedding_type = VegasShedding
+    concurrency_limit_type = NoLimit
+
+
+class LevelLimit(ConcurrencyLimit):
+    """Learns as the program's limit does, and rejects nothing."""
+
+    def is_full(self, class_index: int, gives_way: bool) -> bool:
+        return False
+
+
+class Level(Balancer):
+    """The level alone, as the program had it before the limit (`policy/concurrency_limit.py`)."""
+
+    concurrency_limit_type = LevelLimit
+
+
+class Delay(Balancer):
+    load_shedding_type = DelayShedding
+    concurrency_limit_type = LevelLimit
+
+
+class Engaged(Balancer):
+    concurrency_limit_type = EngagedLimit
+
+
 RULES: Mapping[str, Make] = {
     "program": Balancer, "level": Level, "none": NoRefusing, "aimd": Aimd, "gradient": Gradient, "vegas": Vegas,
     "delay": Delay, "engaged": Engaged,
--- a/loadbalancer/admin/snapshot.py
+++ b/loadbalancer/admin/snapshot.py
@@ -87,8 +87,8 @@
     classes = [cls.name for cls in balancer.settings.classes]
     return PoolSnapshot(
         name,
-        [_note(server, classes, now) for server in balancer.servers.values()],
-        dict(zip(classes, balancer.usual, strict=True)),
+        [_note(server, classes, now) for server in balancer.endpoints.values()],
+        dict(zip(classes, balancer.typical_latency, strict=True)),
         min(100.0, balancer.shed_level),
         dict(marks),
         move,
@@ -158,11 +158,11 @@
     numbers = {cls.name: number for number, cls in enumerate(balancer.settings.classes)}
     for name, usual in note.usual.items():
         if name in numbers and math.isfinite(usual):
-            balancer.usual[numbers[name]] = usual
+            balancer.typical_latency[numbers[name]] = usual
     balancer.shed_level = note.shed_level if math.isfinite(note.shed_level) else 0.0
     used = 0
     for member in note.members:
-        server = balancer.servers.get(member.id)
+        server = balancer.endpoints.get(member.id)
         if server is not None and _is_same_life(member, server):
             _restore(member, server, numbers, now - passed)
             used += 1
--- a/loadbalancer/daemon/admin_queries.py
+++ b/loadbalancer/daemon/admin_queries.py
@@ -97,7 +97,7 @@
             "tunnels": len(proxy.tunnels.open),
             "frozen": pool.overlay.frozen,
             "refusing": round(proxy.balancer.shed_level, 3),
-            "limit": round(proxy.balancer.limit),
+            "limit": round(proxy.balancer.in_flight_limit),
             "in_flight": proxy.balancer.in_flight,
         }
 
@@ -114,7 +114,7 @@
 
     def _member(self, name: str, pool: RunningPool, member: str) -> dict[str, Any]:
         listed, mark = pool.overlay.listed().get(member), pool.overlay.marks.get(member)
-        server = pool.proxy.balancer.servers.get(member)
+        server = pool.proxy.balancer.endpoints.get(member)
         address = listed[1] if listed is not None else mark.address if mark is not None else None
         box = {
             "pool": name,
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -37,7 +37,7 @@
 from loadbalancer.fleet.replication import messages as form
 from loadbalancer.fleet.transport import FleetTransport
 from loadbalancer.fleet.wire import Message
-from loadbalancer.policy.state import SPARSE
+from loadbalancer.policy.idle_connections import MIN_RATE_PER_CONNECTION
 from loadbalancer.upstreams.pacing import Pacer
 
 #: Seconds between two looks until the instance is full, and that a survivor has to tell.
@@ -170,7 +170,8 @@
             pacer.per_s = self._per_member * max(1, members)
             seen = sum(map(sum, pool.proxy.figures.ended)) + len(pool.proxy.open)
             rate = seen / max(0.1, time.monotonic() - self.comeback.since)
-            if seen >= SEEN_LEAST and rate < SPARSE * pool.proxy.balancer.settings.instance_count * members:
+            instances = pool.proxy.balancer.settings.instance_count
+            if seen >= SEEN_LEAST and rate < MIN_RATE_PER_CONNECTION * instances * members:
                 pool.proxy.backends.set_pace(None)
 
     # What survivors have learnt.
--- a/loadbalancer/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module in files, one matter each; `Balancer` in choice.py is what is called. No I/O."""
+"""The policy: every decision of a proxy, without I/O. `Balancer` in balancer.py is what is called."""
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,30 +1,33 @@
-"""All decisions of a proxy: where a request goes, when it goes again, when it is refused.
-
-The types are in settings.py, events.py and actions.py. The design is in docs/design.md: for
-each request two servers are drawn at random from those that pass the filters, and the better by
-own in-flight count, reported utilization and error share gets it. What goes beyond that is marked
-"Exception" where it stands. This file holds what becomes of a request; decisions/ holds one matter
-in each file: the draw, cold servers, refusing, what is learnt, following the list. The rules on
-effects are in the section "Rules"; nothing is sent or refused except through `_send` and
-`_refuse`, which ask them.
+"""All decisions of a proxy: where a request is sent, whether it is retried, hedged or rejected.
+
+`Balancer.handle` takes what happened and returns what to do. It does no I/O and reads no clock;
+`proxy/proxy.py` carries its actions out. This file holds the order of the decisions; each rule stands in the
+file of its part:
+
+| question | part |
+| --- | --- |
+| Which endpoints are there? | `endpoint_list.py`, `endpoints.py` |
+| Is it a retry of its client? | `client_retries.py` |
+| Is a new request rejected? | `load_shedding.py`, `concurrency_limit.py`, `tenant_quota.py` |
+| May there be an attempt, and to which endpoints? | `retry_policy.py`, `idempotency.py` |
+| Which endpoint gets it? | `selection.py`, `slow_start.py`, `outlier_detection.py` |
+| When is a second attempt considered? | `hedging.py` |
+| What is learnt from its end? | `outlier_detection.py`, and the parts above |
 """
 
 from __future__ import annotations
 
-from typing import Callable, Sequence
-
-from loadbalancer.policy.actions import (
-    Action,
-    Cancel,
-    CloseIdleConnections,
-    Fail,
-    Reject,
-    Send,
-    SetTimer,
-    WatchEndpoints,
-)
-from loadbalancer.policy.endpoint_list import LIST_TOKEN, Listing
-from loadbalancer.policy.endpoints import Endpoint, EndpointPool
+import math
+from random import Random
+from typing import Callable, ClassVar, Sequence
+
+from loadbalancer.policy import idempotency
+from loadbalancer.policy.actions import Action, Cancel, CloseIdleConnections, Fail, Reject, Send, SetTimer
+from loadbalancer.policy.client_retries import ClientRetryDetector
+from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
+from loadbalancer.policy.endpoint_list import LIST_TOKEN, EndpointListFollower
+from loadbalancer.policy.endpoints import Endpoint, EndpointRegistry
+from loadbalancer.policy.estimators import SendRate
 from loadbalancer.policy.events import (
     NEVER_RAN,
     AttemptResult,
@@ -32,7 +35,6 @@
     ClientCancelled,
     Cordon,
     EndpointList,
-    EndpointState,
     Event,
     FirstByte,
     Outcome,
@@ -42,309 +44,359 @@
     TimerFired,
 )
 from loadbalancer.policy.hedging import Hedging
-from loadbalancer.policy.load_shedding import Refusing
-from loadbalancer.policy.outlier_detection import Learning
+from loadbalancer.policy.idle_connections import IdleConnections
+from loadbalancer.policy.load_shedding import LoadShedding
+from loadbalancer.policy.outlier_detection import OutlierDetector
 from loadbalancer.policy.pending_requests import Attempt, PendingRequest
-from loadbalancer.policy.settings import (
-    DeduplicationScope,
-    Effect,
-    PolicySettings,
-    RequestClass,
-)
-from loadbalancer.policy.state import RETRY_BURST
+from loadbalancer.policy.request_value import RequestValue
+from loadbalancer.policy.retry_policy import RetryPolicy
+from loadbalancer.policy.selection import EndpointSelector
+from loadbalancer.policy.settings import PolicySettings
+from loadbalancer.policy.slow_start import SlowStart
 
-SECOND_LOOK = 0.5  # share of the useful time after which silence earns a second attempt
+MIN_ATTEMPT_TIMEOUT_S = 0.001
+NO_ATTEMPT = -1
 
 
-def _first_that_may_have_run(attempts: Sequence[Attempt]) -> Attempt | None:
-    return next((a for a in attempts if a.may_have_run), None)
+class Balancer:
+    """The decisions of one proxy.
 
+    The same settings, seed and events give the same actions. Random numbers come from two sources: `random`
+    decides where requests go, `jitter` spreads times, so that a change to one moves no decision of the other.
+    """
 
-def _may_follow(cls: RequestClass, first: Attempt | None, now: float) -> bool:
-    """No effect twice: whether one more may go after `first`, in its group where there is one."""
-    if first is None or cls.effect == Effect.SAFE:
-        return True
-    return cls.effect == Effect.KEYED and now < first.sent + cls.deduplication_window
-
-
-class Balancer(Listing, Learning, Refusing, Hedging):
-    """The decisions of one proxy. `handle` takes what happened and returns what to do, in order."""
+    load_shedding_type: ClassVar[type[LoadShedding]] = LoadShedding
+    """Another rule to be tried out in its place (emulator)."""
+    concurrency_limit_type: ClassVar[type[ConcurrencyLimit]] = ConcurrencyLimit
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
-        super().__init__(settings, seed)
-        self.react: dict[type, Callable[..., None]] = {
+        self.settings = settings
+        self.now = -math.inf
+        self.requests: dict[int, PendingRequest] = {}
+        """Requests without a final answer."""
+        self.random = Random(seed)
+        self.jitter = Random(seed + 1)
+        self.registry = EndpointRegistry()
+        self.send_rate = SendRate()
+        self.outliers = OutlierDetector(settings, self.registry, self.send_rate)
+        self.slow_start = SlowStart(settings, self.random, self.jitter, self.registry, self.send_rate)
+        self.endpoint_list = EndpointListFollower(settings, self.random, self.registry, self.slow_start)
+        self.selector = EndpointSelector(settings, self.random, self.registry, self.slow_start, self.outliers)
+        self.idle_connections = IdleConnections(settings, self.registry, self.send_rate)
+        self.hedging = Hedging(settings.limits, len(settings.classes), self.idle_connections)
+        self.client_retries = [ClientRetryDetector() for _ in settings.classes]
+        self.retry_policy = RetryPolicy(settings.limits, self.registry)
+        value = RequestValue(settings, self.outliers.typical_latency)
+        self.concurrency_limit = self.concurrency_limit_type(value, self.jitter)
+        self.load_shedding = self.load_shedding_type(
+            settings, self.random, self.jitter, value, self.concurrency_limit, self.send_rate
+        )
+        self._actions: list[Action] = []
+        self._handlers: dict[type, Callable[..., None]] = {
+            EndpointList: self._on_endpoint_list,
             Cordon: self._on_cordon,
-            BodyProgress: self._on_body,
-            Outcome: self._on_outcome,
             Request: self._on_request,
-            TimerFired: self._on_timer,
-            ClientCancelled: self._on_withdrawn,
-            EndpointList: self._on_list,
+            BodyProgress: self._on_body_progress,
             FirstByte: self._on_first_byte,
-            ProbeResult: self._on_probe,
-            PeerMessage: lambda event: None,
+            Outcome: self._on_outcome,
+            ClientCancelled: self._on_client_cancelled,
+            TimerFired: self._on_timer,
+            ProbeResult: self._on_probe_result,
+            PeerMessage: self._ignore,
         }
 
     def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
-        if self.born < 0:
-            self.born = self.flow_at = now
+        """Take note of events and return what is to be done, in this order.
+
+        Args:
+            now: Seconds on any clock that only advances.
+            events: What happened by then, in order.
+
+        Raises:
+            LookupError: An outcome is of an attempt that was never sent.
+        """
+        if self.send_rate.started_at < 0:
+            self.send_rate.start(now)
         self.now = now
-        self.actions = []
+        self._actions = []
         for event in events:
-            self.react[type(event)](event)
-        return self.actions
-
-    # Requests.
-
-    def _on_request(self, event: Request) -> None:
-        cls = self.settings.classes[event.class_index]
-        waited, loaded = self._waited(event, cls), self.shed_level > 0
-        usual = self.usual[event.class_index]
-        pending = PendingRequest(event, cls, self.now, waited, usual, self.rules.answer_slack, loaded)
-        pending.most = min(event.max_attempts or self.limits.max_attempts, self.limits.max_attempts)
-        if event.retry_on is None:
-            pending.repeat_on = self.limits.retry_on
+            self._handlers[type(event)](event, now)
+        return self._actions
+
+    # What its users ask.
+
+    @property
+    def endpoints(self) -> dict[str, Endpoint]:
+        """All endpoints that are listed or still have attempts, by name."""
+        return self.registry.by_id
+
+    @property
+    def ready(self) -> list[Endpoint]:
+        """Endpoints that may be selected by state."""
+        return self.registry.ready
+
+    @property
+    def typical_latency(self) -> list[float]:
+        """Seconds that an answer of each class takes; 0: unknown. May be changed in place."""
+        return self.outliers.typical_latency
+
+    @property
+    def shed_level(self) -> float:
+        """Level of load shedding; 0: nothing is shed."""
+        return self.load_shedding.level
+
+    @shed_level.setter
+    def shed_level(self, level: float) -> None:
+        self.load_shedding.level = level
+
+    @property
+    def in_flight_limit(self) -> float:
+        """Attempts that may be in flight at all endpoints together."""
+        return self.concurrency_limit.limit
+
+    @property
+    def in_flight(self) -> int:
+        """Attempts without a first byte, at all endpoints together."""
+        return self.concurrency_limit.in_flight
+
+    def avoids(self, name: str) -> bool:
+        """Return whether an endpoint would be passed over now, for another reason than its load."""
+        return self.selector.avoids(self.registry.by_id.get(name), self.now)
+
+    def may_leave(self, now: float, request: int, attempt_number: int) -> bool:
+        """Return whether the rules still let an attempt go whose connection has just come up.
+
+        Meanwhile its endpoint may have begun to drain or ended, the request may have been answered, and the
+        deduplication window may have passed.
+        """
+        pending = self.requests.get(request)
+        if pending is None or pending.streaming:
+            return False
+        endpoint = pending.attempts[attempt_number].endpoint
+        if not self.selector.still_takes_attempt(endpoint):
+            return False
+        return self.retry_policy.may_still_be_sent(pending, attempt_number, now)
+
+    # Endpoints.
+
+    def _on_endpoint_list(self, event: EndpointList, now: float) -> None:
+        self._actions += self.endpoint_list.apply_list(event, now)
+
+    def _on_cordon(self, event: Cordon, now: float) -> None:
+        self._actions += self.endpoint_list.apply_cordon(event, now)
+
+    def _on_probe_result(self, event: ProbeResult, now: float) -> None:
+        self.outliers.record_result(self.registry.by_id[event.endpoint], event.result, event.report, now)
+
+    def _ignore(self, event: PeerMessage, now: float) -> None:
+        """Proxies do not talk to each other."""
+
+    # The way of a request.
+
+    def _on_request(self, event: Request, now: float) -> None:
+        """Reject a new request, or send its first attempt and say when to look at it again."""
+        class_index = event.class_index
+        request_class = self.settings.classes[class_index]
+        waited = self.client_retries[class_index].time_waited(
+            event.time_remaining, request_class.client_timeout, now
+        )
+        pending = PendingRequest(
+            event,
+            request_class,
+            self.settings.limits,
+            now,
+            waited,
+            typical_latency=self.outliers.typical_latency[class_index],
+            answer_slack=self.settings.rules.answer_slack,
+            overloaded=self.load_shedding.level > 0,
+        )
         self.requests[event.request] = pending
-        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + self.limits.retry_budget_ratio)
-        if self._sheds(event, cls, pending.late) or not self._try(pending):
-            self._give_up(pending)
-        elif not pending.coming:
-            self._look_again(pending)
-
-    def _look_again(self, pending: PendingRequest) -> None:
-        if pending.cls.effect == Effect.UNSAFE or pending.most <= 1:
-            return
-        left = pending.useful - self.now
-        after = self._hedge_after(pending.number) or SECOND_LOOK * left
-        gives_up = not self.limits.hedging and self._is_sparse()
-        if gives_up:
-            # Here the attempt is given up for the next one, by one of many that know little of queues. Guards
-            # against giving up answers that take what they take near full load: a member may go on with what
-            # was cancelled, and the client waits anew. Silence is the draw's. Harm: a silent server holds it.
-            after = max(after, self.silence)
-        if after < left or not gives_up:
-            self.actions.append(SetTimer(pending.id + 1, after))
-
-    def _on_body(self, event: BodyProgress) -> None:
-        """Until its last byte a request costs its server nothing but a connection, and can't have run: it
-        counts as none in flight, and its silence is none. From then on it is like any other just sent."""
+        self.retry_policy.record_request()
+        if self.load_shedding.rejects(event, pending.is_late, now) or not self._try_to_send(pending, now):
+            self._reject_or_fail(pending, now)
+        elif not pending.body_pending:
+            self._set_hedge_check(pending, now)
+
+    def _on_body_progress(self, event: BodyProgress, now: float) -> None:
+        """Let the times of a request count once its body is whole.
+
+        Until then it costs its endpoint nothing but a connection and can't have run, so that it is not in
+        flight. From then on it is like any other request just sent.
+        """
         pending = self.requests.get(event.request)
         if pending is None:
             return
-        pending.held = event.replayable
-        if not event.complete or not pending.coming:
+        pending.replayable = event.replayable
+        if not event.complete or not pending.body_pending:
             return
-        pending.whole(self.now)
-        for number, attempt in enumerate(pending.attempts):
-            if attempt.open:
-                out = attempt.server.in_flight
-                attempt.server.responding.discard((pending.id, number))
-                out[(pending.id, number)] = attempt.sent = self.now
-                self.in_flight += 1
-                attempt.queue = len(out)
-        self._look_again(pending)
-
-    def _waited(self, event: Request, cls: RequestClass) -> float:
-        """How long the client has waited through earlier tries, as far as its time left tells.
-
-        Protects against work for answers that come too late to be of worth: a client that was refused asks
-        again after its aim, and where many do, serving those makes the others late as well. It should also
-        catch clients that queue before they ask. Harm: a client with less patience than the others of its
-        class looks as if it had waited; while there is too much work, it is refused first. Therefore no more
-        are taken for later tries than have lately been left unserved."""
-        left = min(max(0.0, event.time_remaining), cls.client_timeout)
-        patience = self.patience[event.class_index]
-        if patience.is_usual(left, self.now) or patience.unanswered < 1:
-            return 0.0
-        patience.unanswered -= 1
-        return cls.client_timeout - left
-
-    def _on_timer(self, event: TimerFired) -> None:
+        self.concurrency_limit.in_flight += pending.complete_body(now)
+        self._set_hedge_check(pending, now)
+
+    def _on_timer(self, event: TimerFired, now: float) -> None:
         if event.token == LIST_TOKEN:
-            self.asked_at = self.now
-            self.actions.append(WatchEndpoints(True))
+            self._actions.append(self.endpoint_list.poll(now))
             return
         pending = self.requests.get(event.token - 1)
-        if pending is None or pending.streaming or len(pending.attempts) != 1 or not pending.held:
+        if pending is not None:
+            self._check_hedge(pending, now)
+
+    def _check_hedge(self, pending: PendingRequest, now: float) -> None:
+        """Send a hedged request, or cancel the attempt for another, where no first byte has come.
+
+        That is for a lone unresponsive endpoint; where the typical attempt is slow it would add to the cause.
+        """
+        if pending.streaming or len(pending.attempts) != 1 or not pending.replayable:
             return
-        # A second copy is for a lone silent server; where the typical attempt is slow it adds to the cause.
-        if self.retry_tokens < 1 or self.shed_level > 0:
+        if not self.retry_policy.has_budget() or self.load_shedding.level > 0:
             return
-        if self.limits.hedging:
-            self._retry(pending)
-        elif self.limits.cancellation and self._repeat_pool(pending, freed=True):
-            self.actions.append(Cancel(pending.id, 0))  # its outcome starts the second attempt
-
-    def _on_withdrawn(self, event: ClientCancelled) -> None:
-        pending = self.requests.get(event.request)
-        if pending is not None:
-            self._end(pending)
-
-    def _on_first_byte(self, event: FirstByte) -> None:
-        server = self.servers[event.endpoint]
-        server.answered = True
-        # Exception: once its answer has begun the work is done, and how long the client takes over the rest
-        # says nothing of the server; counted on, slow readers would decide where requests go.
-        server.responding.add((event.request, event.attempt))
-        self.in_flight -= server.in_flight.pop((event.request, event.attempt), None) is not None
+        limits = self.settings.limits
+        if limits.hedging:
+            self._retry(pending, now)
+        elif limits.cancellation and self.retry_policy.next_pool(pending, now, after_cancel=True):
+            self._actions.append(Cancel(pending.id, 0))  # its outcome starts the second attempt
+
+    def _on_first_byte(self, event: FirstByte, now: float) -> None:
+        """Let one of the attempts answer the request and cancel the others.
+
+        Once an answer has begun its work is done, and the attempt is no longer in flight: how long the client
+        takes over the rest says nothing of the endpoint, and slow readers would decide where requests go.
+        """
+        endpoint = self.registry.by_id[event.endpoint]
+        endpoint.answered = True
+        key = (event.request, event.attempt)
+        endpoint.responding.add(key)
+        if endpoint.in_flight.pop(key, None) is not None:
+            self.concurrency_limit.in_flight -= 1
         pending = self.requests.get(event.request)
         if pending is not None:
             pending.streaming = True
-            self._cancel_open(pending, but=event.attempt)
-
-    def _on_outcome(self, event: Outcome) -> None:
-        server = self.servers[event.endpoint]
-        key = (event.request, event.attempt)
-        was_out = server.in_flight.pop(key, None) is not None
-        self.in_flight -= was_out
-        if not was_out and key not in server.responding:
-            raise LookupError(f"outcome of attempt {event.attempt} of request {event.request}, never sent")
-        server.responding.discard(key)
-        if not server.in_flight and self._is_sparse():
-            self.actions.append(CloseIdleConnections(server.id))
+            self._cancel_open_attempts(pending, now, keep=event.attempt)
+
+    def _on_outcome(self, event: Outcome, now: float) -> None:
+        """Learn from the end of an attempt, then end the request or retry it."""
+        endpoint = self.registry.by_id[event.endpoint]
+        self._release(endpoint, event)
+        if not endpoint.in_flight and self.idle_connections.are_too_sparse(now):
+            self._actions.append(CloseIdleConnections(endpoint.id))
         pending = self.requests.get(event.request)
-        number = pending.number if pending else None
-        self._learn(server, event.result, event.report, self._slowness(pending, event), number)
+        class_index = pending.class_index if pending else None
+        slowness = self.outliers.record_slowness(pending, event)
+        self.outliers.record_result(endpoint, event.result, event.report, now, slowness, class_index)
         if pending is None:
             return
         attempt = pending.attempts[event.attempt]
-        if not pending.coming:
-            self._note_load(pending, event)
-            self._note_flight(pending, event)
-            self._note_silence(pending, event)
-            self._note_pace(attempt, event)
-        attempt.open = False
+        if not pending.body_pending:
+            self._record_outcome(pending, attempt, event, now)
+        attempt.is_open = False
         attempt.may_have_run = event.result not in NEVER_RAN
         if event.request_ended:
-            self._end(pending)
+            self._end(pending, now)
         elif event.result == AttemptResult.UNUSABLE:
-            # Guards against bad clients: what one server can't use no other can, so sending it on would cost
-            # attempts, and a refusal would ask for it again. Harm: one wrong verdict fails a good request.
-            self._fail(pending)
-        elif not any(a.open for a in pending.attempts):
-            # What reached nobody costs no server anything: its repeat adds no load, so no budget limits it.
-            free = event.result in (AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT)
-            wanted = pending.repeat_on is None or event.result in pending.repeat_on
-            if event.result == AttemptResult.NOT_SENT:  # it never left, so what follows is no repeat of it
-                wanted = attempt.unsent = True
-                pending.most = min(pending.most + 1, 2 * self.limits.max_attempts)
-            if not wanted or not self._retry(pending, free):
-                self._give_up(pending)
-
-    def _retry(self, pending: PendingRequest, free: bool = False) -> bool:
-        """One more attempt, where the class, the limits, the time and the budget allow it."""
-        if pending.useful - self.now <= 0 and not pending.coming:
+            # What one endpoint can't use no other can: a retry would cost attempts, and a rejection would ask
+            # for one. A wrong verdict fails a good request.
+            self._fail(pending, now)
+        elif not pending.has_open_attempt():
+            self._retry_or_end(pending, attempt, event.result, now)
+
+    def _on_client_cancelled(self, event: ClientCancelled, now: float) -> None:
+        pending = self.requests.get(event.request)
+        if pending is not None:
+            self._end(pending, now)
+
+    # The steps of a request.
+
+    def _try_to_send(self, pending: PendingRequest, now: float) -> bool:
+        """Send another attempt, where the rules permit it and an endpoint may take it."""
+        pool = self.retry_policy.next_pool(pending, now)
+        if pool is None:
             return False
-        if not free and self.retry_tokens < 1 or not self._try(pending):
+        endpoint = self.selector.select(pool, pending, now)
+        if endpoint is None:
             return False
-        self.retry_tokens -= not free
+        self._send(pending, endpoint, now)
         return True
 
-    def _try(self, pending: PendingRequest) -> bool:
-        pool = self._repeat_pool(pending)
-        if pool is None:
+    def _send(self, pending: PendingRequest, endpoint: Endpoint, now: float) -> None:
+        """Send an attempt; the one place that does. No attempt outlives the use of its answer."""
+        key = (pending.id, len(pending.attempts))
+        if pending.body_pending:
+            endpoint.responding.add(key)
+        else:
+            endpoint.in_flight[key] = now
+            self.concurrency_limit.in_flight += 1
+        pending.attempts.append(Attempt(endpoint, now, len(endpoint.in_flight)))
+        self.send_rate.record(now)
+        self.slow_start.record_send(endpoint, now)
+        time_from = pending.began_at if pending.body_pending else now
+        timeout = min(pending.useful_until - time_from, self.settings.limits.attempt_timeout)
+        self._actions.append(Send(pending.id, endpoint.id, max(MIN_ATTEMPT_TIMEOUT_S, timeout)))
+
+    def _set_hedge_check(self, pending: PendingRequest, now: float) -> None:
+        delay = self.hedging.check_delay(pending, self.outliers.response_timeout, now)
+        if delay is not None:
+            self._actions.append(SetTimer(pending.id + 1, delay))
+
+    def _retry(self, pending: PendingRequest, now: float, is_free: bool = False) -> bool:
+        """Send one more attempt, where class, limits, time and budget allow it."""
+        policy = self.retry_policy
+        if not policy.has_time(pending, now) or not (is_free or policy.has_budget()):
             return False
-        server = self._sticky(pending)
-        if server is None and pool.servers and not self._is_bound(pending):
-            server = self._place(pool, pending)
-        if server is None:
+        if not self._try_to_send(pending, now):
             return False
-        self._send(pending, server)
+        if not is_free:
+            policy.record_retry()
         return True
 
-    def _give_up(self, pending: PendingRequest) -> None:
-        """The final answer where there is none to be had: a refusal if it is known to be harmless."""
-        self.patience[pending.number].left_unserved(pending.late)
-        if self._may_refuse(pending):
-            self.actions.append(Reject(pending.id, self._return_after()))
-            self._end(pending)
-        else:
-            self._fail(pending)
+    def _retry_or_end(
+        self, pending: PendingRequest, attempt: Attempt, result: AttemptResult, now: float
+    ) -> None:
+        """Decide about a request whose last open attempt has ended unserved."""
+        wanted = self.retry_policy.is_wanted(pending, result)
+        if result == AttemptResult.NOT_SENT:
+            self.retry_policy.allow_unsent(pending, attempt)
+            wanted = True
+        if not wanted or not self._retry(pending, now, self.retry_policy.is_free(result)):
+            self._reject_or_fail(pending, now)
+
+    def _reject_or_fail(self, pending: PendingRequest, now: float) -> None:
+        """End a request that no endpoint answers: rejected if sending it again is known to be harmless."""
+        self.client_retries[pending.class_index].record_unserved(pending.is_late)
+        if not idempotency.may_reject(pending.request_class, pending.attempts):
+            self._fail(pending, now)
+            return
+        self._actions.append(Reject(pending.id, self.load_shedding.retry_after()))
+        self._end(pending, now)
 
-    def _fail(self, pending: PendingRequest) -> None:
-        self.actions.append(Fail(pending.id))
-        self._end(pending)
+    def _fail(self, pending: PendingRequest, now: float) -> None:
+        self._actions.append(Fail(pending.id))
+        self._end(pending, now)
 
-    def _end(self, pending: PendingRequest) -> None:
+    def _end(self, pending: PendingRequest, now: float) -> None:
         del self.requests[pending.id]
-        self._cancel_open(pending)
-
-    def _cancel_open(self, pending: PendingRequest, but: int = -1) -> None:
-        if self.limits.cancellation:
-            for number, attempt in enumerate(pending.attempts):
-                if attempt.open and number != but:
-                    self._note_cut(pending, attempt)
-                    self.actions.append(Cancel(pending.id, number))
-
-    # Rules. Each is kept by this proxy alone; those on drains and cold servers in decisions/.
-
-    def _repeat_pool(self, pending: PendingRequest, freed: bool = False) -> EndpointPool | None:
-        """No effect twice: the servers to which the request may go (again); None if to none.
-
-        `freed`: as it will be when the attempts in flight have ended."""
-        if pending.streaming or len(pending.attempts) >= pending.most:
-            return None
-        if not (self.limits.hedging and not pending.coming or freed) and any(
-            a.open for a in pending.attempts
-        ):
-            return None
-        if pending.attempts and not pending.held:  # what is not whole any more is never sent in part
-            return None
-        first, cls = _first_that_may_have_run(pending.attempts), pending.cls
-        if not _may_follow(cls, first, self.now):
-            return None
-        if first is None or cls.effect == Effect.SAFE or cls.deduplication_scope == DeduplicationScope.ALL:
-            return self.pool
-        place = first.server.zone if cls.deduplication_scope == DeduplicationScope.ZONE else first.server.cell
-        return self.groups.get((cls.deduplication_scope, place))
-
-    def may_leave(self, now: float, request: int, number: int) -> bool:
-        """Asked once more when the connection of an attempt has come up: whether the rules still let it go.
-
-        Protects against a drain, an end or a restart of its server, and against the end of the deduplication
-        window, in the time that a connection takes."""
-        pending = self.requests.get(request)
-        if pending is None or pending.streaming:
-            return False
-        server = pending.attempts[number].server
-        drains = server.state == EndpointState.DRAINING and self.settings.sticky_while_draining
-        if server.cordoned or not (server.state == EndpointState.READY or drains):
-            return False
-        others = [a for n, a in enumerate(pending.attempts) if n != number]
-        if not self.limits.hedging and any(a.open for a in others):
-            return False
-        return _may_follow(pending.cls, _first_that_may_have_run(others), now)
-
-    def _may_refuse(self, pending: PendingRequest) -> bool:
-        """No effect twice: a refusal says that trying again is harmless."""
-        cls = pending.cls
-        if (
-            cls.effect == Effect.SAFE
-            or cls.effect == Effect.KEYED
-            and cls.deduplication_scope == DeduplicationScope.ALL
-        ):
-            return True
-        return not any(a.may_have_run for a in pending.attempts)
-
-    def _send(self, pending: PendingRequest, server: Endpoint) -> None:
-        """The one place that sends; an attempt never outlives the use of its answer."""
-        key = (pending.id, len(pending.attempts))
-        if pending.coming:
-            server.responding.add(key)
-        else:
-            server.in_flight[key] = self.now
-            self.in_flight += 1
-        pending.attempts.append(Attempt(server, self.now, len(server.in_flight)))
-        self.flow = self._flow() + 1
-        self.flow_at = self.now
-        if (
-            server.priority
-            and self.settings.standby_slow_start
-            and self.now - server.last_used > self.rules.slow_start_duration
-        ):
-            server.warm_started_at = self.now
-        server.last_used = self.now
-        self._pace_cold(server)
-        since = pending.began if pending.coming else self.now
-        time = min(pending.useful - since, self.limits.attempt_timeout)
-        self.actions.append(Send(pending.id, server.id, max(0.001, time)))
+        self._cancel_open_attempts(pending, now)
+
+    def _cancel_open_attempts(self, pending: PendingRequest, now: float, keep: int = NO_ATTEMPT) -> None:
+        if not self.settings.limits.cancellation:
+            return
+        for number, attempt in enumerate(pending.attempts):
+            if attempt.is_open and number != keep:
+                self.hedging.record_cancelled(pending, attempt, now)
+                self._actions.append(Cancel(pending.id, number))
+
+    def _release(self, endpoint: Endpoint, event: Outcome) -> None:
+        """Take an attempt that has ended off its endpoint."""
+        key = (event.request, event.attempt)
+        if endpoint.in_flight.pop(key, None) is not None:
+            self.concurrency_limit.in_flight -= 1
+        elif key not in endpoint.responding:
+            raise LookupError(f"outcome of attempt {event.attempt} of request {event.request}, never sent")
+        endpoint.responding.discard(key)
+
+    def _record_outcome(self, pending: PendingRequest, attempt: Attempt, event: Outcome, now: float) -> None:
+        """Let the parts learn from the time that an attempt took; one whose body still came says nothing."""
+        message = self.load_shedding.record_outcome(pending, event, now)
+        if message is not None:
+            self._actions.append(message)
+        self.concurrency_limit.record_outcome(pending, event)
+        self.hedging.record_outcome(pending, event)
+        self.outliers.record_time_per_attempt(attempt, event, now)
--- a/loadbalancer/policy/events.py
+++ b/loadbalancer/policy/events.py
@@ -102,7 +102,12 @@
     elapsed: float
     request_ended: bool = False  # the request has its final answer
     report: Mapping[str, float] | None = None
-    time_to_first_byte: float | None = None  # seconds to the head of the answer, where one came
+    time_to_first_byte: float | None = None
+
+    @property
+    def response_time(self) -> float:
+        """Seconds to the first byte, or to the end of the attempt where none came."""
+        return self.elapsed if self.time_to_first_byte is None else self.time_to_first_byte
 
 
 class FirstByte(NamedTuple):
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -1,117 +1,224 @@
-"""What is learnt of servers from the ends of attempts and from reports."""
+"""Outlier detection: what is learnt of endpoints from the ends of attempts, and which of them are failing."""
 
 from __future__ import annotations
 
 import math
 from typing import Mapping
 
-from loadbalancer.policy.endpoints import Endpoint
-from loadbalancer.policy.events import (
-    AttemptResult,
-    Outcome,
-    ProbeResult,
-)
+from loadbalancer.policy.endpoints import FAILING_AFTER, Endpoint, EndpointRegistry
+from loadbalancer.policy.estimators import DECAY_S, RATE_MEMORY_S, SendRate, linear_decay
+from loadbalancer.policy.events import AttemptResult, Outcome
 from loadbalancer.policy.pending_requests import Attempt, PendingRequest
-from loadbalancer.policy.state import State
+from loadbalancer.policy.settings import PolicySettings
 
-ERROR_LEAST = 0.01  # less is none: a trace of one slow answer would decide every tie for as long as it fades
+MIN_ERROR_RATE = 0.01  # less is none: the trace of one slow answer would decide ties for as long as it fades
 ERROR_STEP = 0.3  # two failures in a row pass the limit, one does not
-SLOW_FROM, SLOW_FULL = 2.5, 8.0  # an answer that took this multiple of the usual starts to count, counts full
-SLOW_LEAST = 0.02  # and no answer counts as slow that took less of its aim than this
-SILENT = 6.0  # silence of this multiple of the usual keeps a server out of the draw
-USUAL_STEP = 0.05  # the usual time of a class follows the median of its answers by such steps
-SPEED_STEP = 0.02  # some dozens of reports move the speed of a kind
-SPEED_MOST = 4.0  # machines of one fleet differ by less, either way
-PACE_STEP = 0.1  # some dozen answers, a fraction of a second under load
+ERROR_RATE_LIMIT = 0.5  # more failures than answers lately
+ERROR_RATE_MARGIN = 0.3  # and only where they stand out from the fleet by this
+MAX_MEAN_ERROR_RATE = 0.4  # of the mean over attempts, where the median endpoint fails less
+FAILING_ERROR_RATE = 0.9  # an endpoint over this has served next to nothing lately
+OTHER_CLASSES_SHARE = 0.5  # of an endpoint's error rate, for a class that has one of its own there
+MEDIAN_INTERVAL_S = 0.1  # for so long the median error rate stands
+PROBE_INTERVAL_S = 1.0  # between requests to an ejected endpoint at first; each failure more doubles it
+MAX_BACKOFF_DOUBLINGS = 8
+SLOW_FROM = 2.5  # an answer that took this multiple of the typical latency starts to count as a failure
+SLOW_FULL = 8.0  # and at this one it counts in full
+MIN_SLOW_OBJECTIVE_SHARE = 0.02  # an answer within this share of its objective never counts as slow
+RESPONSE_TIMEOUT_FACTOR = 6.0  # of the typical latency, without a first byte
+TYPICAL_LATENCY_STEP = 0.05  # the typical latency follows the median of the answers by such steps
+MEAN_STEP = 0.02  # of the means over attempts and reports, and of the speeds of kinds: some dozens move them
+MAX_SPEED = 4.0  # machines of one fleet differ by less, either way
+TIME_PER_ATTEMPT_STEP = 0.1  # some dozen answers, a fraction of a second under load
 
+_SAYS_NOTHING = frozenset((AttemptResult.CANCELLED, AttemptResult.NOT_SENT))
+_ANSWERED = frozenset((AttemptResult.SERVED, AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.UNUSABLE))
 
-class Learning(State):
-    """Error shares, pace, speed of kinds, and what is slow."""
 
-    def _learn(
+class OutlierDetector:
+    """Error rates, consecutive failures, slowness and utilization, against what is usual in the fleet."""
+
+    def __init__(self, settings: PolicySettings, registry: EndpointRegistry, send_rate: SendRate) -> None:
+        self._instance_count = settings.instance_count
+        self._registry = registry
+        self._send_rate = send_rate
+        self.typical_latency = [0.0] * len(settings.classes)
+        """Seconds that an answer of a class takes, the median of late; 0: unknown."""
+        self.mean_utilization = 0.0
+        """Over reports."""
+        self.mean_error_rate = 0.0
+        """Over attempts."""
+        self.response_timeout = math.inf
+        """Seconds without a first byte after which an endpoint is unresponsive."""
+        self._median_error_rate = 0.0
+        self._median_due = -math.inf
+
+    # Questions.
+
+    def is_responsive(self, endpoint: Endpoint, now: float) -> bool:
+        """Return whether an endpoint neither keeps an attempt waiting for too long nor is ejected.
+
+        An ejected endpoint gets one request at a time, at growing intervals, until one is served. Consecutive
+        failures also find the endpoints of a lost zone: half of a fleet raises the usual error rate, and
+        where a proxy has few answers from each, a failure fades before the next. An endpoint that recovers
+        without a new start is tried late.
+        """
+        in_flight = endpoint.in_flight
+        if in_flight and now - next(iter(in_flight.values())) > self.response_timeout:
+            return False
+        if endpoint.consecutive_failures < FAILING_AFTER:
+            return True
+        return not in_flight and now >= endpoint.error_rate_at + self._ejection_time(endpoint, now)
+
+    def _ejection_time(self, endpoint: Endpoint, now: float) -> float:
+        """Return the seconds after its last failure in which an endpoint gets nothing."""
+        interval = PROBE_INTERVAL_S
+        if self._instance_count > 1:
+            # Selection comes by an endpoint only so often: where many proxies send little each, a second
+            # would keep nothing away.
+            own_rate = max(self._send_rate.per_second(now), 1 / RATE_MEMORY_S)
+            interval = max(interval, min(len(self._registry.ready) / own_rate, DECAY_S / 4))
+        doublings = min(endpoint.consecutive_failures - FAILING_AFTER, MAX_BACKOFF_DOUBLINGS)
+        return min(DECAY_S, interval * 2.0**doublings)
+
+    def error_rate(self, endpoint: Endpoint, class_index: int, now: float) -> float:
+        """Return the error rate that counts for a class: its own, or part of the endpoint's if that is more.
+
+        An endpoint may serve one class badly and the others well. Counted together the good answers would
+        hide the bad ones, whose attempts then fill the endpoint until it turns all classes away.
+        """
+        overall = linear_decay(endpoint.error_rate, endpoint.error_rate_at, now)
+        if class_index not in endpoint.error_rate_by_class:
+            return overall
+        rate, updated_at = endpoint.error_rate_by_class[class_index]
+        return max(OTHER_CLASSES_SHARE * overall, linear_decay(rate, updated_at, now))
+
+    def is_failing(self, endpoint: Endpoint, class_index: int, now: float) -> bool:
+        """Return whether nearly all attempts of a class fail there."""
+        return self.error_rate(endpoint, class_index, now) > FAILING_ERROR_RATE
+
+    def error_rate_limit(self, now: float) -> float:
+        """Return the error rate over which an endpoint is no candidate.
+
+        It stands out from the usual, which is the mean over attempts but not much more than the rate of the
+        median endpoint: the mean follows whoever fails fastest, and gets most attempts for it.
+        """
+        if now >= self._median_due:
+            self._median_due = now + MEDIAN_INTERVAL_S
+            rates = sorted(
+                linear_decay(endpoint.error_rate, endpoint.error_rate_at, now)
+                for endpoint in self._registry.ready
+            )
+            self._median_error_rate = rates[len(rates) // 2] if rates else 0.0
+        usual = min(self.mean_error_rate, max(self._median_error_rate, MAX_MEAN_ERROR_RATE))
+        return max(ERROR_RATE_LIMIT, usual + ERROR_RATE_MARGIN)
+
+    # Observations.
+
+    def record_result(
         self,
-        server: Endpoint,
+        endpoint: Endpoint,
         result: AttemptResult,
         report: Mapping[str, float] | None,
+        now: float,
         slowness: float = 0.0,
-        number: int | None = None,
+        class_index: int | None = None,
     ) -> None:
-        """A cancelled or unsent attempt says nothing of its server; all other ends do."""
+        """Learn from the end of an attempt or probe. A cancelled or unsent one says nothing of its endpoint.
+
+        Args:
+            endpoint: Where it went.
+            result: How it ended.
+            report: What the endpoint says of itself, if anything.
+            now: The time, in seconds.
+            slowness: From 0, as usual, to 1, as bad as a failure; counts for answers and timeouts.
+            class_index: The class of the request, where it is known.
+        """
         if report:
-            util = report.get("utilization")
-            if isinstance(util, (int, float)) and 0 <= util < math.inf:  # nan, too, fails this
-                server.utilization, server.utilization_at = min(1.0, util), self.now
-                self._note_speed(server)
-        if result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
+            self._record_utilization(endpoint, report.get("utilization"), now)
+        if result in _SAYS_NOTHING:
             return
-        if result in (AttemptResult.SERVED, AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.UNUSABLE):
-            server.answered = True
-        if (
-            result == AttemptResult.UNUSABLE
-        ):  # it speaks of the client; counted, bad clients would blacken all servers
-            return
-        share = self._faded(server.error_rate, server.error_rate_at)
-        server.note_row(result, slowness)
-        if result == AttemptResult.SERVED and self.returned:
-            self.returned.pop(server.id, None)
-        failure = slowness if result in (AttemptResult.SERVED, AttemptResult.TIMEOUT) else 1.0
-        self.errors_usual += SPEED_STEP * (failure - self.errors_usual)
-        share += ERROR_STEP * (failure - share)
-        server.error_rate = share if share > ERROR_LEAST else 0.0
-        server.error_rate_at = self.now
-        if number is not None:
-            own = self._faded(*server.error_rate_by_class.get(number, (0.0, 0.0)))
-            own += ERROR_STEP * (failure - own)
-            server.error_rate_by_class[number] = own if own > ERROR_LEAST else 0.0, self.now
-
-    def _note_pace(self, attempt: Attempt, event: Outcome) -> None:
-        """How long answers of a server take, for each attempt of ours that was there; an attempt that ran
-        out of time took that at the least."""
-        if event.result not in (AttemptResult.SERVED, AttemptResult.TIMEOUT):
+        if result in _ANSWERED:
+            endpoint.answered = True
+        if result == AttemptResult.UNUSABLE:
+            return  # says something of the client; counted, bad clients would eject all endpoints
+        served = result == AttemptResult.SERVED
+        endpoint.record_consecutive_failures(result, slowness)
+        if served and self._registry.uncordoned_due:
+            self._registry.uncordoned_due.pop(endpoint.id, None)
+        failure = slowness if served or result == AttemptResult.TIMEOUT else 1.0
+        self._record_failure(endpoint, failure, class_index, now)
+
+    def _record_failure(
+        self, endpoint: Endpoint, failure: float, class_index: int | None, now: float
+    ) -> None:
+        """Move the error rates towards `failure`, from 0 to 1."""
+        self.mean_error_rate += MEAN_STEP * (failure - self.mean_error_rate)
+        rate = linear_decay(endpoint.error_rate, endpoint.error_rate_at, now)
+        rate += ERROR_STEP * (failure - rate)
+        endpoint.error_rate = rate if rate > MIN_ERROR_RATE else 0.0
+        endpoint.error_rate_at = now
+        if class_index is None:
             return
-        server = attempt.server
-        pace = (
-            event.elapsed if event.time_to_first_byte is None else event.time_to_first_byte
-        ) / attempt.queue
-        server.time_per_attempt += (
-            PACE_STEP * (pace - server.time_per_attempt) if server.time_per_attempt else pace
-        )
-        server.time_per_attempt_at = self.now
+        class_rate, updated_at = endpoint.error_rate_by_class.get(class_index, (0.0, 0.0))
+        class_rate = linear_decay(class_rate, updated_at, now)
+        class_rate += ERROR_STEP * (failure - class_rate)
+        endpoint.error_rate_by_class[class_index] = (class_rate if class_rate > MIN_ERROR_RATE else 0.0, now)
+
+    def _record_utilization(self, endpoint: Endpoint, utilization: object, now: float) -> None:
+        """Note a report; kinds that report more than the mean are selected less, until all report alike."""
+        if not isinstance(utilization, (int, float)) or not 0 <= utilization < math.inf:
+            return  # nan, too
+        endpoint.utilization = min(1.0, utilization)
+        endpoint.utilization_at = now
+        self.mean_utilization += MEAN_STEP * (endpoint.utilization - self.mean_utilization)
+        speeds = self._registry.speed_by_kind
+        excess = self.mean_utilization - endpoint.utilization
+        speed = speeds[endpoint.kind] * math.exp(MEAN_STEP * excess)
+        speeds[endpoint.kind] = min(MAX_SPEED, max(1 / MAX_SPEED, speed))
 
-    def _note_speed(self, server: Endpoint) -> None:
-        """Kinds that report more than the usual utilization are drawn less, until all report alike."""
-        self.util_usual += SPEED_STEP * (server.utilization - self.util_usual)
-        speed = self.speed[server.kind] * math.exp(SPEED_STEP * (self.util_usual - server.utilization))
-        self.speed[server.kind] = min(SPEED_MOST, max(1 / SPEED_MOST, speed))
+    def record_time_per_attempt(self, attempt: Attempt, event: Outcome, now: float) -> None:
+        """Learn how long an endpoint's answers take, for each attempt of this proxy that was there.
 
-    def _on_probe(self, event: ProbeResult) -> None:
-        self._learn(self.servers[event.endpoint], event.result, event.report)
+        An attempt that ran out of time took that at the least.
+        """
+        if event.result not in (AttemptResult.SERVED, AttemptResult.TIMEOUT):
+            return
+        endpoint = attempt.endpoint
+        observed = event.response_time / attempt.queue_length
+        if endpoint.time_per_attempt:
+            endpoint.time_per_attempt += TIME_PER_ATTEMPT_STEP * (observed - endpoint.time_per_attempt)
+        else:
+            endpoint.time_per_attempt += observed
+        endpoint.time_per_attempt_at = now
 
-    def _slowness(self, pending: PendingRequest | None, event: Outcome) -> float:
-        """From 0, as usual, to 1, failure-like.
+    def record_slowness(self, pending: PendingRequest | None, event: Outcome) -> float:
+        """Return the slowness of an attempt, 0 to 1, and learn the typical latency from it.
 
-        Protects against slow servers: near full load all report high utilization, and only their
-        answers tell them apart. The usual is that of the whole fleet, so a shared cause blackens none."""
-        if pending is None or pending.coming:
+        Near full load all endpoints report high utilization, and only their answers tell slow ones apart.
+        They are held against the typical latency of the whole fleet, so that a shared cause ejects none.
+        """
+        if pending is None or pending.body_pending:
             return float(event.result == AttemptResult.TIMEOUT)
-        number, took = (
-            pending.number,
-            event.elapsed if event.time_to_first_byte is None else event.time_to_first_byte,
-        )
-        usual = self.usual[number] or took
+        class_index = pending.class_index
+        response_time = event.response_time
+        typical = self.typical_latency[class_index] or response_time
         if event.result == AttemptResult.TIMEOUT:
-            # An answer that has not come by now takes about as long again, as tails go. Protects against
-            # servers that an attempt blackens which had less time than answers take: a class whose aim is
-            # near its usual time, a repeat after a failure elsewhere.
-            return self._slow(2 * took, usual) if self.usual[number] else 1.0
+            # An answer that has not come by now takes about as long again, as tails go. Counted in full, an
+            # attempt that had less time than answers take, as a retry may, would tell against its endpoint.
+            return _slowness(2 * response_time, typical) if self.typical_latency[class_index] else 1.0
         if event.result != AttemptResult.SERVED:
             return 0.0
-        self.usual[number] = usual * (1 + USUAL_STEP if took > usual else 1 - USUAL_STEP)
-        self.silence = SILENT * max(self.usual)
-        # Protects against noise of the machine where answers take next to nothing: thrice a tenth of a
-        # millisecond says nothing of a server. Harm: none near any aim.
-        return self._slow(took, usual) if took > SLOW_LEAST * pending.cls.latency_objective else 0.0
-
-    @staticmethod
-    def _slow(took: float, usual: float) -> float:
-        return min(1.0, max(0.0, (took / usual - SLOW_FROM) / (SLOW_FULL - SLOW_FROM))) if usual else 0.0
+        is_longer = response_time > typical
+        self.typical_latency[class_index] = typical * (
+            1 + TYPICAL_LATENCY_STEP if is_longer else 1 - TYPICAL_LATENCY_STEP
+        )
+        self.response_timeout = RESPONSE_TIMEOUT_FACTOR * max(self.typical_latency)
+        # Where answers take next to nothing, thrice a tenth of a millisecond is noise of the machine.
+        noise_s = MIN_SLOW_OBJECTIVE_SHARE * pending.request_class.latency_objective
+        return _slowness(response_time, typical) if response_time > noise_s else 0.0
+
+
+def _slowness(response_time: float, typical: float) -> float:
+    if not typical:
+        return 0.0
+    return min(1.0, max(0.0, (response_time / typical - SLOW_FROM) / (SLOW_FULL - SLOW_FROM)))
--- /dev/null
+++ b/loadbalancer/policy/request_value.py
@@ -0,0 +1,27 @@
+"""What requests of a class are worth for the work that they take, by which load is shed."""
+
+from __future__ import annotations
+
+from loadbalancer.policy.settings import PolicySettings
+
+
+class RequestValue:
+    """Ranks the classes: the least value for its work is shed first."""
+
+    __slots__ = ("_classes", "_typical_latency", "_weight_by_work")
+
+    def __init__(self, settings: PolicySettings, typical_latency: list[float]) -> None:
+        """Follow the typical latency of each class, in seconds, as the list is updated in place."""
+        self._classes = settings.classes
+        self._weight_by_work = settings.weight_by_work
+        self._typical_latency = typical_latency
+
+    def by_class(self) -> list[float]:
+        """Return the priority weight of each class for a second of work.
+
+        Where weights are given by work, they are that already.
+        """
+        if self._weight_by_work:
+            return [request_class.priority_weight for request_class in self._classes]
+        pairs = zip(self._classes, self._typical_latency, strict=True)
+        return [request_class.priority_weight / (work or 1.0) for request_class, work in pairs]
--- a/loadbalancer/proxy/decision_trace.py
+++ b/loadbalancer/proxy/decision_trace.py
@@ -123,7 +123,7 @@
 def see(balancer: Balancer, action: Action) -> TraceObservation | None:
     if not isinstance(action, Send):
         return None
-    server = balancer.servers.get(action.endpoint)
+    server = balancer.endpoints.get(action.endpoint)
     if server is None:
         return None
     usable = sum(not balancer.avoids(one.id) for one in balancer.ready)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -320,7 +320,7 @@
 
 def test_the_module_heeds_a_share_of_none_a_time_of_one_attempt_and_silence() -> None:
     b = module(retry_budget_ratio=0.0, attempt_timeout=0.2)
-    b.retry_tokens = 0.0
+    b.retry_policy.tokens = 0.0
     sent = b.handle(101.0, [Request(1, 0, 4.0)])
     assert [a.timeout for a in sent if isinstance(a, Send)] == [0.2]
     server = next(a.endpoint for a in sent if isinstance(a, Send))
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -81,7 +81,7 @@
 def test_a_list_that_names_a_server_twice_has_it_once_as_named_last() -> None:
     balancer = started(EndpointEntry("a", weight=3.0), EndpointEntry("b"), EndpointEntry("a"))
     assert [server.id for server in balancer.ready] == ["a", "b"]
-    assert balancer.servers["a"].size == 1.0
+    assert balancer.endpoints["a"].size == 1.0
 
 
 def test_a_list_that_drops_all_refuses_at_once_and_the_next_one_serves() -> None:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -10,11 +10,7 @@
 
 import pytest
 
-from loadbalancer.policy import concurrency_limit as limit
-from loadbalancer.policy import endpoint_list as listing
-from loadbalancer.policy import outlier_detection as learning
-from loadbalancer.policy import selection as draw
-from loadbalancer.policy import slow_start as cold
+from loadbalancer.policy import concurrency_limit, endpoint_list, outlier_detection, selection, slow_start
 from loadbalancer.policy.actions import (
     Cancel,
     CloseIdleConnections,
@@ -26,6 +22,7 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.endpoints import Endpoint
+from loadbalancer.policy.estimators import linear_decay
 from loadbalancer.policy.events import (
     AttemptResult,
     BodyProgress,
@@ -97,9 +94,9 @@
     b = balancer(EndpointEntry("idle"), EndpointEntry("busy"))
     for server in b.ready:
         server.answered = True
-    b.servers["busy"].in_flight.update({(1, 0): 100.0, (2, 0): 100.0})
-    b.servers["idle"].utilization, b.servers["idle"].utilization_at = 0.9, 100.0
-    assert b._score(b.servers["idle"]) < b._score(b.servers["busy"])
+    b.endpoints["busy"].in_flight.update({(1, 0): 100.0, (2, 0): 100.0})
+    b.endpoints["idle"].utilization, b.endpoints["idle"].utilization_at = 0.9, 100.0
+    assert b.selector.score(b.endpoints["idle"], b.now) < b.selector.score(b.endpoints["busy"], b.now)
     assert sent_to(b, 100.0, 10) == "idle"
 
 
@@ -107,12 +104,12 @@
     b = balancer(EndpointEntry("large", weight=3.0), EndpointEntry("small", weight=1.0))
     for server in b.ready:
         server.in_flight.update({(1, 0): 100.0, (2, 0): 100.0})
-    assert b._score(b.servers["large"]) < b._score(b.servers["small"])
+    assert b.selector.score(b.endpoints["large"], b.now) < b.selector.score(b.endpoints["small"], b.now)
 
 
 def test_the_draw_follows_the_listed_size() -> None:
     b = balancer(EndpointEntry("large", weight=3.0), EndpointEntry("small", weight=1.0))
-    drawn = [b.pool.draw(b.random.random(), b.speed).id for _ in range(4000)]
+    drawn = [b.registry.pool.sample(b.random.random(), b.registry.speed_by_kind).id for _ in range(4000)]
     assert 2900 < drawn.count("large") < 3100
 
 
@@ -121,8 +118,8 @@
     for n in range(600):
         server = sent_to(b, 100.0 + n / 50, n)
         assert server is not None
-        answer(b, 100.01 + n / 50, n, server, util=0.9 if b.servers[server].kind else 0.5)
-    drawn = [b.pool.draw(b.random.random(), b.speed).kind for _ in range(2000)]
+        answer(b, 100.01 + n / 50, n, server, util=0.9 if b.endpoints[server].kind else 0.5)
+    drawn = [b.registry.pool.sample(b.random.random(), b.registry.speed_by_kind).kind for _ in range(2000)]
     assert 20 < drawn.count(1) < 600
 
 
@@ -130,7 +127,7 @@
     b = balancer(*fleet(4))
     for server in b.ready:
         server.answered = True
-    b.servers["s0"].utilization, b.servers["s0"].utilization_at = 1.0, 100.0
+    b.endpoints["s0"].utilization, b.endpoints["s0"].utilization_at = 1.0, 100.0
     assert {sent_to(b, 100.0, n) for n in range(9)} == {"s1", "s2", "s3"}
     for server in b.ready:
         server.utilization, server.utilization_at = 1.0, 100.0
@@ -149,23 +146,23 @@
 def test_linear_decay_of_both_figures(age: float, share: float) -> None:
     b = balancer(*fleet(1))
     b.now = 100.0 + age
-    assert b._faded(0.8, 100.0) == pytest.approx(share)
+    assert linear_decay(0.8, 100.0, b.now) == pytest.approx(share)
 
 
 def test_ramp_grows_with_age() -> None:
     b = balancer(*fleet(19), EndpointEntry("new", started=90.0))
-    new = b.servers["new"]
+    new = b.endpoints["new"]
     passed = []
     for b.now in (110.0, 150.0, 185.0):
-        passed.append(sum(b._healthy(new) for _ in range(1000)))
+        passed.append(sum(b.selector.passes_filters(new, b.now) for _ in range(1000)))
     assert passed[0] < passed[1] < passed[2] == 1000
     assert 150 < passed[0] < 300  # 20 of 90 s
 
 
 def test_the_ramp_is_short_where_most_of_the_fleet_is_young() -> None:
     b = balancer(*fleet(3), *[EndpointEntry(f"n{i}", started=95.0) for i in range(5)])
-    b.now = 95.0 + b.rules.slow_start_duration
-    assert all(b._healthy(s) for s in b.ready)
+    b.now = 95.0 + b.settings.rules.slow_start_duration
+    assert all(b.selector.passes_filters(s, b.now) for s in b.ready)
 
 
 def test_a_server_far_slower_than_the_usual_looks_unhealthy_and_a_slow_fleet_does_not() -> None:
@@ -176,39 +173,48 @@
         assert server is not None
         took = 0.6 if server == "s0" else 0.1
         b.handle(100.05 + n / 10, [Outcome(n, 0, server, AttemptResult.SERVED, took, True)])
-        worst = max(worst, b.servers["s0"].error_rate if n > 20 else 0.0)
+        worst = max(worst, b.endpoints["s0"].error_rate if n > 20 else 0.0)
     assert worst > 0.15
     assert all(s.error_rate < 0.01 for s in b.ready if s.id != "s0")
     for n in range(400, 800):  # all slow
         server = sent_to(b, 200.0 + n / 10, n)
         assert server is not None
         b.handle(200.05 + n / 10, [Outcome(n, 0, server, AttemptResult.SERVED, 0.6, True)])
-    assert all(b._faded(s.error_rate, s.error_rate_at) < 0.01 for s in b.ready)
+    assert all(linear_decay(s.error_rate, s.error_rate_at, b.now) < 0.01 for s in b.ready)
 
 
 def test_a_server_that_fails_one_class_goes_on_serving_the_others() -> None:
     b = balancer(*fleet(2))
-    server, other = b.servers["s0"], b.servers["s1"]
+    server, other = b.endpoints["s0"], b.endpoints["s1"]
     server.answered = other.answered = True
     b.now = 100.0
     for n in range(12):  # one of three requests is of the class that it fails
         bad = n % 3 == 0
-        b._learn(
-            server, AttemptResult.TIMEOUT if bad else AttemptResult.SERVED, None, float(bad), 2 if bad else 0
+        b.outliers.record_result(
+            server,
+            AttemptResult.TIMEOUT if bad else AttemptResult.SERVED,
+            None,
+            b.now,
+            float(bad),
+            2 if bad else 0,
         )
-    assert not b._healthy(server, 2) and b._healthy(server, 0)
-    assert b._score(server, 2) > b._score(server, 0) + 1.0 > b._score(other, 2) + 1.0
+    assert not b.selector.passes_filters(server, b.now, 2) and b.selector.passes_filters(server, b.now, 0)
+    assert (
+        b.selector.score(server, b.now, 2)
+        > b.selector.score(server, b.now, 0) + 1.0
+        > b.selector.score(other, b.now, 2) + 1.0
+    )
 
 
 def test_a_silent_server_is_out_of_the_draw() -> None:
     b = balancer(*fleet(4))
     for server in b.ready:
         server.answered = True
-    b.silence = 1.0
-    b.servers["s0"].in_flight[(1, 0)] = 98.0
-    assert not b._healthy(b.servers["s0"])
-    b.servers["s0"].in_flight[(1, 0)] = 99.5
-    assert b._healthy(b.servers["s0"])
+    b.outliers.response_timeout = 1.0
+    b.endpoints["s0"].in_flight[(1, 0)] = 98.0
+    assert not b.selector.passes_filters(b.endpoints["s0"], b.now)
+    b.endpoints["s0"].in_flight[(1, 0)] = 99.5
+    assert b.selector.passes_filters(b.endpoints["s0"], b.now)
 
 
 def test_failing_servers_alone_cause_no_refusal_and_slow_attempts_do() -> None:
@@ -230,27 +236,31 @@
         AttemptResult.RESET,
     ):
         b = balancer(*fleet(1))
-        b._learn(b.servers["s0"], result, None, float(result == AttemptResult.TIMEOUT))
-        assert b.servers["s0"].error_rate == pytest.approx(learning.ERROR_STEP)
+        b.outliers.record_result(
+            b.endpoints["s0"], result, None, b.now, float(result == AttemptResult.TIMEOUT)
+        )
+        assert b.endpoints["s0"].error_rate == pytest.approx(outlier_detection.ERROR_STEP)
     for result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT, AttemptResult.SERVED):
         b = balancer(*fleet(1))
-        b._learn(b.servers["s0"], result, None)
-        assert b.servers["s0"].error_rate == 0.0
+        b.outliers.record_result(b.endpoints["s0"], result, None, b.now)
+        assert b.endpoints["s0"].error_rate == 0.0
 
 
 @pytest.mark.parametrize("value", [None, -1.0, math.nan, math.inf, "busy", 7.0])
 def test_odd_reports_do_not_poison_a_score(value: Any) -> None:
     b = balancer(*fleet(1))
-    b._learn(b.servers["s0"], AttemptResult.SERVED, {"utilization": value, "unheard_of": 3.0})
-    assert 0.0 <= b._score(b.servers["s0"]) <= draw.UTIL_WEIGHT
+    b.outliers.record_result(
+        b.endpoints["s0"], AttemptResult.SERVED, {"utilization": value, "unheard_of": 3.0}, b.now
+    )
+    assert 0.0 <= b.selector.score(b.endpoints["s0"], b.now) <= selection.UTILIZATION_WEIGHT
 
 
 def test_a_restart_forgets_the_old_process() -> None:
     b = balancer(EndpointEntry("a", started=1.0))
-    a = b.servers["a"]
+    a = b.endpoints["a"]
     a.answered, a.error_rate, a.error_rate_at = True, 1.0, 100.0
     b.handle(101.0, [EndpointList((EndpointEntry("a", started=100.5),), complete=False)])
-    assert b.servers["a"] is a and not a.answered and a.error_rate == 0.0
+    assert b.endpoints["a"] is a and not a.answered and a.error_rate == 0.0
 
 
 def test_drained_and_gone_get_nothing() -> None:
@@ -311,8 +321,8 @@
         server = sent_to(b, 100.0 + n / 50, n)
         assert server is not None
         answer(b, 100.01 + n / 50, n, server, util=1.0)
-    assert b.util_usual > 0.9
-    assert all(b._healthy(s) for s in b.ready)
+    assert b.outliers.mean_utilization > 0.9
+    assert all(b.selector.passes_filters(s, b.now) for s in b.ready)
 
 
 def test_where_all_fail_the_error_share_filters_none() -> None:
@@ -321,10 +331,10 @@
         server = sent_to(b, 100.0 + n / 50, n, cls=2)
         assert server is not None
         answer(b, 100.01 + n / 50, n, server, AttemptResult.ERROR)
-    assert all(s.error_rate <= b._error_limit() for s in b.ready)
-    b.errors_usual = 0.0  # the same figures in a healthy fleet
+    assert all(s.error_rate <= b.outliers.error_rate_limit(b.now) for s in b.ready)
+    b.outliers.mean_error_rate = 0.0  # the same figures in a healthy fleet
     b.now = 108.0
-    assert not any(b._healthy(s) for s in b.ready)
+    assert not any(b.selector.passes_filters(s, b.now) for s in b.ready)
 
 
 def test_a_sparse_proxy_keeps_no_idle_connection() -> None:
@@ -343,11 +353,11 @@
     b.shed_level = 3.0
     for n in range(200):
         ask(b, 105.0, n)
-    assert not b._over_share(0)
+    assert not b.load_shedding.quota.is_exceeded(0, b.now)
     b.shed_level = 0.0
     for n in range(200, 320):
         ask(b, 105.0, n)
-    assert b._over_share(0)
+    assert b.load_shedding.quota.is_exceeded(0, b.now)
 
 
 def test_no_second_copy_while_the_typical_attempt_takes_long() -> None:
@@ -397,14 +407,14 @@
     """The time left tells how long a client has waited, if others have been left unserved of late; one that
     is just less patient is not refused for it, nor is anybody without too much work."""
     b = balancer(*fleet(4))
-    b.usual[0] = 0.1
+    b.typical_latency[0] = 0.1
     for n in range(40):  # what first tries come with; a last one may have more time left
         ask(b, 100.0, n, left=3.5 if n % 4 else 3.97)
 
     def count(first: int, left: float) -> int:
         sent = 0
         for n in range(first, first + 50):
-            b.shed_level, b.patience[0].unanswered = level, unserved
+            b.shed_level, b.client_retries[0].unserved = level, unserved
             sent += any(isinstance(a, Send) for a in ask(b, 105.0, n, left=left))
         return sent
 
@@ -456,7 +466,7 @@
     call in line have to fit. Nor do all come at once."""
     for failures in (2, 8):
         waits = waits_after(failures, took, False)
-        assert took + max(waits) + listing.LINE_S <= listing.TOLD_S + 1e-6
+        assert took + max(waits) + endpoint_list.MAX_QUEUE_TIME_S <= endpoint_list.NOTIFIED_WITHIN_S + 1e-6
         assert min(waits) < max(waits) / 3 and max(waits) > 1.0
         middle = (min(waits) + max(waits)) / 2
         assert 0.25 < sum(wait > middle for wait in waits) / len(waits) < 0.75
@@ -512,18 +522,18 @@
 
 def test_a_server_that_gives_a_long_answer_is_not_silent() -> None:
     b = balancer(*fleet(1))
-    b.silence = 1.0
+    b.outliers.response_timeout = 1.0
     server = sent_to(b, 100.0, 1)
     assert server is not None
     b.handle(100.1, [FirstByte(1, 0, server, 0.1)])
     b.now = 110.0
-    assert b._healthy(b.servers[server])
+    assert b.selector.passes_filters(b.endpoints[server], b.now)
     assert sent_to(b, 110.0, 2) == server
     b.now = 112.0
-    assert not b._healthy(b.servers[server])  # the second request is met with silence
+    assert not b.selector.passes_filters(b.endpoints[server], b.now)  # the second request is met with silence
     answer(b, 112.0, 1, server)
     answer(b, 112.0, 2, server)
-    assert not b.servers[server].in_flight and not b.servers[server].responding
+    assert not b.endpoints[server].in_flight and not b.endpoints[server].responding
 
 
 def test_a_long_answer_under_way_does_not_count_as_in_flight() -> None:
@@ -535,7 +545,9 @@
     assert first is not None
     b.handle(100.1, [FirstByte(1, 0, first, 0.1)])
     other = sent_to(b, 100.2, 2)
-    assert other is not None and b._score(b.servers[first]) == (1.0 if other == first else 0.0)
+    assert other is not None and b.selector.score(b.endpoints[first], b.now) == (
+        1.0 if other == first else 0.0
+    )
 
 
 def test_a_server_that_fails_fast_gets_little_while_the_others_are_too_busy_for_the_filters() -> None:
@@ -544,11 +556,11 @@
     sent = 0
     for n in range(600):
         now = 100.0 + n / 100
-        for server in b.servers.values():
+        for server in b.endpoints.values():
             server.utilization, server.utilization_at, server.answered = 1.0, now, True
             if server.id != "s0":  # each has work of its own
                 server.in_flight = {(10_000, k): now for k in range(6)}
-        b.util_usual = 0.5
+        b.outliers.mean_utilization = 0.5
         server_id = sent_to(b, now, n, cls=2)
         assert server_id is not None
         sent += server_id == "s0"
@@ -561,10 +573,10 @@
 def test_one_failing_server_does_not_lift_the_limit_that_it_is_held_to() -> None:
     b = balancer(*fleet(10))
     for _ in range(200):  # nearly all attempts are its own, as where all others are full
-        b._learn(b.servers["s0"], AttemptResult.ERROR, None)
-    assert b.errors_usual > 0.8
-    assert not b._healthy(b.servers["s0"]) and b.avoids("s0")
-    assert b._healthy(b.servers["s1"]) and not b.avoids("s1")
+        b.outliers.record_result(b.endpoints["s0"], AttemptResult.ERROR, None, b.now)
+    assert b.outliers.mean_error_rate > 0.8
+    assert not b.selector.passes_filters(b.endpoints["s0"], b.now) and b.avoids("s0")
+    assert b.selector.passes_filters(b.endpoints["s1"], b.now) and not b.avoids("s1")
 
 
 def test_a_server_put_back_is_cold_unless_the_list_has_told_its_start_and_is_tried_at_once() -> None:
@@ -575,17 +587,17 @@
         b.handle(103.5, [EndpointList((EndpointEntry("s0", started=started),), complete=False)])
         assert all(sent_to(b, 104.0, 100 + n) != "s0" for n in range(60))
         b.handle(105.0, [Cordon("s0", False), Cordon("s0", False)])
-        assert (b.servers["s0"].warm_started_at == 105.0) == is_cold
+        assert (b.endpoints["s0"].warm_started_at == 105.0) == is_cold
         assert sent_to(b, 105.0, 200) == "s0"  # and once a second until it answers
         assert sent_to(b, 105.1, 201) != "s0" or is_cold is False
         answer(b, 105.2, 200, "s0")
-        assert not b.returned
+        assert not b.registry.uncordoned_due
 
 
 def test_a_member_taken_out_stays_out_when_a_list_drops_it_and_brings_it_back() -> None:
     b = balancer(*fleet(3))
     b.handle(101.0, [Cordon("s0", True), EndpointList((EndpointEntry("s1"), EndpointEntry("s2")))])
-    assert "s0" not in b.servers
+    assert "s0" not in b.endpoints
     b.handle(102.0, [EndpointList(tuple(fleet(3)))])
     assert {sent_to(b, 103.0, n) for n in range(60)} == {"s1", "s2"} and b.avoids("s0")
 
@@ -599,7 +611,7 @@
     for number in range(40):
         server = sent_to(b, at - 0.5 + number / 100, 1000 + number, cls=1)
         assert server is not None
-        took = pace * len(b.servers[server].in_flight)
+        took = pace * len(b.endpoints[server].in_flight)
         b.handle(
             at - 0.5 + number / 100, [Outcome(1000 + number, 0, server, AttemptResult.SERVED, took, True)]
         )
@@ -629,54 +641,54 @@
     queued(b, pace=0.4, at=100.0)
     assert sent_to(b, 100.0, 1) == "s0"
     assert sent_to(b, 100.0, 2) is None
-    assert sent_to(b, 100.0 + 2 * draw.PACE_S, 3) == "s0"  # no news for long enough
+    assert sent_to(b, 100.0 + 2 * selection.TIME_PER_ATTEMPT_VALID_S, 3) == "s0"  # no news for long enough
 
 
 def test_a_restart_forgets_the_pace() -> None:
     b = balancer(*fleet(1), classes=(HASTY, PATIENT))
     queued(b, pace=0.4, at=100.0)
     b.handle(100.0, [EndpointList((EndpointEntry("s0", started=100.0),))])
-    assert b.servers["s0"].time_per_attempt == 0.0
+    assert b.endpoints["s0"].time_per_attempt == 0.0
 
 
 def test_while_requests_are_given_up_there_is_no_ramp() -> None:
     b = balancer(*fleet(19), EndpointEntry("new", started=80.0), rules=SafetyRules(slow_start_duration=8.0))
-    assert sum(b._healthy(b.servers["new"]) for _ in range(400)) < 200  # 20 of 90 s
-    b.crowded_at = 100.0
-    assert all(b._healthy(b.servers["new"]) for _ in range(400))
-    b.now = 100.0 + draw.CROWDED_S
-    assert sum(b._healthy(b.servers["new"]) for _ in range(400)) < 200
+    assert sum(b.selector.passes_filters(b.endpoints["new"], b.now) for _ in range(400)) < 200  # 20 of 90 s
+    b.slow_start.suspend_ramp(100.0)
+    assert all(b.selector.passes_filters(b.endpoints["new"], b.now) for _ in range(400))
+    b.now = 100.0 + slow_start.RAMP_SUSPENDED_S
+    assert sum(b.selector.passes_filters(b.endpoints["new"], b.now) for _ in range(400)) < 200
 
 
 @pytest.mark.parametrize(("util", "times"), [(None, 1.0), (0.3, 1.4), (0.7, 0.9 / 0.7), (1.0, 0.9)])
 def test_what_a_cold_server_reports_corrects_its_pace(util: float | None, times: float) -> None:
     b = balancer(*fleet(9), EndpointEntry("new", started=98.0), rules=SafetyRules(slow_start_duration=8.0))
-    new = b.servers["new"]
-    b.flow, b.flow_at = 500.0, 100.0
+    new = b.endpoints["new"]
+    b.send_rate.count, b.send_rate.updated_at = 500.0, 100.0
     if util is not None:
-        b._learn(new, AttemptResult.SERVED, {"utilization": util})
+        b.outliers.record_result(new, AttemptResult.SERVED, {"utilization": util}, b.now)
     gaps = []
     for _ in range(2000):
-        b._pace_cold(new)
-        gaps.append(new.pacing_debt / b._cold_pace(new, 2.0))
-    warm = (2 - cold.LAG * b.rules.overload_duration) / 8
-    share = b.rules.slow_start_capacity + (1 - b.rules.slow_start_capacity) * warm
-    bare = 1 / (b._rate() / 10 * share * cold.COLD_MARGIN)
+        b.slow_start.record_send(new, b.now)
+        gaps.append(new.pacing_debt / b.slow_start.pace(new, 2.0, b.now))
+    warm = (2 - slow_start.WARMTH_LAG * b.settings.rules.overload_duration) / 8
+    share = b.settings.rules.slow_start_capacity + (1 - b.settings.rules.slow_start_capacity) * warm
+    bare = 1 / (b.send_rate.per_second(b.now) / 10 * share * slow_start.MAX_PACE_MARGIN)
     assert sum(gaps) / len(gaps) == pytest.approx(bare / times, rel=0.05)
 
 
 def test_a_report_from_before_its_start_says_nothing_of_a_cold_server() -> None:
     b = balancer(EndpointEntry("s0"), rules=SafetyRules(slow_start_duration=8.0))
-    b._learn(b.servers["s0"], AttemptResult.SERVED, {"utilization": 0.2})
+    b.outliers.record_result(b.endpoints["s0"], AttemptResult.SERVED, {"utilization": 0.2}, b.now)
     b.handle(100.5, [Cordon("s0", True)])
     b.handle(101.0, [Cordon("s0", False)])
-    assert b._cold_room(b.servers["s0"]) == 1.0
+    assert b.slow_start.utilization_correction(b.endpoints["s0"]) == 1.0
 
 
 def test_a_body_that_still_comes_costs_no_time_and_is_no_load() -> None:
     b = balancer(*fleet(1), classes=(HASTY, PATIENT))
     (sent,) = [a for a in b.handle(100.0, [Request(1, 0, 0.5, body_pending=True)]) if isinstance(a, Send)]
-    assert sent.timeout == pytest.approx(0.15 - b.rules.answer_slack)
+    assert sent.timeout == pytest.approx(0.15 - b.settings.rules.answer_slack)
     (server,) = b.ready
     assert not server.in_flight and server.responding == {(1, 0)}
     assert b.handle(160.0, [TimerFired(2)]) == []  # no second copy of what is not whole
@@ -720,7 +732,7 @@
 
 def test_a_repeat_after_no_connection_needs_no_budget_and_one_after_an_error_does() -> None:
     b = balancer(*fleet(10))
-    b.retry_tokens = 0.0
+    b.retry_policy.tokens = 0.0
     server = sent_to(b, 100.0, 1)
     assert server is not None
     assert any(isinstance(a, Send) for a in answer(b, 100.0, 1, server, AttemptResult.NO_CONNECTION))
@@ -731,16 +743,16 @@
 
 def test_an_attempt_that_had_less_time_than_answers_take_blackens_no_server() -> None:
     b = balancer(*fleet(3))
-    b.usual[0] = 0.1  # what `answer` says that it took, also of an attempt that ran out of time
+    b.typical_latency[0] = 0.1  # what `answer` says that it took, also of an attempt that ran out of time
     server = sent_to(b, 100.0, 1)
     assert server is not None
     answer(b, 100.0, 1, server, AttemptResult.TIMEOUT)
-    assert b.servers[server].error_rate == 0.0
-    b.usual[0] = 0.01
+    assert b.endpoints[server].error_rate == 0.0
+    b.typical_latency[0] = 0.01
     server = sent_to(b, 101.0, 2)
     assert server is not None
     answer(b, 101.0, 2, server, AttemptResult.TIMEOUT)
-    assert b.servers[server].error_rate > 0.0
+    assert b.endpoints[server].error_rate > 0.0
 
 
 def test_a_refusal_says_when_to_return_while_there_is_too_much_work_and_within_what_may_be_said() -> None:
@@ -773,7 +785,7 @@
 
 
 def in_flight(b: Balancer) -> int:
-    return sum(len(server.in_flight) for server in b.servers.values())
+    return sum(len(server.in_flight) for server in b.endpoints.values())
 
 
 def test_in_flight_is_counted_through_every_way_that_an_attempt_goes() -> None:
@@ -817,8 +829,8 @@
 
 def test_under_the_least_nothing_is_refused_for_what_is_in_flight() -> None:
     b = balancer(*fleet(4))
-    b.late_share, b.limit = 0.1, 1.0
-    least = int(limit.LIMIT_LEAST)
+    b.concurrency_limit.late_share, b.concurrency_limit.limit = 0.1, 1.0
+    least = int(concurrency_limit.MIN_LIMIT)
     assert len(fill(b, least, 0)) == least and len(fill(b, 100, 0, 2000)) < 10
 
 
@@ -828,7 +840,7 @@
         RequestClass("dear", 1.0, 4.0, priority_weight=10.0),
     )
     b = balancer(*fleet(40), classes=(cheap, dear))
-    b.late_share, b.limit = 0.1, 100.0
+    b.concurrency_limit.late_share, b.concurrency_limit.limit = 0.1, 100.0
     assert 80 <= len(fill(b, 400, 0)) < 95
     assert 18 <= len(fill(b, 20, 1, 2000)) and b.in_flight >= 99
     assert len(fill(b, 2000, 1, 3000)) in range(1, 60)
@@ -836,54 +848,54 @@
 
 def test_the_limit_follows_what_takes_long_and_grows_while_it_is_used() -> None:
     b = balancer(*fleet(40))
-    b.late_share, b.limit = 0.1, 50.0
+    b.concurrency_limit.late_share, b.concurrency_limit.limit = 0.1, 50.0
     for round_ in range(20):  # more than half used, all in time
-        b.late_share = 0.1
+        b.concurrency_limit.late_share = 0.1
         for n, server in fill(b, 40, 0, 1000 * round_, 101.0 + round_):
             b.handle(101.1 + round_, [Outcome(n, 0, server, AttemptResult.SERVED, 0.1, True)])
-    grown = b.limit
+    grown = b.concurrency_limit.limit
     assert 52.0 < grown < 70.0
     for round_ in range(20, 60):
         for n, server in fill(b, 40, 0, 1000 * round_, 101.0 + round_):
             b.handle(101.9 + round_, [Outcome(n, 0, server, AttemptResult.SERVED, 0.9, True)])
-    assert b.limit == limit.LIMIT_LEAST
+    assert b.concurrency_limit.limit == concurrency_limit.MIN_LIMIT
 
 
 def test_few_sick_servers_do_not_close_it_and_failures_say_nothing() -> None:
     b = balancer(*fleet(40))
-    b.late_share, b.limit = 0.1, 60.0
+    b.concurrency_limit.late_share, b.concurrency_limit.limit = 0.1, 60.0
     for round_ in range(20):
         for n, server in fill(b, 40, 0, 1000 * round_, 101.0 + round_):
             late = n % 40 == 0
             result, took = (AttemptResult.TIMEOUT, 0.9) if late else (AttemptResult.SERVED, 0.1)
             b.handle(101.1 + round_, [Outcome(n, 0, server, result, took, True)])
-    assert b.limit > 58.0 and b.late_share > 0.02
-    before = b.limit
+    assert b.concurrency_limit.limit > 58.0 and b.concurrency_limit.late_share > 0.02
+    before = b.concurrency_limit.limit
     for n, server in fill(b, 40, 2, 50_000, 130.0):
         b.handle(130.1, [Outcome(n, 0, server, AttemptResult.RESET, 0.1)])
-    assert b.limit == before
+    assert b.concurrency_limit.limit == before
 
 
 def test_a_burst_meets_no_limit_while_next_to_nothing_is_late_and_one_late_attempt_changes_nothing() -> None:
     b = balancer(*fleet(4))
     assert len(fill(b, 300, 0)) == 300
     for n in range(1000, 1300):
-        server = next(s.id for s in b.servers.values() if (n, 0) in s.in_flight)
+        server = next(s.id for s in b.endpoints.values() if (n, 0) in s.in_flight)
         took = 0.95 if n == 1001 else 0.1
         b.handle(101.1, [Outcome(n, 0, server, AttemptResult.SERVED, took, True)])
     assert len(fill(b, 300, 0, 2000)) == 300
-    assert b.limit > 100.0  # what was carried well is known
-    b.late_share = 0.05
+    assert b.concurrency_limit.limit > 100.0  # what was carried well is known
+    b.concurrency_limit.late_share = 0.05
     assert len(fill(b, 300, 0, 3000)) < 10
 
 
 def test_an_attempt_that_is_given_up_for_its_silence_counts_as_late() -> None:
     """Else a fleet whose queues are full looks idle: its attempts are cancelled before they are late."""
     b = balancer(*fleet(40), limits=PolicyLimits(hedging=False))
-    b.late_share, b.limit = 0.1, 60.0
+    b.concurrency_limit.late_share, b.concurrency_limit.limit = 0.1, 60.0
     timer = next(a for a in ask(b, 101.0, 1) if isinstance(a, SetTimer))
     actions = b.handle(101.0 + timer.delay, [TimerFired(timer.token)])
     assert any(isinstance(a, Cancel) for a in actions)
-    server = next(s.id for s in b.servers.values() if s.in_flight)
+    server = next(s.id for s in b.endpoints.values() if s.in_flight)
     b.handle(101.0 + timer.delay, [Outcome(1, 0, server, AttemptResult.CANCELLED, timer.delay)])
-    assert b.limit < 60.0
+    assert b.concurrency_limit.limit < 60.0
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -385,7 +385,7 @@
                 assert await client.ended() == b""
             (outcome,) = await here.proxy.until_outcomes(1)
             assert outcome.result == AttemptResult.UNUSABLE
-            assert all(server.error_rate == 0.0 for server in here.proxy.balancer.servers.values())
+            assert all(server.error_rate == 0.0 for server in here.proxy.balancer.endpoints.values())
 
     play(scene)
 
@@ -556,6 +556,6 @@
             assert idle <= 6 * backend_module.IDLE_MOST
             assert here.proxy.budget.held == 0 and not here.server.idle
             assert not here.proxy.balancer.requests
-            assert not any(s.in_flight or s.responding for s in here.proxy.balancer.servers.values())
+            assert not any(s.in_flight or s.responding for s in here.proxy.balancer.endpoints.values())
 
     play(scene)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,10 +6,8 @@
 import pytest
 from fleetscene import WORK_S, Member, Scene
 
-from loadbalancer.policy import endpoint_list as listing
-from loadbalancer.policy.settings import (
-    SafetyRules,
-)
+from loadbalancer.policy.settings import SafetyRules
+from loadbalancer.policy.slow_start import SlowStart
 
 MEMBERS, LOAD = 16, 0.7
 
@@ -64,6 +62,6 @@
 
 def test_a_first_request_of_every_proxy_at_once_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     """The seeded defect: without its random place in the gap each proxy sends one as soon as it hears of a start."""
-    monkeypatch.setattr(listing.Listing, "_see_cold", lambda self, server: None)
+    monkeypatch.setattr(SlowStart, "begin", lambda self, endpoint, now: None)
     new = replaced(200, 2.5, 0.15, 0.6, 0.0, 1)
     assert max(member.over_budget() for member in new) > 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -189,7 +189,7 @@
             await client.send(request("keyed"))
             await asyncio.wait_for(holder.held.wait(), 10)
             pending = next(iter(here.proxy.balancer.requests.values()))
-            end = pending.attempts[0].sent + 0.3
+            end = pending.attempts[0].sent_at + 0.3
             while here.proxy.now() < end:
                 await asyncio.sleep(end - here.proxy.now())
             holder.on = False
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -150,7 +150,7 @@
         async with fleet(tmp_path, [app], simple([app])) as here:
             client = await here.connect()
             whole = len(exchange(FcgiCall(1, {}, None)))  # type: ignore[arg-type]
-            here.daemon.pools["p"].proxy.balancer._learn = lambda *args, **kw: None  # type: ignore[method-assign]
+            here.daemon.pools["p"].proxy.balancer.outliers.record_result = lambda *args, **kw: None  # type: ignore[method-assign]
             for cut in range(whole):
                 await client.send(requests_to("/", "POST", b"x"))
                 status, _, _ = await client.read()
@@ -179,7 +179,7 @@
             return LISTENER + route("all", "p", 'deadline = "60ms"') + app_pool("p", [app])
 
         async with fleet(tmp_path, [app], text) as here:
-            here.daemon.pools["p"].proxy.balancer._learn = lambda *args, **kw: None  # type: ignore[method-assign]
+            here.daemon.pools["p"].proxy.balancer.outliers.record_result = lambda *args, **kw: None  # type: ignore[method-assign]
             for number in range(len(cuts)):
                 assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 504
                 assert len(app.calls) == number + 1
@@ -425,7 +425,7 @@
 
         backend = ScriptedBackend("s", script)
         async with behind_fastcgi(tmp_path, backend, "requests_at_once = 4") as (here, web):
-            here.daemon.pools["p"].proxy.balancer.servers["s"].answered = True
+            here.daemon.pools["p"].proxy.balancer.endpoints["s"].answered = True
             await web.send(b"".join(web.request(n + 1, "GET", f"/{n}") for n in range(5)))
             assert (await web.read(5)).protocol == Status.OVERLOADED  # never begun
             await backend.until_called(4)
@@ -617,7 +617,7 @@
 
         backend = ScriptedBackend("s", silent)
         async with behind_fastcgi(tmp_path, backend) as (here, web):
-            here.daemon.pools["p"].proxy.balancer.servers["s"].answered = True
+            here.daemon.pools["p"].proxy.balancer.endpoints["s"].answered = True
             await web.send(b"".join(web.request(n, "POST", "/", b"x") for n in (1, 2, 3)))
             await backend.until_called(3)
             web.close()
@@ -659,7 +659,7 @@
 
         backend = ScriptedBackend("s", held)
         async with behind_fastcgi(tmp_path, backend) as (here, web):
-            here.daemon.pools["p"].proxy.balancer.servers["s"].answered = True
+            here.daemon.pools["p"].proxy.balancer.endpoints["s"].answered = True
             await web.send(b"".join(web.request(n) for n in (1, 2, 3)))
             await backend.until_called(3)
             listener = here.daemon.listeners["main"]
@@ -692,7 +692,7 @@
             return LISTENER + front() + route("all", "p") + members
 
         async with ground(tmp_path, [old, new], lambda: text("serving")) as here:
-            here.daemon.pools["p"].proxy.balancer.servers["old"].answered = True
+            here.daemon.pools["p"].proxy.balancer.endpoints["old"].answered = True
             web = await WebServer.connect(here.daemon.listeners["main"].address)
             await web.send(b"".join(web.request(n, "POST", "/", b"x") for n in (1, 2, 3)))
             await old.until_called(3)
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -26,7 +26,7 @@
         return LISTENER + route("r", "p", f'deadline = "{deadline}"') + pool("p", apps, *MORE)  # type: ignore[arg-type]
 
     async with ground(folder, apps, text) as here:  # type: ignore[arg-type]
-        for server in here.daemon.pools["p"].proxy.balancer.servers.values():
+        for server in here.daemon.pools["p"].proxy.balancer.endpoints.values():
             server.answered = True
         yield here
 
--- a/tests/test_import_samples.py
+++ b/tests/test_import_samples.py
@@ -21,7 +21,7 @@
 from loadbalancer.importer.jk import parse_map, parse_workers
 from loadbalancer.importer.report import Fate
 from loadbalancer.importer.source import Reading
-from loadbalancer.policy import outlier_detection as learning
+from loadbalancer.policy import outlier_detection
 from loadbalancer.routing import fair_shares as shares
 from standins.apache import Balancer, Worker
 from standins.member import Member
@@ -108,7 +108,7 @@
     # Members, client and proxy share one process here: a full processor says nothing of the pools, and a pause of the
     # machine (one of 0.1 s moved a split by 3 points beside the whole suite) nothing of a member.
     monkeypatch.setattr(shares, "FULL", 2.0)
-    monkeypatch.setattr(learning, "SLOW_LEAST", 1.0)
+    monkeypatch.setattr(outlier_detection, "MIN_SLOW_OBJECTIVE_SHARE", 1.0)
     asyncio.run(played(Sample(path), tmp_path))
 
 
--- a/tests/test_learnt.py
+++ b/tests/test_learnt.py
@@ -77,9 +77,9 @@
     fresh = balancer(*fleet(6), seed=2)
     made = handed_over(old, NOW, 1.0, *fleet(6))
     assert shares(fresh, NOW + 1.0).get("s0", 0) > 50  # as if all were well
-    assert made.usual[0] == old.usual[0] > 0
+    assert made.typical_latency[0] == old.typical_latency[0] > 0
     assert shares(made, NOW + 1.0).get("s0", 0) < 5
-    assert made.servers["s1"].time_per_attempt > 0
+    assert made.endpoints["s1"].time_per_attempt > 0
 
 
 def test_a_cold_member_stays_cold_for_the_successor() -> None:
@@ -87,25 +87,25 @@
     old = balancer(*fleet(3))
     old.handle(102.0, [])
     entry = EndpointEntry("new", started=102.0)
-    old._list_entry(entry)
+    old.registry.apply_entry(entry)
     made = handed_over(old, NOW, 1.0, *fleet(3), EndpointEntry("new"))
-    assert made._began(made.servers["new"]) == pytest.approx(102.0)
-    assert made._began(made.servers["s0"]) <= 0
+    assert made.endpoints["new"].warming_since() == pytest.approx(102.0)
+    assert made.endpoints["s0"].warming_since() <= 0
     plain = balancer(*fleet(3), EndpointEntry("new"), seed=2)
-    assert plain._began(plain.servers["new"]) <= 0
+    assert plain.endpoints["new"].warming_since() <= 0
 
 
 def test_another_life_of_a_member_is_not_blamed() -> None:
     old = sick()
     again = [EndpointEntry("s0", started=104.0), *fleet(6)[1:]]
     made = handed_over(old, NOW, 1.0, *again)
-    assert made.servers["s0"].error_rate == 0.0 and made.servers["s0"].consecutive_failures == 0
+    assert made.endpoints["s0"].error_rate == 0.0 and made.endpoints["s0"].consecutive_failures == 0
 
 
 def test_what_was_learnt_fades_from_its_own_time_on() -> None:
     old = sick()
     made = handed_over(old, NOW, 5.0, *fleet(6))
-    a, b = old.servers["s1"], made.servers["s1"]
+    a, b = old.endpoints["s1"], made.endpoints["s1"]
     assert b.utilization == a.utilization and b.utilization_at == pytest.approx(a.utilization_at)
     assert b.time_per_attempt_at == pytest.approx(a.time_per_attempt_at)
 
@@ -113,7 +113,7 @@
 def test_members_and_classes_that_are_not_there_are_passed_over() -> None:
     note = note_pool("p", sick(), NOW, {}, None)
     made = Balancer(PolicySettings(classes=(SAFE,)), 1)
-    assert restore_pool(note, made, NOW, 0.0) == 0 and made.usual[0] > 0
+    assert restore_pool(note, made, NOW, 0.0) == 0 and made.typical_latency[0] > 0
 
 
 def test_marks_and_a_move_pass() -> None:
@@ -177,4 +177,4 @@
     made = balancer(*fleet(6), seed=2)
     restore_pool(broken, made, NOW, 1.0)
     assert len(shares(made, NOW + 1.0)) == 6
-    assert all(math.isfinite(s.error_rate) and math.isfinite(s.utilization) for s in made.servers.values())
+    assert all(math.isfinite(s.error_rate) and math.isfinite(s.utilization) for s in made.endpoints.values())
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -438,6 +438,6 @@
         async with ground(tmp_path, [backend], lambda: one_pool([backend], 'load_header = "X-Load"')) as here:
             _, head, _ = await here.ask(requests_to())
             assert b"X-Load" not in head
-            assert here.daemon.pools["web"].proxy.balancer.servers["s"].utilization == 0.7
+            assert here.daemon.pools["web"].proxy.balancer.endpoints["s"].utilization == 0.7
 
     play(scene)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,6 +9,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
+from loadbalancer.policy import idempotency
 from loadbalancer.policy.actions import (
     Cancel,
     Fail,
@@ -17,6 +18,7 @@
     SetTimer,
 )
 from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.endpoints import EndpointRegistry
 from loadbalancer.policy.events import (
     NEVER_RAN,
     AttemptResult,
@@ -29,6 +31,7 @@
     TimerFired,
 )
 from loadbalancer.policy.pending_requests import PendingRequest
+from loadbalancer.policy.retry_policy import RetryPolicy
 from loadbalancer.policy.settings import (
     DeduplicationScope,
     Effect,
@@ -37,6 +40,7 @@
     RequestClass,
     SafetyRules,
 )
+from loadbalancer.policy.slow_start import SlowStart
 
 CLASSES = (
     RequestClass("safe", 0.5, 2.0),
@@ -264,35 +268,36 @@
 )(given(STEPS, st.integers(0, 7), LIMITS, st.integers(0, 2**63))(play_day))
 
 
-def _any_pool(self: Balancer, pending: PendingRequest, freed: bool = False) -> Any:
-    return self.pool
+def _any_pool(self: RetryPolicy, pending: PendingRequest, now: float, after_cancel: bool = False) -> Any:
+    return self._registry.pool
 
 
-BROKEN = {
-    "_repeat_pool": _any_pool,
-    "_may_refuse": lambda self, pending: True,
-    "_may_take": lambda self, server: True,
-    "_give_up": lambda self, pending: None,
-    "may_leave": lambda self, now, request, number: True,
+#: A defect by the name of the rule that it breaks: where the rule stands, its name there, what is put in its place.
+BROKEN: dict[str, tuple[object, str, Any]] = {
+    "next_pool": (RetryPolicy, "next_pool", _any_pool),
+    "may_reject": (idempotency, "may_reject", lambda request_class, attempts: True),
+    "accepts_requests": (SlowStart, "accepts_requests", lambda self, endpoint, now: True),
+    "reject_or_fail": (Balancer, "_reject_or_fail", lambda self, pending, now: None),
+    "may_leave": (Balancer, "may_leave", lambda self, now, request, attempt_number: True),
 }
 
 
 @pytest.mark.parametrize("name", BROKEN)
 def test_the_checker_sees_a_broken_rule(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, name, BROKEN[name])
-    if name == "_may_take":  # list changes alone would still keep drained servers out of the pools
-        monkeypatch.setattr(Balancer, "_lay_out", _keep_all)
+    monkeypatch.setattr(*BROKEN[name])
+    if name == "accepts_requests":  # list changes alone would still keep drained endpoints out of the pools
+        monkeypatch.setattr(EndpointRegistry, "rebuild_pools", _keep_all)
     with pytest.raises((AssertionError, LookupError, KeyError)):
         find_a_bad_day()
 
 
-def _keep_all(self: Balancer) -> None:
-    real = {s.id: s.state for s in self.servers.values()}
-    for server in self.servers.values():
-        server.state = EndpointState.READY
-    _LAY_OUT(self)
-    for server in self.servers.values():
-        server.state = real[server.id]
+def _keep_all(self: EndpointRegistry) -> None:
+    real = {endpoint.id: endpoint.state for endpoint in self.by_id.values()}
+    for endpoint in self.by_id.values():
+        endpoint.state = EndpointState.READY
+    _REBUILD_POOLS(self)
+    for endpoint in self.by_id.values():
+        endpoint.state = real[endpoint.id]
 
 
-_LAY_OUT = Balancer._lay_out
+_REBUILD_POOLS = EndpointRegistry.rebuild_pools
--- a/tests/test_sets.py
+++ b/tests/test_sets.py
@@ -39,7 +39,7 @@
 def warm(*entries: EndpointEntry, **settings: Any) -> Balancer:
     """Servers that have all answered before."""
     b = balancer(*entries, **settings)
-    for server in b.servers.values():
+    for server in b.endpoints.values():
         server.answered = True
     return b
 
@@ -58,7 +58,7 @@
 
 
 def drain(b: Balancer, now: float, *names: str, state: EndpointState = EndpointState.DRAINING) -> None:
-    entries = [EndpointEntry(n, priority=b.servers[n].priority, state=state) for n in names]
+    entries = [EndpointEntry(n, priority=b.endpoints[n].priority, state=state) for n in names]
     b.handle(now, [EndpointList(tuple(entries), complete=False)])
 
 
@@ -89,7 +89,7 @@
 
 def test_a_set_of_which_one_server_of_many_is_left_still_keeps_the_next_one_out() -> None:
     b = warm(*[EndpointEntry(f"a{n}") for n in range(60)], EndpointEntry("standby", priority=5))
-    for server in b.servers.values():
+    for server in b.endpoints.values():
         if server.id.startswith("a") and server.id != "a7":
             server.consecutive_failures, server.error_rate, server.error_rate_at = 99, 1.0, 101.0
     assert served_by(b, 101.0).keys() == {"a7"}
@@ -100,15 +100,15 @@
     b = warm(EndpointEntry("a0"), EndpointEntry("standby", priority=1))
     for number in range(3):
         for _ in range(4):
-            b._learn(b.servers["a0"], result, None)
+            b.outliers.record_result(b.endpoints["a0"], result, None, b.now)
         assert where(b, 101.0 + number / 10, number) == "standby"
 
 
 def test_a_slow_server_is_no_reason_to_wake_a_standby() -> None:
     b = warm(EndpointEntry("a0"), EndpointEntry("standby", priority=1))
     for _ in range(9):
-        b._learn(b.servers["a0"], AttemptResult.SERVED, None, 1.0)
-    assert b.servers["a0"].error_rate > 0.9
+        b.outliers.record_result(b.endpoints["a0"], AttemptResult.SERVED, None, b.now, 1.0)
+    assert b.endpoints["a0"].error_rate > 0.9
     assert where(b, 100.1, 1) == "a0"
 
 
@@ -155,7 +155,7 @@
 
 def test_a_sticky_request_goes_to_its_server_whatever_its_load() -> None:
     b = warm(*[EndpointEntry(f"s{n}") for n in range(5)])
-    b.servers["s3"].in_flight.update({(n, 9): 200.0 for n in range(50)})
+    b.endpoints["s3"].in_flight.update({(n, 9): 200.0 for n in range(50)})
     assert served_by(b, 101.0, "s3") == {"s3": len(ALL)}
 
 
@@ -184,7 +184,7 @@
 def test_a_session_moves_on_from_a_server_that_fails() -> None:
     b = warm(EndpointEntry("s0"), EndpointEntry("s1"))
     for _ in range(2):
-        b._learn(b.servers["s0"], AttemptResult.RESET, None)
+        b.outliers.record_result(b.endpoints["s0"], AttemptResult.RESET, None, b.now)
     assert where(b, 100.5, 1, "s0") == "s1"
     assert where(b, 102.0, 2, "s0") == "s0"  # and is tried again after a while
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -115,8 +115,8 @@
 
     assert found.at == NOW
     assert restored == 2
-    assert balancer.servers["s-1"].error_rate == pytest.approx(0.19277, abs=1e-5)
-    assert balancer.servers["s-2"].error_rate == 0.0
+    assert balancer.endpoints["s-1"].error_rate == pytest.approx(0.19277, abs=1e-5)
+    assert balancer.endpoints["s-2"].error_rate == 0.0
     assert found.fleet is not None
     assert (found.fleet.name, found.fleet.version, found.fleet.lease) == ("i0", 5, 12.5)
     assert found.fleet.facts == [MEMBER]
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -23,7 +23,7 @@
 from loadbalancer.cli.__main__ import main
 from loadbalancer.daemon.hot_restart import HotRestartError, offer_path, remove_own, take
 from loadbalancer.policy.endpoints import FAILING_AFTER
-from loadbalancer.policy.selection import ERROR_LIMIT
+from loadbalancer.policy.outlier_detection import ERROR_RATE_LIMIT
 from loadbalancer.store.engine import Bounds, Engine
 from loadbalancer.store.files import DiskFiles
 from standins.keyed import Effects, KeyedFleet
@@ -335,7 +335,7 @@
         notes = sorted(decode(taken.learnt).pools[0].members, key=lambda note: note.id)
         taken.close()
         found = [
-            note.errors > ERROR_LIMIT and note.failed >= FAILING_AFTER and note.errors_age >= 0
+            note.errors > ERROR_RATE_LIMIT and note.failed >= FAILING_AFTER and note.errors_age >= 0
             for note in notes
         ]
         assert found == [True, False, False, False]
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -139,9 +139,9 @@
             await client.send(long_head() + PART)
             await here.proxy.until(lambda: here.proxy.uploads)
             (pending,) = here.proxy.balancer.requests.values()
-            (member,) = here.proxy.balancer.servers.values()
+            (member,) = here.proxy.balancer.endpoints.values()
             assert (
-                pending.coming and not member.in_flight and len(member.responding) == 1
+                pending.body_pending and not member.in_flight and len(member.responding) == 1
             )  # it can't have begun
             (attempt,) = next(iter(here.proxy.open.values())).attempts
             assert attempt.timer is None and here.proxy.figures.open == 0
