--- a/loadbalancer/policy/events.py
+++ b/loadbalancer/policy/events.py
@@ -1,6 +1,6 @@
 """Events: what a proxy tells its policy (`Balancer.handle`).
 
-Times are in seconds on any clock that only advances.
+Durations are in seconds, moments in seconds on any clock that only advances.
 """
 
 from __future__ import annotations
@@ -13,96 +13,136 @@
     """How an attempt or a probe ended."""
 
     SERVED = 0
+    """The endpoint answered."""
     ERROR = 1
+    """The endpoint answered that it failed."""
     FULL = 2
+    """The endpoint turned the attempt away for want of room, before it ran."""
     TIMEOUT = 3
+    """No answer within the attempt's time."""
     NO_CONNECTION = 4
+    """The connection could not be made."""
     RESET = 5
+    """The connection ended before the answer did."""
     CANCELLED = 6
+    """Ended at the policy's or the client's wish."""
     NOT_SENT = 7
-    UNUSABLE = 8  # the server is well and finds the request itself wrong; on sockets only
+    """Ended before any of its bytes left."""
+    UNUSABLE = 8
+    """The endpoint is well and finds the request itself wrong; on sockets only."""
 
 
-#: Results that prove that the attempt never ran on its server.
+#: Results that prove that the attempt never ran on its endpoint.
 NEVER_RAN = frozenset((AttemptResult.FULL, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT))
 
 
 class EndpointState(IntEnum):
+    """What the endpoint list says of an endpoint."""
+
     READY = 0
+    """It takes requests."""
     DRAINING = 1
+    """It ends what it has and takes no new requests."""
     GONE = 2
+    """It is no longer there."""
 
 
-#: A sticky session that is with any server of a domain names it so.
+#: A sticky session that is with any endpoint of a domain names the domain after this prefix.
 STICKY_DOMAIN_PREFIX = "@"
 
 
 class EndpointEntry(NamedTuple):
+    """One endpoint, as a list says it."""
+
     endpoint: str
+    """Its name."""
     zone: int = 0
     cell: int = 0
+    """A part of a zone."""
     kind: int = 0
+    """Kind of machine; endpoints of one kind are about equally fast."""
     state: EndpointState = EndpointState.READY
     weight: float = 1.0
-    started: float = 0.0  # 0: long ago
-    priority: int = 0  # of its set: one serves while no lower one has a usable server
-    domain: str = ""  # servers of one domain share their sticky sessions
-    redirect: str = (
-        ""  # where its sessions go while it is not usable: a server, or DOMAIN and a domain's name
-    )
+    """Size relative to the others."""
+    started: float = 0.0
+    """When its process started; 0: long ago."""
+    priority: int = 0
+    """Endpoints of one priority serve while none of a lower number is available."""
+    domain: str = ""
+    """Endpoints of one domain share their sticky sessions."""
+    redirect: str = ""
+    """Where its sessions go while it is not available: an endpoint, or the prefix and a domain."""
 
 
 class EndpointList(NamedTuple):
-    """A list, or a change to it. `failed`: the call failed, the list before stands; `busy`: after it
-    had waited in line with others'."""
+    """The endpoint list, or a change to it."""
 
     entries: tuple[EndpointEntry, ...] = ()
     complete: bool = True
+    """Endpoints that it does not name are gone."""
     failed: bool = False
-    stale: bool = False  # what was held before a restart
+    """The poll failed, and the list before stands."""
+    stale: bool = False
+    """It was held before a restart."""
     busy: bool = False
+    """The poll failed after it had waited in line with those of others."""
 
 
 class Cordon(NamedTuple):
-    """An operator leaves a server out, whatever lists say of it, or has it used again."""
+    """An operator takes an endpoint out, whatever lists say of it, or puts it back."""
 
     endpoint: str
     cordoned: bool
+    """False puts it back."""
 
 
 class Request(NamedTuple):
+    """A client's request, which is owed exactly one final answer."""
+
     request: int
+    """Number that names it in further events and actions."""
     class_index: int
-    time_remaining: float  # seconds until the client abandons this try
+    """Its place in `PolicySettings.classes`."""
+    time_remaining: float
+    """Seconds until the client gives up."""
     tenant: int = 0
+    """Its place in `PolicySettings.tenants`."""
     key: str | None = None
-    work_hint: float | None = None  # expected work in seconds of a standard core
+    """Idempotency key."""
+    work_hint: float | None = None
+    """Expected work, in seconds of a standard core."""
     retry: bool = False
+    """The client says that it has sent it before."""
     write: bool = False
-    sticky_endpoint: str | None = (
-        None  # the server that a sticky session wants, or DOMAIN and the name of a domain
-    )
-    body_pending: bool = (
-        False  # its body still comes: no server can begin, and no time counts, before `BodyProgress` says so
-    )
-    sticky_required: bool = (
-        False  # its session may not move: where `member` is known and not usable, it is given up
-    )
-    max_attempts: int = 0  # attempts that its route allows, under the settings' limit; 0: as many as that
-    retry_on: frozenset[AttemptResult] | None = (
-        None  # ends of attempts after which its route lets another follow; None: as the settings have it
-    )
+    """It changes something."""
+    sticky_endpoint: str | None = None
+    """Endpoint that its session wants, or the prefix and a domain."""
+    body_pending: bool = False
+    """Its body still comes: no endpoint can begin, and no time counts, before `BodyProgress` says so."""
+    sticky_required: bool = False
+    """Its session may not move: where `sticky_endpoint` is listed and not available, the request ends."""
+    max_attempts: int = 0
+    """Attempts that its route allows, within the settings' limit; 0: as many as that."""
+    retry_on: frozenset[AttemptResult] | None = None
+    """Results after which its route lets another attempt follow; None: as the settings have it."""
 
 
 class Outcome(NamedTuple):
+    """The end of an attempt."""
+
     request: int
     attempt: int
+    """Its number among the request's attempts."""
     endpoint: str
     result: AttemptResult
     elapsed: float
-    request_ended: bool = False  # the request has its final answer
+    """Seconds that the attempt has taken."""
+    request_ended: bool = False
+    """The request has its final answer."""
     report: Mapping[str, float] | None = None
+    """What the endpoint says of itself, such as `utilization` from 0 to 1."""
     time_to_first_byte: float | None = None
+    """Seconds to the head of the answer, where one came."""
 
     @property
     def response_time(self) -> float:
@@ -111,37 +151,54 @@
 
 
 class FirstByte(NamedTuple):
+    """An attempt's answer has begun, and goes to the client."""
+
     request: int
     attempt: int
+    """Its number among the request's attempts."""
     endpoint: str
     elapsed: float
+    """Seconds since it was sent."""
 
 
 class BodyProgress(NamedTuple):
-    """Of a request whose body came after it."""
+    """More has come of the body of a request that came with `body_pending`."""
 
     request: int
-    complete: bool  # its last byte has come: now its times count
-    replayable: bool  # all that has come is still kept, so it could be sent again
+    complete: bool
+    """The last byte has come; now the request's times count."""
+    replayable: bool
+    """All that has come is still held, so it could be sent again."""
 
 
 class ClientCancelled(NamedTuple):
+    """The client has left."""
+
     request: int
 
 
 class TimerFired(NamedTuple):
+    """The delay of a `SetTimer` has passed."""
+
     token: int
 
 
 class ProbeResult(NamedTuple):
+    """The end of a health check."""
+
     endpoint: str
     result: AttemptResult
     elapsed: float
+    """Seconds that it has taken."""
     report: Mapping[str, float] | None = None
+    """As of an `Outcome`."""
 
 
 class PeerMessage(NamedTuple):
+    """Bytes from another proxy of the fleet."""
+
     sender: int
+    """Index of its instance."""
     payload: bytes
 
 
