--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from test_cold import replaced  # noqa: E402
+from policy_scene import replace_members  # noqa: E402
 
 #: Proxies; share of members replaced; share of proxies restarted with them.
 SCENES = ((2, 0.6, 0.0), (25, 0.6, 0.7), (200, 0.6, 0.0), (200, 0.6, 0.7), (200, 1.0, 0.0), (400, 0.6, 0.0))
@@ -38,7 +38,7 @@
 
 def played(row: Row) -> tuple[Row, int, int, float]:
     """Members that fell, of how many, and the share of requests that were served in time while they were cold."""
-    new = replaced(row.proxies, row.factor, row.cold_from, row.part, row.restarted, row.seed)
+    new = replace_members(row.proxies, row.factor, row.cold_from, row.part, row.restarted, row.seed)
     scene = new[0].scene
     asked = in_time = 0
     for second in range(6, 12):
--- a/tests/test_bad_settings.py
+++ b/tests/policy/test_odd_input.py
@@ -1,4 +1,4 @@
-"""What the module does with settings, lists and reports that make no sense."""
+"""What the policy does with settings, lists and reports that make no sense."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def served(balancer: Balancer, begin: float, count: int, util: float = 0.5) -> dict[str, int]:
-    """Requests served by each server, twenty a second from `begin` on."""
+    """Requests served by each endpoint, twenty a second from `begin` on."""
     got: dict[str, int] = {}
     for n in range(count):
         now = begin + n / 20
--- a/tests/test_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over legal orders of events: a checker reads the actions, and models no server."""
+"""The four rules over legal orders of events: a checker reads the actions, and models no endpoint."""
 
 from __future__ import annotations
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,7 +10,7 @@
 import pytest
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
 from peers import Call, ScriptedBackend, answering, resetting, silent
-from test_choice import balancer
+from policy_scene import make_balancer
 from translated import connect_fcgi
 
 from loadbalancer.config.plan import load
@@ -315,7 +315,9 @@
 
 
 def module(**limits: Any) -> Balancer:
-    return balancer(EndpointEntry("a"), EndpointEntry("b"), limits=PolicyLimits(max_attempts=3, **limits))
+    return make_balancer(
+        EndpointEntry("a"), EndpointEntry("b"), limits=PolicyLimits(max_attempts=3, **limits)
+    )
 
 
 def test_the_module_heeds_a_share_of_none_a_time_of_one_attempt_and_silence() -> None:
--- a/tests/test_learnt.py
+++ b/tests/test_learnt.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from test_choice import SAFE, balancer, fleet
+from policy_scene import SAFE, make_balancer, make_entries
 
 from loadbalancer.admin.snapshot import (
     AGE_MOST,
@@ -47,7 +47,7 @@
 
 def sick(count: int = 6, bad: str = "s0") -> Balancer:
     """A balancer for which one member fails each request."""
-    b = balancer(*fleet(count))
+    b = make_balancer(*make_entries(count))
     for number in range(400):
         now = 100.0 + number * 0.01
         server = ask(b, now, number)
@@ -58,7 +58,7 @@
 
 def handed_over(b: Balancer, now: float, passed: float, *entries: EndpointEntry) -> Balancer:
     note = decode(encode(Snapshot(now, [note_pool("p", b, now, {}, None)]))).pools[0]
-    made = balancer(*entries, seed=2)
+    made = make_balancer(*entries, seed=2)
     restore_pool(note, made, now + passed, passed)
     return made
 
@@ -74,8 +74,8 @@
 
 def test_a_member_that_failed_is_left_out_by_the_successor_too() -> None:
     old = sick()
-    fresh = balancer(*fleet(6), seed=2)
-    made = handed_over(old, NOW, 1.0, *fleet(6))
+    fresh = make_balancer(*make_entries(6), seed=2)
+    made = handed_over(old, NOW, 1.0, *make_entries(6))
     assert shares(fresh, NOW + 1.0).get("s0", 0) > 50  # as if all were well
     assert made.typical_latency[0] == old.typical_latency[0] > 0
     assert shares(made, NOW + 1.0).get("s0", 0) < 5
@@ -84,27 +84,27 @@
 
 def test_a_cold_member_stays_cold_for_the_successor() -> None:
     """Its source states no start; only the old process saw it appear."""
-    old = balancer(*fleet(3))
+    old = make_balancer(*make_entries(3))
     old.handle(102.0, [])
     entry = EndpointEntry("new", started=102.0)
     old.registry.apply_entry(entry)
-    made = handed_over(old, NOW, 1.0, *fleet(3), EndpointEntry("new"))
+    made = handed_over(old, NOW, 1.0, *make_entries(3), EndpointEntry("new"))
     assert made.endpoints["new"].warming_since() == pytest.approx(102.0)
     assert made.endpoints["s0"].warming_since() <= 0
-    plain = balancer(*fleet(3), EndpointEntry("new"), seed=2)
+    plain = make_balancer(*make_entries(3), EndpointEntry("new"), seed=2)
     assert plain.endpoints["new"].warming_since() <= 0
 
 
 def test_another_life_of_a_member_is_not_blamed() -> None:
     old = sick()
-    again = [EndpointEntry("s0", started=104.0), *fleet(6)[1:]]
+    again = [EndpointEntry("s0", started=104.0), *make_entries(6)[1:]]
     made = handed_over(old, NOW, 1.0, *again)
     assert made.endpoints["s0"].error_rate == 0.0 and made.endpoints["s0"].consecutive_failures == 0
 
 
 def test_what_was_learnt_fades_from_its_own_time_on() -> None:
     old = sick()
-    made = handed_over(old, NOW, 5.0, *fleet(6))
+    made = handed_over(old, NOW, 5.0, *make_entries(6))
     a, b = old.endpoints["s1"], made.endpoints["s1"]
     assert b.utilization == a.utilization and b.utilization_at == pytest.approx(a.utilization_at)
     assert b.time_per_attempt_at == pytest.approx(a.time_per_attempt_at)
@@ -174,7 +174,7 @@
             for m in note.members
         ],
     )
-    made = balancer(*fleet(6), seed=2)
+    made = make_balancer(*make_entries(6), seed=2)
     restore_pool(broken, made, NOW, 1.0)
     assert len(shares(made, NOW + 1.0)) == 6
     assert all(math.isfinite(s.error_rate) and math.isfinite(s.utilization) for s in made.endpoints.values())
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from test_sets import warm
+from policy_scene import make_warm_balancer
 
 from loadbalancer.config.types import MemberTable, StickyTable
 from loadbalancer.discovery.entry_conversion import session_names
@@ -93,7 +93,9 @@
 
 
 def test_a_session_goes_to_where_its_server_redirects_it() -> None:
-    b = warm(EndpointEntry("a", redirect="b"), EndpointEntry("b", redirect="a"), EndpointEntry("c"))
+    b = make_warm_balancer(
+        EndpointEntry("a", redirect="b"), EndpointEntry("b", redirect="a"), EndpointEntry("c")
+    )
     assert sends(b, 1, "a") == "a"
     b.handle(
         102.0,
@@ -103,14 +105,16 @@
 
 
 def test_a_session_of_a_domain_goes_to_any_of_its_servers_and_nowhere_else() -> None:
-    b = warm(EndpointEntry("a", domain="d"), EndpointEntry("b", domain="d"), EndpointEntry("c", domain="e"))
+    b = make_warm_balancer(
+        EndpointEntry("a", domain="d"), EndpointEntry("b", domain="d"), EndpointEntry("c", domain="e")
+    )
     assert {sends(b, n, "@d") for n in range(40)} == {"a", "b"}
     b.handle(103.0, [EndpointList((EndpointEntry("a", domain="d"), EndpointEntry("c", domain="e")))])
     assert {sends(b, n, "@d") for n in range(300, 330)} == {"a"}
 
 
 def test_a_bound_session_is_refused_and_not_moved_and_one_of_nobody_is_drawn() -> None:
-    b = warm(EndpointEntry("a"), EndpointEntry("b"))
+    b = make_warm_balancer(EndpointEntry("a"), EndpointEntry("b"))
     b.handle(102.0, [EndpointList((EndpointEntry("a", state=EndpointState.DRAINING),), complete=False)])
     actions = b.handle(103.0, [Request(900, 0, 4.0, sticky_endpoint="a", sticky_required=True)])
     assert Reject(900) in actions and not any(isinstance(a, Send) for a in actions)
