--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -113,7 +113,7 @@
             events: What happened by then, in order.
 
         Raises:
-            LookupError: An outcome is of an attempt that was never sent.
+            UnknownAttemptError: An outcome is of an attempt that was never sent.
         """
         if self.send_rate.started_at < 0:
             self.send_rate.start(now)
@@ -275,7 +275,7 @@
     def _on_outcome(self, event: Outcome, now: float) -> None:
         """Learn from the end of an attempt, then end the request or retry it."""
         endpoint = self.registry.by_id[event.endpoint]
-        self._release(endpoint, event)
+        self.concurrency_limit.in_flight -= endpoint.end_attempt((event.request, event.attempt))
         if not endpoint.in_flight and self.idle_connections.are_too_sparse(now):
             self._actions.append(CloseIdleConnections(endpoint.id))
         pending = self.requests.get(event.request)
@@ -383,15 +383,6 @@
                 self.hedging.record_cancelled(pending, attempt, now)
                 self._actions.append(Cancel(pending.id, number))
 
-    def _release(self, endpoint: Endpoint, event: Outcome) -> None:
-        """Take an attempt that has ended off its endpoint."""
-        key = (event.request, event.attempt)
-        if endpoint.in_flight.pop(key, None) is not None:
-            self.concurrency_limit.in_flight -= 1
-        elif key not in endpoint.responding:
-            raise LookupError(f"outcome of attempt {event.attempt} of request {event.request}, never sent")
-        endpoint.responding.discard(key)
-
     def _record_outcome(self, pending: PendingRequest, attempt: Attempt, event: Outcome, now: float) -> None:
         """Let the parts learn from the time that an attempt took; one whose body still came says nothing."""
         message = self.load_shedding.record_outcome(pending, event, now)
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -7,6 +7,7 @@
 from itertools import accumulate
 from typing import Collection
 
+from loadbalancer.policy.errors import UnknownAttemptError
 from loadbalancer.policy.events import (
     AttemptResult,
     EndpointEntry,
@@ -105,6 +106,21 @@
         """Return when it began to warm up, the later of its start and of a warm start."""
         return max(self.started or -math.inf, self.warm_started_at)
 
+    def end_attempt(self, key: AttemptKey) -> bool:
+        """Take an attempt that has ended off the endpoint.
+
+        Returns:
+            Whether it was in flight, as opposed to one whose answer had begun or whose body still came.
+
+        Raises:
+            UnknownAttemptError: No such attempt is here.
+        """
+        was_in_flight = self.in_flight.pop(key, None) is not None
+        if not was_in_flight and key not in self.responding:
+            raise UnknownAttemptError(*key)
+        self.responding.discard(key)
+        return was_in_flight
+
     def record_consecutive_failures(self, result: AttemptResult, slowness: float) -> None:
         """Count failures in a row; an endpoint that turns a request away as full is up."""
         if result == AttemptResult.SERVED:
--- a/loadbalancer/policy/settings.py
+++ b/loadbalancer/policy/settings.py
@@ -11,6 +11,7 @@
 from enum import IntEnum
 from typing import Mapping
 
+from loadbalancer.policy.errors import SettingError
 from loadbalancer.policy.events import AttemptResult
 
 
@@ -34,10 +35,10 @@
 
 
 def _check_number(key: str, value: object, low: float, high: float = math.inf) -> None:
-    """Raise ValueError, with the setting's key and value, unless it is finite and from `low` to `high`."""
+    """Raise SettingError unless a value is a finite number from `low` to `high`."""
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
     if not is_number or not low <= float(value) <= high or math.isinf(float(value)):  # type: ignore[arg-type]
-        raise ValueError(f"{key}: {value!r} is not a number from {low:g} to {high:g}")
+        raise SettingError(key, f"{value!r} is not a number from {low:g} to {high:g}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +66,7 @@
         """Check the figures.
 
         Raises:
-            ValueError: A figure makes no sense; the text names the setting.
+            SettingError: A figure makes no sense; the text names the setting.
         """
         _check_number("classes.aim", self.latency_objective, 1e-6)
         _check_number("classes.give_up", self.client_timeout, 1e-6)
@@ -86,7 +87,7 @@
     """Requests a second that it has bought, across all proxies."""
 
     def __post_init__(self) -> None:
-        """Check the figures; ValueError names the setting that makes no sense."""
+        """Check the figures; SettingError names the setting that makes no sense."""
         _check_number("tenants.fraction", self.fraction, 0, 1)
         _check_number("tenants.quota_per_s", self.quota_per_s, 0)
 
@@ -121,7 +122,7 @@
     """Seconds until a connection that does not come up is given up."""
 
     def __post_init__(self) -> None:
-        """Check the figures; ValueError names the setting that makes no sense."""
+        """Check the figures; SettingError names the setting that makes no sense."""
         _check_number("limits.max_attempts", self.max_attempts, 1)
         _check_number("limits.max_retry_after", self.max_retry_after, 0)
         _check_number("limits.connect_timeout", self.connect_timeout, 0)
@@ -148,7 +149,7 @@
     """for this many seconds, it falls over."""
 
     def __post_init__(self) -> None:
-        """Check the figures; ValueError names the setting that makes no sense."""
+        """Check the figures; SettingError names the setting that makes no sense."""
         _check_number("rules.answer_slack", self.answer_slack, 0)
         _check_number("rules.ask_within", self.list_poll_interval, 0)
         _check_number("rules.drain_grace", self.drain_grace, 0)
@@ -191,9 +192,9 @@
     rules: SafetyRules = SafetyRules()
 
     def __post_init__(self) -> None:
-        """Check the figures; ValueError names the setting that makes no sense."""
+        """Check the figures; SettingError names the setting that makes no sense."""
         if not self.classes:
-            raise ValueError("classes: () names no class of requests")
+            raise SettingError("classes", "() names no class of requests")
         _check_number("n_instances", self.instance_count, 1)
         _check_number("me", self.instance_index, 0, self.instance_count - 1)
         _check_number("n_zones", self.zone_count, 1)
