--- a/loadbalancer/proxy/decision_trace.py
+++ b/loadbalancer/proxy/decision_trace.py
@@ -158,7 +158,7 @@
     """The endpoint that an action sends a request to; None for other actions."""
     if not isinstance(action, Send):
         return None
-    endpoint = balancer.servers.get(action.endpoint)
+    endpoint = balancer.endpoints.get(action.endpoint)
     if endpoint is None:
         return None
     return TraceObservation(
--- a/tests/test_bad_settings.py
+++ b/tests/policy/test_odd_input.py
@@ -1,4 +1,4 @@
-"""What the module does with settings, lists and reports that make no sense."""
+"""What the policy does with settings, lists and reports that make no sense."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def served(balancer: Balancer, begin: float, count: int, util: float = 0.5) -> dict[str, int]:
-    """Requests served by each server, twenty a second from `begin` on."""
+    """Requests served by each endpoint, twenty a second from `begin` on."""
     got: dict[str, int] = {}
     for n in range(count):
         now = begin + n / 20
@@ -81,7 +81,7 @@
 def test_a_list_that_names_a_server_twice_has_it_once_as_named_last() -> None:
     balancer = started(EndpointEntry("a", weight=3.0), EndpointEntry("b"), EndpointEntry("a"))
     assert [server.id for server in balancer.ready] == ["a", "b"]
-    assert balancer.servers["a"].size == 1.0
+    assert balancer.endpoints["a"].size == 1.0
 
 
 def test_a_list_that_drops_all_refuses_at_once_and_the_next_one_serves() -> None:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,7 +10,7 @@
 import pytest
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
 from peers import Call, ScriptedBackend, answering, resetting, silent
-from test_choice import balancer
+from policy_scene import make_balancer
 from translated import connect_fcgi
 
 from loadbalancer.config.plan import load
@@ -315,12 +315,14 @@
 
 
 def module(**limits: Any) -> Balancer:
-    return balancer(EndpointEntry("a"), EndpointEntry("b"), limits=PolicyLimits(max_attempts=3, **limits))
+    return make_balancer(
+        EndpointEntry("a"), EndpointEntry("b"), limits=PolicyLimits(max_attempts=3, **limits)
+    )
 
 
 def test_the_module_heeds_a_share_of_none_a_time_of_one_attempt_and_silence() -> None:
     b = module(retry_budget_ratio=0.0, attempt_timeout=0.2)
-    b.retry_tokens = 0.0
+    b.retry_policy.tokens = 0.0
     sent = b.handle(101.0, [Request(1, 0, 4.0)])
     assert [a.timeout for a in sent if isinstance(a, Send)] == [0.2]
     server = next(a.endpoint for a in sent if isinstance(a, Send))
