--- a/benchmarks/fleetversions.py
+++ b/benchmarks/fleetversions.py
@@ -26,8 +26,10 @@
 from benchmarks.fleetview import compare, pool_of, quantile
 from emulator.fleetstate import StateModel
 from loadbalancer.discovery.overrides import AdminOverride
-from loadbalancer.fleet.replication.replica import CommandsReceived, PaxosReplica
-from loadbalancer.fleet.replication.replicated_state import Command, MarkBody, ReplicatedState, write_body
+from loadbalancer.fleet.replication.commands import Command, MarkBody, write_body
+from loadbalancer.fleet.replication.events import CommandsReceived
+from loadbalancer.fleet.replication.replica import PaxosReplica
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 from loadbalancer.fleet.replication.state_transfer import StateReceiver, StateSender
 from standins.member import Fleet as Members
 from standins.processes import CONFIG, Fleet, until
@@ -106,7 +108,7 @@
             0,
         )
         began, parts = time.perf_counter(), 0
-        for part in StateSender(ahead).answer(taker.want(0)):
+        for part in StateSender(ahead).answer(taker.next_request(0)):
             size += len(msgspec.msgpack.encode(part))
             parts += 1
             found, _ = taker.take(part)
--- a/emulator/fleetstate.py
+++ b/emulator/fleetstate.py
@@ -10,23 +10,21 @@
 
 from emulator.clock import Clock
 from loadbalancer.fleet.replication import messages as form
-from loadbalancer.fleet.replication.lease import Lease
-from loadbalancer.fleet.replication.messages import AcceptorState, ObservedStore
-from loadbalancer.fleet.replication.replica import (
+from loadbalancer.fleet.replication.actions import (
     Action,
     CommandApplied,
     CommandCompleted,
-    Event,
-    MessageReceived,
-    PaxosReplica,
     Persist,
-    Propose,
     RequestStateTransfer,
     SendMessage,
     SnapshotInstalled,
-    TimerExpired,
-)  # fmt: skip
-from loadbalancer.fleet.replication.replicated_state import Command, ReplicatedState
+)
+from loadbalancer.fleet.replication.commands import Command
+from loadbalancer.fleet.replication.events import Event, MessageReceived, Propose, TimerExpired
+from loadbalancer.fleet.replication.lease import Lease
+from loadbalancer.fleet.replication.messages import AcceptorState, ObservedStore
+from loadbalancer.fleet.replication.replica import PaxosReplica
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 from loadbalancer.fleet.replication.state_transfer import StateReceiver, StateSender
 
 
@@ -64,7 +62,7 @@
         said = ReplicatedState(dict.fromkeys(model.voters, ""))
         if disk.state:
             said.install_snapshot(disk.state)
-        self.fence = Lease(model.stale_most, serves=False)
+        self.fence = Lease(model.stale_most, serves_when_expired=False)
         generation = disk.opened << 20 | model.random.getrandbits(20)
         self.versions = PaxosReplica(
             self.name,
@@ -74,10 +72,7 @@
             random.Random(model.random.getrandbits(40)),
             self.fence.active_leaseholders,
         )
-        self.versions.command_log = dict(disk.log)
-        self.versions.observed_stores = dict(disk.met)
-        if disk.vote is not None and disk.vote.slot == said.version + 1:
-            self.versions.acceptor_state = copy.deepcopy(disk.vote)
+        self.versions.restore(copy.deepcopy(disk.vote), dict(disk.met), dict(disk.log))
         self.giver, self.taker = StateSender(self.versions), StateReceiver()
         self.tick(self.lives)
 
@@ -181,7 +176,7 @@
         other = self.model.all[name]
         if not other.up or other.stopped or {(self.name, name), (name, self.name)} & self.model.cut:
             return
-        for message in other.giver.answer(self.taker.want(self.versions.state.version)):
+        for message in other.giver.answer(self.taker.next_request(self.versions.state.version)):
             found, last = self.taker.take(message)
             if found is not None:
                 self.hand(found)
--- a/loadbalancer/daemon/lease_monitor.py
+++ b/loadbalancer/daemon/lease_monitor.py
@@ -68,7 +68,7 @@
         if peer is None:
             return
         try:
-            want = self.taker.want(self.said.version)
+            want = self.taker.next_request(self.said.version)
             async for message in self.link.ask(peer.state.address, peer.state.boot, want):
                 if not isinstance(message, (form.LogEntries, form.SnapshotChunk)):
                     raise ValueError("neither changes nor a state")
--- a/loadbalancer/daemon/persisted_state.py
+++ b/loadbalancer/daemon/persisted_state.py
@@ -8,12 +8,16 @@
 
 import msgspec
 
-from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.orchestration.rollout import RolloutPlan
 from loadbalancer.fleet.replication.messages import AcceptorState, ObservedStore
 from loadbalancer.fleet.replication.replica import GENERATION_NONCE_BITS, RETAINED_COMMANDS
-from loadbalancer.fleet.replication.replicated_state import Command, ReplicatedState, Snapshot
-from loadbalancer.routing.traffic_migration import Migration
+from loadbalancer.fleet.replication.replicated_state import (
+    Command,
+    ReplicatedState,
+    Snapshot,
+    VersionedMigration,
+    VersionedOverride,
+)
 from loadbalancer.store.keeper import StoreView
 
 STORE, VOTE, HEAD = b"fleet/store", b"fleet/vote", b"fleet/head"
@@ -58,14 +62,11 @@
     data = view.get(HEAD)
     if data:
         head = msgspec.msgpack.decode(data, type=StoredHead)
-        marks: dict[str, dict[str, tuple[AdminOverride, float, int]]] = {}
+        marks: dict[str, dict[str, VersionedOverride]] = {}
         for key in view.keys(MARK):
             pool, member = msgspec.msgpack.decode(key[len(MARK) :], type=tuple[str, str])
-            marks.setdefault(pool, {})[member] = _item(view, key, tuple[AdminOverride, float, int])
-        moves = {
-            key[len(MOVE) :].decode(): _item(view, key, tuple[Migration, float, int])
-            for key in view.keys(MOVE)
-        }
+            marks.setdefault(pool, {})[member] = _item(view, key, VersionedOverride)
+        moves = {key[len(MOVE) :].decode(): _item(view, key, VersionedMigration) for key in view.keys(MOVE)}
         whole = Snapshot(head.version, marks, moves, head.frozen, head.roster, head.plan)
         said.install_snapshot(msgspec.msgpack.encode(whole))
     vote = _item(view, VOTE, AcceptorState) if view.get(VOTE) else None
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -119,9 +119,7 @@
             random.Random(source.getrandbits(60)),
             self.fence.active_leaseholders,
         )
-        self.versions.command_log, self.versions.observed_stores = log, met
-        if vote is not None and vote.slot == self.said.version + 1:
-            self.versions.acceptor_state = vote
+        self.versions.restore(vote, met, log)
         self._identity, self._store_name = identity, identity.store
         self._config = ""  # digest of the file that runs
         ReplicatedCommands.__init__(self, clock)
--- /dev/null
+++ b/loadbalancer/fleet/replication/commands.py
@@ -0,0 +1,158 @@
+"""Commands: the entries of the replicated log, their kinds and the bodies that they carry as MessagePack."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+from typing import Annotated, Mapping, Union
+
+import msgspec
+from msgspec import Meta, Struct
+
+from loadbalancer.discovery.overrides import AdminOverride
+from loadbalancer.fleet.orchestration.rollout import PlanBody, StageBody
+from loadbalancer.fleet.replication.errors import StateError
+from loadbalancer.routing.traffic_migration import Migration
+
+#: Bytes of a command's body, so that the command fits into a datagram with the rest of its message.
+MAX_BODY_BYTES = 800
+
+Text = Annotated[str, Meta(max_length=200)]
+Name = Annotated[str, Meta(min_length=1, max_length=48)]
+
+
+class CommandKind(StrEnum):
+    """The kinds of commands that this build knows; the values stand in messages and in the store."""
+
+    MARK = "mark"
+    MOVE = "move"
+    FREEZE = "freeze"
+    ROSTER = "roster"
+    RECOVER = "recover"
+    PLAN = "plan"
+    STAGE = "stage"
+    NO_OPERATION = "nothing"
+
+
+class Command(Struct, frozen=True, array_like=True):
+    """One entry of the replicated log.
+
+    Attributes:
+        id: Unique in the fleet; its proposer draws it.
+        kind: A `CommandKind`, or one of a later build.
+        body: The body of this kind as MessagePack.
+        by: Who has asked for it.
+        reason: Why, for people.
+        at: Unix time at the proposer, for people.
+    """
+
+    id: Annotated[str, Meta(max_length=80)]
+    kind: Annotated[str, Meta(max_length=16)]
+    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)]
+    by: Text = ""
+    reason: Text = ""
+    at: float = 0.0
+
+
+class MarkBody(Struct, frozen=True, array_like=True):
+    """Set or lift administrative overrides of a pool's endpoints.
+
+    Attributes:
+        pool: The pool.
+        overrides: By endpoint; None lifts the override.
+        duration: Seconds until they end, counted by each instance from when it applies the command; 0 for no end.
+        expected_version: Change only what this version has set; 0 changes it in any case.
+    """
+
+    pool: Text
+    overrides: dict[str, AdminOverride | None]
+    duration: float = 0.0
+    expected_version: int = 0
+
+
+class MoveBody(Struct, frozen=True, array_like=True):
+    """Start or end the traffic migration of a pool; the other attributes are those of `MarkBody`.
+
+    Attributes:
+        migration: None ends the migration.
+    """
+
+    pool: Text
+    migration: Migration | None
+    duration: float = 0.0
+    expected_version: int = 0
+
+
+class FreezeBody(Struct, frozen=True, array_like=True):
+    """Freeze a pool's endpoint list, or let it follow its source again."""
+
+    pool: Text
+    frozen: bool
+
+
+class RosterBody(Struct, frozen=True, array_like=True):
+    """Register a voter's store, or remove the voter.
+
+    Attributes:
+        name: The voter.
+        store: The store that holds its votes from now on; empty removes the voter.
+    """
+
+    name: Name
+    store: Annotated[str, Meta(max_length=40)]
+
+
+class RecoverBody(Struct, frozen=True, array_like=True):
+    """Replace all voters after a majority was lost for good.
+
+    Attributes:
+        voters: Store by voter; an empty store accepts the voter's first one.
+    """
+
+    voters: dict[str, str]
+
+
+CommandBody = Union[MarkBody, MoveBody, FreezeBody, RosterBody, RecoverBody, PlanBody, StageBody]
+
+BODY_TYPES: Mapping[str, type[CommandBody]] = {
+    CommandKind.MARK: MarkBody,
+    CommandKind.MOVE: MoveBody,
+    CommandKind.FREEZE: FreezeBody,
+    CommandKind.ROSTER: RosterBody,
+    CommandKind.RECOVER: RecoverBody,
+    CommandKind.PLAN: PlanBody,
+    CommandKind.STAGE: StageBody,
+}
+
+#: Proposed to finish a slot for which no command of this instance waits.
+NO_OPERATION = Command("", CommandKind.NO_OPERATION.value, b"")
+
+
+def read_body(command: Command) -> CommandBody | None:
+    """Decode a command's body; None for a command without effect.
+
+    Raises:
+        StateError: This build does not know the kind, or can't read the body.
+    """
+    if command.kind == CommandKind.NO_OPERATION:
+        return None
+    body_type = BODY_TYPES.get(command.kind)
+    if body_type is None:
+        raise StateError(f"a change of kind {command.kind!r}, which this build does not know")
+    try:
+        return msgspec.msgpack.decode(command.body, type=body_type)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise StateError(f"a change that can't be read: {error}") from None
+
+
+def write_body(body: Struct) -> bytes:
+    """Encode a command's body.
+
+    Raises:
+        StateError: It is longer than MAX_BODY_BYTES.
+    """
+    data = msgspec.msgpack.encode(body)
+    if len(data) > MAX_BODY_BYTES:
+        raise StateError(
+            f"{len(data)} bytes in one change; at most {MAX_BODY_BYTES}: name fewer members, or say less"
+        )
+    return data
--- a/loadbalancer/fleet/replication/commit_tracking.py
+++ b/loadbalancer/fleet/replication/commit_tracking.py
@@ -1,12 +1,13 @@
-"""Whether a change holds at the whole fleet: who has confirmed it, who may act on an older one, and until when. Pure.
+"""Whether a decided command is committed in the whole fleet: no instance acts on an older version any more.
 
 Rules:
 
-1. Who may act at all was let go on by a majority of voters, one of which accepted the change; so those that the
-   accepting voters name are all that have to confirm (`lessees`).
-2. Where that is not known, all that the view knows have to, and the time below has to pass.
-3. An instance that does not confirm is shut out by its own clock `lasts` seconds after the change was accepted, but
-   where it goes on all the same (`cut_off = "serve"`): then only its word counts.
+1. Whoever may act holds a lease of a majority of voters, one of which has accepted the command; so only those that the
+   accepting voters name as leaseholders have to confirm.
+2. Where the leaseholders are not known, all instances of the membership view have to confirm, and the time of rule 3
+   has to pass.
+3. The lease of an instance that does not confirm expires by its own clock within the lease duration after the command
+   was accepted. Where instances serve on without a lease (`cut_off = "serve"`), only a confirmation counts.
 """
 
 from __future__ import annotations
@@ -17,7 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitStatus:
-    """`missing`: who has not confirmed. `until`: seconds left by which their time is over; None where it never is."""
+    """How far a command has come.
+
+    Attributes:
+        is_committed: No instance acts on an older version any more.
+        unconfirmed: Who has not confirmed, sorted.
+        time_remaining: Seconds until their leases have expired; None where they do not.
+    """
 
     is_committed: bool
     unconfirmed: tuple[str, ...]
@@ -25,27 +32,56 @@
 
 
 class CommitTracker:
-    """One change that stands."""
+    """Follows one decided command until it is committed."""
 
     def __init__(
-        self, version: int, accepted_at: float, lessees: Collection[str] | None, lasts: float, serves: bool
+        self,
+        version: int,
+        accepted_at: float,
+        leaseholders: Collection[str] | None,
+        lease_duration: float,
+        serves_when_expired: bool,
     ) -> None:
-        """`accepted_at`: on the clock of `look`. `serves`: rule 3's exception holds for all of the fleet."""
-        self.version, self.accepted_at, self.leaseholders = version, accepted_at, lessees
-        self.lease_duration, self.serves_when_expired = lasts, serves
+        """Start to track a command.
+
+        Args:
+            version: The version that it has made.
+            accepted_at: When a majority had accepted it, in seconds on the clock of `status`.
+            leaseholders: Who may act on older versions; None where that is not known.
+            lease_duration: Seconds after which all leases have expired, clock drift included.
+            serves_when_expired: Whether the fleet's instances serve on without a lease.
+        """
+        self.version = version
+        self.accepted_at = accepted_at
+        self.leaseholders = leaseholders
+        self.lease_duration = lease_duration
+        self.serves_when_expired = serves_when_expired
 
     def status(
-        self, now: float, at: Mapping[str, int], known: Collection[str], left: Collection[str]
+        self,
+        now: float,
+        announced_versions: Mapping[str, int],
+        known: Collection[str],
+        left: Collection[str],
     ) -> CommitStatus:
-        """`at`: the versions that instances say they act on. `known`: names of the view, but for those that have left
-        (`left`)."""
-        wanted = (
-            set(known) if self.leaseholders is None or self.serves_when_expired else set(self.leaseholders)
-        ) - set(left)
-        missing = tuple(sorted(name for name in wanted if at.get(name, 0) < self.version))
-        remains = max(0.0, self.accepted_at + self.lease_duration - now)
-        over = remains == 0.0 and not self.serves_when_expired
-        if self.leaseholders is None and not self.serves_when_expired and not over:
-            return CommitStatus(False, missing, remains)
-        holds = not missing or over
-        return CommitStatus(holds, missing, 0.0 if holds else None if self.serves_when_expired else remains)
+        """Say how far the command has come.
+
+        Args:
+            now: Seconds.
+            announced_versions: The version that each instance says it acts on.
+            known: Names of the membership view, this instance's among them.
+            left: Names of instances that have left; nothing is expected of them.
+        """
+        expected = known if self.leaseholders is None or self.serves_when_expired else self.leaseholders
+        unconfirmed = tuple(
+            sorted(
+                name for name in set(expected) - set(left) if announced_versions.get(name, 0) < self.version
+            )
+        )
+        time_remaining = max(0.0, self.accepted_at + self.lease_duration - now)
+        if self.serves_when_expired:
+            is_committed = not unconfirmed
+            return CommitStatus(is_committed, unconfirmed, 0.0 if is_committed else None)
+        has_expired = time_remaining == 0.0
+        is_committed = has_expired or (self.leaseholders is not None and not unconfirmed)
+        return CommitStatus(is_committed, unconfirmed, 0.0 if is_committed else time_remaining)
--- /dev/null
+++ b/loadbalancer/fleet/replication/context.py
@@ -0,0 +1,45 @@
+"""What the roles of one Paxos replica share."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, field
+
+from loadbalancer.fleet.replication.actions import Action, SendMessage
+from loadbalancer.fleet.replication.messages import ReplicationMessage
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
+
+
+@dataclass
+class ReplicaContext:
+    """Identity of the instance, the replicated state, and the event that is being handled.
+
+    Attributes:
+        name: The instance's name in the fleet.
+        store_id: Identity of the store that holds its votes; empty while it must not vote.
+        generation: How often that store was opened, with random bits of each opening.
+        state: The replicated state; only the learner changes it.
+        random: Source of all random draws of the replica.
+        now: Seconds, never decreasing.
+        live_members: Other instances that the membership view holds alive.
+        metadata: What this instance tells others of itself, for people.
+        actions: What the event that is being handled has called for so far.
+    """
+
+    name: str
+    store_id: str
+    generation: int
+    state: ReplicatedState
+    random: random.Random
+    now: float = 0.0
+    live_members: tuple[str, ...] = ()
+    metadata: dict[str, str] = field(default_factory=dict)
+    actions: list[Action] = field(default_factory=list)
+
+    def emit(self, action: Action) -> None:
+        """Add an action to those that the current event has called for."""
+        self.actions.append(action)
+
+    def send(self, to: str, message: ReplicationMessage) -> None:
+        """Emit a message that needs nothing on disk first."""
+        self.emit(SendMessage(to, message))
--- a/loadbalancer/fleet/replication/epochs.py
+++ b/loadbalancer/fleet/replication/epochs.py
@@ -1,119 +1,198 @@
-"""Who acted on which version: what an instance notes of each that was in force there, and all notes merged. Pure."""
+"""Epochs: when each version was in force at an instance, and the epochs of several instances merged for operators."""
 
 from __future__ import annotations
 
-from typing import Any, Sequence
+from typing import Any, Mapping, Sequence, TypedDict
 
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.orchestration.rollout import PlanBody, StageBody
-from loadbalancer.fleet.replication.replicated_state import (
+from loadbalancer.fleet.replication.commands import (
     Command,
     FreezeBody,
     MarkBody,
     MoveBody,
     RecoverBody,
     RosterBody,
-    StateError,
     read_body,
-)  # fmt: skip
+)
+from loadbalancer.fleet.replication.errors import StateError
 
-#: What is noted of a version where the change that made it was not seen: kept from before, or taken with all others.
-AS_KEPT, WHOLE = "as kept", "the whole state"
+#: What is noted of a version whose command was not seen: it was restored from the store, or came with a snapshot.
+AS_KEPT = "as kept"
+WHOLE = "the whole state"
+#: What is reported of each instance beside its epochs.
+INSTANCE_KEYS = (
+    "instance",
+    "version",
+    "known",
+    "behind",
+    "why",
+    "shut_out",
+    "lease_s",
+    "votes",
+    "lost_state",
+    "card",
+)
+
+
+class EpochRow(TypedDict):
+    """An epoch as operators read it; times are Unix times."""
+
+    version: int
+    what: str
+    by: str
+    taken_at: float
+    sends: int
+    last_send_at: float | None
+
+
+class VersionRow(TypedDict):
+    """A version in the merged report.
+
+    Attributes:
+        version: The version.
+        what: The command that has made it.
+        by: Who has asked for the command.
+        taken_up: By instance, the Unix time at which it applied the command.
+        last_before: By instance, the Unix time of its last send under the version before.
+    """
+
+    version: int
+    what: str
+    by: str
+    taken_up: dict[str, float]
+    last_before: dict[str, float]
+
+
+class MergedReport(TypedDict):
+    """The epochs of all instances, by version.
+
+    Attributes:
+        versions: Sorted by version.
+        instances: What each instance reports of itself, without its epochs.
+        not_known: Instances that could not be asked.
+    """
+
+    versions: list[VersionRow]
+    instances: list[dict[str, Any]]
+    not_known: list[str]
 
 
 class Epoch:
-    """One version in force here. `at`: Unix time when it was taken up. `sends`: attempts that left under it, `last`:
-    when the last did, in seconds on the clock of the fence, 0 for none."""
+    """One version in force at this instance.
+
+    Attributes:
+        version: The version.
+        what: The command that has made it, in a line.
+        by: Who has asked for the command.
+        at: Unix time at which it was applied.
+        sends: Attempts that left under it.
+        last: When the last of them left, in seconds on the lease's clock; 0 for none.
+    """
 
     __slots__ = ("at", "by", "last", "sends", "version", "what")
 
     def __init__(self, version: int, what: str, by: str, at: float) -> None:
-        self.version, self.what, self.by, self.at = version, what, by, at
-        self.last, self.sends = 0.0, 0
+        self.version = version
+        self.what = what
+        self.by = by
+        self.at = at
+        self.sends = 0
+        self.last = 0.0
+
+    def row(self, clock_origin: float) -> dict[str, Any]:
+        """The epoch as an `EpochRow`.
 
-    def row(self, epoch: float) -> dict[str, Any]:
-        """`epoch`: Unix time at 0 of the fence's clock."""
-        return {
+        Args:
+            clock_origin: The Unix time at 0 of the lease's clock.
+        """
+        row: EpochRow = {
             "version": self.version,
             "what": self.what,
             "by": self.by,
             "taken_at": round(self.at, 3),
             "sends": self.sends,
-            "last_send_at": round(epoch + self.last, 3) if self.last else None,
+            "last_send_at": round(clock_origin + self.last, 3) if self.last else None,
         }
+        return dict(row)
 
 
-def describe(change: Command) -> str:
-    """A change in a line."""
+def describe(command: Command) -> str:
+    """A command in a line, for operators."""
     try:
-        body = read_body(change)
-    except StateError as problem:
-        return str(problem)
-    if isinstance(body, MarkBody):
-        return f"{body.pool}: " + ", ".join(f"{name} {_word(mark)}" for name, mark in body.overrides.items())
-    if isinstance(body, MoveBody):
-        move = (
-            f"{body.migration.share:g} to {body.migration.other}"
-            if body.migration is not None
-            else "move ended"
-        )
-        return f"{body.pool}: {move}"
-    if isinstance(body, FreezeBody):
-        return f"{body.pool}: {'frozen' if body.frozen else 'thawed'}"
-    if isinstance(body, RosterBody):
-        return f"roster: {body.name} {'votes' if body.store else 'votes no more'}"
-    if isinstance(body, PlanBody):
-        return f"roll-out {body.id} of {body.digest[:8]}"
-    if isinstance(body, StageBody):
-        return f"roll-out {body.id}: {body.frm} to {body.to}" + (f", {body.why}" if body.why else "")
-    if isinstance(body, RecoverBody):
-        return f"recovered: {', '.join(sorted(body.voters))} vote"
+        body = read_body(command)
+    except StateError as error:
+        return str(error)
+    match body:
+        case MarkBody():
+            overrides = (f"{name} {_describe_override(item)}" for name, item in body.overrides.items())
+            return f"{body.pool}: {', '.join(overrides)}"
+        case MoveBody():
+            return f"{body.pool}: {_describe_migration(body)}"
+        case FreezeBody():
+            return f"{body.pool}: {'frozen' if body.frozen else 'thawed'}"
+        case RosterBody():
+            return f"roster: {body.name} {'votes' if body.store else 'votes no more'}"
+        case PlanBody():
+            return f"roll-out {body.id} of {body.digest[:8]}"
+        case StageBody():
+            return f"roll-out {body.id}: {body.frm} to {body.to}" + (f", {body.why}" if body.why else "")
+        case RecoverBody():
+            return f"recovered: {', '.join(sorted(body.voters))} vote"
     return "nothing"
 
 
-def _word(mark: AdminOverride | None) -> str:
-    if mark is None:
+def _describe_override(override: AdminOverride | None) -> str:
+    if override is None:
         return "lifted"
-    return mark.word or (f"weight {mark.weight:g}" if mark.weight is not None else "added")
-
-
-def merge(instances: Sequence[dict[str, Any]], unknown: Sequence[str]) -> dict[str, Any]:
-    """For each version who took it up when, and when each last acted on the one before; `unknown` was not reached."""
-    versions: dict[int, dict[str, Any]] = {}
-    for one in instances:
-        before: dict[str, Any] | None = None
-        for epoch in one["epochs"]:
-            number = epoch["version"]
-            row = versions.setdefault(
-                number,
-                {
-                    "version": number,
-                    "what": epoch["what"],
-                    "by": epoch["by"],
-                    "taken_up": {},
-                    "last_before": {},
-                },
-            )
-            if row["what"] in (AS_KEPT, WHOLE):  # another may have seen the change
-                row["what"], row["by"] = epoch["what"], epoch["by"]
-            row["taken_up"][one["instance"]] = epoch["taken_at"]
-            if before is not None and before["last_send_at"] is not None:
-                row["last_before"][one["instance"]] = before["last_send_at"]
-            before = epoch
-    keys = (
-        "instance",
-        "version",
-        "known",
-        "behind",
-        "why",
-        "shut_out",
-        "lease_s",
-        "votes",
-        "lost_state",
-        "card",
-    )
+    if override.word:
+        return override.word
+    return f"weight {override.weight:g}" if override.weight is not None else "added"
+
+
+def _describe_migration(body: MoveBody) -> str:
+    if body.migration is None:
+        return "move ended"
+    return f"{body.migration.share:g} to {body.migration.other}"
+
+
+def merge(instances: Sequence[Mapping[str, Any]], unknown: Sequence[str]) -> MergedReport:
+    """Merge the reports of several instances, as they came from JSON.
+
+    Args:
+        instances: Of each, `INSTANCE_KEYS` and its epochs as `EpochRow`s, oldest first.
+        unknown: Instances that could not be asked.
+
+    Returns:
+        For each version who applied it when, and when each instance last acted on the one before.
+    """
+    versions: dict[int, VersionRow] = {}
+    for instance in instances:
+        _merge_epochs(versions, instance["instance"], instance["epochs"])
     return {
         "versions": [versions[number] for number in sorted(versions)],
-        "instances": [{key: one.get(key) for key in keys} for one in instances],
+        "instances": [{key: instance.get(key) for key in INSTANCE_KEYS} for instance in instances],
         "not_known": list(unknown),
     }
+
+
+def _merge_epochs(versions: dict[int, VersionRow], name: str, epochs: Sequence[EpochRow]) -> None:
+    previous: EpochRow | None = None
+    for epoch in epochs:
+        number = epoch["version"]
+        row = versions.get(number)
+        if row is None:
+            row = versions[number] = {
+                "version": number,
+                "what": epoch["what"],
+                "by": epoch["by"],
+                "taken_up": {},
+                "last_before": {},
+            }
+        if row["what"] in (AS_KEPT, WHOLE):  # another instance may have seen the command
+            row["what"] = epoch["what"]
+            row["by"] = epoch["by"]
+        row["taken_up"][name] = epoch["taken_at"]
+        if previous is not None and previous["last_send_at"] is not None:
+            row["last_before"][name] = previous["last_send_at"]
+        previous = epoch
--- /dev/null
+++ b/loadbalancer/fleet/replication/errors.py
@@ -0,0 +1,15 @@
+"""The errors of the replication package."""
+
+from __future__ import annotations
+
+
+class ReplicationError(ValueError):
+    """Base of all errors that this package raises."""
+
+
+class StateError(ReplicationError):
+    """A command or snapshot can't become part of the replicated state; the text says why and names the value."""
+
+
+class TransferError(ReplicationError):
+    """A message of a state transfer does not fit what has been received so far."""
--- a/loadbalancer/fleet/replication/messages.py
+++ b/loadbalancer/fleet/replication/messages.py
@@ -1,4 +1,7 @@
-"""The messages and records by which instances agree on the next change."""
+"""The messages between replicas, and the records that a voter persists.
+
+They are arrays with an integer tag for the kind: fields are only ever appended, and a tag is never used anew.
+"""
 
 from __future__ import annotations
 
@@ -6,23 +9,33 @@
 
 from msgspec import Meta, Struct
 
-from loadbalancer.fleet.replication.replicated_state import Command
+from loadbalancer.fleet.replication.commands import Command
 
 Number = Annotated[int, Meta(ge=0, lt=1 << 40)]
-#: The round, and who asks in it: no two proposers share a ballot.
+#: The round's number and the proposer's name, so that no two proposers share a ballot. Ballots compare in this order.
 Ballot = tuple[Number, Annotated[str, Meta(max_length=48)]]
+#: Below every ballot: nothing was promised or accepted.
 NO_BALLOT: Ballot = (0, "")
 
 
 class Prepare(Struct, frozen=True, array_like=True, tag=20):
-    """Who holds something for version `slot`? Nothing under a lesser ballot shall be taken for it any more."""
+    """Ask an acceptor to accept nothing under a lesser ballot for the slot, and what it has accepted."""
 
     slot: Number
     ballot: Ballot
 
 
 class Promise(Struct, frozen=True, array_like=True, tag=21):
-    """`ok`: nothing under a lesser one will be taken; else `held` is the ballot that stands in the way."""
+    """An acceptor's answer to `Prepare`.
+
+    Attributes:
+        slot: As asked.
+        ballot: As asked.
+        ok: Whether it promises.
+        blocking_ballot: The greatest ballot that it has promised; where `ok` is false, the one that stands in the way.
+        accepted: The ballot of the command that it has accepted; `NO_BALLOT` for none.
+        command: That command.
+    """
 
     slot: Number
     ballot: Ballot
@@ -33,14 +46,24 @@
 
 
 class Accept(Struct, frozen=True, array_like=True, tag=22):
+    """Ask an acceptor to accept a command for the slot."""
+
     slot: Number
     ballot: Ballot
     command: Command
 
 
 class Accepted(Struct, frozen=True, array_like=True, tag=23):
-    """`ok`: it is kept on disk. `lessees`: who may act on older versions for a while yet, by this voter's word;
-    `more`: it has others that do not fit here."""
+    """An acceptor's answer to `Accept`.
+
+    Attributes:
+        slot: As asked.
+        ballot: As asked.
+        ok: Whether it has accepted; then the command is on its disk.
+        blocking_ballot: The greatest ballot that it has promised.
+        leaseholders: Who may still act on older versions by this voter's grants.
+        has_more: Whether there may be other leaseholders.
+    """
 
     slot: Number
     ballot: Ballot
@@ -51,26 +74,44 @@
 
 
 class Decided(Struct, frozen=True, array_like=True, tag=24):
+    """The command that is decided for the slot `version`."""
+
     version: Number
     command: Command
 
 
 class VersionAnnouncement(Struct, frozen=True, array_like=True, tag=25):
-    """This instance acts on this version. `card`: what else it runs under, for people."""
+    """The version that the sender acts on.
+
+    Attributes:
+        version: Commands applied.
+        metadata: What else the sender runs under, for people.
+    """
 
     version: Number
     metadata: dict[Annotated[str, Meta(max_length=64)], Annotated[str, Meta(max_length=64)]] = {}
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True, tag=26):
-    """May I go on?"""
+    """Ask a voter for the lease.
+
+    Attributes:
+        number: Of the request; the grant names it.
+        version: The version that the sender acts on.
+    """
 
     number: Number
     version: Number
 
 
 class LeaseGrant(Struct, frozen=True, array_like=True, tag=27):
-    """`top`: the greatest version that this voter knows of, also one that is not decided yet."""
+    """A voter's grant of the lease.
+
+    Attributes:
+        number: Of the request.
+        highest_known_version: The greatest version that the voter knows of, decided or only accepted.
+        clock: The voter's clock, in seconds.
+    """
 
     number: Number
     highest_known_version: Number
@@ -78,14 +119,26 @@
 
 
 class VoterGreeting(Struct, frozen=True, array_like=True, tag=28):
-    """This is where my votes are kept. `generation`: how often that store was opened."""
+    """The store that holds the sender's votes.
+
+    Attributes:
+        store: Its identity.
+        generation: How often it was opened, with random bits of the opening.
+    """
 
     store: Annotated[str, Meta(max_length=40)]
     generation: Number
 
 
 class VoterGreetingReply(Struct, frozen=True, array_like=True, tag=29):
-    """`ok`: nothing is known that speaks against it; else `why`."""
+    """A voter's answer to `VoterGreeting`.
+
+    Attributes:
+        store: As in the greeting.
+        generation: As in the greeting.
+        ok: Whether nothing is known that speaks against votes from that store.
+        reason: What speaks against them.
+    """
 
     store: Annotated[str, Meta(max_length=40)]
     generation: Number
@@ -94,8 +147,13 @@
 
 
 class StateRequest(Struct, frozen=True, array_like=True, tag=30):
-    """All changes past `version`; or, where those are not held any more, the state. `digest` and `offset`: a state of
-    which so much has come already."""
+    """Ask for a state transfer: all commands after `version`, or a snapshot where those are not held any more.
+
+    Attributes:
+        version: The version that the sender acts on.
+        digest: Of the snapshot of which a part has been received; empty for none.
+        offset: Bytes of it that have been received.
+    """
 
     version: Number
     digest: Annotated[str, Meta(max_length=64)] = ""
@@ -103,7 +161,13 @@
 
 
 class LogEntries(Struct, frozen=True, array_like=True, tag=31):
-    """Changes in order, the first that of version `first`. `last`: nothing follows."""
+    """Decided commands in order.
+
+    Attributes:
+        first_version: The version that the first of them makes.
+        commands: The commands.
+        is_last: Whether nothing follows.
+    """
 
     first_version: Number
     commands: tuple[Command, ...]
@@ -111,7 +175,15 @@
 
 
 class SnapshotChunk(Struct, frozen=True, array_like=True, tag=32):
-    """Bytes of a whole state from `offset` on, of `size` in all."""
+    """A part of a snapshot.
+
+    Attributes:
+        version: The version of the snapshot.
+        digest: Of the whole snapshot.
+        offset: Where `data` begins in it, in bytes.
+        size: Of the whole snapshot, in bytes.
+        data: The part.
+    """
 
     version: Number
     digest: Annotated[str, Meta(max_length=64)]
@@ -121,17 +193,18 @@
 
 
 class QueryRequest(Struct, frozen=True, array_like=True, tag=33):
-    """What operators want to read of this instance, from another; `what` as operators' calls have it."""
+    """What an operator wants to read of the receiver; `path` is that of the administrative API."""
 
     path: Annotated[str, Meta(max_length=200)]
 
 
 class QueryResponse(Struct, frozen=True, array_like=True, tag=34):
-    """JSON."""
+    """The answer to `QueryRequest`, or a part of it, as bytes of JSON."""
 
     body: bytes
 
 
+#: Sent as datagrams, to replicas and their leases.
 ReplicationMessage = Union[
     Prepare,
     Promise,
@@ -144,11 +217,19 @@
     VoterGreeting,
     VoterGreetingReply,
 ]
+#: Sent over a connection of its own.
 StreamMessage = Union[StateRequest, LogEntries, SnapshotChunk, QueryRequest, QueryResponse]
 
 
 class AcceptorState(Struct, array_like=True):
-    """What a voter keeps on disk for the next version before it answers."""
+    """What a voter persists for the slot that it votes on before it answers.
+
+    Attributes:
+        slot: The version after the last that was applied.
+        promised: Nothing is accepted under a lesser ballot.
+        accepted: The ballot of `command`; `NO_BALLOT` for none.
+        command: What was accepted.
+    """
 
     slot: int
     promised: Ballot
@@ -157,7 +238,12 @@
 
 
 class ObservedStore(Struct, array_like=True):
-    """A voter's store as another one has met it."""
+    """The store that a voter was observed with.
+
+    Attributes:
+        store: Its identity.
+        generation: The latest opening of it that was observed; 0 before the first.
+    """
 
     store: str
     generation: int
--- a/loadbalancer/fleet/replication/replicated_state.py
+++ b/loadbalancer/fleet/replication/replicated_state.py
@@ -1,259 +1,332 @@
-"""What operators have said, as one versioned state that all instances share. Pure.
+"""The state machine that decided commands are applied to: overrides, migrations, frozen pools, voters, a rollout plan.
 
 Rules:
 
-1. A version is the number of changes so far; the same changes in the same order make the same state, byte for byte.
-2. A change of a kind that this build does not know is kept and not applied: the instance is behind from there on, and
-   never drops or guesses what it can't read.
-3. The roster (who votes on changes, by name, with the store that holds its votes) is part of the state; one change
-   moves it by one step, so that a majority before and a majority after always share a voter.
-4. Times at which something ends are durations here: each instance counts them on its own clock from when it took the
-   change up, and the end is a change like any other, so a clock that is hours off ends nothing early.
+1. A version is the number of commands applied; the same commands in the same order make the same state, byte for byte.
+2. A command that this build can't read is not applied: the instance stays behind from there on, and never skips or
+   guesses one.
+3. The voters, with the store that holds each one's votes, are part of the state. One command changes one voter, so that
+   a majority before and a majority after it always share a voter.
+4. Durations, not points in time, say when an item ends: each instance counts from when it applied the command, and the
+   end is a command of its own, so that a clock that is hours off ends nothing early.
 """
 
 from __future__ import annotations
 
-from typing import Annotated, Any, Callable, Mapping
+from enum import StrEnum
+from typing import Literal, Mapping, NamedTuple, Union
 
 import msgspec
 from blake3 import blake3
-from msgspec import Meta, Struct
+from msgspec import Struct
 
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.orchestration.rollout import OPEN, PlanBody, RolloutPlan, StageBody
+from loadbalancer.fleet.replication.commands import (
+    NO_OPERATION,
+    Command,
+    CommandBody,
+    FreezeBody,
+    MarkBody,
+    MoveBody,
+    RecoverBody,
+    RosterBody,
+    read_body,
+    write_body,
+)
+from loadbalancer.fleet.replication.errors import StateError
 from loadbalancer.routing.traffic_migration import Migration
 
-#: Bytes of one change, so that it goes into a datagram with all that is said about it.
-CHANGE_MOST = 800
-#: Members, pools and names that a state holds at most; past it a change is refused.
-MARKS_MOST = 200_000
-ROSTER_MOST = 64
+__all__ = [
+    "MAX_OVERRIDES",
+    "MAX_VOTERS",
+    "NO_OPERATION",
+    "Command",
+    "FreezeBody",
+    "ItemKind",
+    "MarkBody",
+    "MoveBody",
+    "RecoverBody",
+    "ReplicatedState",
+    "RosterBody",
+    "Snapshot",
+    "StateError",
+    "TouchedFreeze",
+    "TouchedItem",
+    "TouchedMigration",
+    "TouchedOverride",
+    "TouchedPlan",
+    "TouchedVoter",
+    "VersionedMigration",
+    "VersionedOverride",
+    "write_body",
+]
+
+#: Overrides and voters that a state holds at most; a command for more is rejected.
+MAX_OVERRIDES = 200_000
+MAX_VOTERS = 64
+
+
+class VersionedOverride(NamedTuple):
+    """An override with its duration in seconds (0 for no end) and the version that has set it."""
+
+    override: AdminOverride
+    duration: float
+    version: int
 
-Text = Annotated[str, Meta(max_length=200)]
-Name = Annotated[str, Meta(min_length=1, max_length=48)]
 
+class VersionedMigration(NamedTuple):
+    """A migration with its duration in seconds (0 for no end) and the version that has set it."""
 
-class Command(Struct, frozen=True, array_like=True):
-    """`id`: of whoever proposed it, no other has it. `body`: by kind, MessagePack."""
+    migration: Migration
+    duration: float
+    version: int
 
-    id: Annotated[str, Meta(max_length=80)]
-    kind: Annotated[str, Meta(max_length=16)]
-    body: Annotated[bytes, Meta(max_length=CHANGE_MOST)]
-    by: Text = ""
-    reason: Text = ""
-    at: float = 0.0  # Unix time at the proposer, for people
 
+class ItemKind(StrEnum):
+    """Kinds of items of the state."""
 
-class MarkBody(Struct, frozen=True, array_like=True):
-    """What stands of these members of a pool from here on; None takes the mark away. `lasts`: seconds, 0 for no end.
-    `of`: only where it was version `of` that has said what stands; 0 in any case."""
+    OVERRIDE = "mark"
+    MIGRATION = "move"
+    FREEZE = "freeze"
+    VOTER = "roster"
+    PLAN = "plan"
 
-    pool: Text
-    overrides: dict[str, AdminOverride | None]
-    duration: float = 0.0
-    expected_version: int = 0
 
+class TouchedOverride(NamedTuple):
+    """The override of one endpoint was set or lifted."""
 
-class MoveBody(Struct, frozen=True, array_like=True):
-    pool: Text
-    migration: Migration | None
-    duration: float = 0.0
-    expected_version: int = 0
+    kind: Literal[ItemKind.OVERRIDE]
+    pool: str
+    endpoint: str
 
 
-class FreezeBody(Struct, frozen=True, array_like=True):
-    pool: Text
-    frozen: bool
+class TouchedMigration(NamedTuple):
+    """The migration of a pool was started or ended."""
 
+    kind: Literal[ItemKind.MIGRATION]
+    pool: str
 
-class RosterBody(Struct, frozen=True, array_like=True):
-    """`store`: the store that holds the votes of `name` from here on; empty takes the name off the roster."""
 
-    name: Name
-    store: Annotated[str, Meta(max_length=40)]
+class TouchedFreeze(NamedTuple):
+    """A pool was frozen or released."""
 
+    kind: Literal[ItemKind.FREEZE]
+    pool: str
 
-class RecoverBody(Struct, frozen=True, array_like=True):
-    """An operator's word after a majority was lost for good: who votes from here on."""
 
-    voters: dict[str, str]
+class TouchedVoter(NamedTuple):
+    """A voter was added or removed, or another store was registered for it."""
+
+    kind: Literal[ItemKind.VOTER]
+    voter: str
+
 
+class TouchedPlan(NamedTuple):
+    """The rollout plan was replaced, or has reached another stage."""
 
-class StateError(ValueError):
-    """A change that can't be part of the state; says why."""
+    kind: Literal[ItemKind.PLAN]
 
 
-BODIES: Mapping[str, type[Struct]] = {
-    "mark": MarkBody, "move": MoveBody, "freeze": FreezeBody, "roster": RosterBody, "recover": RecoverBody,
-    "plan": PlanBody, "stage": StageBody, "nothing": Struct,
-}  # fmt: skip
+#: One item of the state that a command has changed. The kind comes first in each, and tells them apart.
+TouchedItem = Union[TouchedOverride, TouchedMigration, TouchedFreeze, TouchedVoter, TouchedPlan]
 
 
 class Snapshot(Struct, array_like=True):
-    """A state in one piece. Its bytes are the same at all instances of one version."""
+    """The state in one piece; its bytes are the same at all instances of one version.
+
+    Attributes:
+        version: Commands applied.
+        overrides: By pool and endpoint.
+        migrations: By pool.
+        frozen: Frozen pools, sorted.
+        voters: Store by voter; empty accepts the voter's first store.
+        rollout_plan: The latest plan.
+    """
 
     version: int
-    overrides: dict[
-        str, dict[str, tuple[AdminOverride, float, int]]
-    ]  # with how long it lasts, and the version that said so
-    migrations: dict[str, tuple[Migration, float, int]]
+    overrides: dict[str, dict[str, VersionedOverride]]
+    migrations: dict[str, VersionedMigration]
     frozen: list[str]
     voters: dict[str, str]
     rollout_plan: RolloutPlan | None = None
 
 
 class ReplicatedState:
-    """The state. `touched` tells what a change has changed: ("mark", pool, member), ("move", pool) and the like."""
+    """The replicated state of one instance; attributes as in `Snapshot`."""
 
-    def __init__(self, roster: Mapping[str, str]) -> None:
+    def __init__(self, voters: Mapping[str, str]) -> None:
         self.version = 0
-        self.overrides: dict[str, dict[str, tuple[AdminOverride, float, int]]] = {}
-        self.migrations: dict[str, tuple[Migration, float, int]] = {}
+        self.overrides: dict[str, dict[str, VersionedOverride]] = {}
+        self.migrations: dict[str, VersionedMigration] = {}
         self.frozen: set[str] = set()
-        self.rollout_plan: RolloutPlan | None = None  # the latest roll-out
-        self.voters: dict[str, str] = dict(roster)
-        self._count = 0
-        self._takes: Mapping[type, Callable[[Any], list[tuple[str, ...]]]] = {
-            MarkBody: self._take_marks,
-            MoveBody: self._take_move,
-            FreezeBody: self._take_freeze,
-            RosterBody: self._take_roster,
-            RecoverBody: self._take_recover,
-            PlanBody: self._take_plan,
-            StageBody: self._stage,
-        }
+        self.rollout_plan: RolloutPlan | None = None
+        self.voters: dict[str, str] = dict(voters)
+        self._override_count = 0
 
     @property
     def majority(self) -> int:
+        """Voters that make a quorum."""
         return len(self.voters) // 2 + 1
 
-    def apply(self, change: Command) -> list[tuple[str, ...]]:
-        """Take up the next change. StateError, and nothing has changed, where this build can't read it."""
-        body = read_body(change)
+    def apply(self, command: Command) -> tuple[TouchedItem, ...]:
+        """Apply the next command.
+
+        Returns:
+            The items that it has changed.
+
+        Raises:
+            StateError: This build can't read the command; nothing has changed.
+        """
+        body = read_body(command)
         self.version += 1
-        take = self._takes.get(type(body))
-        return take(body) if take is not None else []
-
-    def _take_marks(self, body: MarkBody) -> list[tuple[str, ...]]:
-        touched = [member for member in body.overrides if self._is_of(body, member)]
-        for member in touched:
-            self._mark(body.pool, member, body.overrides[member], body.duration)
-        return [("mark", body.pool, member) for member in touched]
-
-    def _take_move(self, body: MoveBody) -> list[tuple[str, ...]]:
-        if (
-            body.expected_version
-            and self.migrations.get(body.pool, (None, 0.0, 0))[2] != body.expected_version
-        ):
-            return []
+        return () if body is None else self._apply_body(body)
+
+    def _apply_body(self, body: CommandBody) -> tuple[TouchedItem, ...]:
+        match body:
+            case MarkBody():
+                return self._apply_overrides(body)
+            case MoveBody():
+                return self._apply_migration(body)
+            case FreezeBody():
+                return self._apply_freeze(body)
+            case RosterBody():
+                return self._apply_voter(body)
+            case RecoverBody():
+                self.voters = dict(body.voters)
+                return tuple(TouchedVoter(ItemKind.VOTER, name) for name in body.voters)
+            case PlanBody():
+                return self._apply_plan(body)
+            case StageBody():
+                return self._apply_stage(body)
+
+    def _apply_overrides(self, body: MarkBody) -> tuple[TouchedItem, ...]:
+        endpoints = [endpoint for endpoint in body.overrides if self._is_expected(body, endpoint)]
+        for endpoint in endpoints:
+            self._set_override(body.pool, endpoint, body.overrides[endpoint], body.duration)
+        return tuple(TouchedOverride(ItemKind.OVERRIDE, body.pool, endpoint) for endpoint in endpoints)
+
+    def _is_expected(self, body: MarkBody, endpoint: str) -> bool:
+        """Whether the endpoint's override is still the one that the command is about."""
+        current = self.overrides.get(body.pool, {}).get(endpoint)
+        return not body.expected_version or (current is not None and current.version == body.expected_version)
+
+    def _set_override(
+        self, pool: str, endpoint: str, override: AdminOverride | None, duration: float
+    ) -> None:
+        overrides = self.overrides.setdefault(pool, {})
+        if overrides.pop(endpoint, None) is not None:
+            self._override_count -= 1
+        if override is not None:
+            overrides[endpoint] = VersionedOverride(override, duration, self.version)
+            self._override_count += 1
+        elif not overrides:
+            del self.overrides[pool]
+
+    def _apply_migration(self, body: MoveBody) -> tuple[TouchedItem, ...]:
+        current = self.migrations.get(body.pool)
+        current_version = current.version if current is not None else 0
+        if body.expected_version and current_version != body.expected_version:
+            return ()
         self.migrations.pop(body.pool, None)
         if body.migration is not None:
-            self.migrations[body.pool] = body.migration, body.duration, self.version
-        return [("move", body.pool)]
+            self.migrations[body.pool] = VersionedMigration(body.migration, body.duration, self.version)
+        return (TouchedMigration(ItemKind.MIGRATION, body.pool),)
 
-    def _take_freeze(self, body: FreezeBody) -> list[tuple[str, ...]]:
-        (self.frozen.add if body.frozen else self.frozen.discard)(body.pool)
-        return [("freeze", body.pool)]
+    def _apply_freeze(self, body: FreezeBody) -> tuple[TouchedItem, ...]:
+        if body.frozen:
+            self.frozen.add(body.pool)
+        else:
+            self.frozen.discard(body.pool)
+        return (TouchedFreeze(ItemKind.FREEZE, body.pool),)
 
-    def _take_roster(self, body: RosterBody) -> list[tuple[str, ...]]:
+    def _apply_voter(self, body: RosterBody) -> tuple[TouchedItem, ...]:
         if body.store:
             self.voters[body.name] = body.store
         else:
             self.voters.pop(body.name, None)
-        return [("roster", body.name)]
-
-    def _take_recover(self, body: RecoverBody) -> list[tuple[str, ...]]:
-        self.voters = dict(body.voters)
-        return [("roster", name) for name in body.voters]
+        return (TouchedVoter(ItemKind.VOTER, body.name),)
 
-    def _take_plan(self, body: PlanBody) -> list[tuple[str, ...]]:
+    def _apply_plan(self, body: PlanBody) -> tuple[TouchedItem, ...]:
         self.rollout_plan = RolloutPlan(body.id, body.digest, body.origin, body.soak, version=self.version)
-        return [("plan",)]
+        return (TouchedPlan(ItemKind.PLAN),)
 
-    def _stage(self, body: StageBody) -> list[tuple[str, ...]]:
+    def _apply_stage(self, body: StageBody) -> tuple[TouchedItem, ...]:
         plan = self.rollout_plan
         if plan is None or plan.id != body.id or plan.stage != body.frm:
-            return []  # another has been there first
-        plan.stage, plan.why, plan.old_bad, plan.version = body.to, body.why, body.old_bad, self.version
-        return [("plan",)]
-
-    def _is_of(self, body: MarkBody, member: str) -> bool:
-        stands = self.overrides.get(body.pool, {}).get(member)
-        return not body.expected_version or (stands is not None and stands[2] == body.expected_version)
-
-    def _mark(self, pool: str, member: str, mark: AdminOverride | None, lasts: float) -> None:
-        marks = self.overrides.setdefault(pool, {})
-        self._count -= marks.pop(member, None) is not None
-        if mark is not None:
-            marks[member] = mark, lasts, self.version
-            self._count += 1
-        elif not marks:
-            del self.overrides[pool]
+            return ()  # another instance has moved the plan on first
+        plan.stage = body.to
+        plan.why = body.why
+        plan.old_bad = body.old_bad
+        plan.version = self.version
+        return (TouchedPlan(ItemKind.PLAN),)
+
+    def check(self, command: Command) -> None:
+        """Check a command before it is proposed.
+
+        Raises:
+            StateError: It may not be proposed now.
+        """
+        match read_body(command):
+            case MarkBody() as body:
+                self._check_overrides(body)
+            case PlanBody():
+                self._check_plan()
+            case RosterBody() as body:
+                self._check_voter(body)
+
+    def _check_overrides(self, body: MarkBody) -> None:
+        if self._override_count + len(body.overrides) > MAX_OVERRIDES:
+            raise StateError(f"{self._override_count} marks stand; at most {MAX_OVERRIDES}")
+
+    def _check_plan(self) -> None:
+        plan = self.rollout_plan
+        if plan is not None and plan.stage in (*OPEN, "halted"):
+            raise StateError(f"roll-out {plan.id} is under way ({plan.stage}); take it back first")
+
+    def _check_voter(self, body: RosterBody) -> None:
+        is_voter = body.name in self.voters
+        if body.store:
+            if not is_voter and len(self.voters) >= MAX_VOTERS:
+                raise StateError(f"{len(self.voters)} vote; at most {MAX_VOTERS}")
+            return
+        if not is_voter:
+            raise StateError(f"{body.name!r} is not on the roster: {', '.join(sorted(self.voters))}")
+        if len(self.voters) == 1:
+            raise StateError("the last one who votes can't be taken off")
 
-    def check(self, change: Command) -> None:
-        """StateError where it may not be proposed now."""
-        body = read_body(change)
-        if isinstance(body, MarkBody) and self._count + len(body.overrides) > MARKS_MOST:
-            raise StateError(f"{self._count} marks stand; at most {MARKS_MOST}")
-        if (
-            isinstance(body, PlanBody)
-            and self.rollout_plan is not None
-            and self.rollout_plan.stage in (*OPEN, "halted")
-        ):
-            raise StateError(
-                f"roll-out {self.rollout_plan.id} is under way ({self.rollout_plan.stage}); take it back first"
-            )
-        if isinstance(body, RosterBody):
-            if body.store and body.name not in self.voters and len(self.voters) >= ROSTER_MOST:
-                raise StateError(f"{len(self.voters)} vote; at most {ROSTER_MOST}")
-            if not body.store and body.name not in self.voters:
-                raise StateError(f"{body.name!r} is not on the roster: {', '.join(sorted(self.voters))}")
-            if not body.store and len(self.voters) == 1:
-                raise StateError("the last one who votes can't be taken off")
-
-    # Whole.
+    # Snapshots.
 
     def encode(self) -> bytes:
-        marks = {pool: dict(sorted(those.items())) for pool, those in sorted(self.overrides.items())}
-        roster, moves = dict(sorted(self.voters.items())), dict(sorted(self.migrations.items()))
-        return msgspec.msgpack.encode(
-            Snapshot(self.version, marks, moves, sorted(self.frozen), roster, self.rollout_plan)
+        """The state as the bytes of a `Snapshot`."""
+        snapshot = Snapshot(
+            version=self.version,
+            overrides={pool: dict(sorted(items.items())) for pool, items in sorted(self.overrides.items())},
+            migrations=dict(sorted(self.migrations.items())),
+            frozen=sorted(self.frozen),
+            voters=dict(sorted(self.voters.items())),
+            rollout_plan=self.rollout_plan,
         )
+        return msgspec.msgpack.encode(snapshot)
 
     def digest(self) -> str:
+        """BLAKE3 of the encoded state, 16 bytes as hexadecimal digits."""
         return blake3(self.encode()).hexdigest(16)
 
     def install_snapshot(self, data: bytes) -> None:
-        """StateError, and nothing has changed, for bytes that are no state."""
-        try:
-            found = msgspec.msgpack.decode(data, type=Snapshot)
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
-            raise StateError(f"no state: {problem}") from None
-        self.version, self.overrides, self.migrations = found.version, found.overrides, found.migrations
-        self.frozen, self.voters, self.rollout_plan = set(found.frozen), found.voters, found.rollout_plan
-        self._count = sum(map(len, found.overrides.values()))
-
-
-def read_body(change: Command) -> Any:
-    kind = BODIES.get(change.kind)
-    if kind is None:
-        raise StateError(f"a change of kind {change.kind!r}, which this build does not know")
-    if kind is Struct:
-        return None
-    try:
-        return msgspec.msgpack.decode(change.body, type=kind)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
-        raise StateError(f"a change that can't be read: {problem}") from None
-
-
-def write_body(body: Struct) -> bytes:
-    """StateError where it is too long for one change."""
-    data = msgspec.msgpack.encode(body)
-    if len(data) > CHANGE_MOST:
-        raise StateError(
-            f"{len(data)} bytes in one change; at most {CHANGE_MOST}: name fewer members, or say less"
-        )
-    return data
+        """Replace the whole state.
 
-
-NO_OPERATION = Command("", "nothing", b"")
+        Raises:
+            StateError: The bytes are no snapshot; nothing has changed.
+        """
+        try:
+            snapshot = msgspec.msgpack.decode(data, type=Snapshot)
+        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+            raise StateError(f"no state: {error}") from None
+        self.version = snapshot.version
+        self.overrides = snapshot.overrides
+        self.migrations = snapshot.migrations
+        self.frozen = set(snapshot.frozen)
+        self.voters = snapshot.voters
+        self.rollout_plan = snapshot.rollout_plan
+        self._override_count = sum(map(len, snapshot.overrides.values()))
--- a/loadbalancer/fleet/replication/state_transfer.py
+++ b/loadbalancer/fleet/replication/state_transfer.py
@@ -1,96 +1,140 @@
-"""How an instance that is behind gets what it lacks: the changes since its version where they are held, else the whole
-state in slices, checked by a digest, resumed after a cut. Pure: messages in and out.
+"""State transfer: how an instance that is behind gets what it lacks.
+
+It gets the commands after its version where the sender still holds them, else a snapshot in chunks that is checked by
+its digest. A transfer that is cut goes on where it stopped.
 """
 
 from __future__ import annotations
 
-from typing import Iterator, Union
+from typing import Iterator, NamedTuple, Union
 
 from blake3 import blake3
 
+from loadbalancer.fleet.replication.commands import Command
+from loadbalancer.fleet.replication.errors import TransferError
+from loadbalancer.fleet.replication.events import CommandsReceived, SnapshotReceived
 from loadbalancer.fleet.replication.messages import LogEntries, SnapshotChunk, StateRequest
-from loadbalancer.fleet.replication.replica import CommandsReceived, PaxosReplica, SnapshotReceived
-from loadbalancer.fleet.replication.replicated_state import Command
+from loadbalancer.fleet.replication.replica import PaxosReplica
+
+#: Bytes of commands, or of a snapshot, in one message.
+CHUNK_BYTES = 12 << 10
+#: Bytes that a command takes at most beside its body, roughly.
+COMMAND_OVERHEAD_BYTES = 120
+#: Bytes of a snapshot that are taken at most.
+MAX_SNAPSHOT_BYTES = 128 << 20
+
 
-#: Bytes of changes, or of a state, in one message.
-PART = 12 << 10
-#: Bytes of a state that is taken at most.
-WHOLE_MOST = 128 << 20
+class EncodedSnapshot(NamedTuple):
+    """The encoded state of one version, kept for the next request."""
+
+    version: int
+    data: bytes
+    digest: str
 
 
 class StateSender:
-    """What one instance gives to those that are behind it. A state is encoded once for a version."""
-
-    def __init__(self, versions: PaxosReplica) -> None:
-        self.versions = versions
-        self._version, self._data, self._digest = -1, b"", ""
-
-    def answer(self, want: StateRequest) -> Iterator[LogEntries | SnapshotChunk]:
-        """In order; whoever sends them may stop at any time."""
-        log, now = self.versions.command_log, self.versions.state.version
-        if want.version >= now:
-            yield LogEntries(want.version + 1, (), True)
-        elif want.version + 1 in log and not want.offset:
-            yield from self._entries(want.version + 1, now)
+    """Answers the requests of instances that are behind; a state is encoded once for each version."""
+
+    def __init__(self, replica: PaxosReplica) -> None:
+        self._replica = replica
+        self._snapshot = EncodedSnapshot(-1, b"", "")
+
+    def answer(self, request: StateRequest) -> Iterator[LogEntries | SnapshotChunk]:
+        """The messages that answer a request, in order; the caller may stop after any of them."""
+        log = self._replica.command_log
+        version = self._replica.state.version
+        if request.version >= version:
+            yield LogEntries(request.version + 1, (), True)
+        elif request.version + 1 in log and not request.offset:
+            yield from self._entries(request.version + 1, version)
         else:
-            yield from self._slices(want)
+            yield from self._chunks(request)
 
     def _entries(self, first: int, last: int) -> Iterator[LogEntries]:
-        part: list[Command] = []
+        commands: list[Command] = []
         size = 0
         for version in range(first, last + 1):
-            change = self.versions.command_log[version]
-            part.append(change)
-            size += len(change.body) + 120
-            if size >= PART or version == last:
-                yield LogEntries(version - len(part) + 1, tuple(part), version == last)
-                part, size = [], 0
-
-    def _slices(self, want: StateRequest) -> Iterator[SnapshotChunk]:
-        said = self.versions.state
-        if self._version != said.version:
-            self._version, self._data = said.version, said.encode()
-            self._digest = blake3(self._data).hexdigest(16)
-        data, digest, version = self._data, self._digest, self._version
-        offset = want.offset if want.digest == digest else 0
-        for at in range(offset, len(data), PART):
-            yield SnapshotChunk(version, digest, at, len(data), data[at : at + PART])
+            command = self._replica.command_log[version]
+            commands.append(command)
+            size += len(command.body) + COMMAND_OVERHEAD_BYTES
+            if size >= CHUNK_BYTES or version == last:
+                yield LogEntries(version - len(commands) + 1, tuple(commands), version == last)
+                commands = []
+                size = 0
+
+    def _chunks(self, request: StateRequest) -> Iterator[SnapshotChunk]:
+        state = self._replica.state
+        if self._snapshot.version != state.version:
+            data = state.encode()
+            self._snapshot = EncodedSnapshot(state.version, data, blake3(data).hexdigest(16))
+        version, data, digest = self._snapshot
+        offset = request.offset if request.digest == digest else 0
+        for start in range(offset, len(data), CHUNK_BYTES):
+            yield SnapshotChunk(version, digest, start, len(data), data[start : start + CHUNK_BYTES])
+
+
+class TransferStep(NamedTuple):
+    """What one message of a transfer has brought.
+
+    Attributes:
+        event: For the replica, once something is complete; None before.
+        is_last: Whether the transfer ends with this message.
+    """
+
+    event: Union[CommandsReceived, SnapshotReceived, None]
+    is_last: bool
 
 
 class StateReceiver:
-    """What has come to one that is behind. It outlasts a cut: `want` says where it goes on."""
+    """Collects the chunks of a snapshot; what has come outlasts a connection that is cut."""
 
     def __init__(self) -> None:
-        self._digest, self._size = "", 0
+        self._digest = ""
+        self._size = 0
         self._data = bytearray()
 
-    def want(self, version: int) -> StateRequest:
+    def next_request(self, version: int) -> StateRequest:
+        """The request of an instance that acts on `version`; it names what has been received of a snapshot."""
         return StateRequest(version, self._digest, len(self._data))
 
-    def take(
-        self, message: LogEntries | SnapshotChunk
-    ) -> tuple[Union[CommandsReceived, SnapshotReceived, None], bool]:
-        """What is whole by now, if anything, and whether this was the last. ValueError for what does not fit; what had
-        come is thrown away then."""
+    def take(self, message: LogEntries | SnapshotChunk) -> TransferStep:
+        """Take one message of the answer.
+
+        Raises:
+            TransferError: It does not follow what has come, or the snapshot does not have its digest. What has come of
+                the snapshot is dropped.
+        """
         if isinstance(message, LogEntries):
-            self._forget()
-            return CommandsReceived(message.first_version, message.commands), message.is_last
+            self._reset()
+            return TransferStep(CommandsReceived(message.first_version, message.commands), message.is_last)
         if message.digest != self._digest:
-            self._forget()
-            self._digest, self._size = message.digest, message.size
-        if message.offset != len(self._data) or message.size != self._size or message.size > WHOLE_MOST:
-            self._forget()
-            raise ValueError("a slice that does not follow the one before")
-        self._data += message.data
+            self._reset()
+            self._digest = message.digest
+            self._size = message.size
+        self._append(message)
         if len(self._data) < self._size:
-            return None, False
+            return TransferStep(None, False)
+        return TransferStep(SnapshotReceived(self._complete()), True)
+
+    def _append(self, chunk: SnapshotChunk) -> None:
+        received = len(self._data)
+        if chunk.offset != received or chunk.size != self._size or chunk.size > MAX_SNAPSHOT_BYTES:
+            self._reset()
+            raise TransferError(
+                f"a chunk at {chunk.offset} of {chunk.size} bytes does not follow the {received} bytes before"
+            )
+        self._data += chunk.data
+
+    def _complete(self) -> bytes:
+        """The snapshot, checked by size and digest."""
         data = bytes(self._data)
-        whole = len(data) == self._size and blake3(data).hexdigest(16) == message.digest
-        self._forget()
-        if not whole:
-            raise ValueError("a state that does not have its digest")
-        return SnapshotReceived(data), True
-
-    def _forget(self) -> None:
-        self._digest, self._size = "", 0
+        size, digest = self._size, self._digest
+        self._reset()
+        if len(data) != size or blake3(data).hexdigest(16) != digest:
+            raise TransferError(f"a snapshot of {len(data)} bytes does not have its digest {digest}")
+        return data
+
+    def _reset(self) -> None:
+        self._digest = ""
+        self._size = 0
         self._data.clear()
--- a/tests/fleet/test_versions_model.py
+++ b/tests/fleet/test_versions_model.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import copy
 import random
 from itertools import combinations
 from typing import Any
@@ -12,19 +13,23 @@
 from emulator.fleetstate import Instance, StateModel
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.replication import messages as form
-from loadbalancer.fleet.replication import replica as machine
-from loadbalancer.fleet.replication.lease import DRIFT, Lease
-from loadbalancer.fleet.replication.replica import CommandsReceived, PaxosReplica, Propose
-from loadbalancer.fleet.replication.replicated_state import (
-    CHANGE_MOST,
-    Command,
-    MarkBody,
-    ReplicatedState,
-    RosterBody,
-    StateError,
-    write_body,
+from loadbalancer.fleet.replication.actions import (
+    CommandApplied,
+    CommandCompleted,
+    Persist,
+    RequestStateTransfer,
+    SendMessage,
+    SnapshotInstalled,
 )
-from loadbalancer.fleet.replication.state_transfer import PART, StateReceiver, StateSender
+from loadbalancer.fleet.replication.commands import MAX_BODY_BYTES, Command, MarkBody, RosterBody, write_body
+from loadbalancer.fleet.replication.errors import StateError
+from loadbalancer.fleet.replication.events import CommandsReceived, MessageReceived, Propose, TimerExpired
+from loadbalancer.fleet.replication.lease import MAX_CLOCK_DRIFT, Lease
+from loadbalancer.fleet.replication.proposer import Proposer
+from loadbalancer.fleet.replication.replica import PaxosReplica
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
+from loadbalancer.fleet.replication.state_transfer import CHUNK_BYTES, StateReceiver, StateSender
+from loadbalancer.fleet.replication.voter_registration import VoterRegistration
 
 
 def mark(number: int, member: str = "m", word: Any = "cordon") -> Command:
@@ -106,7 +111,7 @@
         source.choice((0.002, 0.06)),
     )  # wide enough to die in
     for one in model.all.values():
-        one.drift = 1 + source.uniform(-DRIFT, DRIFT) / 2
+        one.drift = 1 + source.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2
         one.start()
     watch, lost = Watch(model), list[str]()
     for step in range(steps):
@@ -216,8 +221,8 @@
     "one is a majority": (seeds, ReplicatedState, "majority", property(lambda self: 1)),
     "a voter that lost its store votes": (
         a_store_is_lost_between_two_majorities,
-        PaxosReplica,
-        "_on_greeted",
+        VoterRegistration,
+        "on_greeting_reply",
         lambda self, sender, message: self.confirmed_voters.add(sender),
     ),
     "nothing is kept before an answer": (
@@ -226,7 +231,12 @@
         "keep",
         lambda self, action: [self.send(say.to, say.message) for say in action.then_send],
     ),
-    "a refusal that is not sure": (seeds, PaxosReplica, "_risks", lambda self, change: None),
+    "a refusal that is not sure": (
+        seeds,
+        Proposer,
+        "_note_possibly_accepted",
+        lambda self, command, slot: None,
+    ),
 }
 
 
@@ -250,7 +260,7 @@
     def __init__(self, schedule: dict[int, str]) -> None:
         self.schedule, self.now, self.step = schedule, 0.0, 0
         self.queue: list[tuple[str, str, Any]] = []
-        self.ended: dict[str, machine.CommandCompleted] = {}
+        self.ended: dict[str, CommandCompleted] = {}
         self.disks: dict[str, dict[str, Any]] = {}
         self.logs: dict[int, set[str]] = {}
         self.all: dict[str, PaxosReplica] = {}
@@ -258,7 +268,7 @@
             self.disks[name] = {"state": b"", "log": {}, "vote": None, "met": {}, "opened": 0}
             self.start(name)
         for name, other in (("a", "b"), ("a", "c"), ("b", "a"), ("b", "c"), ("c", "a"), ("c", "b")):
-            self.all[name].confirmed_voters.add(other)
+            self.all[name].registration.confirmed_voters.add(other)
 
     def start(self, name: str) -> None:
         disk = self.disks[name]
@@ -267,14 +277,10 @@
         if disk["state"]:
             said.install_snapshot(disk["state"])
         made = PaxosReplica(name, f"s{name}", disk["opened"] << 20, said, random.Random(1))
-        made.command_log, made.observed_stores = dict(disk["log"]), dict(disk["met"])
-        if disk["vote"] is not None and disk["vote"].slot == said.version + 1:
-            made.acceptor_state = form.AcceptorState(
-                *[getattr(disk["vote"], f) for f in ("slot", "promised", "accepted", "command")]
-            )
+        made.restore(copy.copy(disk["vote"]), dict(disk["met"]), dict(disk["log"]))
         self.all[name] = made
 
-    def keep(self, name: str, action: machine.Persist, dies: bool) -> None:
+    def keep(self, name: str, action: Persist, dies: bool) -> None:
         disk = self.disks[name]
         disk["vote"] = action.acceptor_state or disk["vote"]
         if action.observed_store:
@@ -285,22 +291,22 @@
     def hand(self, name: str, event: Any, dies: bool = False) -> None:
         versions, disk = self.all[name], self.disks[name]
         for action in versions.handle(self.now, event):
-            if isinstance(action, machine.SendMessage):
+            if isinstance(action, SendMessage):
                 self.queue.append((name, action.to, action.message))
-            elif isinstance(action, machine.Persist):
+            elif isinstance(action, Persist):
                 self.keep(name, action, dies)
-            elif isinstance(action, (machine.CommandApplied, machine.SnapshotInstalled)):
+            elif isinstance(action, (CommandApplied, SnapshotInstalled)):
                 disk["state"], disk["log"] = versions.state.encode(), dict(versions.command_log)
                 for version, change in versions.command_log.items():
                     self.logs.setdefault(version, set()).add(change.id)
-            elif isinstance(action, machine.RequestStateTransfer):
+            elif isinstance(action, RequestStateTransfer):
                 for part in StateSender(self.all[action.source]).answer(
                     form.StateRequest(versions.state.version)
                 ):
                     found, _ = StateReceiver().take(part)
                     if found is not None:
                         self.hand(name, found)
-            elif isinstance(action, machine.CommandCompleted):
+            elif isinstance(action, CommandCompleted):
                 self.ended[action.command_id] = action
 
     def deliver(self) -> None:
@@ -315,7 +321,7 @@
         if deviation == "dies before":
             self.start(to)
             return
-        self.hand(to, machine.MessageReceived(sender, message), deviation == "dies after")
+        self.hand(to, MessageReceived(sender, message), deviation == "dies after")
         if deviation == "dies after":
             self.start(to)
 
@@ -330,7 +336,7 @@
             self.now += 0.15
             for name in self.all:
                 others = tuple(other for other in self.all if other != name)
-                self.hand(name, machine.TimerExpired(others))
+                self.hand(name, TimerExpired(others))
         for version, ids in self.logs.items():
             assert len(ids) == 1, f"two orders at version {version}: {ids}"
         by_version = {version: next(iter(ids)) for version, ids in self.logs.items()}
@@ -390,11 +396,11 @@
     behind, taker = PaxosReplica("b", "", 0, ReplicatedState({"a": ""}), random.Random(1)), StateReceiver()
     cuts = 0
     while behind.state.version < count:
-        for number, part in enumerate(StateSender(ahead).answer(taker.want(behind.state.version))):
+        for number, part in enumerate(StateSender(ahead).answer(taker.next_request(behind.state.version))):
             if cuts < 5 and number == 2:
                 cuts += 1
                 break  # the stream is cut; what has come stays
-            assert len(msgspec.msgpack.encode(part)) < PART + 2048
+            assert len(msgspec.msgpack.encode(part)) < CHUNK_BYTES + 2048
             found, _ = taker.take(part)
             if found is not None:
                 behind.handle(1.0, found)
@@ -415,11 +421,11 @@
             taker.take(msgspec.structs.replace(part, data=data))
     with pytest.raises(ValueError, match="follow"):
         taker.take(parts[1])
-    assert taker.want(0).offset == 0
+    assert taker.next_request(0).offset == 0
 
 
 def test_what_is_said_is_bounded_and_checked() -> None:
-    with pytest.raises(StateError, match=f"at most {CHANGE_MOST}"):
+    with pytest.raises(StateError, match=f"at most {MAX_BODY_BYTES}"):
         write_body(
             MarkBody("p", {f"member-{n}": AdminOverride(word="drain", reason="r" * 40) for n in range(40)})
         )
