--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -19,12 +19,13 @@
 from loadbalancer.daemon.rolling_restart import RollingRestartService
 from loadbalancer.daemon.rollout import rows
 from loadbalancer.fleet import report
+from loadbalancer.fleet.keys import read_keys
 from loadbalancer.fleet.membership.events import Action, Leave, ProcessReplaced
 from loadbalancer.fleet.membership.view import MembershipView
 from loadbalancer.fleet.orchestration.fleet_size import FleetSize
 from loadbalancer.fleet.settings import PROFILES, Identity, Settings
 from loadbalancer.fleet.transport import FleetTransport
-from loadbalancer.fleet.wire import Message, Sealer, read_keys
+from loadbalancer.fleet.wire import Message, Sealer
 from loadbalancer.tls.files import read, stamps
 from loadbalancer.tls.pairs import PairError
 
@@ -103,7 +104,7 @@
         may_act = self.agreed.may_act if self.agreed is not None else lambda: True
         self.returning = RecoveryService(daemon, table.name, self.link, self.view, kept, may_act)
         self.restarting = RollingRestartService(daemon, table.name, self.link, self.view, self.returning)
-        self.link.streams = self._answer
+        self.link.stream_handler = self._answer
 
     def serve(self) -> None:
         """Take part from now on. Of a place that was taken over, nobody sees a death."""
@@ -186,7 +187,7 @@
 
     def retire(self) -> None:
         """The successor has the place."""
-        self.link.hand(ProcessReplaced())
+        self.link.handle(ProcessReplaced())
         self.link.pause_reading()
 
     def sockets(self) -> list[socket.socket]:
@@ -242,5 +243,5 @@
             self.agreed.end()
         self.returning.end()
         self.restarting.end()
-        self.link.hand(Leave())
+        self.link.handle(Leave())
         self.link.close()
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -136,7 +136,7 @@
         self._drive_at = 0.0
         self._stage_began = (0, 0.0)
         self.rolling = RolloutService(daemon, table.name, path, self.ask_named, self._requests, self._changed)
-        link.send_replication = self._hear
+        link.replication_handler = self._hear
 
     @property
     def control(self) -> AdminServer:
--- a/loadbalancer/fleet/membership/gossip.py
+++ b/loadbalancer/fleet/membership/gossip.py
@@ -11,7 +11,7 @@
 from typing import Iterator
 
 from loadbalancer.fleet.membership.member_state import MemberState, encoded_size
-from loadbalancer.fleet.wire import FACTS_MOST
+from loadbalancer.fleet.wire import MAX_GOSSIP_BYTES
 
 #: Times the logarithm (base 2) of the fleet that a word is told.
 TELL = 3
@@ -59,7 +59,7 @@
         """Those that go along with one message, which holds `spared` bytes of others already; each counts as told.
         `but`: the name that the receiver hears of by other means."""
         most = self.times(fleet)
-        room, found = FACTS_MOST - spared, []
+        room, found = MAX_GOSSIP_BYTES - spared, []
         for level in self._levels:
             for word in reversed(level.values()):
                 if room < LEAST:
--- /dev/null
+++ b/loadbalancer/fleet/packet_codec.py
@@ -0,0 +1,53 @@
+"""Sealing: messages of this instance into sealed packets, and bytes from the network into packets that are new."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from loadbalancer.fleet.errors import DropReason, MessageError
+from loadbalancer.fleet.membership.member_state import MemberState
+from loadbalancer.fleet.replay_window import ReplayProtection
+from loadbalancer.fleet.wire import Message, Packet, Sealer
+
+
+class PacketCodec:
+    """Seals and opens the packets of one boot of an instance.
+
+    Attributes:
+        boot: The instance's boot id.
+        sealer: Replaced when the key file changes.
+    """
+
+    def __init__(self, name: str, boot: int, sealer: Sealer, counts: Counter[str]) -> None:
+        """`counts`: where packets that are dropped are counted, by reason."""
+        self.boot = boot
+        self.sealer = sealer
+        self._name = name
+        self._counts = counts
+        self._replays = ReplayProtection()
+        self._last_number = 0
+
+    def seal(
+        self, receiver_boot: int, message: Message, member_states: tuple[MemberState, ...] = ()
+    ) -> bytes:
+        """Seal a message for a boot of its receiver, 0 for any."""
+        self._last_number += 1
+        packet = Packet(self._name, self.boot, receiver_boot, self._last_number, message, member_states)
+        return self.sealer.seal(packet)
+
+    def open(self, data: bytes, max_bytes: int) -> Packet | None:
+        """Open a packet; None for one that is not of the fleet, can't be read, or has come before."""
+        try:
+            opened = self.sealer.open(data, max_bytes)
+        except MessageError as error:
+            self._counts[f"dropped: {error.kind}"] += 1
+            return None
+        packet = opened.packet
+        if opened.unreadable_states:
+            self._counts["facts passed over"] += opened.unreadable_states
+        # A packet for another boot changes nothing here, so only those for this one take room in the replay windows.
+        is_for_us = packet.to == self.boot
+        if is_for_us and not self._replays.take(packet.sender, packet.boot, packet.number):
+            self._counts[f"dropped: {DropReason.REPLAYED}"] += 1
+            return None
+        return packet
--- a/loadbalancer/fleet/replay_window.py
+++ b/loadbalancer/fleet/replay_window.py
@@ -1,38 +1,45 @@
-"""Messages that come a second time are told from new ones. Pure.
+"""Replay protection: packets that come a second time are told from new ones.
 
 Rules:
 
-1. A message is for one life of its receiver, which is drawn anew at each start: what was caught before a restart is for
-   nobody after it, without anything on disk.
-2. Within a life each sender's life counts its messages; each number is taken once, and those far behind are not taken.
-3. Of one name the latest lives are remembered, so that a message of a life that is over does not come back as new.
+1. A packet is meant for one boot of its receiver, and boot ids are drawn anew at each start: what was recorded before a
+   restart is for nobody after it, and nothing has to be kept on disk.
+2. Each boot of a sender numbers its packets. Each number is accepted once, and only within a window behind the
+   greatest.
+3. Of each name several boots are remembered, so that a packet of an earlier boot does not come as new again.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-#: Numbers behind the latest of a sender that may still come, out of order.
+#: Numbers behind a sender's greatest that may still come, out of order.
 WINDOW = 1024
-#: Lives of one name that are told apart, and names: some 200 bytes a life.
-LIVES_MOST = 64
-NAMES_MOST = 8_192
+#: Boots of one name that are remembered; each takes some 200 bytes.
+MAX_BOOTS_PER_NAME = 64
+#: Names that are remembered.
+MAX_NAMES = 8_192
 
 
 class ReplayWindow:
-    """The numbers of one sender's life."""
+    """The numbers that were accepted of one boot of a sender.
+
+    Attributes:
+        latest: The greatest of them.
+        seen: A bit for each number of the window; the lowest is that of `latest`.
+    """
 
     __slots__ = ("latest", "seen")
 
     def __init__(self) -> None:
         self.latest = 0
-        self.seen = 0  # a bit for each of the latest numbers, that of `latest` the lowest
+        self.seen = 0
 
     def take(self, number: int) -> bool:
-        """Whether it is new; from then on it is not."""
+        """Accept a number; false where it was accepted before, or is behind the window."""
         ahead = number - self.latest
         if ahead > 0:
-            self.seen = ((self.seen << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
+            self._advance(ahead)
             self.latest = number
             return True
         if ahead <= -WINDOW or self.seen >> -ahead & 1:
@@ -40,27 +47,36 @@
         self.seen |= 1 << -ahead
         return True
 
+    def _advance(self, ahead: int) -> None:
+        if ahead >= WINDOW:
+            self.seen = 1
+        else:
+            self.seen = ((self.seen << ahead) | 1) & ((1 << WINDOW) - 1)
+
 
 class ReplayProtection:
-    """All senders'. Bounded: the name that was longest silent is forgotten first."""
+    """The windows of all senders.
+
+    Past the bounds the name that was silent longest is forgotten, and of one name the boot that came first.
+    """
 
     def __init__(self) -> None:
         self._names: OrderedDict[str, OrderedDict[int, ReplayWindow]] = OrderedDict()
 
     def take(self, sender: str, boot: int, number: int) -> bool:
-        """Whether the message is new; from then on it is not."""
-        lives = self._names.get(sender)
-        if lives is None:
-            lives = self._names[sender] = OrderedDict()
-            if len(self._names) > NAMES_MOST:
+        """Accept a packet; false where it was accepted before, or is behind the window."""
+        boots = self._names.get(sender)
+        if boots is None:
+            boots = self._names[sender] = OrderedDict()
+            if len(self._names) > MAX_NAMES:
                 self._names.popitem(last=False)
         else:
             self._names.move_to_end(sender)
-        window = lives.get(boot)
+        window = boots.get(boot)
         if window is None:
-            window = lives[boot] = ReplayWindow()
-            if len(lives) > LIVES_MOST:
-                lives.popitem(last=False)
+            window = boots[boot] = ReplayWindow()
+            if len(boots) > MAX_BOOTS_PER_NAME:
+                boots.popitem(last=False)
         return window.take(number)
 
     def __len__(self) -> int:
--- a/loadbalancer/fleet/wire.py
+++ b/loadbalancer/fleet/wire.py
@@ -1,11 +1,11 @@
-"""What goes between instances: MessagePack in an envelope with a MAC. Pure: bytes and values.
+"""What instances send one another: messages in packets, and packets sealed with the fleet's key.
 
-Form: `mS`, the form's version, the key's number, 16 bytes of MAC, then the payload. The MAC is BLAKE3 keyed with the
-fleet's key, over the head and the payload. A datagram is one message of at most DATAGRAM_MOST bytes; over TCP each
-message has its length before it and at most PIECE_MOST bytes.
+A sealed packet is `mS`, the format's version, the key's number, 16 bytes of MAC, then the packet as MessagePack. The
+MAC is BLAKE3 keyed with the fleet's key, over the header and the packet. A datagram is one sealed packet of at most
+MAX_DATAGRAM_BYTES. Over TCP each sealed packet has its length before it, and at most MAX_PIECE_BYTES.
 
-Versions side by side: fields are appended to what is there and passed over by who does not know them; a kind of
-message, or a fact, that can't be read is passed over by itself and counted.
+Builds side by side: new fields are appended, and passed over by builds that do not know them. A message of a kind that
+a build can't read is dropped, a member state that it can't read is passed over; both are counted.
 """
 
 from __future__ import annotations
@@ -18,81 +18,102 @@
 from blake3 import blake3
 from msgspec import Meta, Raw, Struct
 
+from loadbalancer.fleet.errors import DropReason, KeyFileError, MessageError
+from loadbalancer.fleet.keys import KEY_BYTES, MAX_KEYS, key_number
 from loadbalancer.fleet.membership.member_state import Count, Host, MemberState, Name, Port
 from loadbalancer.fleet.replication.messages import ReplicationMessage, StreamMessage
 
-MARK, VERSION = b"mS", 1
-MAC = 16
-HEAD = len(MARK) + 2
+MAGIC = b"mS"
+FORMAT_VERSION = 1
+MAC_BYTES = 16
+#: Magic, format version and key number.
+HEADER_BYTES = len(MAGIC) + 2
 #: Bytes of a datagram: within the least that IPv6 carries whole (1,280), less its headers and UDP's.
-DATAGRAM_MOST = 1_232
-#: Bytes of the facts that go along with a message; the rest is the envelope's.
-FACTS_MOST = 1_000
-#: Bytes of one piece of an exchange, and pieces of one exchange: some 50,000 instances.
-PIECE_MOST, PIECES_MOST = 16 << 10, 512
-KEY_BYTES = 32
-#: Keys that are valid at once: the first seals, both open.
-KEYS_MOST = 2
+MAX_DATAGRAM_BYTES = 1_232
+#: Bytes of the member states that go along with a message in a datagram; the rest is for packet and message.
+MAX_GOSSIP_BYTES = 1_000
+#: Bytes of one piece of an exchange.
+MAX_PIECE_BYTES = 16 << 10
+#: Pieces of one exchange: some 50,000 instances.
+MAX_PIECES = 512
 
 Digest = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-
-
-class MessageError(ValueError):
-    """Bytes that are no message of this fleet; `kind` counts them."""
-
-    def __init__(self, kind: str) -> None:
-        super().__init__(kind)
-        self.kind = kind
+Phase = Annotated[int, Meta(ge=0, le=255)]
+BootId = Annotated[int, Meta(ge=1, le=(1 << 63) - 1)]
+ReceiverBootId = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
+SequenceNumber = Annotated[int, Meta(ge=1, lt=1 << 62)]
 
 
 class Hello(Struct, frozen=True, array_like=True, tag=0):
-    """Who is there? Changes nothing at who hears it; the answer goes to `host` and `port`."""
+    """Ask who is at an address. It changes nothing at its receiver; the answer goes to `host` and `port`."""
 
     host: Host
     port: Port
 
 
 class AliveNotice(Struct, frozen=True, array_like=True, tag=1):
-    """I am, in this life: to a hello, and to what was meant for another life."""
+    """The answer to `Hello`, and to a packet for another boot of this instance.
+
+    Attributes:
+        host: At which the sender is reached.
+        port: At which the sender is reached.
+        phase: The sender's recovery phase; 0 of a build that does not say.
+    """
 
     host: Host
     port: Port
-    phase: Annotated[int, Meta(ge=0, le=255)] = 0
+    phase: Phase = 0
 
 
 class Ping(Struct, frozen=True, array_like=True, tag=2):
-    """`phase`: how far the sender has come back (comeback.py); 0 of a build that does not say."""
+    """A direct probe.
+
+    Attributes:
+        number: Of the probe; the answer names it.
+        digest: Of the sender's membership view.
+        phase: The sender's recovery phase; 0 of a build that does not say.
+    """
 
     number: Count
     digest: Digest
-    phase: Annotated[int, Meta(ge=0, le=255)] = 0
+    phase: Phase = 0
 
 
 class Ack(Struct, frozen=True, array_like=True, tag=3):
+    """The answer to `Ping`, with the same attributes."""
+
     number: Count
     digest: Digest
-    phase: Annotated[int, Meta(ge=0, le=255)] = 0
+    phase: Phase = 0
 
 
 class IndirectProbe(Struct, frozen=True, array_like=True, tag=4):
-    """Probe `target` for me."""
+    """Ask the receiver to probe `target` in the sender's place."""
 
     number: Count
     target: Name
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=5):
-    """I hear you, and have not heard the one that you asked for."""
+    """The answer to `IndirectProbe` where the target has not answered."""
 
     number: Count
 
 
 class GossipReply(Struct, frozen=True, array_like=True, tag=6):
-    """Nothing but the facts that go along."""
+    """Carries member states and nothing else."""
 
 
 class NameConflictNotice(Struct, frozen=True, array_like=True, tag=7):
-    """We go by one name. `inside`: I count as one of the fleet. `answer`: you have said so; nothing follows."""
+    """The sender has the receiver's name.
+
+    Attributes:
+        life: The sender's generation.
+        host: At which the sender is reached.
+        port: At which the sender is reached.
+        joined: Whether the sender has joined the fleet.
+        answer: Whether this answers such a notice; then nothing follows.
+    """
 
     life: Count
     host: Host
@@ -102,13 +123,18 @@
 
 
 class Piece(Struct, frozen=True, array_like=True, tag=8):
-    """A part of all that I know; `last` ends it."""
+    """A part of the sender's membership view, in an exchange over TCP.
+
+    Attributes:
+        number: From 0 on.
+        last: Whether it is the last.
+    """
 
     number: Count
     last: bool
 
 
-#: What the view is told, and what the versioned state is (ballots.py).
+#: Of the membership view, and of replicated state (`replication/messages.py`).
 Message = Union[
     Hello,
     AliveNotice,
@@ -125,122 +151,124 @@
 
 
 class Packet(Struct, frozen=True, array_like=True):
-    """A message with who sends it and for which life of the receiver. `to`: 0 where that is not known, which only a
-    hello may say. `number`: grows with each message of a sender's life."""
+    """A message with its sender and the boot of the receiver that it is meant for.
+
+    Attributes:
+        sender: The sender's name.
+        boot: The sender's boot id, drawn at each start of a process.
+        to: The receiver's boot id; 0 where it is not known, which only a hello may say.
+        number: Grows with each packet of the sender's boot.
+        message: The message.
+        facts: Member states that go along.
+    """
 
     sender: Name
-    boot: Annotated[int, Meta(ge=1, le=(1 << 63) - 1)]
-    to: Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-    number: Annotated[int, Meta(ge=1, lt=1 << 62)]
+    boot: BootId
+    to: ReceiverBootId
+    number: SequenceNumber
     message: Message
     facts: tuple[MemberState, ...] = ()
 
 
 class _Envelope(Struct, array_like=True):
-    """A packet of which only the outside has been read."""
+    """A `Packet` of which the message and the member states are not decoded yet."""
 
     sender: Name
-    boot: Annotated[int, Meta(ge=1, le=(1 << 63) - 1)]
-    to: Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-    number: Annotated[int, Meta(ge=1, lt=1 << 62)]
+    boot: BootId
+    to: ReceiverBootId
+    number: SequenceNumber
     message: Raw
     facts: list[Raw] = []
 
 
-_encoder = msgspec.msgpack.Encoder()
-_envelope = msgspec.msgpack.Decoder(_Envelope)
-_message = msgspec.msgpack.Decoder(Message)
-_fact = msgspec.msgpack.Decoder(MemberState)
-
+_packet_encoder = msgspec.msgpack.Encoder()
+_envelope_decoder = msgspec.msgpack.Decoder(_Envelope)
+_message_decoder = msgspec.msgpack.Decoder(Message)
+_member_state_decoder = msgspec.msgpack.Decoder(MemberState)
 
-#: What the decoder raises for bytes that it can't read; text that is no UTF-8 and deep nesting are not its own errors.
+#: What the decoders raise for bytes that they can't read; invalid UTF-8 and deep nesting raise errors of their own.
 UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """A packet that a key of the fleet has sealed. `passed_over`: facts in it that this build can't read."""
+class OpenedPacket:
+    """A packet that was sealed with a key of the fleet.
+
+    Attributes:
+        packet: The packet.
+        unreadable_states: Member states in it that this build can't read.
+    """
 
     packet: Packet
-    size: int
-    passed_over: int
+    unreadable_states: int
 
 
 class Sealer:
-    """Seals with the first key and opens with any."""
+    """Seals packets with the first key and opens those that any of the keys has sealed.
+
+    Attributes:
+        keys: By key number.
+    """
 
     def __init__(self, keys: Sequence[bytes]) -> None:
-        """ValueError for none, too many, or one that has not KEY_BYTES."""
-        if not 1 <= len(keys) <= KEYS_MOST or any(len(key) != KEY_BYTES for key in keys):
-            raise ValueError(f"1 to {KEYS_MOST} keys of {KEY_BYTES} bytes are wanted")
+        """Take the keys, the sealing one first.
+
+        Raises:
+            KeyFileError: No key, too many, or one that has not KEY_BYTES.
+        """
+        if not 1 <= len(keys) <= MAX_KEYS or any(len(key) != KEY_BYTES for key in keys):
+            raise KeyFileError(f"1 to {MAX_KEYS} keys of {KEY_BYTES} bytes are wanted")
         self.keys: Mapping[int, bytes] = {key_number(key): key for key in keys}
-        self._first = key_number(keys[0])
+        self._sealing_number = key_number(keys[0])
 
     def seal(self, packet: Packet) -> bytes:
-        head = MARK + bytes((VERSION, self._first))
-        body = _encoder.encode(packet)
-        return head + _mac(self.keys[self._first], head, body) + body
-
-    def open(self, data: bytes, most: int = DATAGRAM_MOST) -> Opened:
-        """MessageError for all that no instance of this fleet has sent, or that this build can't read."""
-        if len(data) > most:
-            raise MessageError("too long")
-        if len(data) < HEAD + MAC or data[:2] != MARK:
-            raise MessageError("not ours")
-        if data[2] != VERSION:
-            raise MessageError("another form")
+        """Encode and seal a packet."""
+        header = MAGIC + bytes((FORMAT_VERSION, self._sealing_number))
+        body = _packet_encoder.encode(packet)
+        return header + compute_mac(self.keys[self._sealing_number], header, body) + body
+
+    def open(self, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> OpenedPacket:
+        """Check the seal and decode the packet.
+
+        Raises:
+            MessageError: No instance of this fleet has sent the bytes, or this build can't read them.
+        """
+        if len(data) > max_bytes:
+            raise MessageError(DropReason.TOO_LONG)
+        if len(data) < HEADER_BYTES + MAC_BYTES or data[:2] != MAGIC:
+            raise MessageError(DropReason.NOT_OURS)
+        if data[2] != FORMAT_VERSION:
+            raise MessageError(DropReason.OTHER_FORMAT)
         key = self.keys.get(data[3])
         if key is None:
-            raise MessageError("another key")
-        head, mac, body = data[:HEAD], data[HEAD : HEAD + MAC], data[HEAD + MAC :]
-        if not hmac.compare_digest(_mac(key, head, body), mac):
-            raise MessageError("forged")
-        return _read(body, len(data))
-
+            raise MessageError(DropReason.OTHER_KEY)
+        header = data[:HEADER_BYTES]
+        mac = data[HEADER_BYTES : HEADER_BYTES + MAC_BYTES]
+        body = data[HEADER_BYTES + MAC_BYTES :]
+        if not hmac.compare_digest(compute_mac(key, header, body), mac):
+            raise MessageError(DropReason.FORGED)
+        return _decode_packet(body)
 
-def _mac(key: bytes, head: bytes, body: bytes) -> bytes:
-    return blake3(head + body, key=key).digest(MAC)
 
+def compute_mac(key: bytes, header: bytes, body: bytes) -> bytes:
+    """The MAC of a packet."""
+    return blake3(header + body, key=key).digest(MAC_BYTES)
 
-def key_number(key: bytes) -> int:
-    """By which a message says which key it was sealed with; two keys in force must not share it."""
-    return blake3(b"number" + key).digest(1)[0]
 
-
-def _read(body: bytes, size: int) -> Opened:
+def _decode_packet(body: bytes) -> OpenedPacket:
     try:
-        found = _envelope.decode(body)
+        envelope = _envelope_decoder.decode(body)
     except UNREADABLE:
-        raise MessageError("not whole") from None
+        raise MessageError(DropReason.MALFORMED) from None
     try:
-        message: Message = _message.decode(found.message)
+        message: Message = _message_decoder.decode(envelope.message)
     except UNREADABLE:
-        raise MessageError("a kind that this build does not know") from None
-    facts = []
-    for raw in found.facts:
+        raise MessageError(DropReason.UNKNOWN_KIND) from None
+    states = []
+    for raw in envelope.facts:
         try:
-            facts.append(_fact.decode(raw))
+            states.append(_member_state_decoder.decode(raw))
         except UNREADABLE:
-            pass  # of a later build
-    packet = Packet(found.sender, found.boot, found.to, found.number, message, tuple(facts))
-    return Opened(packet, size, len(found.facts) - len(facts))
-
-
-def read_keys(text: str) -> list[bytes]:
-    """Keys of a file: a line of 64 hexadecimal digits each, the sealing one first; ValueError says what is wrong."""
-    lines = [line.strip() for line in text.splitlines()]
-    lines = [line for line in lines if line and not line.startswith("#")]
-    if not 1 <= len(lines) <= KEYS_MOST:
-        raise ValueError(f"{len(lines)} keys; 1 or {KEYS_MOST} are wanted, a line each")
-    keys = []
-    for number, line in enumerate(lines, 1):
-        try:
-            key = bytes.fromhex(line)
-        except ValueError:
-            key = b""
-        if len(key) != KEY_BYTES:
-            raise ValueError(f"key {number} is not {2 * KEY_BYTES} hexadecimal digits")
-        keys.append(key)
-    if len(keys) == KEYS_MOST and key_number(keys[0]) == key_number(keys[1]):
-        raise ValueError("the two keys can't be told apart by their numbers; make another")
-    return keys
+            continue  # of a later build
+    packet = Packet(envelope.sender, envelope.boot, envelope.to, envelope.number, message, tuple(states))
+    return OpenedPacket(packet, len(envelope.facts) - len(states))
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -12,6 +12,7 @@
 from scenes import fleet, held, row, run
 
 from loadbalancer.fleet import wire as form
+from loadbalancer.fleet.keys import key_number
 from loadbalancer.fleet.wire import Packet, Sealer
 from standins.askers import Askers
 from standins.processes import Fleet, until
@@ -248,7 +249,7 @@
             await until(told, "all have seen the broken file")
             for keys in ((old, new), (new, old), (new,)):
                 made.write_keys(*keys)
-                numbers = [f"{form.key_number(bytes.fromhex(key)):02x}" for key in keys]
+                numbers = [f"{key_number(bytes.fromhex(key)):02x}" for key in keys]
 
                 async def taken(wanted: list[str] = numbers) -> bool:
                     return all(one["keys"] == wanted for one in await made.statuses())
@@ -337,8 +338,8 @@
             one = made.all[0]
             boot = int((await one.read("fleet/members"))[0]["boot"], 16)
             body = msgspec.msgpack.encode(["i1", 77, boot, 5, [6], [["a", "later", "form"]]])
-            head = form.MARK + bytes((form.VERSION, form.key_number(KEY)))
-            made.network.inject(0, head + form._mac(KEY, head, body) + body)
+            head = form.MAGIC + bytes((form.FORMAT_VERSION, key_number(KEY)))
+            made.network.inject(0, head + form.compute_mac(KEY, head, body) + body)
 
             async def passed() -> bool:
                 return bool((await one.read("fleet/status"))["wire"].get("facts passed over"))
