--- a/loadbalancer/fleet/replication/events.py
+++ b/loadbalancer/fleet/replication/events.py
@@ -16,13 +16,17 @@
     Attributes:
         command: The command; its identifier is unique in the fleet.
         expires_at: When it is given up, in seconds on the replica's clock.
-        expected_version: The version that the command has to follow directly; -1 for any.
+        expected_version: The version that the command has to follow directly; negative for any.
     """
 
     command: Command
     expires_at: float
     expected_version: int = -1
 
+    def may_follow(self, version: int) -> bool:
+        """Whether the command may make the version after this one."""
+        return self.expected_version < 0 or self.expected_version == version
+
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
--- a/loadbalancer/fleet/replication/proposer.py
+++ b/loadbalancer/fleet/replication/proposer.py
@@ -192,7 +192,7 @@
             proposal: The first of the queue, or None to finish what was accepted and not decided.
         """
         version = self._context.state.version
-        if proposal is not None and 0 <= proposal.expected_version != version:
+        if proposal is not None and not proposal.may_follow(version):
             self._queue.popleft()
             reason = f"the state is at version {version}, not {proposal.expected_version}; it does not stand"
             self._complete(proposal, reason)
--- a/tests/fleet/test_versions_stateful.py
+++ b/tests/fleet/replication/test_replica_stateful.py
@@ -1,4 +1,4 @@
-"""The versioned state under a state machine of hypothesis: it looks for the shortest schedule that breaks a rule."""
+"""Replicas under a state machine of hypothesis: it looks for the shortest schedule that breaks a rule."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from test_versions_model import Watch, mark
+from replica_model import Invariants, override_command
 
 from emulator.fleetstate import Instance, StateModel
 
@@ -23,7 +23,7 @@
         self.model.delay, self.model.fsync = 0.03, 0.05
         for one in self.model.all.values():
             one.start()
-        self.watch = Watch(self.model)
+        self.checker = Invariants(self.model)
         self.changes = 0
 
     def one(self, number: int) -> Instance:
@@ -34,7 +34,7 @@
         one = self.one(number)
         if one.up and not one.stopped:
             self.changes += 1
-            one.propose(mark(self.changes, word=word))
+            one.propose(override_command(self.changes, word=word))
 
     @rule(number=NUMBERS)
     def dies_or_starts(self, number: int) -> None:
@@ -61,11 +61,11 @@
     def time_passes(self, steps: int) -> None:
         for _ in range(steps):
             self.model.run(0.02)
-            self.watch.look()
+            self.checker.check()
 
     @invariant()
     def all_holds(self) -> None:
-        self.watch.look()
+        self.checker.check()
 
     def teardown(self) -> None:
         """All heals: one state, whatever was done."""
@@ -76,8 +76,8 @@
             if not one.up:
                 one.start()
         assert self.model.until(lambda: self.model.agree() and self.model.open(), 15.0) is not None
-        self.watch.look()
-        self.watch.end()
+        self.checker.check()
+        self.checker.check_end()
 
 
 TestAgreeing = Agreeing.TestCase
