--- a/loadbalancer/fleet/membership/__init__.py
+++ b/loadbalancer/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances live: SWIM with Lifeguard's suspicion, gossip, and name conflicts. No I/O."""
+"""Which instances of the fleet live: SWIM with Lifeguard's suspicion, gossip and anti-entropy. No I/O."""
--- /dev/null
+++ b/loadbalancer/fleet/membership/dissemination.py
@@ -0,0 +1,108 @@
+"""Dissemination: each message carries member states, and what is new goes out at once (SWIM, section 4).
+
+Rules:
+
+1. Each message but hello and name-conflict notices carries as many states of the gossip queue as fit. A notice that an
+   instance is alive carries that instance's own state alone.
+2. A member that is not held alive gets the state in which it is held with each message, so that it may refute it.
+3. States that wait are sent to some members at fixed intervals whatever the pace of probes: an instance of poor local
+   health probes rarely, and must not be the last to spread what it knows.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import Sequence
+
+from loadbalancer.fleet.membership.context import ViewContext
+from loadbalancer.fleet.membership.events import SendPacket
+from loadbalancer.fleet.membership.gossip import GossipQueue
+from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus, encoded_size
+from loadbalancer.fleet.membership.member_table import Peer
+from loadbalancer.fleet.settings import Address
+from loadbalancer.fleet.wire import AliveNotice, GossipReply, Hello, Message, NameConflictNotice, Packet
+
+#: Members that get the queued states at each gossip interval.
+GOSSIP_FANOUT = 2
+
+
+class Dissemination:
+    """Sends messages with gossip on them; owns the gossip queue and its timer.
+
+    Attributes:
+        queue: Member states that are to be passed on.
+    """
+
+    def __init__(self, context: ViewContext) -> None:
+        self.queue = GossipQueue()
+        self._context = context
+        self._gossip_at = -math.inf
+
+    @property
+    def next_timer(self) -> float:
+        """When queued states are sent without waiting for another message."""
+        return self._gossip_at if len(self.queue) and self._context.table.living else math.inf
+
+    def run_timers(self, now: float) -> None:
+        """Send queued states to some members if their time has come (rule 3)."""
+        if now >= self._gossip_at and len(self.queue):
+            self._gossip_at = now + self._context.timers.gossip
+            self.spread(GOSSIP_FANOUT)
+
+    def spread(self, fanout: int) -> None:
+        """Send queued states to `fanout` random living members at once."""
+        living = self._context.table.living
+        for peer in self._context.random.sample(living, min(fanout, len(living))):
+            self.send_to(peer, GossipReply())
+
+    def send_to(self, peer: Peer, message: Message, *own_states: MemberState) -> None:
+        """Send a message to a member.
+
+        Args:
+            peer: The receiver.
+            message: What to send.
+            own_states: States that go along in any case, after the one of rule 2.
+        """
+        state = peer.state
+        required = own_states if state.status == MemberStatus.ALIVE else (state, *own_states)
+        self.send(state.address, state.boot, message, required, state.name)
+
+    def send(
+        self,
+        address: Address,
+        receiver_boot: int,
+        message: Message,
+        required: Sequence[MemberState] = (),
+        receiver_name: str = "",
+    ) -> None:
+        """Send a message with member states by rule 1.
+
+        Args:
+            address: The receiver's host and port.
+            receiver_boot: Boot id of the process that it is meant for, 0 for whichever is there.
+            message: What to send.
+            required: States that go along in any case.
+            receiver_name: The receiver's name, whose state is not gossiped to itself.
+        """
+        states: tuple[MemberState, ...] = ()
+        local = self._context.local
+        if isinstance(message, AliveNotice):
+            states = (local.state,) if local.is_member else ()
+        elif not isinstance(message, (Hello, NameConflictNotice)):
+            reserved_bytes = sum(map(encoded_size, required))
+            fleet_size = self._context.table.fleet_size
+            states = (*required, *self.queue.take(fleet_size, reserved_bytes, receiver_name))
+        self._context.request(SendPacket(address, receiver_boot, message, states))
+
+    def correct_sender(self, now: float, packet: Packet) -> None:
+        """Tell the sender of a packet that it is not held alive here, so that it may refute that.
+
+        At most once a probe timeout for each member: two that hold one another dead, and neither of which refutes it,
+        would otherwise answer each other without end.
+        """
+        peer = self._context.table.get_process(packet.sender, packet.boot)
+        if peer is None or peer.state.status == MemberStatus.ALIVE:
+            return
+        if now - peer.corrected_at >= self._context.timers.timeout:
+            peer.corrected_at = now
+            self.send_to(peer, GossipReply())
--- a/loadbalancer/fleet/membership/events.py
+++ b/loadbalancer/fleet/membership/events.py
@@ -1,4 +1,4 @@
-"""What happens to a view, and what it wants done."""
+"""What happens to a membership view (events), and what it wants done (actions)."""
 
 from __future__ import annotations
 
@@ -12,29 +12,40 @@
 
 @dataclass(frozen=True, slots=True)
 class PacketReceived:
-    """A message that a key of the fleet has sealed, and that has not come before."""
+    """A message has arrived.
+
+    Attributes:
+        packet: Sealed with a key of the fleet, and not a replay of an earlier one.
+    """
 
     packet: Packet
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """Time has come to `due`. All that had arrived by then was handed in before."""
+    """The time `next_timer` has come. All packets that had arrived by then were handed in before."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The process ends, and says so."""
+    """This process ends; the others are to be told."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessReplaced:
-    """Another process has taken this one's place."""
+    """A successor has taken this process's place (hot restart), and announces itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendPacket:
-    """Send one datagram. `to`: the receiver's life, 0 for any."""
+    """Send one datagram.
+
+    Attributes:
+        address: The receiver's host and port.
+        receiver_boot: Boot id of the process that it is meant for, 0 for whichever is there.
+        message: What to send.
+        member_states: Member states that go along with it.
+    """
 
     address: Address
     receiver_boot: int
@@ -44,7 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SynchronizeState:
-    """Give all that is known to one peer over TCP, in pieces, and hear all of its."""
+    """Exchange the whole member tables with one peer over TCP.
+
+    Attributes:
+        name: The peer's name.
+        boot: Boot id of its process.
+        address: Its host and port.
+    """
 
     name: str
     boot: int
@@ -53,7 +70,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipNotice:
-    """For the log."""
+    """Write a line to the log.
+
+    Attributes:
+        event: Stable name of what has happened.
+        text: Details.
+    """
 
     event: str
     text: str
--- a/loadbalancer/fleet/membership/failure_detector.py
+++ b/loadbalancer/fleet/membership/failure_detector.py
@@ -1,193 +1,178 @@
-"""Whom an instance probes, whom it asks to try in its place, and what it makes of silence. Pure; a part of view.py."""
+"""The failure detector: one member is probed at a time, directly and then through others (SWIM, section 3.1).
+
+Rules:
+
+1. In each probe interval the next member gets a ping. Without an ack in the probe timeout some others are asked to
+   probe it (ping-req), and it gets a second ping with this instance's own state, as it may not know this instance.
+2. Without any answer until the interval's end the member is suspected. The same silence counts against this instance's
+   local health: all helpers that sent neither ack nor nack, or one where nobody was asked.
+3. Interval and timeout are multiplied by the local health multiplier (local_health.py).
+4. Time in which this instance itself was stopped counts against nobody.
+"""
 
 from __future__ import annotations
 
 import math
-import random
+from dataclasses import dataclass
 
-from loadbalancer.fleet import wire as form
-from loadbalancer.fleet.membership.member_state import MemberStatus
+from loadbalancer.fleet.membership.context import ViewContext
+from loadbalancer.fleet.membership.dissemination import Dissemination
+from loadbalancer.fleet.membership.indirect_probes import IndirectProbes
+from loadbalancer.fleet.membership.local_health import LocalHealth
 from loadbalancer.fleet.membership.member_table import Peer
 from loadbalancer.fleet.membership.member_updates import MemberUpdates
-from loadbalancer.fleet.settings import Identity, Settings
-
-#: Requests of others that are open here at most; past it one asked gives way to the next.
-ASKED_MOST = 256
-#: Of the time that one who asks gives us, after which he hears that there is no answer yet.
-NACK_AFTER = 0.8
-#: Times the timeout that an answer is waited for after that.
-LATE = 4.0
+from loadbalancer.fleet.membership.probe_messages import ProbeMessages
+from loadbalancer.fleet.membership.probe_schedule import ProbeSchedule
+from loadbalancer.fleet.membership.state_synchronization import StateSynchronization
+from loadbalancer.fleet.wire import Ack, IndirectProbe, Nack, Packet, Ping
 
 
+@dataclass(slots=True)
 class _Probe:
-    """One that is under way. `turn`: when it began."""
-
-    __slots__ = ("asked", "nacks", "number", "peer", "turn")
-
-    def __init__(self, peer: Peer, number: int, turn: float) -> None:
-        self.peer, self.number, self.turn = peer, number, turn
-        self.asked = 0  # others that try in our place
-        self.nacks = 0  # of them that were heard
-
-
-class _Asked:
-    """One that is probed for another."""
-
-    __slots__ = ("asker", "due", "number", "told")
-
-    def __init__(self, asker: str, number: int, due: float) -> None:
-        self.asker, self.number, self.due = asker, number, due
-        self.told = False  # that there is no answer yet
-
-
-class FailureDetector(MemberUpdates):
-    """One probe at a time, in turns over all that live, each round in another order."""
-
-    def __init__(self, identity: Identity, settings: Settings, source: random.Random) -> None:
-        super().__init__(identity, settings, source)
-        self._ring: list[Peer] = []
+    """The probe that is under way.
+
+    Attributes:
+        peer: The member that is probed.
+        number: Number of its pings.
+        helpers: How many others were asked to probe it.
+        nacks: How many of them have sent a nack.
+    """
+
+    peer: Peer
+    number: int
+    helpers: int = 0
+    nacks: int = 0
+
+
+class FailureDetector:
+    """Probes members, answers probes, and reports members that do not answer to `MemberUpdates`.
+
+    Attributes:
+        health: This instance's local health.
+    """
+
+    def __init__(
+        self,
+        context: ViewContext,
+        dissemination: Dissemination,
+        updates: MemberUpdates,
+        schedule: ProbeSchedule,
+        synchronization: StateSynchronization,
+    ) -> None:
+        self.health = LocalHealth(context.timers.health_most)
+        self._context = context
+        self._dissemination = dissemination
+        self._updates = updates
+        self._schedule = schedule
+        self._synchronization = synchronization
+        self._messages = ProbeMessages(context, dissemination)
+        self._indirect_probes = IndirectProbes(context, dissemination, self._messages)
         self._probe: _Probe | None = None
-        self._turn_at = math.inf  # when the next begins
-        self._help_at = math.inf  # when others are asked
-        self._numbers = 0
-        self._for: dict[int, _Asked] = {}  # by the numbers of our pings
-        self._nack_at = math.inf
-
-    def _begin_probes(self, now: float) -> None:
-        self._turn_at = now + self.timers.period * self.random.random()
-        self._exchange_at = now + self.timers.exchange * (0.5 + self.random.random())
-
-    def _next_probe_step(self) -> float:
-        return min(self._turn_at, self._help_at, self._nack_at)
-
-    def _excuse(self, late: float) -> None:
-        """This instance was stopped for so long: no silence of that time counts (view.py, rule 6)."""
-        self.counters["stalls"] += 1
-        self.health.worse()
-        self._probe, self._help_at, self._turn_at = None, math.inf, self.now
-        self._for.clear()
-        for peer in self.table:
-            if peer.state.status == MemberStatus.SUSPECT:
-                peer.suspected_at = min(self.now, peer.suspected_at + late)  # one may be of this moment
-        self._rows_at = self.now
-
-    def _step_probes(self) -> None:
-        if self.now >= self._nack_at:
-            self._say_nacks()
-        if self.now >= self._help_at:
-            self._ask_others()
-        if self.now >= self._turn_at:
-            self._end_turn()
-            self._begin_turn()
-
-    def _begin_turn(self) -> None:
-        stretch = self.health.stretch
-        self._turn_at = self.now + self.timers.period * stretch * (0.9 + 0.2 * self.random.random())
-        self._probe, self._help_at = None, math.inf
-        peer = self._next()
+        self._interval_ends_at = math.inf
+        self._timeout_at = math.inf
+
+    # Time.
+
+    def start(self, now: float) -> None:
+        """Begin to probe, at a random time of the first interval."""
+        self._interval_ends_at = now + self._context.timers.period * self._context.random.random()
+
+    @property
+    def next_timer(self) -> float:
+        """When the probe under way, or one for another instance, needs attention."""
+        return min(self._interval_ends_at, self._timeout_at, self._indirect_probes.next_timer)
+
+    def run_timers(self, now: float) -> None:
+        """Do what is due: excuse a stall, send nacks, ask helpers, end an interval and begin the next."""
+        late = now - self._interval_ends_at
+        if late > self._context.timers.timeout:
+            self._excuse_stall(now, late)
+        self._indirect_probes.run_timers(now)
+        if now >= self._timeout_at:
+            self._request_indirect_probes()
+        if now >= self._interval_ends_at:
+            self._conclude_probe(now)
+            self._begin_interval(now)
+
+    def _excuse_stall(self, now: float, late: float) -> None:
+        """Give up all open probes after this instance was stopped for `late` seconds (rule 4)."""
+        self._context.counters["stalls"] += 1
+        self.health.degrade()
+        self._end_probe()
+        self._interval_ends_at = now
+        self._indirect_probes.clear()
+        self._updates.postpone_suspicions(now, late)
+
+    def _begin_interval(self, now: float) -> None:
+        """Ping the next member (rules 1 and 3)."""
+        timers = self._context.timers
+        multiplier = self.health.multiplier
+        jitter = 0.9 + 0.2 * self._context.random.random()
+        self._interval_ends_at = now + timers.period * multiplier * jitter
+        self._end_probe()
+        peer = self._schedule.next_target()
         if peer is not None:
-            self._probe = _Probe(peer, self._ping(peer), self.now)
-            self._help_at = self.now + self.timers.timeout * stretch
-
-    def _next(self) -> Peer | None:
-        while self._wanted:
-            peer = self._wanted.pop()
-            if peer.is_live:
-                return peer
-        while True:
-            if not self._ring:
-                self._ring = list(self.table.living)
-                self.random.shuffle(self._ring)
-                if not self._ring:
-                    return None
-            peer = self._ring.pop()
-            if peer.is_live:
-                return peer
-
-    def _ping(self, peer: Peer) -> int:
-        self._numbers += 1
-        self._tell_peer(peer, form.Ping(self._numbers, self.table.digest, self.phase))
-        return self._numbers
-
-    def _ask_others(self) -> None:
-        """The direct way may be lost alone: others try."""
-        self._help_at = math.inf
+            self._probe = _Probe(peer, self._messages.send_ping(peer))
+            self._timeout_at = now + timers.timeout * multiplier
+
+    def _end_probe(self) -> None:
+        self._probe = None
+        self._timeout_at = math.inf
+
+    def _request_indirect_probes(self) -> None:
+        """Have others probe the member: the direct way alone may be lost (rule 1)."""
+        self._timeout_at = math.inf
         probe = self._probe
         if probe is None:
             return
-        others = [one for one in self.table.living if one is not probe.peer]
-        chosen = self.random.sample(others, min(self.timers.helpers, len(others)))
-        probe.asked = len(chosen)
-        for one in chosen:
-            self._tell_peer(one, form.IndirectProbe(probe.number, probe.peer.state.name))
-        # And the direct way again, with our own word: it may be that we are not known there.
-        self._tell_peer(probe.peer, form.Ping(probe.number, self.table.digest, self.phase), self.own_state)
-
-    def _end_turn(self) -> None:
-        """Silence to its end: the other is suspected; helpers that were silent too speak against this instance."""
+        others = [peer for peer in self._context.table.living if peer is not probe.peer]
+        helpers = self._context.random.sample(others, min(self._context.timers.helpers, len(others)))
+        probe.helpers = len(helpers)
+        for helper in helpers:
+            self._dissemination.send_to(helper, IndirectProbe(probe.number, probe.peer.state.name))
+        self._messages.repeat_ping(probe.peer, probe.number, self._context.local.state)
+
+    def _conclude_probe(self, now: float) -> None:
+        """Suspect the member whose probe is still open at the end of its interval (rule 2)."""
         probe = self._probe
         if probe is None:
             return
         self._probe = None
-        self.health.worse(max(0, probe.asked - probe.nacks) if probe.asked else 1)
+        silent_helpers = max(0, probe.helpers - probe.nacks)
+        self.health.degrade(silent_helpers if probe.helpers else 1)
         if probe.peer.is_live:
-            self._suspect(probe.peer)
+            self._updates.suspect(now, probe.peer)
 
-    # What comes in.
+    # Messages.
 
-    def _on_ping(self, packet: form.Packet, message: form.Ping) -> None:
-        peer = self.table.get(packet.sender)
-        if peer is None or peer.state.boot != packet.boot:
-            return  # it is not known in this life yet; its word that it lives comes with it or soon
+    def on_ping(self, now: float, packet: Packet, message: Ping) -> None:
+        """Answer a member that is known in this process; another one's own state comes with the ping or soon."""
+        peer = self._context.table.get_process(packet.sender, packet.boot)
+        if peer is None:
+            return
         peer.phase = message.phase
-        self._tell_peer(peer, form.Ack(message.number, self.table.digest, self.phase))
-        self._differs(peer, message.digest)
+        self._messages.send_ack(peer, message.number)
+        self._synchronization.compare_digest(now, peer, message.digest)
 
-    def _on_ack(self, packet: form.Packet, message: form.Ack) -> None:
-        number = message.number
-        peer = self.table.get(packet.sender)
-        if peer is not None and peer.state.boot == packet.boot:
+    def on_ack(self, now: float, packet: Packet, message: Ack) -> None:
+        """End the probe that this answers, directly or through a helper."""
+        peer = self._context.table.get_process(packet.sender, packet.boot)
+        if peer is not None:
             peer.phase = message.phase
-            self._differs(peer, message.digest)
-        asked = self._for.pop(number, None)
-        if asked is not None:
-            self._pass_ack(asked)
+            self._synchronization.compare_digest(now, peer, message.digest)
+        self._indirect_probes.on_ack(message.number)
         probe = self._probe
-        if probe is not None and number == probe.number:
-            self._probe, self._help_at = None, math.inf
+        if probe is not None and message.number == probe.number:
+            self._end_probe()
             if packet.sender == probe.peer.state.name:
-                self.health.better()
+                self.health.improve()
 
-    def _pass_ack(self, asked: _Asked) -> None:
-        asker = self.table.get(asked.asker)
-        if asker is not None:
-            self._tell_peer(asker, form.Ack(asked.number, self.table.digest, self.phase))
+    def on_indirect_probe(self, now: float, packet: Packet, message: IndirectProbe) -> None:
+        """Probe a member for another instance."""
+        self._indirect_probes.on_request(now, packet, message)
 
-    def _on_ask(self, packet: form.Packet, message: form.IndirectProbe) -> None:
-        target = self.table.get(message.target)
-        if target is None or self.table.get(packet.sender) is None:
-            return
-        if len(self._for) >= ASKED_MOST:
-            del self._for[next(iter(self._for))]
-        due = self.now + NACK_AFTER * self.timers.timeout
-        self._for[self._ping(target)] = _Asked(packet.sender, message.number, due)
-        self._nack_at = min(self._nack_at, due)
-
-    def _say_nacks(self) -> None:
-        """Who asks hears once that there is no answer yet; one that comes a little later still passes on."""
-        self._nack_at = math.inf
-        for number, asked in list(self._for.items()):
-            if self.now >= asked.due:
-                if asked.told:
-                    del self._for[number]
-                    continue
-                asked.told, asked.due = True, self.now + LATE * self.timers.timeout
-                asker = self.table.get(asked.asker)
-                if asker is not None:
-                    self._tell_peer(asker, form.Nack(asked.number))
-            self._nack_at = min(self._nack_at, asked.due)
-
-    def _on_nack(self, packet: form.Packet, message: form.Nack) -> None:
+    def on_nack(self, message: Nack) -> None:
+        """Count a helper that can be reached, and has no answer either."""
         probe = self._probe
         if probe is not None and message.number == probe.number:
             probe.nacks += 1
--- a/loadbalancer/fleet/membership/gossip.py
+++ b/loadbalancer/fleet/membership/gossip.py
@@ -1,8 +1,8 @@
-"""Words that are passed on with other messages, a bounded number of times each. Pure.
+"""The gossip queue: member states that ride on other messages, each a bounded number of times (SWIM, section 4.1).
 
-Of one name there is one word, the greatest. Those told least often go first, so that a new one leaves with the next
-message; a word is dropped once it has been told some times the logarithm of the fleet, by when all have heard it with
-high probability (SWIM, section 4.1).
+For each name the queue holds one state, the latest that was added. States that were sent least often go first, so that
+a new one leaves with the next message. A state is dropped once it was sent as often as a multiple of the logarithm of
+the fleet's size; by then all members have received it with high probability.
 """
 
 from __future__ import annotations
@@ -13,76 +13,89 @@
 from loadbalancer.fleet.membership.member_state import MemberState, encoded_size
 from loadbalancer.fleet.wire import FACTS_MOST
 
-#: Times the logarithm (base 2) of the fleet that a word is told.
-TELL = 3
-#: Words that wait at most; past it those that were told most often go.
-WAITING_MOST = 4_096
-#: Bytes of the shortest word.
-LEAST = 32
+#: Transmissions of a state, as a multiple of the binary logarithm of the fleet's size.
+RETRANSMIT_MULTIPLIER = 3
+#: States in the queue; past it those that were sent most often are dropped.
+MAX_QUEUED_STATES = 4_096
+#: Bytes of the shortest state.
+MIN_STATE_BYTES = 32
 
 
-class _Word:
-    __slots__ = ("fact", "size", "told")
+class _QueuedState:
+    __slots__ = ("size", "state", "transmissions")
 
-    def __init__(self, fact: MemberState) -> None:
-        self.fact, self.size, self.told = fact, encoded_size(fact), 0
+    def __init__(self, state: MemberState) -> None:
+        self.state = state
+        self.size = encoded_size(state)
+        self.transmissions = 0
 
 
 class GossipQueue:
-    """By how often they were told, the latest come first among those told alike."""
+    """Member states ordered by transmissions; of those sent equally often the latest added comes first."""
 
     def __init__(self) -> None:
-        self._levels: list[dict[str, _Word]] = [{}]  # by how often told; in a level by name
-        self._at: dict[str, int] = {}  # the level of each name
+        #: By number of transmissions, and within that by name.
+        self._levels: list[dict[str, _QueuedState]] = [{}]
+        self._level_of: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._at)
+        return len(self._level_of)
 
     def __iter__(self) -> Iterator[MemberState]:
-        return (word.fact for level in self._levels for word in level.values())
-
-    def add(self, fact: MemberState) -> None:
-        """In the place of what was to be told of that name."""
-        self.drop(fact.name)
-        if len(self._at) >= WAITING_MOST:
-            worst = next(level for level in reversed(self._levels) if level)
-            self.drop(next(iter(worst)))
-        self._levels[0][fact.name] = _Word(fact)
-        self._at[fact.name] = 0
-
-    def drop(self, name: str) -> None:
-        level = self._at.pop(name, None)
+        return (queued.state for level in self._levels for queued in level.values())
+
+    def add(self, state: MemberState) -> None:
+        """Queue a state in the place of the one that was queued for its name."""
+        self.discard(state.name)
+        if len(self._level_of) >= MAX_QUEUED_STATES:
+            most_sent = next(level for level in reversed(self._levels) if level)
+            self.discard(next(iter(most_sent)))
+        self._levels[0][state.name] = _QueuedState(state)
+        self._level_of[state.name] = 0
+
+    def discard(self, name: str) -> None:
+        """Remove the state that is queued for a name, if there is one."""
+        level = self._level_of.pop(name, None)
         if level is not None:
             del self._levels[level][name]
 
-    def take(self, fleet: int, spared: int = 0, but: str = "") -> list[MemberState]:
-        """Those that go along with one message, which holds `spared` bytes of others already; each counts as told.
-        `but`: the name that the receiver hears of by other means."""
-        most = self.times(fleet)
-        room, found = FACTS_MOST - spared, []
+    def take(self, fleet_size: int, reserved_bytes: int = 0, except_name: str = "") -> list[MemberState]:
+        """Choose states for one message, and count them as sent.
+
+        Args:
+            fleet_size: How many members live; bounds the transmissions of each state.
+            reserved_bytes: Bytes that the message's other member states take.
+            except_name: A name whose state the receiver gets by other means.
+        """
+        limit = self.max_transmissions(fleet_size)
+        room = FACTS_MOST - reserved_bytes
+        chosen: list[_QueuedState] = []
         for level in self._levels:
-            for word in reversed(level.values()):
-                if room < LEAST:
+            for queued in reversed(level.values()):
+                if room < MIN_STATE_BYTES:
                     break
-                if word.size <= room and word.fact.name != but:
-                    room -= word.size
-                    found.append(word)
-        for word in found:
-            self._told(word, most)
-        return [word.fact for word in found]
+                if queued.size <= room and queued.state.name != except_name:
+                    room -= queued.size
+                    chosen.append(queued)
+        for queued in chosen:
+            self._count_transmission(queued, limit)
+        return [queued.state for queued in chosen]
 
     @staticmethod
-    def times(fleet: int) -> int:
-        return TELL * math.ceil(math.log2(fleet + 1)) if fleet > 0 else TELL
-
-    def _told(self, word: _Word, most: int) -> None:
-        name = word.fact.name
-        del self._levels[self._at[name]][name]
-        word.told += 1
-        if word.told >= most:
-            del self._at[name]
+    def max_transmissions(fleet_size: int) -> int:
+        """Return how often a state is sent in a fleet of this size."""
+        if fleet_size <= 0:
+            return RETRANSMIT_MULTIPLIER
+        return RETRANSMIT_MULTIPLIER * math.ceil(math.log2(fleet_size + 1))
+
+    def _count_transmission(self, queued: _QueuedState, limit: int) -> None:
+        name = queued.state.name
+        del self._levels[self._level_of[name]][name]
+        queued.transmissions += 1
+        if queued.transmissions >= limit:
+            del self._level_of[name]
             return
-        while len(self._levels) <= word.told:
+        while len(self._levels) <= queued.transmissions:
             self._levels.append({})
-        self._levels[word.told][name] = word
-        self._at[name] = word.told
+        self._levels[queued.transmissions][name] = queued
+        self._level_of[name] = queued.transmissions
--- a/loadbalancer/fleet/membership/member_table.py
+++ b/loadbalancer/fleet/membership/member_table.py
@@ -1,11 +1,11 @@
-"""What an instance holds of the others: one row a name, and a digest of those that live. Pure.
+"""The member table: what an instance holds of every other one, and a digest of those that live.
 
 Rules:
 
-1. A row changes only to a greater word (facts.py, rule 3).
-2. Of a name that is not known, only a word that it lives makes a row: what others remember of the dead spreads no
-   further, so that all forget them in the end.
-3. At most NAMES_MOST names; past it a new one is not taken, and counted.
+1. A row changes only to a state of greater rank (member_state.py, rule 3).
+2. A name that is not in the table gets a row only by a state that says that it lives. So what others remember of the
+   dead spreads no further, and all instances forget them in the end.
+3. The table holds at most MAX_NAMES names. A new one past that is refused, and counted.
 """
 
 from __future__ import annotations
@@ -13,135 +13,188 @@
 import math
 from typing import Iterator
 
-from loadbalancer.fleet.membership.member_state import DIGESTS, LIVING, MemberState, MemberStatus, digest_of
+from loadbalancer.fleet.membership.member_state import DIGEST_MODULUS, MemberState, MemberStatus, digest_of
+from loadbalancer.fleet.membership.suspicion import Suspicion
 
-NAMES_MOST = 4_096
-#: The phase of a life that has just begun, until it says more (comeback.py).
+MAX_NAMES = 4_096
+#: The recovery phase of a generation that has just begun, until it reports one (RecoveryPhase.FINDING).
 COMING = 1
-#: Of one that has not said anything itself.
+#: The recovery phase of a member that has not reported any.
 NOT_HEARD = -1
+#: The digest of a member that has not reported any.
+NO_DIGEST = -1
 
 
 class Peer:
-    """One name as it is held here. Times on the clock that is handed in."""
+    """One row: another member as this instance holds it. Times are seconds on the view's clock.
+
+    Attributes:
+        state: The state of greatest rank that was received.
+        status_since: Since when it has this status in this generation.
+        last_heard_at: When its last message arrived, in this generation.
+        digest: The digest of its table, as it reported last; NO_DIGEST before.
+        digest_at: When it reported that.
+        phase: Its recovery phase, as it reported last; NOT_HEARD before.
+        corrected_at: When it was last told that it is not held alive here.
+        suspicion: Who suspects it since when; of meaning while its status is SUSPECT.
+        reconnect_at: While it is dead: when to call it next.
+        reconnect_interval: While it is dead: seconds from the last call to the next, before jitter.
+        live_index: Its place in the table's list of living members, -1 where it does not live.
+    """
 
     __slots__ = (
-        "accusers",
         "corrected_at",
         "digest",
         "digest_at",
-        "state",
-        "heard_at",
+        "last_heard_at",
+        "live_index",
         "phase",
-        "ring",
-        "since",
-        "suspected_at",
-        "try_after",
-        "try_at",
+        "reconnect_at",
+        "reconnect_interval",
+        "state",
+        "status_since",
+        "suspicion",
     )
 
-    def __init__(self, fact: MemberState, now: float) -> None:
-        self.state = fact
-        self.since = now  # that it stands as it does
-        self.heard_at = -math.inf  # a message of its own
-        self.digest, self.digest_at = -1, -math.inf  # that it told last
-        self.phase = NOT_HEARD  # of its coming back, as it told last
-        self.corrected_at = -math.inf  # when it last heard what is held of it
-        self.accusers: set[str] = set()
-        self.suspected_at = now
-        self.try_at, self.try_after = math.inf, 0.0  # while it is dead
-        self.ring = -1  # its place among those that are probed
+    def __init__(self, state: MemberState, now: float) -> None:
+        self.state = state
+        self.status_since = now
+        self.last_heard_at = -math.inf
+        self.digest = NO_DIGEST
+        self.digest_at = -math.inf
+        self.phase = NOT_HEARD
+        self.corrected_at = -math.inf
+        self.suspicion = Suspicion(now)
+        self.reconnect_at = math.inf
+        self.reconnect_interval = 0.0
+        self.live_index = -1
 
     @property
     def is_live(self) -> bool:
-        return self.state.status in LIVING
+        """Whether it is alive or suspect."""
+        return self.state.is_live
+
+    def begin_generation(self) -> None:
+        """Drop what another process under this name has reported."""
+        self.digest = NO_DIGEST
+        self.digest_at = -math.inf
+        self.last_heard_at = -math.inf
+        self.phase = COMING
 
 
 class MemberTable:
-    """Of the others; the instance itself is counted in by `me`."""
+    """Rows of all other members, by name, and the digest of the fleet's living members.
+
+    This instance has no row; `replace_own_state` counts it into the digest.
+
+    Attributes:
+        peers: The rows by name.
+        refused: How many states were refused by rule 3.
+        changed_at: When the digest last changed, in seconds on the view's clock.
+    """
 
     def __init__(self) -> None:
         self.peers: dict[str, Peer] = {}
-        self.refused = 0  # names past NAMES_MOST
+        self.refused = 0
+        self.changed_at = -math.inf
         self._living: list[Peer] = []
-        self._sum = 0
-        self.changed_at = -math.inf  # when the digest last did
+        self._digest = 0
 
     def __iter__(self) -> Iterator[Peer]:
         return iter(self.peers.values())
 
     def get(self, name: str) -> Peer | None:
+        """Return the row of a name, None for one that is not in the table."""
         return self.peers.get(name)
 
+    def get_process(self, name: str, boot: int) -> Peer | None:
+        """Return the row of a name if it is of the process with this boot id."""
+        peer = self.peers.get(name)
+        return peer if peer is not None and peer.state.boot == boot else None
+
     @property
     def living(self) -> list[Peer]:
-        """Not to be changed by the caller; in no order."""
+        """Members that live, in no order. The caller must not change the list."""
         return self._living
 
     @property
-    def digest(self) -> int:
-        return self._sum
-
-    def count_me(self, fact: MemberState, before: MemberState | None, now: float) -> None:
-        """The instance itself, in the place of what it was."""
-        if before is not None:
-            self._add(before, -1, now)
-        self._add(fact, 1, now)
+    def fleet_size(self) -> int:
+        """How many members live, this instance included."""
+        return len(self._living) + 1
 
-    def _add(self, fact: MemberState, sign: int, now: float) -> None:
-        if fact.status in LIVING:
-            self._sum = (self._sum + sign * digest_of(fact.name, fact.boot, fact.incarnation)) % DIGESTS
+    @property
+    def digest(self) -> int:
+        """Sum of the digests of all living members, this instance included while it is a member."""
+        return self._digest
+
+    def replace_own_state(self, state: MemberState, previous: MemberState | None, now: float) -> None:
+        """Count this instance into the digest by `state`, in the place of `previous`."""
+        if previous is not None:
+            self._count(previous, -1, now)
+        self._count(state, 1, now)
+
+    def _count(self, state: MemberState, sign: int, now: float) -> None:
+        if state.is_live:
+            part = digest_of(state.name, state.boot, state.incarnation)
+            self._digest = (self._digest + sign * part) % DIGEST_MODULUS
             self.changed_at = now
 
-    def take(self, fact: MemberState, now: float) -> Peer | None:
-        """The row that changes by this word; None where it says nothing new."""
-        peer = self.peers.get(fact.name)
+    def apply(self, state: MemberState, now: float) -> Peer | None:
+        """Take a state into the table by rules 1 to 3.
+
+        Returns:
+            The row that has changed, None where the state says nothing new.
+        """
+        peer = self.peers.get(state.name)
         if peer is None:
-            return self._first(fact, now)
-        if fact.rank <= peer.state.rank:
+            return self._add(state, now)
+        if state.rank <= peer.state.rank:
             return None
-        before = peer.state
-        if (before.boot, before.incarnation) != (fact.boot, fact.incarnation) or peer.is_live != (
-            fact.status in LIVING
-        ):
-            self._add(before, -1, now)
-            self._add(fact, 1, now)
-        if before.status != fact.status or before.boot != fact.boot:
-            peer.since = now
-        if before.boot != fact.boot:
-            peer.digest, peer.digest_at, peer.heard_at, peer.phase = -1, -math.inf, -math.inf, COMING
-        was_living = peer.is_live
-        peer.state = fact
-        if fact.status != MemberStatus.SUSPECT:
-            peer.accusers.clear()
-        if peer.is_live != was_living:
-            self._enter(peer) if peer.is_live else self._leave(peer)
+        self._update_digest(peer.state, state, now)
+        previous, peer.state = peer.state, state
+        if previous.status != state.status or previous.boot != state.boot:
+            peer.status_since = now
+        if previous.boot != state.boot:
+            peer.begin_generation()
+        if state.status != MemberStatus.SUSPECT:
+            peer.suspicion.reporters.clear()
+        if state.is_live and not previous.is_live:
+            self._list_as_living(peer)
+        elif previous.is_live and not state.is_live:
+            self._unlist(peer)
         return peer
 
-    def _first(self, fact: MemberState, now: float) -> Peer | None:
-        if fact.status not in LIVING:
+    def _update_digest(self, previous: MemberState, state: MemberState, now: float) -> None:
+        same_process = (previous.boot, previous.incarnation) == (state.boot, state.incarnation)
+        if not same_process or previous.is_live != state.is_live:
+            self._count(previous, -1, now)
+            self._count(state, 1, now)
+
+    def _add(self, state: MemberState, now: float) -> Peer | None:
+        if not state.is_live:
             return None
-        if len(self.peers) >= NAMES_MOST:
+        if len(self.peers) >= MAX_NAMES:
             self.refused += 1
             return None
-        peer = self.peers[fact.name] = Peer(fact, now)
-        self._add(fact, 1, now)
-        self._enter(peer)
+        peer = self.peers[state.name] = Peer(state, now)
+        self._count(state, 1, now)
+        self._list_as_living(peer)
         return peer
 
     def forget(self, name: str) -> None:
-        """One that does not live."""
+        """Remove the row of a member that does not live."""
         peer = self.peers[name]
         assert not peer.is_live
         del self.peers[name]
 
-    def _enter(self, peer: Peer) -> None:
-        peer.ring = len(self._living)
+    def _list_as_living(self, peer: Peer) -> None:
+        peer.live_index = len(self._living)
         self._living.append(peer)
 
-    def _leave(self, peer: Peer) -> None:
+    def _unlist(self, peer: Peer) -> None:
+        """Take it off the list in constant time: the last one takes its place."""
         last = self._living.pop()
         if last is not peer:
-            self._living[peer.ring] = last
-            last.ring = peer.ring
-        peer.ring = -1
+            self._living[peer.live_index] = last
+            last.live_index = peer.live_index
+        peer.live_index = -1
--- a/loadbalancer/fleet/membership/name_conflicts.py
+++ b/loadbalancer/fleet/membership/name_conflicts.py
@@ -1,147 +1,164 @@
-"""Two lives under one name: which one is over, and which one stays out. Pure; a part of view.py.
+"""What others state of this instance's own name: refutation, earlier generations, and two processes under one name.
 
 Rules:
 
-1. A life that stands at this instance's own address, or is known dead or to have left, is over: its place is ours.
-2. Any other is asked first, and is over if it does not answer.
-3. Of two that live, the one that counts as one of the fleet stays; of two that both do, the earlier life; of two that
-   both join, the lower boot id. The other stays out, and both say so.
+1. A suspicion, or worse, of this process is refuted by a greater incarnation. It also counts against the local health.
+2. Another process under this name whose generation is over (it does not live, or had this instance's address) makes
+   this one the generation after it.
+3. Another process that may live is asked (name-conflict notice). Without an answer within ANSWER_TIMEOUTS probe
+   timeouts it counts as over.
+4. Of two living processes one stays out. A member stays before one that is not; of two members the one of the earlier
+   generation (then the smaller boot id) stays, of two joining ones the one with the smaller boot id.
+5. The one that stays takes a generation above the other's; the one that is out comes in once rule 2 applies.
 """
 
 from __future__ import annotations
 
 import math
-import random
 
-from loadbalancer.fleet import wire as form
-from loadbalancer.fleet.membership.failure_detector import FailureDetector
-from loadbalancer.fleet.membership.member_state import LIVING, MemberState, MemberStatus
-from loadbalancer.fleet.settings import Address, Identity, Settings
-
-#: Times the timeout that another life of our name has for an answer.
-ANSWER = 8.0
-
-
-class NameConflicts(FailureDetector):
-    """What is said of this instance's own name."""
-
-    def __init__(self, identity: Identity, settings: Settings, source: random.Random) -> None:
-        super().__init__(identity, settings, source)
-        self.name_lost = False  # another process has the name
-        self._rival: MemberState | None = None  # another life, until it is known whether it lives
-        self._rival_until = math.inf
-
-    def _said_of_me(self, fact: MemberState) -> None:
-        mine = self.own_state
-        if fact.boot == self.identity.boot:
-            if fact.status != MemberStatus.ALIVE and self.joined and fact.incarnation >= mine.incarnation:
-                self.counters["refuted"] += 1
-                self.health.worse()
-                self._become(mine.life, fact.incarnation + 1)
-            return
-        if (fact.life, fact.boot) < (mine.life, mine.boot) and self.joined:
-            return  # a life that is over
-        if fact.status not in LIVING or fact.address == self.identity.address:
-            self._succeed(fact)
-        elif self._rival is None or fact.rank > self._rival.rank:
-            self._rival, self._rival_until = fact, self.now + ANSWER * self.timers.timeout
-            self._tell(fact.address, fact.boot, self._clash(False))
-
-    def _succeed(self, over: MemberState) -> None:
-        """The other life of our name is over; ours comes after it."""
-        self._rival, self._rival_until = None, math.inf
-        life = max(self.own_state.life, over.life + 1)
-        if self.joined:
-            self._become(life, 0)
-        elif self.name_lost:
-            self._enter(life)
+from loadbalancer.fleet.membership.context import ViewContext
+from loadbalancer.fleet.membership.dissemination import Dissemination
+from loadbalancer.fleet.membership.lifecycle import Lifecycle
+from loadbalancer.fleet.membership.local_health import LocalHealth
+from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.settings import Address
+from loadbalancer.fleet.wire import Hello, NameConflictNotice, Packet
+
+#: Probe timeouts that another process under our name has for an answer.
+ANSWER_TIMEOUTS = 8.0
+
+
+class NameConflicts:
+    """Decides which process has this instance's name; owns the check of another one and its timer."""
+
+    def __init__(
+        self,
+        context: ViewContext,
+        dissemination: Dissemination,
+        lifecycle: Lifecycle,
+        health: LocalHealth,
+    ) -> None:
+        self._context = context
+        self._local = context.local
+        self._dissemination = dissemination
+        self._lifecycle = lifecycle
+        self._health = health
+        self._rival: MemberState | None = None
+        self._rival_answers_by = math.inf
+
+    @property
+    def is_undecided(self) -> bool:
+        """Whether another process under this name has been asked whether it lives."""
+        return self._rival is not None
+
+    @property
+    def next_timer(self) -> float:
+        """When the other process counts as over without an answer."""
+        return self._rival_answers_by
+
+    def run_timers(self, now: float) -> None:
+        """Take the name where the other process has not answered in time (rule 3)."""
+        if self._rival is not None and now >= self._rival_answers_by:
+            self._succeed(now, self._rival)
+
+    # What is stated of our name.
+
+    def on_state(self, now: float, state: MemberState) -> None:
+        """Judge a state of this instance's own name that another one has sent."""
+        local = self._local
+        own = local.state
+        if state.boot == local.identity.boot:
+            self._refute(now, state)
+        elif (state.generation, state.boot) < (own.generation, own.boot) and local.is_member:
+            return  # a generation that is over
+        elif not state.is_live or state.address == local.identity.address:
+            self._succeed(now, state)
+        elif self._rival is None or state.rank > self._rival.rank:
+            self._rival = state
+            self._rival_answers_by = now + ANSWER_TIMEOUTS * self._context.timers.timeout
+            self._send_notice(state.address, state.boot, is_answer=False)
+
+    def _refute(self, now: float, state: MemberState) -> None:
+        """Raise the incarnation where this process is not held alive (rule 1)."""
+        own = self._local.state
+        is_accused = state.status != MemberStatus.ALIVE and state.incarnation >= own.incarnation
+        if self._local.is_member and is_accused:
+            self._context.counters["refuted"] += 1
+            self._health.degrade()
+            self._lifecycle.change_state(now, own.generation, state.incarnation + 1)
+
+    def _succeed(self, now: float, ended: MemberState) -> None:
+        """Become the generation after one that is over (rule 2)."""
+        self._forget_rival()
+        local = self._local
+        generation = max(local.state.generation, ended.generation + 1)
+        if local.is_member:
+            self._lifecycle.change_state(now, generation, 0)
+        elif local.is_out:
+            self._lifecycle.join(now, generation)
         else:
-            self.own_state = self._fact(life, 0)
+            local.state = local.describe(generation, 0)
 
-    def _look_for_rival(self) -> None:
-        """Nobody has answered at the place of the other life for as long as it had."""
-        if self._rival is not None and self.now >= self._rival_until:
-            self._succeed(self._rival)
+    def _forget_rival(self) -> None:
+        self._rival = None
+        self._rival_answers_by = math.inf
 
-    def _clash(self, answer: bool) -> form.NameConflictNotice:
-        return form.NameConflictNotice(self.own_state.life, *self.identity.address, self.joined, answer)
+    # What another process under our name sends.
 
-    def _meet_namesake(self, packet: form.Packet) -> None:
-        """A message of another process under our name."""
-        message = packet.message
-        if packet.boot == self.identity.boot:
+    def on_packet(self, now: float, packet: Packet) -> None:
+        """Handle a message whose sender has this instance's name."""
+        identity = self._local.identity
+        if packet.boot == identity.boot:
             return
-        if isinstance(message, form.NameConflictNotice) and packet.to == self.identity.boot:
-            self._on_clash(packet, message)
-        elif isinstance(message, form.Hello) and self.joined:
+        message = packet.message
+        if isinstance(message, NameConflictNotice) and packet.to == identity.boot:
+            self._on_notice(now, packet.boot, message)
+        elif isinstance(message, Hello) and self._local.is_member:
             address = message.host, message.port
-            if address != self.identity.address:  # else it was sent before we began
-                self._stay(packet.boot, address, True)
+            if address != identity.address:  # else an earlier process at this address has sent it
+                self._keep_name(packet.boot, address, answers=True)
 
-    def _on_clash(self, packet: form.Packet, message: form.NameConflictNotice) -> None:
-        if packet.sender != self.identity.name:
-            return
-        self._rival, self._rival_until = None, math.inf
+    def _on_notice(self, now: float, boot: int, message: NameConflictNotice) -> None:
+        self._forget_rival()
         address = message.host, message.port
-        if message.joined != self.joined:
-            stays = self.joined
-        elif self.joined:
-            stays = (self.own_state.life, self.own_state.boot) < (message.life, packet.boot)
-        else:
-            stays = self.own_state.boot < packet.boot
-        if not stays:
-            if not self.name_lost:
-                self._stay_out(packet.boot, address, not message.answer)
+        if not self._has_precedence(boot, message):
+            if not self._local.is_out:
+                self._yield_name(now, boot, address, answers=not message.answer)
             return
-        self._stay(packet.boot, address, not message.answer)
-        if self.joined and message.life >= self.own_state.life:
-            self._become(message.life + 1, 0)
-
-    def _stay(self, boot: int, address: Address, answers: bool) -> None:
-        self.counters["clashes"] += 1
-        place = f"{address[0]}:{address[1]}"
-        self._note(
-            "two instances under one name", f"{self.identity.name} is at {place} too; that one stays out"
-        )
+        self._keep_name(boot, address, answers=not message.answer)
+        if self._local.is_member and message.life >= self._local.state.generation:
+            self._lifecycle.change_state(now, message.life + 1, 0)
+
+    def _has_precedence(self, boot: int, message: NameConflictNotice) -> bool:
+        """Return whether this process keeps the name (rule 4)."""
+        own = self._local.state
+        if message.joined != self._local.is_member:
+            return self._local.is_member
+        if self._local.is_member:
+            return (own.generation, own.boot) < (message.life, boot)
+        return own.boot < boot
+
+    def _keep_name(self, boot: int, address: Address, answers: bool) -> None:
+        self._report_conflict(address, " too; that one stays out")
         if answers:
-            self._tell(address, boot, self._clash(True))
+            self._send_notice(address, boot, is_answer=True)
 
-    def _stay_out(self, boot: int, address: Address, answers: bool) -> None:
-        if self.joined:
-            self._spread_leaving()
-        self.name_lost = True
-        self.counters["clashes"] += 1
-        place = f"{address[0]}:{address[1]}"
-        self._note("two instances under one name", f"{self.identity.name} is at {place}; this one stays out")
+    def _yield_name(self, now: float, boot: int, address: Address, answers: bool) -> None:
+        if self._local.is_member:
+            self._lifecycle.leave(now)
+        self._local.stay_out()
+        self._report_conflict(address, "; this one stays out")
         if answers:
-            self._tell(address, boot, self._clash(True))
-
-    # In and out.
-
-    def _enter(self, life: int) -> None:
-        """Count as one of the fleet from here on, and tell some at once."""
-        self.own_state = self._fact(max(1, life), 0)
-        self.joined, self.name_lost = True, False
-        self.table.count_me(self.own_state, None, self.now)
-        self._begin_probes(self.now)
-        self._announce()
+            self._send_notice(address, boot, is_answer=True)
 
-    def _become(self, life: int, incarnation: int) -> None:
-        before, self.own_state = self.own_state, self._fact(life, incarnation)
-        self.table.count_me(self.own_state, before, self.now)
-        self._announce()
-
-    def _announce(self) -> None:
-        self.rumours.add(self.own_state)
-        self._spread(self.timers.helpers)
-
-    def _spread_leaving(self) -> None:
-        gone = self._fact(self.own_state.life, self.own_state.incarnation, MemberStatus.LEFT)
-        self.table.count_me(gone, self.own_state, self.now)
-        self.own_state, self.joined = gone, False
-        self.rumours.add(gone)
-        self._spread(LEAVING)
-
-
-#: Others that hear directly of one that leaves; they pass it on.
-LEAVING = 16
+    def _report_conflict(self, address: Address, decision: str) -> None:
+        self._context.counters["clashes"] += 1
+        place = f"{address[0]}:{address[1]}"
+        text = f"{self._local.identity.name} is at {place}{decision}"
+        self._context.notify("two instances under one name", text)
+
+    def _send_notice(self, address: Address, boot: int, is_answer: bool) -> None:
+        local = self._local
+        generation = local.state.generation
+        notice = NameConflictNotice(generation, *local.identity.address, local.is_member, is_answer)
+        self._dissemination.send(address, boot, notice)
--- a/loadbalancer/fleet/membership/suspicion.py
+++ b/loadbalancer/fleet/membership/suspicion.py
@@ -1,8 +1,7 @@
-"""How long a suspicion lasts, and how an instance that is slow itself holds back (Lifeguard, IV.A and B). Pure.
+"""How long a suspicion lasts (Lifeguard, section IV.B).
 
-A suspicion begins with the greatest time and is shortened by each other instance that suspects too; so one that is
-alone with its doubt waits, and a crash that all see is settled soon. An instance whose own probes fail, whose helpers
-are silent, or which is suspected itself, takes it that the fault is its own and stretches its timers.
+A suspicion begins with the longest timeout, which each further instance that suspects the same member shortens. So an
+instance that is alone with its suspicion waits for others, and a crash that all of them see is decided soon.
 """
 
 from __future__ import annotations
@@ -12,36 +11,55 @@
 from loadbalancer.fleet.settings import Timers
 
 
-def bounds(timers: Timers, fleet: int) -> tuple[float, float]:
-    """Least and greatest seconds of a suspicion in a fleet of so many living."""
-    least = timers.suspicion * timers.period * max(1.0, math.log10(max(1, fleet)))
-    return least, least * timers.patience
+class Suspicion:
+    """The suspicion of one member.
 
+    Attributes:
+        started_at: When it began, in seconds on the view's clock.
+        reporters: Names of the instances that suspect the member, the first one included.
+    """
 
-def suspicion_timeout(timers: Timers, fleet: int, confirmed: int) -> float:
-    """Seconds from its begin that a suspicion lasts which `confirmed` others share."""
-    least, most = bounds(timers, fleet)
-    wanted = min(timers.confirmations, fleet - 2)
-    if wanted <= 0:  # nobody is there who could confirm
-        return least
-    part = math.log(min(confirmed, wanted) + 1) / math.log(wanted + 1)
-    return max(least, most - (most - least) * part)
+    __slots__ = ("reporters", "started_at")
 
+    def __init__(self, started_at: float) -> None:
+        self.started_at = started_at
+        self.reporters: set[str] = set()
 
-class LocalHealth:
-    """How far an instance doubts itself: 0 not at all."""
+    def restart(self, now: float, reporter: str) -> None:
+        """Begin a new suspicion, reported by one instance."""
+        self.started_at = now
+        self.reporters = {reporter}
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.doubt = 0
+    def postpone(self, now: float, seconds: float) -> None:
+        """Do not count `seconds` that have just passed; a suspicion can't begin in the future."""
+        self.started_at = min(now, self.started_at + seconds)
 
-    def worse(self, by: int = 1) -> None:
-        self.doubt = min(self.most, self.doubt + by)
+    def expires_at(self, timers: Timers, fleet_size: int) -> float:
+        """Return when the member is declared dead unless it refutes the suspicion."""
+        confirmations = len(self.reporters) - 1
+        return self.started_at + suspicion_timeout(timers, fleet_size, confirmations)
 
-    def better(self) -> None:
-        self.doubt = max(0, self.doubt - 1)
 
-    @property
-    def stretch(self) -> int:
-        """Times by which timers of probes are longer."""
-        return 1 + self.doubt
+def suspicion_bounds(timers: Timers, fleet_size: int) -> tuple[float, float]:
+    """Return the shortest and the longest timeout of a suspicion, in seconds, in a fleet of `fleet_size` living."""
+    shortest = timers.suspicion * timers.period * max(1.0, math.log10(max(1, fleet_size)))
+    return shortest, shortest * timers.patience
+
+
+def suspicion_timeout(timers: Timers, fleet_size: int, confirmations: int) -> float:
+    """Return how long a suspicion lasts.
+
+    Args:
+        timers: The protocol's timers.
+        fleet_size: How many members live, this instance included.
+        confirmations: How many instances besides the first suspect the member too.
+
+    Returns:
+        Seconds from the suspicion's beginning.
+    """
+    shortest, longest = suspicion_bounds(timers, fleet_size)
+    expected = min(timers.confirmations, fleet_size - 2)
+    if expected <= 0:  # nobody is there who could confirm
+        return shortest
+    share = math.log(min(confirmations, expected) + 1) / math.log(expected + 1)
+    return max(shortest, longest - (longest - shortest) * share)
--- a/loadbalancer/fleet/membership/view.py
+++ b/loadbalancer/fleet/membership/view.py
@@ -1,33 +1,32 @@
-"""The view of the fleet as each instance keeps it: events and a time in, actions out. No socket, clock or random source
-but those given. The options that were weighed, and the bounds, are in docs/design/fleet-view.md.
-
-Rules:
-
-1. What is said of this instance by others it refutes, by a greater incarnation; what is said of others stands by rank.
-2. A probe that fails makes a suspicion, never a death; the suspected hears of it first; a suspicion that its time has
-   run out makes a death.
-3. What is remembered as dead by one side of a healed partition only suspects here those who live here.
-4. The dead are called ever more rarely, and never given up before they are forgotten.
-5. A name belongs to one process (namesakes.py).
-6. Time that this instance lost itself (it was stopped) is held against nobody.
-
-The parts: members.py (each name), probes.py (whom to probe), namesakes.py (our own name), and here how a message is
-received, joining and leaving. States of the instance, and what ends them:
-
-    joining -> member   a whole exchange, or nobody heard for `joining`
-    joining -> out      a living process goes by the name
-    out     -> member   that process is found dead, or has left
-    member  -> out      the same name was there before, on the other side of a partition
-    any     -> gone     it leaves, or has passed its place to a successor
+"""The membership view: which instances of the fleet live, as one of them sees it.
+
+SWIM with Lifeguard's suspicion and local health, state synchronisation and name conflicts. Events and a time go in,
+actions come out; there is no socket, clock or random source but those given. The options that were weighed, and the
+bounds, are in docs/design/fleet-view.md.
+
+What is decided where (each module lists its rules):
+
+    member_state.py           which of two states of one member holds
+    member_table.py           the rows of all members, and the digest of those that live
+    member_updates.py         a member joins, is suspected, dies, leaves, returns, is forgotten
+    suspicion.py              how long a suspicion lasts
+    failure_detector.py       direct and indirect probes, with local_health.py
+    dissemination.py          which member states ride on a message, with the queue of gossip.py
+    state_synchronization.py  when two instances exchange their whole tables
+    joining.py                seeds, and when this instance joins
+    name_conflicts.py         refutation, and two processes under one name
+    reconnection.py           when the dead are called
 """
 
 from __future__ import annotations
 
 import math
 import random
-from typing import Any, Callable, Sequence
+from collections import Counter
+from typing import Iterator, Sequence
 
-from loadbalancer.fleet import wire as form
+from loadbalancer.fleet.membership.context import ViewContext
+from loadbalancer.fleet.membership.dissemination import Dissemination
 from loadbalancer.fleet.membership.events import (
     Action,
     Event,
@@ -36,182 +35,273 @@
     ProcessReplaced,
     TimerExpired,
 )
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.membership.failure_detector import FailureDetector
+from loadbalancer.fleet.membership.gossip import GossipQueue
+from loadbalancer.fleet.membership.joining import Joining
+from loadbalancer.fleet.membership.lifecycle import Lifecycle
+from loadbalancer.fleet.membership.local_health import LocalHealth
+from loadbalancer.fleet.membership.local_member import LocalMember, LocalStatus
+from loadbalancer.fleet.membership.member_state import MemberState
+from loadbalancer.fleet.membership.member_table import MemberTable
+from loadbalancer.fleet.membership.member_updates import MemberUpdates
 from loadbalancer.fleet.membership.name_conflicts import NameConflicts
-from loadbalancer.fleet.settings import Identity, Settings
+from loadbalancer.fleet.membership.probe_schedule import ProbeSchedule
+from loadbalancer.fleet.membership.reconnection import Reconnection
+from loadbalancer.fleet.membership.state_synchronization import StateSynchronization
+from loadbalancer.fleet.settings import Identity, Settings, Timers
+from loadbalancer.fleet.wire import (
+    Ack,
+    AliveNotice,
+    GossipReply,
+    Hello,
+    IndirectProbe,
+    Nack,
+    NameConflictNotice,
+    Packet,
+    Piece,
+    Ping,
+)
 
-#: A seed that is not known to live is called this many times more rarely once an instance is no longer young.
-SLOW = 5.0
-YOUNG_S = 30.0
 
+class MembershipView:
+    """One instance's view of the fleet.
 
-class MembershipView(NameConflicts):
-    """One instance's. `handle` takes what happened; `due` is when it wants a Tick."""
+    Attributes:
+        settings: Seeds, expected size and timers.
+        joining: Calls the seeds and decides when this instance joins.
+    """
 
     def __init__(self, identity: Identity, settings: Settings, seed: int) -> None:
-        super().__init__(identity, settings, random.Random(seed))
-        self.has_left = False
-        self._hello_at = self._join_by = -math.inf
-        self._react: dict[type, Callable[[Any], None]] = {
-            PacketReceived: self._on_arrived,
-            TimerExpired: self._on_tick,
-            Leave: self._on_leave,
-            ProcessReplaced: self._on_passed,
-        }
-        self._hear: dict[type, Callable[[form.Packet, Any], None]] = {
-            form.Hello: self._on_hello,
-            form.AliveNotice: self._on_here,
-            form.Ping: self._on_ping,
-            form.Ack: self._on_ack,
-            form.IndirectProbe: self._on_ask,
-            form.Nack: self._on_nack,
-            form.GossipReply: self._on_told,
-            form.NameConflictNotice: self._on_clash,
-            form.Piece: self._on_piece,
-        }
+        """Make a view of an instance that has just started.
+
+        Args:
+            identity: Who this instance is.
+            settings: What it is told of its fleet.
+            seed: Of all random draws.
+        """
+        source = random.Random(seed)
+        context = ViewContext(LocalMember(identity), settings.timers, source)
+        schedule = ProbeSchedule(context.table, source)
+        self.settings = settings
+        self._context = context
+        self._local = context.local
+        self._dissemination = Dissemination(context)
+        reconnection = Reconnection(context, self._dissemination)
+        self._updates = MemberUpdates(context, self._dissemination, reconnection, schedule)
+        self._synchronization = StateSynchronization(context)
+        self._detector = FailureDetector(
+            context, self._dissemination, self._updates, schedule, self._synchronization
+        )
+        self._lifecycle = Lifecycle(context, self._dissemination, self._detector, self._synchronization)
+        self._conflicts = NameConflicts(context, self._dissemination, self._lifecycle, self._detector.health)
+        self.joining = Joining(
+            context,
+            self._dissemination,
+            self._synchronization,
+            self._lifecycle,
+            self._conflicts,
+            settings.seeds,
+        )
+        self._now = -math.inf
+
+    # Events and time.
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """What is to be done, in order."""
-        if self.started_at < 0:
-            self._begin(now)
-        self.now = max(self.now, now)
-        self.actions = []
-        self._react[type(event)](event)
-        return self.actions
-
-    def _begin(self, now: float) -> None:
-        self.started_at = self.now = now
-        self._hello_at, self._join_by = now, now + self.timers.joining
-
-    @property
-    def state(self) -> str:
-        if self.has_left:
-            return "gone"
-        return "member" if self.joined else "out" if self.name_lost else "joining"
+        """Take an event.
+
+        Args:
+            now: Seconds on any clock that does not run backwards, the same for all calls; 0 or greater.
+            event: What has happened.
+
+        Returns:
+            What is to be done, in order.
+        """
+        self._advance(now)
+        match event:
+            case PacketReceived(packet):
+                self._receive(self._now, packet)
+            case TimerExpired():
+                self._run_timers(self._now)
+            case Leave():
+                self._leave(self._now)
+            case ProcessReplaced():
+                self._local.has_left = True
+        return self._context.take_actions()
 
     @property
     def next_timer(self) -> float:
-        """On the clock of `handle`; in the past at first."""
-        if self.has_left:
+        """When the view wants a TimerExpired, in seconds on the clock of `handle`; in the past at first."""
+        if self._local.has_left:
             return math.inf
-        due = min(self._hello_at, self._rival_until)
-        if self.joined:
-            return min(due, self._next_probe_step(), self._next_row_step())
-        return due if self.name_lost or self._rival is not None else min(due, self._join_by)
-
-    def resume(self, now: float, life: int, facts: Sequence[MemberState]) -> list[Action]:
-        """Take the place of the process before, which has passed it on (`pass_on`): the next life of the name, known
-        to all at once, and no death in between."""
-        self._begin(now)
-        self.actions = []
-        for fact in facts:
-            if fact.name != self.identity.name:
-                self.table.take(fact, now)
-        self._enter(life + 1)
-        return self.actions
-
-    def hand_over(self) -> tuple[int, list[MemberState]]:
-        """What a successor goes on from: the number of this life, and the others."""
-        return self.own_state.life, [peer.state for peer in self.table]
-
-    # Time.
-
-    def _on_tick(self, event: TimerExpired) -> None:
-        self._look_for_rival()
-        if not self.joined and not self.name_lost and self._rival is None and self.now >= self._join_by:
-            self._enter(self.own_state.life)
-        if self.now >= self._hello_at:
-            self._call_seeds()
-        if self.joined:
-            late = self.now - self._turn_at
-            if late > self.timers.timeout:  # rule 6
-                self._excuse(late)
-            self._step_probes()
-            self._step_rows()
-
-    def _call_seeds(self) -> None:
-        """Rule 4 for seeds: they are called as long as they are not known to live, and while this instance is out."""
-        known = {peer.state.address for peer in self.table.living} if self.joined else set()
-        for seed in self.settings.seeds:
-            if seed not in known and seed != self.identity.address:
-                self._tell(seed, 0, self._hello())
-        slow = 1.0 if self.now - self.started_at < YOUNG_S else SLOW
-        self._hello_at = self.now + self.timers.hello * slow * (0.75 + 0.5 * self.random.random())
-
-    # What arrives.
-
-    def _on_arrived(self, event: PacketReceived) -> None:
-        packet = event.packet
-        if self.has_left:
+        due = min(self._conflicts.next_timer, self.joining.next_timer)
+        if self._local.is_member:
+            due = min(
+                due,
+                self._detector.next_timer,
+                self._synchronization.next_timer,
+                self._dissemination.next_timer,
+                self._updates.next_timer(self._now),
+            )
+        return due
+
+    def _advance(self, now: float) -> None:
+        if self._now < 0:
+            self.joining.start(now)
+        self._now = max(self._now, now)
+
+    def _run_timers(self, now: float) -> None:
+        self._conflicts.run_timers(now)
+        self.joining.run_timers(now)
+        if self._local.is_member:
+            self._detector.run_timers(now)
+            self._synchronization.run_timers(now)
+            self._dissemination.run_timers(now)
+            self._updates.run_timers(now)
+
+    def _leave(self, now: float) -> None:
+        if self._local.is_member:
+            self._lifecycle.leave(now)
+        self._local.has_left = True
+
+    # Packets.
+
+    def _receive(self, now: float, packet: Packet) -> None:
+        """Sort out who has sent a packet and for whom, apply its member states, then handle its message."""
+        if self._local.has_left:
             return
         if packet.sender == self.identity.name:
-            self._meet_namesake(packet)
-            return
-        if packet.to != self.identity.boot:
-            self._not_for_me(packet)
-            return
-        peer = self.table.get(packet.sender)
-        if peer is not None and peer.state.boot == packet.boot:
-            peer.heard_at = self.now
-        exchanged = isinstance(packet.message, form.Piece)
-        for fact in packet.facts:
-            self._weigh(fact, exchanged)
-        self._hear[type(packet.message)](packet, packet.message)
-
-    def _not_for_me(self, packet: form.Packet) -> None:
-        """Changes nothing here: it may be a message that was caught long ago. Who sent it hears which life this is."""
-        message = packet.message
-        if isinstance(message, form.Hello):
-            self._on_hello(packet, message)
-        elif (peer := self.table.get(packet.sender)) is not None and packet.to != 0:
-            self._tell(peer.state.address, packet.boot, self._here())
-
-    def _here(self) -> form.AliveNotice:
-        return form.AliveNotice(*self.identity.address, self.phase)
-
-    def _on_hello(self, packet: form.Packet, message: form.Hello) -> None:
-        self._tell((message.host, message.port), packet.boot, self._here())
-
-    def _on_here(self, packet: form.Packet, message: form.AliveNotice) -> None:
-        """One that is there and does not live in this view, or lives in another life: hear all of it."""
-        peer = self.table.get(packet.sender)
-        if peer is not None and peer.state.boot == packet.boot:
-            peer.phase = message.phase
-        if not self.joined or peer is None or not peer.is_live or peer.state.boot != packet.boot:
-            self._exchange(packet.sender, packet.boot, (message.host, message.port))
-        self._correct(packet)
-
-    def _on_told(self, packet: form.Packet, message: form.GossipReply) -> None:
-        self._correct(packet)
-
-    def _on_piece(self, packet: form.Packet, message: form.Piece) -> None:
-        """Its facts have been taken; the last one ends the join."""
-        if message.last and not self.joined and not self.name_lost and self._rival is None:
-            self._enter(self.own_state.life)
-        self._correct(packet)
-
-    def _weigh(self, fact: MemberState, exchanged: bool) -> None:
-        if fact.name == self.identity.name:
-            self._said_of_me(fact)
-            return
-        known = self.table.get(fact.name)
-        if (
-            exchanged
-            and known is not None
-            and known.is_live
-            and fact.status == MemberStatus.DEAD
-            and (fact.life, fact.boot) == (known.state.life, known.state.boot)
-        ):
-            fact = self._say(fact, MemberStatus.SUSPECT)  # rule 3
-        self._take(fact)
-
-    # Leaving.
-
-    def _on_leave(self, event: Leave) -> None:
-        if self.joined:
-            self._spread_leaving()
-        self.has_left = True
-
-    def _on_passed(self, event: ProcessReplaced) -> None:
-        """A successor has the place; it says so itself."""
-        self.has_left = True
+            self._conflicts.on_packet(now, packet)
+        elif packet.to != self.identity.boot:
+            self.joining.on_packet_for_other_process(packet)
+        else:
+            self._apply_states(now, packet)
+            self._dispatch(now, packet)
+
+    def _apply_states(self, now: float, packet: Packet) -> None:
+        peer = self.table.get_process(packet.sender, packet.boot)
+        if peer is not None:
+            peer.last_heard_at = now
+        is_synchronized = isinstance(packet.message, Piece)
+        for state in packet.facts:
+            if state.name == self.identity.name:
+                self._conflicts.on_state(now, state)
+            elif is_synchronized:
+                self._updates.apply_synchronized(now, state)
+            else:
+                self._updates.apply(now, state)
+
+    def _dispatch(self, now: float, packet: Packet) -> None:
+        match packet.message:
+            case Ping() as message:
+                self._detector.on_ping(now, packet, message)
+            case Ack() as message:
+                self._detector.on_ack(now, packet, message)
+            case IndirectProbe() as message:
+                self._detector.on_indirect_probe(now, packet, message)
+            case Nack() as message:
+                self._detector.on_nack(message)
+            case GossipReply():
+                self._dissemination.correct_sender(now, packet)
+            case Piece() as message:
+                self.joining.on_table_piece(now, packet, message)
+            case Hello() as message:
+                self.joining.on_hello(packet, message)
+            case AliveNotice() as message:
+                self.joining.on_alive_notice(now, packet, message)
+            case NameConflictNotice():
+                pass  # only one from a process under our own name matters
+            case message:
+                raise TypeError(f"not a membership message: {type(message).__name__} from {packet.sender}")
+
+    # Hot restart.
+
+    def resume(self, now: float, generation: int, member_states: Sequence[MemberState]) -> list[Action]:
+        """Take the place of the process before, without a death in between.
+
+        Args:
+            now: Seconds on the clock of `handle`.
+            generation: That of the process before, from its `hand_over`; this one is the next.
+            member_states: What it held of the others, from the same call.
+
+        Returns:
+            What is to be done: this generation is announced at once.
+        """
+        self._now = now
+        self.joining.start(now)
+        for state in member_states:
+            if state.name != self.identity.name:
+                self.table.apply(state, now)
+        self._lifecycle.join(now, generation + 1)
+        return self._context.take_actions()
+
+    def hand_over(self) -> tuple[int, list[MemberState]]:
+        """Return what a successor's `resume` takes: this process's generation, and the others' states."""
+        return self._local.state.generation, [peer.state for peer in self.table]
+
+    # What others read.
+
+    @property
+    def identity(self) -> Identity:
+        """Who this instance is."""
+        return self._local.identity
+
+    @property
+    def timers(self) -> Timers:
+        """The protocol's timers."""
+        return self._context.timers
+
+    @property
+    def table(self) -> MemberTable:
+        """All other members."""
+        return self._context.table
+
+    @property
+    def counters(self) -> Counter[str]:
+        """Events by name."""
+        return self._context.counters
+
+    @property
+    def gossip_queue(self) -> GossipQueue:
+        """Member states that are to be passed on."""
+        return self._dissemination.queue
+
+    @property
+    def health(self) -> LocalHealth:
+        """This instance's local health."""
+        return self._detector.health
+
+    @property
+    def state(self) -> LocalStatus:
+        """What this instance is in the fleet."""
+        return self._local.status
+
+    @property
+    def joined(self) -> bool:
+        """Whether this instance counts as one of the fleet."""
+        return self._local.is_member
+
+    @property
+    def own_state(self) -> MemberState:
+        """This instance's own member state."""
+        return self._local.state
+
+    @property
+    def phase(self) -> int:
+        """How far this instance has recovered from its start, as it tells others (RecoveryPhase)."""
+        return self._local.recovery_phase
+
+    @phase.setter
+    def phase(self, phase: int) -> None:
+        self._local.recovery_phase = phase
+
+    @property
+    def fleet_size(self) -> int:
+        """How many members live, this instance included."""
+        return self.table.fleet_size
+
+    def facts(self) -> Iterator[MemberState]:
+        """Yield what a whole table has for a peer: this instance's state while it is a member, and all others'."""
+        if self._local.is_member:
+            yield self._local.state
+        for peer in self.table:
+            yield peer.state
--- a/loadbalancer/fleet/report.py
+++ b/loadbalancer/fleet/report.py
@@ -7,7 +7,6 @@
 
 from loadbalancer.fleet.membership.member_state import MemberStatus
 from loadbalancer.fleet.membership.member_table import Peer
-from loadbalancer.fleet.membership.suspicion import suspicion_timeout
 from loadbalancer.fleet.membership.view import MembershipView
 
 #: Of a large fleet, so many that were heard since and agree are enough to call a view settled.
@@ -44,10 +43,10 @@
     found = [
         {
             "instance": mine.name,
-            "state": view.state,
+            "state": view.state.value,
             "address": f"{mine.host}:{mine.port}",
             "zone": mine.zone or None,
-            "life": mine.life,
+            "life": mine.generation,
             "incarnation": mine.incarnation,
             "boot": f"{mine.boot:016x}",
             "since_s": 0.0,
@@ -64,20 +63,18 @@
     fact = peer.state
     suspicion = None
     if fact.status == MemberStatus.SUSPECT:
-        left = (
-            peer.suspected_at + suspicion_timeout(view.timers, view.fleet_size, len(peer.accusers) - 1) - now
-        )
-        suspicion = f"by {', '.join(sorted(peer.accusers))}; dead in {max(0.0, left):.1f} s"
+        left = peer.suspicion.expires_at(view.timers, view.fleet_size) - now
+        suspicion = f"by {', '.join(sorted(peer.suspicion.reporters))}; dead in {max(0.0, left):.1f} s"
     return {
         "instance": fact.name,
         "state": fact.status.name.lower(),
         "address": f"{fact.host}:{fact.port}",
         "zone": fact.zone or None,
-        "life": fact.life,
+        "life": fact.generation,
         "incarnation": fact.incarnation,
         "boot": f"{fact.boot:016x}",
-        "since_s": _age(peer.since, now),
-        "heard_s": _age(peer.heard_at, now),
+        "since_s": _age(peer.status_since, now),
+        "heard_s": _age(peer.last_heard_at, now),
         "agrees": None if peer.digest_at <= view.table.changed_at else peer.digest == view.table.digest,
         "suspicion": suspicion,
     }
@@ -93,7 +90,7 @@
     same, other = agreeing(view)
     return {
         "instance": view.identity.name,
-        "state": view.state,
+        "state": view.state.value,
         "settled": is_settled(view, now),
         "digest": f"{view.table.digest:016x}",
         "unchanged_s": _age(view.table.changed_at, now),
@@ -104,7 +101,7 @@
         "should_be": view.settings.instances,
         "agree": same,
         "differ": other,
-        "doubt": view.health.doubt,
+        "doubt": view.health.score,
         "names_refused": view.table.refused,
         "counts": dict(sorted(view.counters.items())),
     }
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -157,7 +157,7 @@
         assert batch and sum(map(encoded_size, batch)) <= form.FACTS_MOST
         for fact in batch:
             told[fact.name] = told.get(fact.name, 0) + 1
-    assert set(told.values()) == {GossipQueue.times(8)} and len(told) == 100
+    assert set(told.values()) == {GossipQueue.max_transmissions(8)} and len(told) == 100
     packet = Packet("x" * 48, 1 << 60, 1 << 60, 1 << 40, form.Ping(1 << 39, 1 << 62), tuple(facts[:1]))
     assert len(Sealer([OLD]).seal(packet)) + form.FACTS_MOST <= form.DATAGRAM_MOST + encoded_size(facts[0])
 
--- a/tests/fleet/test_view_model.py
+++ b/tests/fleet/test_view_model.py
@@ -14,9 +14,9 @@
 from loadbalancer.fleet.membership.events import PacketReceived, SendPacket, TimerExpired
 from loadbalancer.fleet.membership.failure_detector import FailureDetector
 from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
-from loadbalancer.fleet.membership.member_table import NAMES_MOST
-from loadbalancer.fleet.membership.member_updates import MemberUpdates
+from loadbalancer.fleet.membership.member_table import MAX_NAMES, Peer
 from loadbalancer.fleet.membership.name_conflicts import NameConflicts
+from loadbalancer.fleet.membership.reconnection import Reconnection
 from loadbalancer.fleet.membership.view import MembershipView
 from loadbalancer.fleet.settings import PROFILES, Identity, Settings
 from loadbalancer.fleet.wire import GossipReply, Hello, Packet, Ping
@@ -67,7 +67,7 @@
     assert model.until(model.settled, SETTLE_S) is not None
     assert not model.held_dead()
     for one in model.up:
-        assert len(one.view.table.peers) <= 7 and len(one.view.rumours) <= 8
+        assert len(one.view.table.peers) <= 7 and len(one.view.gossip_queue) <= 8
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 5, 40])
@@ -79,7 +79,7 @@
         assert model.until(model.settled, 20.0) is not None
         model.instances[-1].start()
         assert model.until(model.settled, 20.0) is not None
-        assert model.instances[-1].view.own_state.life == 2
+        assert model.instances[-1].view.own_state.generation == 2
 
 
 def test_every_schedule_of_the_first_datagrams_of_a_join_ends_in_agreement() -> None:
@@ -102,7 +102,7 @@
     model = FleetModel(8, 3)
     assert model.start_all() is not None
     for one in model.instances:
-        one.view.settings = Settings((), 8, model.timers)
+        one.view.joining.seeds = ()
     model.part(range(4), range(4, 8))
     model.run(60)
     model.heal()
@@ -117,7 +117,7 @@
     one.stop()
     model.run(20)
     one.go_on()
-    return model.until(model.settled, SETTLE_S) is not None and one.view.own_state.life == 1
+    return model.until(model.settled, SETTLE_S) is not None and one.view.own_state.generation == 1
 
 
 def holds_no_grudge() -> bool:
@@ -147,12 +147,20 @@
     return not any(one.view.counters["suspected"] for one in model.instances)
 
 
+def call_nobody(self: Reconnection, now: float, peer: Peer) -> None:
+    peer.reconnect_at = math.inf
+
+
+def request_no_indirect_probes(self: FailureDetector) -> None:
+    self._timeout_at = math.inf
+
+
 DEFECTS: dict[str, tuple[Callable[[], bool], type, str, Callable[..., None]]] = {
-    "the dead are not called": (heals, MemberUpdates, "_try", lambda self, peer: setattr(peer, "try_at", math.inf)),
-    "nothing is refuted, after a partition": (heals, NameConflicts, "_said_of_me", lambda self, fact: None),
-    "nothing is refuted, after a stop": (wakes, NameConflicts, "_said_of_me", lambda self, fact: None),
-    "own stops count": (holds_no_grudge, FailureDetector, "_excuse", lambda self, late: None),
-    "nobody else tries": (goes_round, FailureDetector, "_ask_others", lambda self: setattr(self, "_help_at", math.inf)),
+    "the dead are not called": (heals, Reconnection, "_call", call_nobody),
+    "nothing is refuted, after a partition": (heals, NameConflicts, "on_state", lambda self, now, state: None),
+    "nothing is refuted, after a stop": (wakes, NameConflicts, "on_state", lambda self, now, state: None),
+    "own stops count": (holds_no_grudge, FailureDetector, "_excuse_stall", lambda self, now, late: None),
+    "nobody else tries": (goes_round, FailureDetector, "_request_indirect_probes", request_no_indirect_probes),
 }  # fmt: skip
 
 
@@ -226,10 +234,10 @@
 
 def test_names_are_bounded_and_those_past_the_bound_are_counted() -> None:
     made = view()
-    for number in range(NAMES_MOST + 10):
+    for number in range(MAX_NAMES + 10):
         hear(made, 3.0, fact(f"n{number}", boot=number + 1))
-    assert len(made.table.peers) == NAMES_MOST and made.table.refused == 10
-    assert len(made.rumours) <= 4_096
+    assert len(made.table.peers) == MAX_NAMES and made.table.refused == 10
+    assert len(made.gossip_queue) <= 4_096
 
 
 def test_a_place_that_is_passed_on_makes_no_death() -> None:
@@ -247,7 +255,7 @@
     assert model.until(model.settled, SETTLE_S) is not None and not waits
     for one in model.instances:
         assert not one.view.counters["died"] and not one.view.counters["suspected"]
-    assert old.view.own_state.life == 2
+    assert old.view.own_state.generation == 2
 
 
 def test_timers_of_all_profiles_hold_together() -> None:
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -88,22 +88,24 @@
     """The dead are not called, and seeds neither: the same scene finds it, so it can fail."""
     defect = (
         "import math\n"
-        "from loadbalancer.fleet.membership.member_updates import MemberUpdates as M; "
-        "from loadbalancer.fleet.membership.view import MembershipView as V\n"
-        "M._try = lambda self, peer: setattr(peer, 'try_at', math.inf)\n"
-        "V._call_seeds = lambda self: setattr(self, '_hello_at', math.inf) if self.joined else _seeds(self)\n"
-    )
-    whole = (
-        "from loadbalancer.fleet.membership.view import MembershipView as V; _seeds = V._call_seeds\n"
-        + defect
+        "from loadbalancer.fleet.membership.joining import Joining as J\n"
+        "from loadbalancer.fleet.membership.reconnection import Reconnection as R\n"
+        "_seeds = J._call_seeds\n"
+        "R._call = lambda self, now, peer: setattr(peer, 'reconnect_at', math.inf)\n"
+        "def _no_seeds(self, now):\n"
+        "    if self._context.local.is_member:\n"
+        "        self._call_seeds_at = math.inf\n"
+        "    else:\n"
+        "        _seeds(self, now)\n"
+        "J._call_seeds = _no_seeds\n"
     )
 
     async def scene() -> None:
         async with fleet(tmp_path, 4, 0) as made:
             for one in made.all[1:]:
-                one.prelude = whole
+                one.prelude = defect
             await made.all[0].kill()
-            made.all[0].prelude = whole
+            made.all[0].prelude = defect
             await made.start(0, 1, 2, 3)
             await made.settled()
             made.network.part((0, 1), (2, 3))
