--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -33,7 +33,7 @@
 from loadbalancer.daemon.rollout import RolloutService
 from loadbalancer.fleet.membership.member_state import MemberStatus
 from loadbalancer.fleet.membership.view import MembershipView as FleetView
-from loadbalancer.fleet.orchestration.rollout import OPEN, StageReport, follows
+from loadbalancer.fleet.orchestration.rollout import OPEN, StageReport, next_stage
 from loadbalancer.fleet.replication import messages as form
 from loadbalancer.fleet.replication.epochs import AS_KEPT, WHOLE, Epoch, describe
 from loadbalancer.fleet.replication.lease import Lease
@@ -293,7 +293,7 @@
             if (found := StageReport.read(card.get("plan", ""), plan.id)) is not None
         }
         dead = [name for name in names if name not in living]
-        body = follows(plan, reports, living, dead, now - self._stage_began[1])
+        body = next_stage(plan, reports, living, dead, now - self._stage_began[1])
         if body is not None:
             self._propose(Command(self._id(), "stage", write_body(body), self.name, body.why, time.time()))
 
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -22,22 +22,22 @@
 from loadbalancer.admin.snapshot_merge import combine
 from loadbalancer.discovery.list_handoff import read, write
 from loadbalancer.fleet.orchestration.recovery import (
-    ASKED,
-    FULL_S,
-    LEARN_S,
-    WARM_S,
+    FULL_SERVICE_S,
+    LEARN_TIMEOUT_S,
+    MAX_ASKED_SURVIVORS,
+    WARM_TIMEOUT_S,
     ConnectionPace,
     LearnFromPeers,
     PhaseChanged,
     RecoveryCoordinator,
     RecoveryObservation,
     RecoveryPhase,
-    choose,
+    choose_survivors,
     return_after,
     turn,
 )  # fmt: skip
 from loadbalancer.fleet.orchestration.rolling_restart import (
-    GROUP_S,
+    GROUP_TIMEOUT_S,
     MemberRestart,
     RestartMember,
     RollingRestart,
@@ -117,19 +117,21 @@
     assert phases(comeback, found) == [RecoveryPhase.LEARNING]
     found += comeback.step(61.3, seen(in_full_service=full))
     learn = [one for one in found if isinstance(one, LearnFromPeers)]
-    assert len(learn) == 1 and len(learn[0].names) == ASKED
+    assert len(learn) == 1 and len(learn[0].names) == MAX_ASKED_SURVIVORS
     assert comeback.step(61.4, seen(in_full_service=full)) == []
-    found = comeback.step(61.1 + LEARN_S, seen(in_full_service=full))  # nobody has told
+    found = comeback.step(61.1 + LEARN_TIMEOUT_S, seen(in_full_service=full))  # nobody has told
     assert phases(comeback, found) == [RecoveryPhase.WARMING] and not any(
         isinstance(one, ConnectionPace) for one in found
     )
-    now = 61.1 + LEARN_S
+    now = 61.1 + LEARN_TIMEOUT_S
     served = 0
     while comeback.phase == RecoveryPhase.WARMING and now < 200:
         now += 0.3
         served += 10
         comeback.step(now, seen(in_full_service=full, served=served, ended=2 * served))
-    assert "not full in time" in comeback.times[-1][2] and now > 61 + WARM_S and not comeback.full_after
+    assert (
+        "not full in time" in comeback.times[-1][2] and now > 61 + WARM_TIMEOUT_S and not comeback.full_after
+    )
 
 
 def test_full_service_is_a_second_of_good_windows_and_its_time_is_told() -> None:
@@ -141,7 +143,7 @@
         ended += 100
         served += 100 if now > 4 else 90
         comeback.step(now, seen(recovering=("b",), served=served, ended=ended))
-    assert 3.7 < comeback.full_after < 4.0 + FULL_S and now < 6.0
+    assert 3.7 < comeback.full_after < 4.0 + FULL_SERVICE_S and now < 6.0
 
 
 def test_a_pace_holds_only_where_many_come_back() -> None:
@@ -159,7 +161,7 @@
     each = min(0.05, 1.0 / len(names))
     assert sorted(round(one / each) for one in turns) == list(range(len(names))) and max(turns) < 1.0
     assert all(1 <= return_after(draw, len(names)) <= 10 for draw in (0.0, 0.5, 1.0))
-    assert len(set(choose("x", sorted(names)))) == min(ASKED, len(names))
+    assert len(set(choose_survivors("x", sorted(names)))) == min(MAX_ASKED_SURVIVORS, len(names))
 
 
 def test_openings_keep_their_pace() -> None:
@@ -279,7 +281,10 @@
         passing.step(3.5, all_ | lives("a", boot=2, living=False)) == []
     )  # nobody is next while one is down
     assert passing.step(4.0, all_ | lives("a", boot=2)) == [RestartMember("c")]
-    assert passing.step(4.0 + GROUP_S + 1, all_ | lives("a", boot=2)) == [] and "not back" in passing.halted
+    assert (
+        passing.step(4.0 + GROUP_TIMEOUT_S + 1, all_ | lives("a", boot=2)) == []
+        and "not back" in passing.halted
+    )
     two = RollingRestart("a", ["a", "b", "c"], 2, 0.0)
     assert two.step(0.0, all_) == [RestartMember("b"), RestartMember("c")] and two.groups[-1] == ["a"]
     assert RollingRestart("a", ["a", "b"], 1, 0.0).step(0.0, lives("a")) == []
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -12,12 +12,12 @@
 
 from loadbalancer.daemon.rollout import merged
 from loadbalancer.fleet.orchestration.rollout import (
-    LATE_S,
+    STAGE_TIMEOUT_S,
     RolloutPlan,
     StageReport,
-    follows,
-    order,
-    step_of,
+    instances_on_new,
+    next_stage,
+    rollout_order,
     wants_new,
 )
 from standins.askers import Askers
@@ -41,27 +41,29 @@
     stage: str, reports: dict[str, StageReport], dead: tuple[str, ...] = (), lasted: float = 6.0
 ) -> str | None:
     living = [name for name in NAMES if name not in dead]
-    found = follows(plan(stage), reports, living, dead, lasted)
+    found = next_stage(plan(stage), reports, living, dead, lasted)
     return found.to if found is not None else None
 
 
 def on_new(stage: str, **more: Any) -> dict[str, StageReport]:
-    step = step_of(plan(stage), NAMES)
+    step = instances_on_new(plan(stage), NAMES)
     return {
         name: report("new" if name in step else "old", **(more if name in step else {})) for name in NAMES
     }
 
 
 def test_a_step_takes_one_then_a_quarter_then_all_and_each_plan_another_first() -> None:
-    assert [len(step_of(plan(stage), NAMES)) for stage in ("checking", "one", "quarter", "all", "back")] == [
+    assert [
+        len(instances_on_new(plan(stage), NAMES)) for stage in ("checking", "one", "quarter", "all", "back")
+    ] == [
         0,
         1,
         2,
         8,
         0,
     ]
-    assert step_of(plan("one"), NAMES)[0] in step_of(plan("quarter"), NAMES)
-    firsts = {order(RolloutPlan(f"r{n}", "d", "i0", 5.0), NAMES)[0] for n in range(40)}
+    assert instances_on_new(plan("one"), NAMES)[0] in instances_on_new(plan("quarter"), NAMES)
+    firsts = {rollout_order(RolloutPlan(f"r{n}", "d", "i0", 5.0), NAMES)[0] for n in range(40)}
     assert len(firsts) > 4
 
 
@@ -75,19 +77,19 @@
 
 @pytest.mark.parametrize("stage", ["one", "quarter", "all"])
 def test_it_is_taken_back_where_one_refuses_dies_is_late_or_serves_worse(stage: str) -> None:
-    first = step_of(plan(stage), NAMES)[0]
+    first = instances_on_new(plan(stage), NAMES)[0]
     assert after(stage, {**on_new(stage), first: report(refused="no such file")}) == "back"
     assert after(stage, on_new(stage), dead=(first,)) == "back"
-    assert after(stage, {**on_new(stage), first: report("old")}, lasted=LATE_S + 1) == "back"
+    assert after(stage, {**on_new(stage), first: report("old")}, lasted=STAGE_TIMEOUT_S + 1) == "back"
     assert after(stage, on_new(stage, requests=200, bad=10), lasted=1.0) == "back"
     assert after(stage, on_new(stage, requests=5, bad=4), lasted=1.0) is None  # too few to judge
 
 
 def test_a_file_that_one_refuses_goes_nowhere() -> None:
     reports = {name: report() for name in NAMES} | {"i3": report(has=False, refused="pool[p]: unknown key")}
-    found = follows(plan("checking"), reports, NAMES, (), 1.0)
+    found = next_stage(plan("checking"), reports, NAMES, (), 1.0)
     assert found is not None and found.to == "ended" and "i3 refuses it" in found.why
-    assert after("checking", {}, lasted=LATE_S + 1) == "ended"
+    assert after("checking", {}, lasted=STAGE_TIMEOUT_S + 1) == "ended"
 
 
 def test_as_bad_as_the_old_one_is_no_reason() -> None:
