--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -193,7 +193,7 @@
         return [self.link.udp, self.link.tcp]
 
     def figures(self) -> Mapping[str, Any]:
-        found = report.status(self.view, time.monotonic())
+        found: Mapping[str, Any] = report.status(self.view, time.monotonic())
         keys = ("state", "settled", "digest", "living", "suspected", "dead")
         box = {key: found[key] for key in keys}
         if self.agreed is not None:
@@ -219,12 +219,12 @@
             {**agreed.versions.peer_metadata, self.table.name: agreed.versions.metadata},
         )
 
-    def _read_members(self) -> list[dict[str, Any]]:
+    def _read_members(self) -> list[report.MemberRow]:
         return report.rows(self.view, time.monotonic())
 
     def _read_status(self) -> dict[str, Any]:
         now = time.monotonic()
-        found = report.status(self.view, now)
+        found: dict[str, Any] = {**report.status(self.view, now)}
         count = self.share.step(now, self.view.fleet_size, bool(found["settled"]))
         if self.agreed is not None:
             found["agreed"] = self.agreed.standing()
--- a/loadbalancer/fleet/report.py
+++ b/loadbalancer/fleet/report.py
@@ -1,82 +1,139 @@
-"""What an instance tells of its view: rows and figures, as JSON has them, and whether the view has settled. Pure."""
+"""What an instance reports of its membership view: a row for each member, and figures. The keys are those of the API.
+
+A view is *settled* if nothing has changed for the `hold` timer, nobody is suspected, and no living member that has
+reported a digest since the last change reports another one; some of them (MIN_AGREEING) must have reported.
+"""
 
 from __future__ import annotations
 
 import math
-from typing import Any
+from typing import NamedTuple, TypedDict
 
-from loadbalancer.fleet.membership.member_state import MemberStatus
+from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.member_table import Peer
 from loadbalancer.fleet.membership.view import MembershipView
 
-#: Of a large fleet, so many that were heard since and agree are enough to call a view settled.
-WITNESSES = 3
+#: Members whose digests must agree before a view counts as settled; in a smaller fleet all of them.
+MIN_AGREEING = 3
+
+
+class MemberRow(TypedDict):
+    """One member, as this instance holds it.
+
+    Ages (`since_s` in its status, `heard_s` since its last message) are in seconds, None where there was none. `agrees`
+    is whether its digest is this instance's, None where it has not reported one since the last change. `suspicion`
+    says who suspects it and when it is declared dead.
+    """
+
+    instance: str
+    state: str
+    address: str
+    zone: str | None
+    life: int
+    incarnation: int
+    boot: str
+    since_s: float | None
+    heard_s: float | None
+    agrees: bool | None
+    suspicion: str | None
+
+
+class ViewStatus(TypedDict):
+    """The view in figures.
+
+    `digest` is over name, boot id and incarnation of all living members, and `unchanged_s` its age in seconds. `living`
+    counts this instance while it is a member; `should_be` is the configured size. `agree` and `differ` count members by
+    the digest that they have reported since the last change. `doubt` is the local health score.
+    """
+
+    instance: str
+    state: str
+    settled: bool
+    digest: str
+    unchanged_s: float | None
+    living: int
+    suspected: int
+    dead: int
+    left: int
+    should_be: int
+    agree: int
+    differ: int
+    doubt: int
+    names_refused: int
+    counts: dict[str, int]
+
+
+class DigestAgreement(NamedTuple):
+    """Living members that have reported a digest since this instance's own last changed."""
 
+    same: int
+    other: int
 
-def agreeing(view: MembershipView) -> tuple[int, int]:
-    """How many of the living have told the digest that we hold since it was last changed, and how many another."""
-    same = other = 0
-    for peer in view.table.living:
-        if peer.digest_at > view.table.changed_at:
-            if peer.digest == view.table.digest:
-                same += 1
-            else:
-                other += 1
-    return same, other
+
+def digest_agreement(view: MembershipView) -> DigestAgreement:
+    """Count the living members by whether they hold the same table."""
+    answers = [_agrees(view, peer) for peer in view.table.living]
+    return DigestAgreement(answers.count(True), answers.count(False))
+
+
+def _agrees(view: MembershipView, peer: Peer) -> bool | None:
+    if peer.digest_at <= view.table.changed_at:
+        return None
+    return peer.digest == view.table.digest
 
 
 def is_settled(view: MembershipView, now: float) -> bool:
-    """Unchanged for `hold`, nobody is suspected, and those heard of late hold the same. One that is alone is settled
-    with itself."""
+    """Return whether the view has settled. An instance that is alone settles with itself."""
     if not view.joined or now - view.table.changed_at < view.timers.hold:
         return False
     living = view.table.living
     if any(peer.state.status == MemberStatus.SUSPECT for peer in living):
         return False
-    same, other = agreeing(view)
-    return other == 0 and same >= min(len(living), WITNESSES)
-
-
-def rows(view: MembershipView, now: float) -> list[dict[str, Any]]:
-    """A row for each name, this instance first, then the living, then the rest."""
-    mine = view.own_state
-    found = [
-        {
-            "instance": mine.name,
-            "state": view.state.value,
-            "address": f"{mine.host}:{mine.port}",
-            "zone": mine.zone or None,
-            "life": mine.generation,
-            "incarnation": mine.incarnation,
-            "boot": f"{mine.boot:016x}",
-            "since_s": 0.0,
-            "heard_s": 0.0,
-            "agrees": True,
-            "suspicion": None,
-        }
-    ]
-    order = sorted(view.table, key=lambda peer: (peer.state.status, peer.state.name))
-    return found + [_row(view, peer, now) for peer in order]
-
-
-def _row(view: MembershipView, peer: Peer, now: float) -> dict[str, Any]:
-    fact = peer.state
-    suspicion = None
-    if fact.status == MemberStatus.SUSPECT:
-        left = peer.suspicion.expires_at(view.timers, view.fleet_size) - now
-        suspicion = f"by {', '.join(sorted(peer.suspicion.reporters))}; dead in {max(0.0, left):.1f} s"
+    agreement = digest_agreement(view)
+    return agreement.other == 0 and agreement.same >= min(len(living), MIN_AGREEING)
+
+
+def rows(view: MembershipView, now: float) -> list[MemberRow]:
+    """Return a row for each member: this instance first, then the living, then the rest."""
+    peers = sorted(view.table, key=lambda peer: (peer.state.status, peer.state.name))
+    return [_own_row(view), *(_peer_row(view, peer, now) for peer in peers)]
+
+
+def _own_row(view: MembershipView) -> MemberRow:
+    row = _state_row(view.own_state)
+    row["state"] = view.state.value
+    row["since_s"] = 0.0
+    row["heard_s"] = 0.0
+    row["agrees"] = True
+    return row
+
+
+def _peer_row(view: MembershipView, peer: Peer, now: float) -> MemberRow:
+    row = _state_row(peer.state)
+    row["since_s"] = _age(peer.status_since, now)
+    row["heard_s"] = _age(peer.last_heard_at, now)
+    row["agrees"] = _agrees(view, peer)
+    if peer.state.status == MemberStatus.SUSPECT:
+        remaining_s = peer.suspicion.expires_at(view.timers, view.fleet_size) - now
+        reporters = ", ".join(sorted(peer.suspicion.reporters))
+        row["suspicion"] = f"by {reporters}; dead in {max(0.0, remaining_s):.1f} s"
+    return row
+
+
+def _state_row(state: MemberState) -> MemberRow:
+    """Return the row of a state, without what is observed of the member."""
     return {
-        "instance": fact.name,
-        "state": fact.status.name.lower(),
-        "address": f"{fact.host}:{fact.port}",
-        "zone": fact.zone or None,
-        "life": fact.generation,
-        "incarnation": fact.incarnation,
-        "boot": f"{fact.boot:016x}",
-        "since_s": _age(peer.status_since, now),
-        "heard_s": _age(peer.last_heard_at, now),
-        "agrees": None if peer.digest_at <= view.table.changed_at else peer.digest == view.table.digest,
-        "suspicion": suspicion,
+        "instance": state.name,
+        "state": state.status.name.lower(),
+        "address": f"{state.host}:{state.port}",
+        "zone": state.zone or None,
+        "life": state.generation,
+        "incarnation": state.incarnation,
+        "boot": f"{state.boot:016x}",
+        "since_s": None,
+        "heard_s": None,
+        "agrees": None,
+        "suspicion": None,
     }
 
 
@@ -84,24 +141,25 @@
     return round(now - at, 1) if math.isfinite(at) else None
 
 
-def status(view: MembershipView, now: float) -> dict[str, Any]:
-    """The view in figures. `digest`: over name, boot and incarnation of all that live."""
-    standings = [peer.state.status for peer in view.table]
-    same, other = agreeing(view)
+def status(view: MembershipView, now: float) -> ViewStatus:
+    """Return the view in figures."""
+    table = view.table
+    statuses = [peer.state.status for peer in table]
+    agreement = digest_agreement(view)
     return {
         "instance": view.identity.name,
         "state": view.state.value,
         "settled": is_settled(view, now),
-        "digest": f"{view.table.digest:016x}",
-        "unchanged_s": _age(view.table.changed_at, now),
-        "living": view.fleet_size if view.joined else len(view.table.living),
-        "suspected": standings.count(MemberStatus.SUSPECT),
-        "dead": standings.count(MemberStatus.DEAD),
-        "left": standings.count(MemberStatus.LEFT),
+        "digest": f"{table.digest:016x}",
+        "unchanged_s": _age(table.changed_at, now),
+        "living": view.fleet_size if view.joined else len(table.living),
+        "suspected": statuses.count(MemberStatus.SUSPECT),
+        "dead": statuses.count(MemberStatus.DEAD),
+        "left": statuses.count(MemberStatus.LEFT),
         "should_be": view.settings.instances,
-        "agree": same,
-        "differ": other,
+        "agree": agreement.same,
+        "differ": agreement.other,
         "doubt": view.health.score,
-        "names_refused": view.table.refused,
+        "names_refused": table.refused,
         "counts": dict(sorted(view.counters.items())),
     }
