--- /dev/null
+++ b/tests/fleet/membership/test_view.py
@@ -0,0 +1,328 @@
+"""The membership view without I/O: schedules of a faulty network, and defects that the same checks must find."""
+
+from __future__ import annotations
+
+import math
+import random
+from itertools import product
+from typing import Any, Callable
+
+import pytest
+
+from emulator.fleetview import FleetModel
+from loadbalancer.fleet.membership.events import Action, PacketReceived, SendPacket, TimerExpired
+from loadbalancer.fleet.membership.failure_detector import FailureDetector
+from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.membership.member_table import MAX_NAMES, Peer
+from loadbalancer.fleet.membership.name_conflicts import NameConflicts
+from loadbalancer.fleet.membership.reconnection import Reconnection
+from loadbalancer.fleet.membership.view import MembershipView
+from loadbalancer.fleet.settings import PROFILES, Identity, Settings
+from loadbalancer.fleet.wire import GossipReply, Hello, Message, Packet, Ping
+
+#: Seconds within which all agree once the network is whole and nobody dies any more (docs/design/fleet-view.md).
+SETTLE_S = 20.0
+
+
+def after_faults(seed: int) -> FleetModel:
+    """Return eight instances after a minute of random faults, when the network is sound again.
+
+    All processes run but those that the faults have left killed.
+    """
+    source = random.Random(seed)
+    model = FleetModel(8, seed)
+    model.net.loss, model.net.doubled = source.choice((0.0, 0.01, 0.05)), source.choice((0.0, 0.05))
+    model.net.delay = source.choice((0.001, 0.02))
+    for instance in model.instances:
+        model.clock.after(source.random(), instance.start)
+    model.run(3)
+    for _ in range(12):
+        inject_fault(model, source)
+        model.run(source.choice((0.2, 1.0, 5.0, 15.0)))
+    model.heal()
+    model.net.loss = 0.0
+    for instance in model.instances:
+        instance.slow = 0.0
+        if instance.stopped:
+            instance.go_on()
+    return model
+
+
+def inject_fault(model: FleetModel, source: random.Random) -> None:
+    instance = source.choice(model.instances)
+    fault = source.choice(("kill", "kill", "stop", "part", "oneway", "heal", "slow"))
+    if fault == "kill":
+        instance.kill() if instance.up and not instance.stopped else instance.start()
+    elif fault == "stop":
+        instance.go_on() if instance.stopped else instance.stop()
+    elif fault == "part":
+        order = source.sample(range(8), 8)
+        at = source.randint(1, 7)
+        model.part(order[:at], order[at:])
+    elif fault == "oneway":
+        model.net.cut |= {(instance.number, other) for other in range(8)}
+    elif fault == "slow":
+        instance.slow = source.choice((0.0, 0.03, 0.1))
+    else:
+        model.heal()
+
+
+@pytest.mark.parametrize("seed", range(60))
+def test_after_any_faults_all_that_live_agree_within_the_bound(seed: int) -> None:
+    model = after_faults(seed)
+
+    settled_after = model.until(model.settled, SETTLE_S)
+
+    assert settled_after is not None
+    assert not model.held_dead()
+    for instance in model.up:
+        assert len(instance.view.table.peers) <= 7
+        assert len(instance.view.gossip_queue) <= 8
+
+
+@pytest.mark.parametrize("size", [1, 2, 3, 5, 40])
+def test_a_fleet_of_any_size_forms_notices_a_loss_and_takes_the_member_back(size: int) -> None:
+    model = FleetModel(size, size)
+    assert model.start_all(20.0) is not None
+    if size > 1:
+        model.instances[-1].kill()
+        assert model.until(model.settled, 20.0) is not None
+        model.instances[-1].start()
+        assert model.until(model.settled, 20.0) is not None
+        assert model.instances[-1].view.own_state.generation == 2
+
+
+def test_every_schedule_of_the_first_datagrams_of_a_join_ends_in_agreement() -> None:
+    """Three instances; what becomes of the first six datagrams once the third begins, in all 4 ** 6 ways."""
+    for fates in product(("", "gone", "twice", "late"), repeat=6):
+        model = FleetModel(3, 1)
+        model.instances[0].start()
+        model.instances[1].start()
+        assert model.until(model.settled, 10.0) is not None
+        model.net.fates = list(fates)
+        model.instances[2].start()
+        assert model.until(model.settled, SETTLE_S) is not None, fates
+
+
+# Checks, and defects that each of them must find.
+
+
+def partition_heals() -> bool:
+    """Halves for a minute, without seeds that could help; then agreement in time."""
+    model = FleetModel(8, 3)
+    assert model.start_all() is not None
+    for instance in model.instances:
+        instance.view.joining.seeds = ()
+    model.part(range(4), range(4, 8))
+    model.run(60)
+    model.heal()
+    return model.until(model.settled, SETTLE_S) is not None
+
+
+def stopped_process_returns() -> bool:
+    """Stopped until it is dead to all, then resumed: back in the same generation."""
+    model = FleetModel(8, 4)
+    assert model.start_all() is not None
+    stopped = model.instances[5]
+    stopped.stop()
+    model.run(20)
+    stopped.go_on()
+    return model.until(model.settled, SETTLE_S) is not None and stopped.view.own_state.generation == 1
+
+
+def own_stop_is_held_against_nobody() -> bool:
+    """Stopped just when it suspects another, and resumed long after; what had come for it meanwhile is lost."""
+    model = FleetModel(8, 6)
+    assert model.start_all() is not None
+    observer, suspect = model.instances[5], model.instances[6]
+    suspect.stop()
+
+    def is_suspected() -> bool:
+        return observer.view.table.peers["i6"].state.status == MemberStatus.SUSPECT
+
+    assert model.until(is_suspected, 10.0) is not None
+    observer.stop()
+    suspect.go_on()
+    model.run(20)
+    observer.waits.clear()
+    observer.go_on()
+    settled = model.until(model.settled, SETTLE_S) is not None
+    return settled and not observer.view.counters["died"]
+
+
+def indirect_probes_reach() -> bool:
+    """One way of many is cut for a minute: nobody is so much as suspected."""
+    model = FleetModel(8, 5)
+    assert model.start_all() is not None
+    model.net.cut = {(2, 3), (3, 2)}
+    model.run(60)
+    return not any(instance.view.counters["suspected"] for instance in model.instances)
+
+
+def call_nobody(self: Reconnection, now: float, peer: Peer) -> None:
+    peer.reconnect_at = math.inf
+
+
+def refute_nothing(self: NameConflicts, now: float, state: MemberState) -> None:
+    pass
+
+
+def excuse_nothing(self: FailureDetector, now: float, late: float) -> None:
+    pass
+
+
+def request_no_indirect_probes(self: FailureDetector) -> None:
+    self._timeout_at = math.inf
+
+
+DEFECTS: dict[str, tuple[Callable[[], bool], type, str, Callable[..., None]]] = {
+    "the dead are not called": (partition_heals, Reconnection, "_call", call_nobody),
+    "nothing is refuted, after a partition": (partition_heals, NameConflicts, "on_state", refute_nothing),
+    "nothing is refuted, after a stop": (stopped_process_returns, NameConflicts, "on_state", refute_nothing),
+    "own stops count": (own_stop_is_held_against_nobody, FailureDetector, "_excuse_stall", excuse_nothing),
+    "nobody else tries": (
+        indirect_probes_reach,
+        FailureDetector,
+        "_request_indirect_probes",
+        request_no_indirect_probes,
+    ),
+}
+
+
+@pytest.mark.parametrize("defect", DEFECTS)
+def test_a_defect_makes_the_check_fail(defect: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    check, owner, method, broken = DEFECTS[defect]
+    assert check()
+
+    monkeypatch.setattr(owner, method, broken)
+
+    assert not check()
+
+
+# Rules one by one.
+
+
+def member_view(name: str = "a") -> MembershipView:
+    """Return the view of an instance that is alone and has joined."""
+    view = MembershipView(Identity(name, 5, ("10.0.0.1", 1)), Settings(instances=3), 1)
+    view.handle(0.0, TimerExpired())
+    view.handle(2.1, TimerExpired())
+    assert view.state == "member"
+    return view
+
+
+def member(
+    name: str,
+    boot: int = 9,
+    status: MemberStatus = MemberStatus.ALIVE,
+    generation: int = 1,
+    incarnation: int = 0,
+) -> MemberState:
+    return MemberState(name, boot, generation, incarnation, status, "10.0.0.1", 2)
+
+
+def receive(
+    view: MembershipView,
+    now: float,
+    *states: MemberState,
+    receiver_boot: int = 5,
+    message: Message | None = None,
+) -> list[Action]:
+    """Hand a packet of the instance b to a view."""
+    packet = Packet("b", 9, receiver_boot, 1, message or GossipReply(), states)
+    return view.handle(now, PacketReceived(packet))
+
+
+def test_a_packet_for_another_process_changes_nothing() -> None:
+    view = member_view()
+    before = view.table.digest
+
+    actions = receive(view, 3.0, member("b"), receiver_boot=6)
+
+    assert view.table.digest == before
+    assert not view.table.peers
+    assert actions == []
+
+
+def test_a_hello_for_any_process_is_answered_and_changes_nothing() -> None:
+    view = member_view()
+
+    actions = receive(view, 3.0, receiver_boot=0, message=Hello("10.0.0.1", 2))
+
+    assert [type(action) for action in actions] == [SendPacket]
+    assert not view.table.peers
+
+
+def test_dead_members_that_are_not_known_get_no_row() -> None:
+    view = member_view()
+
+    receive(view, 3.0, member("c", status=MemberStatus.DEAD), member("d", status=MemberStatus.LEFT))
+
+    assert not view.table.peers
+
+
+def test_a_state_of_less_rank_changes_nothing_in_whatever_order_states_come() -> None:
+    states = [
+        member("b", status=status, incarnation=incarnation, generation=generation)
+        for status in MemberStatus
+        for incarnation in range(2)
+        for generation in (1, 2)
+    ]
+    ranks = set()
+    for seed in range(50):
+        view = member_view()
+        receive(view, 3.0, member("b"))
+        for state in random.Random(seed).sample(states, len(states)):
+            receive(view, 3.0, state)
+        ranks.add(view.table.peers["b"].state.rank)
+    assert ranks == {max(state.rank for state in states)}
+
+
+def test_names_are_bounded_and_those_past_the_bound_are_counted() -> None:
+    view = member_view()
+
+    for number in range(MAX_NAMES + 10):
+        receive(view, 3.0, member(f"n{number}", boot=number + 1))
+
+    assert len(view.table.peers) == MAX_NAMES
+    assert view.table.refused == 10
+    assert len(view.gossip_queue) <= 4_096
+
+
+def test_a_place_that_is_passed_on_makes_no_death() -> None:
+    model = FleetModel(5, 7)
+    assert model.start_all() is not None
+    replaced = model.instances[2]
+    generation, states = replaced.view.hand_over()
+    waiting, replaced.waits = replaced.waits, []
+    replaced.up = False
+
+    replaced.start()  # another process at the same sockets
+    replaced.view = MembershipView(Identity("i2", 99, replaced.address), replaced.view.settings, 3)
+    for action in replaced.view.resume(model.clock.now, generation, states):
+        replaced.do(action)
+    replaced.wake()
+
+    assert model.until(model.settled, SETTLE_S) is not None
+    assert not waiting
+    for instance in model.instances:
+        assert not instance.view.counters["died"]
+        assert not instance.view.counters["suspected"]
+    assert replaced.view.own_state.generation == 2
+
+
+def test_timers_of_all_profiles_hold_together() -> None:
+    for timers in PROFILES.values():
+        assert timers.timeout * 2 <= timers.period
+        assert timers.try_first < timers.try_most < timers.try_late
+        assert timers.hold >= timers.period
+
+
+def test_a_ping_of_an_unknown_member_gets_no_answer_and_its_own_state_makes_it_known() -> None:
+    view = member_view()
+    assert receive(view, 3.0, message=Ping(1, 1)) == []
+
+    actions = receive(view, 3.1, member("b"), message=Ping(2, 1))
+
+    sent: list[Any] = [action.message for action in actions if isinstance(action, SendPacket)]
+    assert [type(message).__name__ for message in sent] == ["Ack"]
