--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -1,4 +1,4 @@
-"""Coming back: the phases, what several survivors tell, and processes that are killed and started at once."""
+"""Coming back: what several survivors tell, and processes that are killed and started at once."""
 
 from __future__ import annotations
 
@@ -13,35 +13,12 @@
 from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 from scenes import acting, agreeing, fleet, run
 
 from emulator.herd import Herd, Measures
 from loadbalancer.admin.snapshot import EndpointSnapshot, PoolSnapshot, Snapshot
 from loadbalancer.admin.snapshot_merge import combine
 from loadbalancer.discovery.list_handoff import read, write
-from loadbalancer.fleet.orchestration.recovery import (
-    FULL_SERVICE_S,
-    LEARN_TIMEOUT_S,
-    MAX_ASKED_SURVIVORS,
-    WARM_TIMEOUT_S,
-    ConnectionPace,
-    LearnFromPeers,
-    PhaseChanged,
-    RecoveryCoordinator,
-    RecoveryObservation,
-    RecoveryPhase,
-    choose_survivors,
-    return_after,
-    turn,
-)  # fmt: skip
-from loadbalancer.fleet.orchestration.rolling_restart import (
-    GROUP_TIMEOUT_S,
-    MemberRestart,
-    RestartMember,
-    RollingRestart,
-)
 from loadbalancer.policy.events import (
     AttemptResult,
     EndpointEntry,
@@ -58,112 +35,6 @@
 from standins.processes import Fleet as Rig
 
 
-def seen(**more: Any) -> RecoveryObservation:
-    base: dict[str, Any] = {
-        "joined": True,
-        "may_act": True,
-        "has_stored_state": True,
-        "in_full_service": (),
-        "recovering": (),
-        "unheard": 0,
-        "served": 0,
-        "ended": 0,
-    }
-    return RecoveryObservation(**(base | more))
-
-
-def phases(comeback: RecoveryCoordinator, found: list[Any]) -> list[RecoveryPhase]:
-    return [one.phase for one in found if isinstance(one, PhaseChanged)]
-
-
-@pytest.mark.parametrize(
-    ("more", "kind"),
-    [
-        ({"has_stored_state": False}, "first"),
-        ({}, "alone"),
-        ({"in_full_service": ("b", "c", "d"), "recovering": ("e",)}, "lone"),
-        ({"in_full_service": ("b",), "recovering": ("c", "d")}, "mass"),
-        ({"recovering": ("b",)}, "mass"),
-    ],
-)
-def test_the_kind_of_a_start_is_told_by_the_view(more: dict[str, Any], kind: str) -> None:
-    comeback = RecoveryCoordinator("a", 0.0)
-    assert comeback.step(0.1, seen(joined=False)) == []
-    comeback.step(0.2, seen(**more))
-    assert comeback.kind == kind
-
-
-def test_a_lone_start_that_is_one_of_many_is_found_out_and_paced() -> None:
-    comeback = RecoveryCoordinator("a", 0.0)
-    assert not any(isinstance(one, LearnFromPeers) for one in comeback.step(0.1, seen(unheard=7)))
-    comeback.step(0.8, seen(unheard=7))
-    assert (comeback.kind, comeback.phase) == ("lone", RecoveryPhase.WARMING)  # nobody has said how far he is
-    assert ConnectionPace(1.0) in comeback.step(
-        0.9, seen(unheard=3, in_full_service=("b",), recovering=("c", "d", "e"))
-    )
-    assert comeback.kind == "mass"
-
-
-def test_each_phase_has_its_end_and_its_bound() -> None:
-    comeback = RecoveryCoordinator("a", 0.0)
-    full = ("b", "c", "d", "e")
-    assert phases(comeback, comeback.step(1.0, seen(in_full_service=full, may_act=False))) == [
-        RecoveryPhase.STATE
-    ]
-    assert (
-        comeback.step(60.0, seen(in_full_service=full, may_act=False)) == []
-    )  # shut out as long as it has to be
-    found = comeback.step(61.0, seen(in_full_service=full))
-    assert phases(comeback, found) == [RecoveryPhase.LEARNING]
-    found += comeback.step(61.3, seen(in_full_service=full))
-    learn = [one for one in found if isinstance(one, LearnFromPeers)]
-    assert len(learn) == 1 and len(learn[0].names) == MAX_ASKED_SURVIVORS
-    assert comeback.step(61.4, seen(in_full_service=full)) == []
-    found = comeback.step(61.1 + LEARN_TIMEOUT_S, seen(in_full_service=full))  # nobody has told
-    assert phases(comeback, found) == [RecoveryPhase.WARMING] and not any(
-        isinstance(one, ConnectionPace) for one in found
-    )
-    now = 61.1 + LEARN_TIMEOUT_S
-    served = 0
-    while comeback.phase == RecoveryPhase.WARMING and now < 200:
-        now += 0.3
-        served += 10
-        comeback.step(now, seen(in_full_service=full, served=served, ended=2 * served))
-    assert (
-        "not full in time" in comeback.times[-1][2] and now > 61 + WARM_TIMEOUT_S and not comeback.full_after
-    )
-
-
-def test_full_service_is_a_second_of_good_windows_and_its_time_is_told() -> None:
-    comeback = RecoveryCoordinator("a", 0.0)
-    comeback.step(1.0, seen(recovering=("b",), has_stored_state=False))
-    now, served, ended = 1.0, 0, 0
-    while comeback.phase != RecoveryPhase.FULL:
-        now += 0.26
-        ended += 100
-        served += 100 if now > 4 else 90
-        comeback.step(now, seen(recovering=("b",), served=served, ended=ended))
-    assert 3.7 < comeback.full_after < 4.0 + FULL_SERVICE_S and now < 6.0
-
-
-def test_a_pace_holds_only_where_many_come_back() -> None:
-    many, one = RecoveryCoordinator("a", 0.0), RecoveryCoordinator("a", 0.0)
-    found = many.step(1.0, seen(recovering=("b", "c", "d"))) + many.step(
-        1.5, seen(recovering=("b", "c", "d"))
-    )
-    assert ConnectionPace(1.0) in found
-    assert not any(isinstance(wish, ConnectionPace) for wish in one.step(1.0, seen()) + one.step(1.5, seen()))
-
-
-@given(st.sets(st.text(min_size=1, max_size=5), min_size=1, max_size=40))
-def test_turns_are_taken_without_a_leader_and_no_survivor_is_asked_by_all(names: set[str]) -> None:
-    turns = [turn(name, sorted(names - {name}), 0.05) for name in names]
-    each = min(0.05, 1.0 / len(names))
-    assert sorted(round(one / each) for one in turns) == list(range(len(names))) and max(turns) < 1.0
-    assert all(1 <= return_after(draw, len(names)) <= 10 for draw in (0.0, 0.5, 1.0))
-    assert len(set(choose_survivors("x", sorted(names)))) == min(MAX_ASKED_SURVIVORS, len(names))
-
-
 def test_openings_keep_their_pace() -> None:
     pacer, opened, now = Pacer(10.0, 0.0), 0, 0.0
     while now < 2.0:
@@ -268,28 +139,6 @@
             read(data[:at], {}, {})
 
 
-def lives(*names: str, boot: int = 1, living: bool = True, full: bool = True) -> dict[str, MemberRestart]:
-    return {name: MemberRestart(boot, living, full) for name in names}
-
-
-def test_a_restart_goes_group_by_group_and_halts_by_itself() -> None:
-    passing, all_ = RollingRestart("b", ["a", "b", "c"], 1, 0.0), lives("a", "b", "c")
-    assert passing.step(0.0, all_) == [RestartMember("a")] and passing.step(1.0, all_) == []
-    assert passing.step(2.0, all_ | lives("a", boot=2, full=False)) == []  # another life, and not full yet
-    assert passing.step(3.0, all_ | lives("a", boot=2)) == [] and passing.done == ["a"]
-    assert (
-        passing.step(3.5, all_ | lives("a", boot=2, living=False)) == []
-    )  # nobody is next while one is down
-    assert passing.step(4.0, all_ | lives("a", boot=2)) == [RestartMember("c")]
-    assert (
-        passing.step(4.0 + GROUP_TIMEOUT_S + 1, all_ | lives("a", boot=2)) == []
-        and "not back" in passing.halted
-    )
-    two = RollingRestart("a", ["a", "b", "c"], 2, 0.0)
-    assert two.step(0.0, all_) == [RestartMember("b"), RestartMember("c")] and two.groups[-1] == ["a"]
-    assert RollingRestart("a", ["a", "b"], 1, 0.0).step(0.0, lives("a")) == []
-
-
 def test_each_measure_is_worth_something_in_a_large_fleet() -> None:
     """60 of 70 instances before 80 members; the same seed with and without."""
     shape: dict[str, Any] = {"proxies": 70, "members": 80, "comes": 60, "rate": 20.0}
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout_processes.py
@@ -1,4 +1,4 @@
-"""Rolling out a configuration: the table of stages, and several processes that take it up, refuse it, die of it."""
+"""Rolling out a configuration: several processes that take it up, refuse it, die of it."""
 
 from __future__ import annotations
 
@@ -7,104 +7,13 @@
 from pathlib import Path
 from typing import Any
 
-import pytest
 from scenes import agreeing, run
 
 from loadbalancer.daemon.rollout import merged
-from loadbalancer.fleet.orchestration.rollout import (
-    STAGE_TIMEOUT_S,
-    RolloutPlan,
-    StageReport,
-    instances_on_new,
-    next_stage,
-    rollout_order,
-    wants_new,
-)
 from standins.askers import Askers
 from standins.member import Fleet as Members
 from standins.processes import Fleet, until
 
-NAMES = [f"i{number}" for number in range(8)]
-
-
-def plan(stage: str) -> RolloutPlan:
-    return RolloutPlan("r1", "d", "i0", 5.0, stage)
-
-
-def report(
-    runs: str = "old", has: bool = True, refused: str = "", requests: int = 0, bad: int = 0
-) -> StageReport:
-    return StageReport(runs, has, refused, requests, bad)
-
-
-def after(
-    stage: str, reports: dict[str, StageReport], dead: tuple[str, ...] = (), lasted: float = 6.0
-) -> str | None:
-    living = [name for name in NAMES if name not in dead]
-    found = next_stage(plan(stage), reports, living, dead, lasted)
-    return found.to if found is not None else None
-
-
-def on_new(stage: str, **more: Any) -> dict[str, StageReport]:
-    step = instances_on_new(plan(stage), NAMES)
-    return {
-        name: report("new" if name in step else "old", **(more if name in step else {})) for name in NAMES
-    }
-
-
-def test_a_step_takes_one_then_a_quarter_then_all_and_each_plan_another_first() -> None:
-    assert [
-        len(instances_on_new(plan(stage), NAMES)) for stage in ("checking", "one", "quarter", "all", "back")
-    ] == [
-        0,
-        1,
-        2,
-        8,
-        0,
-    ]
-    assert instances_on_new(plan("one"), NAMES)[0] in instances_on_new(plan("quarter"), NAMES)
-    firsts = {rollout_order(RolloutPlan(f"r{n}", "d", "i0", 5.0), NAMES)[0] for n in range(40)}
-    assert len(firsts) > 4
-
-
-def test_it_goes_on_while_all_is_well() -> None:
-    assert after("checking", {name: report() for name in NAMES}) == "one"
-    for stage, next_ in (("one", "quarter"), ("quarter", "all"), ("all", "done")):
-        assert after(stage, on_new(stage)) == next_
-        assert after(stage, on_new(stage), lasted=4.0) is None  # it has not served for long enough
-    assert after("back", {name: report() for name in NAMES}) == "ended"
-
-
-@pytest.mark.parametrize("stage", ["one", "quarter", "all"])
-def test_it_is_taken_back_where_one_refuses_dies_is_late_or_serves_worse(stage: str) -> None:
-    first = instances_on_new(plan(stage), NAMES)[0]
-    assert after(stage, {**on_new(stage), first: report(refused="no such file")}) == "back"
-    assert after(stage, on_new(stage), dead=(first,)) == "back"
-    assert after(stage, {**on_new(stage), first: report("old")}, lasted=STAGE_TIMEOUT_S + 1) == "back"
-    assert after(stage, on_new(stage, requests=200, bad=10), lasted=1.0) == "back"
-    assert after(stage, on_new(stage, requests=5, bad=4), lasted=1.0) is None  # too few to judge
-
-
-def test_a_file_that_one_refuses_goes_nowhere() -> None:
-    reports = {name: report() for name in NAMES} | {"i3": report(has=False, refused="pool[p]: unknown key")}
-    found = next_stage(plan("checking"), reports, NAMES, (), 1.0)
-    assert found is not None and found.to == "ended" and "i3 refuses it" in found.why
-    assert after("checking", {}, lasted=STAGE_TIMEOUT_S + 1) == "ended"
-
-
-def test_as_bad_as_the_old_one_is_no_reason() -> None:
-    reports = {name: report(one.runs, requests=200, bad=40) for name, one in on_new("quarter").items()}
-    assert after("quarter", reports) == "all"
-
-
-def test_a_halted_one_stays_and_one_that_comes_back_late_follows_what_was_decided() -> None:
-    assert wants_new(plan("halted"), "i1", NAMES, "new") and not wants_new(plan("halted"), "i1", NAMES, "old")
-    assert wants_new(plan("done"), "i1", NAMES, "old") and not wants_new(plan("ended"), "i1", NAMES, "new")
-    assert StageReport.read(report("new", True, "a|b", 3, 1).write("r1"), "r1") == report(
-        "new", True, "a|b", 3, 1
-    )
-    assert StageReport.read("r2|new|1|0|0|", "r1") is None and StageReport.read("nonsense", "r1") is None
-
 
 def test_what_is_an_instances_own_stays_its_own() -> None:
     ours = b'[fleet]\nname = "a"\n[store]\nfolder = "s"\n[[listener]]\nname = "m"\naddress = "127.0.0.1:1"\n'
