--- a/loadbalancer/fleet/transport.py
+++ b/loadbalancer/fleet/transport.py
@@ -82,10 +82,10 @@
         """Bind the sockets; nothing is read before `start`.
 
         Args:
-            view: The membership view.
+            view: Gets the events, and says what is to be done.
             name: The instance's name.
             boot: Its boot id.
-            sealer: Seals and opens packets.
+            sealer: Seals and opens packets; `sealer` replaces it.
             bind: Where to bind.
             log_notice: Logs an event with a text.
             inherited: The sockets of the process that this one replaces.
@@ -97,21 +97,24 @@
         self.counts: Counter[str] = Counter()
         self.replication_handler: ReplicationHandler | None = None
         self._log_notice = log_notice
+        self._loop = asyncio.get_running_loop()
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at = 0.0
+        self._is_closed = False
         self._codec = PacketCodec(name, boot, sealer, self.counts)
         bound = bind_sockets(bind, inherited)
         self._datagrams = DatagramSocket(bound.datagram, self._codec, self.counts, self._on_datagram)
-        self._streams = StreamExchange(
-            bound.listener,
+        self._streams = self._open_streams(bound.listener)
+
+    def _open_streams(self, listener: socket.socket) -> StreamExchange:
+        return StreamExchange(
+            listener,
             self._codec,
             self.counts,
-            member_states=view.facts,
+            member_states=self.view.facts,
             on_packet=self._on_view_piece,
-            log_notice=log_notice,
+            log_notice=self._log_notice,
         )
-        self._loop = asyncio.get_running_loop()
-        self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = 0.0
-        self._is_closed = False
 
     @property
     def sealer(self) -> Sealer:
