--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -62,12 +62,14 @@
     """The decisions of one proxy.
 
     The same settings, seed and events give the same actions. Random numbers come from two sources: `random`
-    decides where requests go, `jitter` spreads times, so that a change to one moves no decision of the other.
+    for selection, shedding, the gaps of a pace and polls; `jitter` for the start of a pace, `Retry-After` and
+    what passes the concurrency limit, none of which then moves a selection.
     """
 
     load_shedding_type: ClassVar[type[LoadShedding]] = LoadShedding
-    """Another rule to be tried out in its place (emulator)."""
+    """What it is built with; a variant of the policy may have another one, as those of the emulator do."""
     concurrency_limit_type: ClassVar[type[ConcurrencyLimit]] = ConcurrencyLimit
+    """As above."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.settings = settings
@@ -252,8 +254,10 @@
         limits = self.settings.limits
         if limits.hedging:
             self._retry(pending, now)
-        elif limits.cancellation and self.retry_policy.next_pool(pending, now, after_cancel=True):
-            self._actions.append(Cancel(pending.id, 0))  # its outcome starts the second attempt
+        elif limits.cancellation:
+            may_follow = self.retry_policy.next_pool(pending, now, after_cancel=True) is not None
+            if may_follow:
+                self._actions.append(Cancel(pending.id, 0))  # its outcome starts the second attempt
 
     def _on_first_byte(self, event: FirstByte, now: float) -> None:
         """Let one of the attempts answer the request and cancel the others.
--- a/loadbalancer/policy/idempotency.py
+++ b/loadbalancer/policy/idempotency.py
@@ -6,7 +6,7 @@
 | effect | another attempt | where | reject (a promise that nothing ran) |
 | --- | --- | --- | --- |
 | safe | always | any endpoint | always |
-| keyed, scope all | within the deduplication window | any endpoint | always: a repeat is dropped anywhere |
+| keyed, scope all | within the deduplication window | any endpoint | always |
 | keyed, scope zone or cell | within the deduplication window | zone or cell of the first | never |
 | unsafe | never | | never |
 
--- a/loadbalancer/policy/settings.py
+++ b/loadbalancer/policy/settings.py
@@ -23,7 +23,7 @@
     KEYED = 1
     """Nothing, where both reach endpoints of one deduplication group within the deduplication window."""
     UNSAFE = 2
-    """Harm: it must never run twice."""
+    """A second effect: it must never run twice."""
 
 
 class DeduplicationScope(IntEnum):
--- a/tests/policy/test_estimators.py
+++ b/tests/policy/test_estimators.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
+import random
+
 import pytest
 from policy_scene import (
     make_balancer,
     make_entries,
 )
 
-from loadbalancer.policy.estimators import linear_decay
+from loadbalancer.policy.estimators import SendRate, StreamingQuantile, linear_decay
 
 
 @pytest.mark.parametrize(("age", "share"), [(0.0, 0.8), (15.0, 0.4), (30.0, 0.0), (45.0, 0.0)])
@@ -16,3 +18,20 @@
     balancer = make_balancer(*make_entries(1))
     balancer.now = 100.0 + age
     assert linear_decay(0.8, 100.0, balancer.now) == pytest.approx(share)
+
+
+def test_a_streaming_quantile_settles_where_its_share_of_observations_is_smaller() -> None:
+    quantile = StreamingQuantile(0.9)
+    rng = random.Random(1)
+    for _ in range(5000):
+        quantile.record(rng.random() + 0.001)
+    assert quantile.is_ready
+    assert 0.75 < quantile.value < 1.0
+
+
+def test_the_rate_of_a_young_proxy_is_over_its_life() -> None:
+    rate = SendRate()
+    rate.start(100.0)
+    for number in range(20):
+        rate.record(100.0 + number / 10)
+    assert rate.per_second(102.0) == pytest.approx(10.0, rel=0.05)
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import pytest
 from policy_scene import (
     end_attempt,
     make_balancer,
@@ -9,14 +10,18 @@
     sent_to,
 )
 
+from loadbalancer.policy import idempotency
 from loadbalancer.policy.actions import (
     Fail,
     Send,
 )
+from loadbalancer.policy.endpoints import Endpoint
 from loadbalancer.policy.events import (
     AttemptResult,
     EndpointEntry,
 )
+from loadbalancer.policy.pending_requests import Attempt
+from loadbalancer.policy.settings import DeduplicationScope, Effect, RequestClass
 
 
 def test_an_unsafe_request_that_may_have_run_fails() -> None:
@@ -38,3 +43,34 @@
             assert again.endpoint[:2] == endpoint[:2] and again.endpoint != endpoint
         else:
             assert again == Fail(1)
+
+
+ALL, ZONE = DeduplicationScope.ALL, DeduplicationScope.ZONE
+
+
+@pytest.mark.parametrize(
+    ("effect", "scope", "elapsed", "may_run_again", "may_reject"),
+    [
+        (Effect.SAFE, ALL, 9.0, True, True),
+        (Effect.KEYED, ALL, 0.4, True, True),
+        (Effect.KEYED, ALL, 0.5, False, True),
+        (Effect.KEYED, ZONE, 0.4, True, False),
+        (Effect.KEYED, ZONE, 0.5, False, False),
+        (Effect.UNSAFE, ALL, 0.0, False, False),
+    ],
+)
+def test_the_table_of_what_may_follow_an_attempt_that_may_have_run(
+    effect: Effect, scope: DeduplicationScope, elapsed: float, may_run_again: bool, may_reject: bool
+) -> None:
+    request_class = RequestClass(
+        "c", 1.0, 4.0, effect=effect, deduplication_scope=scope, deduplication_window=0.5
+    )
+    first = Attempt(Endpoint(EndpointEntry("s0")), sent_at=100.0, queue_length=1)
+
+    assert idempotency.may_run_again(request_class, first, 100.0 + elapsed) == may_run_again
+    assert idempotency.may_reject(request_class, [first]) == may_reject
+
+    first.may_have_run = False
+    assert idempotency.first_that_may_have_run([first]) is None
+    assert idempotency.may_run_again(request_class, None, 100.0 + elapsed)
+    assert idempotency.may_reject(request_class, [first])
