--- a/loadbalancer/admin/calls.py
+++ b/loadbalancer/admin/calls.py
@@ -90,6 +90,11 @@
     wait: float = 0.0  # seconds for which those are waited for that have not confirmed
 
 
+#: The answer to a change, as JSON has it; with the key `error` where nothing has changed.
+ChangeResult = Mapping[str, Any]
+ChangeDone = Callable[[ChangeResult], None]
+
+
 class ManagedDaemon(Protocol):
     """What calls are about."""
 
@@ -108,7 +113,7 @@
     def why(self, request: str) -> Any:
         """The decisions of a recent request, by its id; CallError where it is not known."""
 
-    def change(self, change: Change, done: Callable[[Any], None]) -> None:
+    def change(self, change: Change, done: ChangeDone) -> None:
         """Do it whole; `done` hears what is now true once it is kept. CallError, and nothing has changed, where that
         can't be."""
 
--- a/loadbalancer/cli/serve_daemon.py
+++ b/loadbalancer/cli/serve_daemon.py
@@ -22,7 +22,8 @@
 from loadbalancer.config.reader import ConfigError, read_address
 from loadbalancer.config.types import LogTable
 from loadbalancer.daemon.daemon import Daemon
-from loadbalancer.daemon.hot_restart import HotRestartError, InheritedState
+from loadbalancer.daemon.hot_restart.protocol import HotRestartError
+from loadbalancer.daemon.hot_restart.takeover import InheritedState
 from loadbalancer.resource_limits import RateLimitedLogger, describe_loop_context
 from standins.fastcgi import FastCgiFleet
 from standins.member import Fleet
@@ -90,15 +91,15 @@
         daemon = Daemon(logger)
         stack.callback(daemon.close)
         if options.take_over:
-            daemon.taken = _take(plan, options.config)
-            daemon.learnt = _learnt(daemon.taken, logger)
+            daemon.inherited = _take(plan, options.config)
+            daemon.inherited_snapshot = _learnt(daemon.inherited, logger)
         daemon.apply(plan)
         stopping = _signals(daemon)
-        if daemon.taken is not None:
-            way = daemon.taken.serving()
-            daemon.taken = None
+        if daemon.inherited is not None:
+            way = daemon.inherited.serving()
+            daemon.inherited = None
             if daemon.control is not None:
-                daemon.control.follow(way)
+                daemon.control.predecessor.connect(way)
             else:
                 way.close()
         daemon.serve()
@@ -113,7 +114,7 @@
         if options.notify is not None:
             os.write(options.notify, b"serving\n")
             os.close(options.notify)
-        taken = daemon.control.taken if daemon.control is not None else asyncio.Event()
+        taken = daemon.control.hot_restart.replaced if daemon.control is not None else asyncio.Event()
         await _first(stopping.wait(), taken.wait())
         again = asyncio.Event()
         for number in (signal.SIGINT, signal.SIGTERM):
@@ -124,14 +125,15 @@
 
 
 def _take(plan: Plan, path: Path | None) -> InheritedState:
-    from loadbalancer.daemon.hot_restart import offer_path, take
+    from loadbalancer.daemon.hot_restart.protocol import offer_path
+    from loadbalancer.daemon.hot_restart.takeover import take_over
 
     management = plan.file.management
     if path is None or management is None or management.socket is None:
         raise UseError(
             "--take-over wants -c FILE with a [management] socket, by which the running daemon is found"
         )
-    return take(offer_path(path.parent / management.socket))
+    return take_over(offer_path(path.parent / management.socket))
 
 
 def _learnt(taken: InheritedState, logger: RateLimitedLogger) -> Snapshot | None:
@@ -139,7 +141,7 @@
     from loadbalancer.admin.snapshot import SnapshotError, decode
 
     try:
-        return decode(taken.learnt)
+        return decode(taken.snapshot)
     except SnapshotError as problem:
         logger("upgrade: begun without what was learnt", problem)
         return None
--- a/loadbalancer/daemon/admin_queries.py
+++ b/loadbalancer/daemon/admin_queries.py
@@ -1,222 +1,197 @@
-"""What operators read of a running daemon, as JSON has it."""
+"""What operators can read of a running daemon, one method for each path of the administrative API."""
 
 from __future__ import annotations
 
 import os
 import time
-from typing import TYPE_CHECKING, Any, Callable, cast
+from typing import TYPE_CHECKING, Callable, Mapping, cast
 
 from loadbalancer.admin.calls import CallError
-from loadbalancer.config.types import ManagementTable
-from loadbalancer.daemon.components import DaemonContext
-from loadbalancer.daemon.pools import RunningPool
-from loadbalancer.discovery.overrides import AdminOverride
-from loadbalancer.policy.events import (
-    EndpointState,
+from loadbalancer.daemon.admin_rows import (
+    AttemptRow,
+    EndpointRow,
+    MigrationRow,
+    OverrideRow,
+    PoolRow,
+    RefusedKeyRow,
+    RequestRow,
+    StatusRow,
+    endpoint_row,
+    override_fields,
+    pool_row,
 )
-from loadbalancer.routing.traffic_migration import Migration, Migrations
-from loadbalancer.store.keeper import Store
+from loadbalancer.daemon.admin_state import AdminState
+from loadbalancer.daemon.components import DaemonContext
+from loadbalancer.proxy.open_requests import OpenRequest
 
 if TYPE_CHECKING:
-    from loadbalancer.daemon.storage import Storage
     from loadbalancer.daemon.tls_keys import TlsKeys
 
-#: Open requests that one call tells of, the oldest first.
-REQUESTS_MOST = 200
+#: Open requests in one answer, the oldest first.
+MAX_REQUEST_ROWS = 200
+#: Characters of a request's method and path in a row.
+MAX_REQUEST_LINE_CHARACTERS = 200
 
 
 class AdminQueries:
-    """The part of `Control` that changes nothing."""
-
-    daemon: DaemonContext
-    table: ManagementTable
-    marks: dict[str, dict[str, AdminOverride]]
-    moves: dict[str, Migrations]
-    started: float  # Unix time
-
-    @property
-    def _store(self) -> Store | None:
-        memory = cast("Storage | None", self.daemon.parts.get("store"))
-        return memory.store if memory is not None else None
-
-    def _move(self, pool: str) -> Migration | None:
-        return self.moves[pool].move if pool in self.moves else None
-
-    def read(self, what: str) -> Any:
-        for part in self.daemon.parts.values():
-            if (found := part.reads().get(what)) is not None:
-                return found()
-        return getattr(self, f"_read_{what}")()
-
-    def ask(self, what: str, done: Callable[[Any], None]) -> bool:
-        for part in self.daemon.parts.values():
-            if (found := part.asks().get(what)) is not None:
-                found(done)
-                return True
-        return False
-
-    def verbs(self) -> dict[str, tuple[frozenset[str], str]]:
-        return {
-            verb: found for part in self.daemon.parts.values() for verb, found in part.more_verbs().items()
+    """Reads a daemon's state, and that of its components, without changing it."""
+
+    def __init__(self, daemon: DaemonContext, state: AdminState, traced_requests: int | None) -> None:
+        """Make the queries of a daemon.
+
+        Args:
+            daemon: The daemon.
+            state: Its overrides and migrations.
+            traced_requests: Recent requests of each pool whose decisions are kept; None or 0 for none.
+        """
+        self._daemon = daemon
+        self._state = state
+        self._traced_requests = traced_requests
+        self._started_unix_s = time.time()
+        self._readers: Mapping[str, Callable[[], object]] = {
+            "status": self.status,
+            "pools": self.pools,
+            "members": self.endpoints,
+            "requests": self.requests,
+            "marks": self.overrides,
+            "moves": self.migrations,
+            "keys": self.keys,
         }
 
-    def readable(self, what: str) -> bool:
-        """Whether it can be read of a part."""
-        return any(what in part.reads() for part in self.daemon.parts.values())
+    def read(self, what: str) -> object:
+        """The answer to a path; a component's own readers come first."""
+        for component in self._daemon.components.values():
+            reader = component.reads().get(what)
+            if reader is not None:
+                return reader()
+        return self._readers[what]()
+
+    def is_readable(self, what: str) -> bool:
+        """Whether a component can be read by this path."""
+        return any(what in component.reads() for component in self._daemon.components.values())
+
+    def ask(self, what: str, done: Callable[[object], None]) -> bool:
+        """Start a query that other instances answer; whether there is one by this path."""
+        for component in self._daemon.components.values():
+            query = component.asks().get(what)
+            if query is not None:
+                query(done)
+                return True
+        return False
 
-    def _read_status(self) -> dict[str, Any]:
-        daemon = self.daemon
-        return {
+    def status(self) -> dict[str, object]:
+        """The daemon as a whole, and what its components add."""
+        daemon = self._daemon
+        row: StatusRow = {
             "pid": os.getpid(),
-            "up_s": round(time.time() - self.started, 1),
+            "up_s": round(time.time() - self._started_unix_s, 1),
             "reloads": daemon.reloads,
             "configuration": str(daemon.plan.path) if daemon.plan is not None else None,
-            "listeners": {name: "{}:{}".format(*one.address) for name, one in daemon.listeners.items()},
+            "listeners": {
+                name: "{}:{}".format(*listener.address) for name, listener in daemon.listeners.items()
+            },
             "pools": len(daemon.pools),
-            "open": sum(len(p.proxy.open) for p in daemon.pools.values()),
+            "open": sum(len(pool.proxy.open) for pool in daemon.pools.values()),
             "retiring": daemon.retiring,
             "store": None,
-        } | {key: value for part in daemon.parts.values() for key, value in part.figures().items()}
-
-    def _read_pools(self) -> list[dict[str, Any]]:
-        return [self._pool(name, pool) for name, pool in self.daemon.pools.items()]
-
-    def _pool(self, name: str, pool: RunningPool) -> dict[str, Any]:
-        proxy = pool.proxy
-        ended = [sum(counts) for counts in zip(*proxy.figures.ended, strict=True)]
-        return {
-            "pool": name,
-            "members": len(proxy.listed),
-            "skipped": proxy.skipped(),
-            "open": len(proxy.open),
-            "served": ended[0],
-            "refused": ended[1],
-            "failed": ended[2],
-            "attempts": sum(proxy.tries()),
-            "connections": proxy.backends.open,
-            "tunnels": len(proxy.tunnels.open),
-            "frozen": pool.overlay.frozen,
-            "refusing": round(proxy.balancer.shed_level, 3),
-            "limit": round(proxy.balancer.limit),
-            "in_flight": proxy.balancer.in_flight,
         }
+        status: dict[str, object] = {**row}
+        for component in daemon.components.values():
+            status |= component.figures()
+        return status
 
-    def _read_members(self) -> list[dict[str, Any]]:
+    def pools(self) -> list[PoolRow]:
+        """All pools."""
+        return [pool_row(name, pool) for name, pool in self._daemon.pools.items()]
+
+    def endpoints(self) -> list[EndpointRow]:
+        """All endpoints that are listed or overridden."""
         return [
-            self._member(name, pool, member)
-            for name, pool in self.daemon.pools.items()
-            for member in self._names(pool)
+            endpoint_row(name, pool, endpoint)
+            for name, pool in self._daemon.pools.items()
+            for endpoint in sorted(pool.overlay.listed().keys() | pool.overlay.marks.keys())
         ]
 
-    @staticmethod
-    def _names(pool: RunningPool) -> list[str]:
-        return sorted(pool.overlay.listed().keys() | pool.overlay.marks.keys())
-
-    def _member(self, name: str, pool: RunningPool, member: str) -> dict[str, Any]:
-        listed, mark = pool.overlay.listed().get(member), pool.overlay.marks.get(member)
-        server = pool.proxy.balancer.servers.get(member)
-        address = listed[1] if listed is not None else mark.address if mark is not None else None
-        box = {
-            "pool": name,
-            "member": member,
-            "address": _place(address),
-            "source": "not listed" if listed is None else EndpointState(listed[0].state).name.lower(),
-            "weight": mark.weight
-            if mark is not None and mark.weight is not None
-            else listed[0].weight
-            if listed is not None
-            else 1.0,
-            "in_flight": 0 if server is None else len(server.in_flight) + len(server.responding),
-            "used": server is not None and not pool.proxy.balancer.avoids(member),
-        }
-        return box | ({"mark": _tell(mark)} if mark is not None else {})
-
-    def _read_keys(self) -> list[dict[str, Any]]:
-        """Certificates that serve, the first to end first; then files that do not, and why."""
-        keys = cast("TlsKeys | None", self.daemon.parts.get("keys"))
+    def keys(self) -> list[dict[str, object] | RefusedKeyRow]:
+        """Certificates in use, the first to expire first; then files that are not used, and why."""
+        keys = cast("TlsKeys | None", self._daemon.components.get("keys"))
         if keys is None:
             return []
-        return [*keys.summary(), *({"where": where, "refused": why} for where, why in keys.refused().items())]
+        refused: list[RefusedKeyRow] = [
+            {"where": where, "refused": reason} for where, reason in keys.refused().items()
+        ]
+        return [*keys.summary(), *refused]
 
-    def _read_requests(self) -> list[dict[str, Any]]:
-        """Open ones, the oldest first, without anything that clients sent but method and path."""
-        found = []
-        for name, pool in self.daemon.pools.items():
+    def requests(self) -> list[RequestRow]:
+        """Open requests, the oldest first; of what clients sent only method and path."""
+        rows: list[tuple[float, RequestRow]] = []
+        for name, pool in self._daemon.pools.items():
             now = pool.proxy.now()
             for request in pool.proxy.open.values():
-                line = bytes(request.head.partition(b"\r\n")[0]).decode("latin-1").rpartition(" ")[0]
-                attempts = [
-                    {"member": a.server, "age_s": round(now - a.began, 3), "ended": a.ended}
-                    for a in request.attempts
-                ]
-                began = min((a.began for a in request.attempts), default=now)
-                box = {
-                    "pool": name,
-                    "id": request.id,
-                    "request": line.partition("?")[0][:200],
-                    "attempts": attempts,
-                }
-                found.append((began, box))
-        found.sort(key=lambda one: one[0])
-        return [box for _, box in found[:REQUESTS_MOST]]
-
-    def _read_marks(self) -> list[dict[str, Any]]:
-        """All of them, also those of pools and members that are not there now."""
+                began = min((attempt.began for attempt in request.attempts), default=now)
+                rows.append((began, _request_row(name, request, now)))
+        rows.sort(key=lambda began_and_row: began_and_row[0])
+        return [row for _, row in rows[:MAX_REQUEST_ROWS]]
+
+    def overrides(self) -> list[OverrideRow]:
+        """All overrides, also of pools and endpoints that are not there now."""
+        pools = self._daemon.pools
         return [
             {
-                "pool": pool,
-                "member": member,
-                "there": pool in self.daemon.pools and self.daemon.pools[pool].overlay.knows(member),
-                **_tell(mark),
+                "pool": name,
+                "member": endpoint,
+                "there": name in pools and pools[name].overlay.knows(endpoint),
+                **override_fields(override),
             }
-            for pool, marks in sorted(self.marks.items())
-            for member, mark in sorted(marks.items())
+            for name, overrides in sorted(self._state.overrides.items())
+            for endpoint, override in sorted(overrides.items())
         ]
 
-    def _read_moves(self) -> list[dict[str, Any]]:
+    def migrations(self) -> list[MigrationRow]:
+        """All migrations in force."""
         return [
             {
-                "pool": pool,
-                "other": move.other,
-                "share": move.share,
-                "by": move.by,
-                "reason": move.reason,
-                "until": move.until or None,
-                "there": move.other in self.daemon.pools,
-                "keys": len(self.moves[pool]),
+                "pool": name,
+                "other": migration.other,
+                "share": migration.share,
+                "by": migration.by,
+                "reason": migration.reason,
+                "until": migration.until or None,
+                "there": migration.other in self._daemon.pools,
+                "keys": len(migrations),
             }
-            for pool in sorted(self.moves)
-            if (move := self._move(pool)) is not None
+            for name, migrations in sorted(self._state.migrations.items())
+            if (migration := migrations.move) is not None
         ]
 
-    def why(self, request: str) -> Any:
-        if not self.table.why:
+    def why(self, request_id: str) -> list[dict[str, object]]:
+        """The decisions of a recent request.
+
+        Raises:
+            CallError: No decisions are kept, or none of this request.
+        """
+        if not self._traced_requests:
             raise CallError(409, "nothing is kept for this; put why = 1000 into [management] and restart")
-        for name, pool in self.daemon.pools.items():
-            found = pool.proxy.trace.why(request) if pool.proxy.trace is not None else None
-            if found is not None:
-                return [{"pool": name, **step} for step in found]
+        for name, pool in self._daemon.pools.items():
+            steps = pool.proxy.trace.why(request_id) if pool.proxy.trace is not None else None
+            if steps is not None:
+                return [{"pool": name, **step} for step in steps]
         raise CallError(
             404,
-            f"no request {request!r} among the latest {self.table.why} of each pool; its id is what "
+            f"no request {request_id!r} among the latest {self._traced_requests} of each pool; its id is what "
             "X-Request-Id says at the member",
         )
 
 
-def _place(address: tuple[str, int] | None) -> str | None:
-    if address is None:
-        return None
-    return f"{address[0]}:{address[1]}" if address[1] else address[0]
-
-
-def _tell(mark: AdminOverride) -> dict[str, Any]:
-    box = {
-        "word": mark.word,
-        "weight": mark.weight,
-        "by": mark.by,
-        "reason": mark.reason,
-        "at": mark.at,
-        "until": mark.until or None,
-        "added": _place(mark.address),
+def _request_row(pool: str, request: OpenRequest, now: float) -> RequestRow:
+    line = bytes(request.head.partition(b"\r\n")[0]).decode("latin-1").rpartition(" ")[0]
+    attempts: list[AttemptRow] = [
+        {"member": attempt.server, "age_s": round(now - attempt.began, 3), "ended": attempt.ended}
+        for attempt in request.attempts
+    ]
+    return {
+        "pool": pool,
+        "id": request.id,
+        "request": line.partition("?")[0][:MAX_REQUEST_LINE_CHARACTERS],
+        "attempts": attempts,
     }
-    return {key: value for key, value in box.items() if value not in (None, "")}
--- /dev/null
+++ b/loadbalancer/daemon/admin_state.py
@@ -0,0 +1,85 @@
+"""Administrative overrides and traffic migrations that are in force at this daemon."""
+
+from __future__ import annotations
+
+import time
+from typing import Mapping
+
+from loadbalancer.config.plan import Plan
+from loadbalancer.daemon.components import DaemonContext
+from loadbalancer.daemon.persisted_overrides import PersistedOverrides
+from loadbalancer.daemon.pools import RunningPool
+from loadbalancer.discovery.overrides import AdminOverride
+from loadbalancer.routing.traffic_migration import Migration, Migrations
+
+
+class AdminState:
+    """What operators have said of endpoints and pools, also of those that no configuration names now.
+
+    Attributes:
+        overrides: Overrides by pool and endpoint.
+        migrations: Migrations by pool, of each pool of which a share was ever migrated.
+    """
+
+    def __init__(self, daemon: DaemonContext, persisted: PersistedOverrides) -> None:
+        self.overrides: dict[str, dict[str, AdminOverride]] = {}
+        self.migrations: dict[str, Migrations] = {}
+        self._daemon = daemon
+        self._logger = daemon.logger
+        self._persisted = persisted
+        self._deduplication_window_s = 0.0  # the longest of any class
+
+    def restore(
+        self, overrides: Mapping[str, Mapping[str, AdminOverride]], migrations: Mapping[str, Migration]
+    ) -> None:
+        """Go on with what the store or the daemon before has kept; called before pools are made."""
+        self.overrides = {pool: dict(by_endpoint) for pool, by_endpoint in overrides.items()}
+        for pool, migration in migrations.items():
+            self.migrations[pool] = Migrations(self._deduplication_window_s)
+            self.migrations[pool].resume(migration)
+
+    def reload(self, plan: Plan) -> None:
+        """Take the deduplication windows of a configuration over; called before its routes are made."""
+        self._deduplication_window_s = max(cls.deduplication_window for cls in plan.classes)
+        for pool, migrations in self.migrations.items():
+            migrations.window = max(migrations.window, self._deduplication_window_s)
+            migration = migrations.move
+            if pool in plan.pools and migration is not None and migration.other not in plan.pools:
+                self._logger("a move waits", f"pool {migration.other!r} is gone; all of {pool} stays with it")
+
+    def migration(self, pool: str) -> Migration | None:
+        """The migration of a pool that is in force."""
+        return self.migrations[pool].move if pool in self.migrations else None
+
+    def set_migration(self, pool: str, migration: Migration | None) -> None:
+        """Put a pool's migration in force; None ends it."""
+        migrations = self.migrations.setdefault(pool, Migrations(self._deduplication_window_s))
+        migrations.say(migration, time.time())
+        self._daemon.retarget()
+
+    def pool_overrides(self, pool: str) -> dict[str, AdminOverride]:
+        """The overrides of a pool by endpoint, to be changed in place."""
+        return self.overrides.setdefault(pool, {})
+
+    def apply_override(self, name: str, pool: RunningPool, endpoint: str, override: AdminOverride) -> None:
+        """Put an endpoint's override in force at a running pool; an empty one ends it."""
+        overrides = self.pool_overrides(name)
+        if override.says_nothing():
+            overrides.pop(endpoint, None)
+        else:
+            overrides[endpoint] = override
+        pool.overlay.mark(endpoint, override)
+
+    def expire(self) -> None:
+        """End the overrides and migrations whose time is over."""
+        for name, pool in self._daemon.pools.items():
+            for endpoint in pool.overlay.expire():
+                self.overrides.get(name, {}).pop(endpoint, None)
+                self._logger("a mark has ended", f"{endpoint} of pool {name}")
+                self._persisted.forget_override(name, endpoint)
+        now = time.time()
+        for name, migrations in self.migrations.items():
+            if migrations.move is not None and migrations.move.is_over(now):
+                self.set_migration(name, None)
+                self._logger("a move has ended", f"all of {name} stays with it")
+                self._persisted.forget_migration(name)
--- a/loadbalancer/daemon/audit_log.py
+++ b/loadbalancer/daemon/audit_log.py
@@ -1,4 +1,4 @@
-"""What operators have changed, a line for each: who, when, what, why, and how it ended."""
+"""The audit log: a line of JSON for each change that an operator has asked for, and how it ended."""
 
 from __future__ import annotations
 
@@ -12,39 +12,43 @@
 
 
 class AuditLog:
-    """A line of JSON for each change: who, when, what, why, and how it ended. Appended to one file, or to the log."""
+    """Appends lines to a file of its own, or to the daemon's log where none is configured."""
 
     def __init__(self, path: Path | None, logger: RateLimitedLogger) -> None:
-        self.path, self.logger = path, logger
+        self._path = path
+        self._logger = logger
 
-    def note(self, change: Change, ended: str) -> None:
-        """Guards the log against what operators write: it is JSON, one line, whatever they send."""
-        order = change.order
-        box = {
+    def note(self, change: Change, outcome: str) -> None:
+        """Write one line. As JSON it stays one line whatever the operator has sent."""
+        request = change.order
+        fields = {
             "at": round(time.time(), 3),
-            "by": order.by,
+            "by": request.by,
             "verb": change.verb,
-            "pool": order.pool,
+            "pool": request.pool,
             "members": list(change.members),
-            "weight": order.weight,
-            "address": order.address,
-            "other": order.other,
-            "share": order.share,
+            "weight": request.weight,
+            "address": request.address,
+            "other": request.other,
+            "share": request.share,
             "until": change.until,
-            "reason": order.reason,
-            "ended": ended,
+            "reason": request.reason,
+            "ended": outcome,
         }
-        line = (
-            json.dumps({key: value for key, value in box.items() if value not in (None, [], 0.0, "")}) + "\n"
-        )
-        if self.path is None:
-            self.logger(f"operator: {change.verb}", line.rstrip())
+        line = json.dumps({key: value for key, value in fields.items() if value not in (None, [], 0.0, "")})
+        if self._path is None:
+            self._logger(f"operator: {change.verb}", line)
             return
         try:
-            fd = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            try:
-                os.write(fd, line.encode())
-            finally:
-                os.close(fd)
+            self._append(self._path, line)
         except OSError as problem:
-            self.logger("the audit can't be written", f"{problem}; {line.rstrip()}")
+            self._logger("the audit can't be written", f"{problem}; {line}")
+
+    @staticmethod
+    def _append(path: Path, line: str) -> None:
+        """Open the file for each line, so that it can be rotated by renaming it."""
+        descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        try:
+            os.write(descriptor, f"{line}\n".encode())
+        finally:
+            os.close(descriptor)
--- /dev/null
+++ b/loadbalancer/daemon/change_validation.py
@@ -0,0 +1,97 @@
+"""Whether a change request of an operator may be applied to the daemon as it is now."""
+
+from __future__ import annotations
+
+from typing import Callable
+
+from loadbalancer.admin.calls import CallError, Change
+from loadbalancer.daemon.admin_state import AdminState
+from loadbalancer.daemon.components import DaemonContext
+from loadbalancer.daemon.pools import RunningPool
+from loadbalancer.policy.events import EndpointState
+
+#: Verbs that may name an endpoint which is not there: the override holds once it is.
+VERBS_FOR_UNKNOWN_ENDPOINTS = ("cordon", "uncordon", "drain")
+#: Verbs that take an endpoint out of use.
+VERBS_THAT_REMOVE = ("drain", "cordon", "remove")
+
+
+class ChangeValidator:
+    """Checks a change against pools, endpoints and migrations; it changes nothing."""
+
+    def __init__(
+        self, daemon: DaemonContext, state: AdminState, is_being_replaced: Callable[[], bool]
+    ) -> None:
+        """Make a validator.
+
+        Args:
+            daemon: The daemon whose pools a change concerns.
+            state: Its migrations.
+            is_being_replaced: Whether another daemon has this one's state and does not serve yet, so that a change
+                made here would be lost.
+        """
+        self._daemon = daemon
+        self._state = state
+        self._is_being_replaced = is_being_replaced
+
+    def check(self, change: Change) -> None:
+        """Check a change.
+
+        Raises:
+            CallError: It can't be applied; says why.
+        """
+        name = change.order.pool
+        if name is None:
+            return
+        pool = self._daemon.pools.get(name)
+        if pool is None:
+            have = ", ".join(sorted(self._daemon.pools)) or "none"
+            raise CallError(404, f"there is no pool {name!r}; there are: {have}")
+        if self._is_being_replaced():
+            raise CallError(
+                409, "an upgrade is under way, and the new daemon would not know of it; ask again"
+            )
+        if change.verb == "move":
+            self._check_migration(name, change.order.other or "")
+            return
+        self._check_endpoints(name, pool, change)
+        if change.verb in VERBS_THAT_REMOVE and not change.order.last:
+            _check_one_remains(pool, change)
+
+    def _check_endpoints(self, name: str, pool: RunningPool, change: Change) -> None:
+        overlay = pool.overlay
+        unknown = [endpoint for endpoint in change.members if not overlay.knows(endpoint)]
+        if change.verb == "add":
+            if len(change.members) != 1:
+                raise CallError(400, "add takes one member")
+            if change.members[0] in overlay.listed():
+                raise CallError(409, f"{change.members[0]!r} is listed by the pool's source already")
+        elif unknown and change.verb not in VERBS_FOR_UNKNOWN_ENDPOINTS:
+            raise CallError(404, f"no such member of {name}: {', '.join(unknown)}")
+
+    def _check_migration(self, name: str, other: str) -> None:
+        pools = self._daemon.pools
+        if other == name or other not in pools:
+            have = ", ".join(sorted(pools.keys() - {name})) or "none"
+            raise CallError(404, f"{other!r} is no other pool; there are: {have}")
+        if pools[name].plan.table.dialect != pools[other].plan.table.dialect:
+            raise CallError(409, f"pools {name} and {other} speak different dialects")
+        onward = self._state.migration(other)
+        if onward is not None:
+            raise CallError(409, f"a part of {other} is itself moved to {onward.other}; end that first")
+        if any(self._migrates_to(pool, name) for pool in self._state.migrations):
+            raise CallError(409, f"traffic of another pool is moved to {name}; end that first")
+
+    def _migrates_to(self, pool: str, other: str) -> bool:
+        migration = self._state.migration(pool)
+        return migration is not None and migration.other == other
+
+
+def _check_one_remains(pool: RunningPool, change: Change) -> None:
+    """Refuse to take a pool's last endpoint out of use; the request's `last` says that this is meant."""
+    overridden = {name for name, override in pool.overlay.marks.items() if override.word is not None}
+    ready = {entry.endpoint for entry, _ in pool.overlay.entries() if entry.state == EndpointState.READY}
+    if ready and not ready - overridden - set(change.members):
+        raise CallError(
+            409, f"this would leave pool {change.order.pool} without any member; say last if it is meant"
+        )
--- a/loadbalancer/daemon/components.py
+++ b/loadbalancer/daemon/components.py
@@ -1,9 +1,12 @@
-"""What a daemon runs beside its listeners and pools, each part by itself: the store, operators' sockets, plug-ins, keys
-of TLS. The daemon composes them and knows none of them by name; a part knows of the daemon what `DaemonContext` says.
+"""What a daemon runs beside its listeners and pools: the store, administration, plug-ins, TLS keys, the fleet.
 
-A part's life: it is made when a configuration that wants it is taken (`makers.py`), `begin`s once all else of that
-configuration could be had, `serve`s once this process is the one that answers, `look`s a few times a second, hears of
-each further configuration, `retire`s when another process answers in this one's place, and `end`s once.
+The daemon knows components by this interface only, and a component knows of the daemon what `DaemonContext` says.
+Protocols by which components know each other stand here too, so that their modules need not import each other.
+
+Life of a component: it is made when a configuration that wants it is applied (`component_factory.py`); `begin` once all
+else of that configuration could be had; `serve` once this process is the one that answers; `look` a few times a second;
+`reload` with each further configuration that keeps it; `retire` when another process answers in this one's place; `end`
+once.
 """
 
 from __future__ import annotations
@@ -11,41 +14,50 @@
 import socket
 from typing import TYPE_CHECKING, Any, Callable, Mapping, Protocol
 
-from loadbalancer.admin.calls import Change
+from loadbalancer.admin.calls import Change, ChangeDone
 from loadbalancer.config.plan import Plan
 from loadbalancer.daemon.pools import RunningPool
+from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.frontends.listener import Listener
 from loadbalancer.resource_limits import RateLimitedLogger
+from loadbalancer.routing.traffic_migration import Migration, Migrations
 
 if TYPE_CHECKING:  # loaded where one daemon takes over from another
-    from loadbalancer.admin.snapshot import Snapshot
-    from loadbalancer.daemon.hot_restart import InheritedState
+    from loadbalancer.admin.snapshot import FleetSnapshot, Snapshot
+    from loadbalancer.daemon.hot_restart.takeover import InheritedState
 
 
 class Component:
-    """Does nothing at each of these times; a part overrides those that it needs."""
+    """Does nothing at each of these times; a component overrides those that it needs."""
 
     def begin(self) -> None:
-        """Open what it owns. OSError or ConfigError, and it owns nothing, where that can't be."""
+        """Open what it owns.
+
+        Raises:
+            OSError, ConfigError: That can't be; it owns nothing then.
+        """
 
     def serve(self) -> None:
         """This process answers from now on, alone or in the place of the one before."""
 
     def reload(self, plan: Plan) -> None:
-        """Another configuration, which keeps this part; pools are made and routes are not. May not fail."""
+        """Take another configuration, which keeps this component. May not fail.
+
+        The configuration's pools are there already, its routes are not.
+        """
 
     def look(self) -> None:
-        """A few times a second."""
+        """Called a few times a second."""
 
     def retire(self) -> None:
         """Another process answers from now on; this one ends what it holds."""
 
     def sockets(self) -> list[socket.socket]:
-        """Those that pass to a process that takes over."""
+        """Sockets that pass to a process that takes over."""
         return []
 
     def figures(self) -> Mapping[str, Any]:
-        """What `status` shows of it, as JSON has it."""
+        """What it adds to the answer of `status`, by key."""
         return {}
 
     def reads(self) -> Mapping[str, Callable[[], Any]]:
@@ -53,32 +65,54 @@
         return {}
 
     def asks(self) -> Mapping[str, Callable[[Callable[[Any], None]], None]]:
-        """The same of what others have to be asked for: each is handed who hears it, later."""
+        """What operators can read that other instances answer, by path; each gets a callback for the answer."""
         return {}
 
     def more_verbs(self) -> Mapping[str, tuple[frozenset[str], str]]:
-        """Changes that operators can ask of it: what each wants, and a line about it."""
+        """Changes that operators can ask of it, by verb: the fields that each requires, and what it does in a line."""
         return {}
 
-    def take_change(self, change: Change, done: Callable[[Any], None]) -> bool:
-        """Whether this is its matter; CallError where it can't be done. `done` hears once, later, what is now true."""
+    def take_change(self, change: Change, done: ChangeDone) -> bool:
+        """Apply a change if it concerns this component.
+
+        Args:
+            change: The change, whose form has been checked.
+            done: Called once, later, with what is now true.
+
+        Returns:
+            Whether it does; the change goes to others if not.
+
+        Raises:
+            CallError: It does, and can't be applied.
+        """
         return False
 
     def end(self) -> None:
-        """Give back all that it owns."""
+        """Release all that it owns."""
 
 
 class DaemonContext(Protocol):
-    """The daemon, as its parts see it."""
+    """The daemon, as its components see it.
+
+    Attributes:
+        logger: The daemon's log.
+        plan: The configuration in force; None before the first.
+        components: Running components by name.
+        pools: Running pools by name.
+        listeners: Running listeners by name.
+        inherited: Sockets of the daemon before this one, until this one serves.
+        inherited_snapshot: What that daemon knew of endpoints, until it is used or too old.
+        reloads: Configurations that were reloaded since the start.
+    """
 
     logger: RateLimitedLogger
     plan: Plan | None
-    parts: dict[str, Component]
+    components: dict[str, Component]
     pools: dict[str, RunningPool]
     listeners: dict[str, Listener]
-    taken: InheritedState | None  # sockets of the daemon before this one
-    learnt: Snapshot | None  # what that one had learnt, until it is used or too old
-    reloads: int  # that were taken
+    inherited: InheritedState | None
+    inherited_snapshot: Snapshot | None
+    reloads: int
 
     @property
     def retiring(self) -> int:
@@ -86,13 +120,58 @@
 
     @property
     def reloading(self) -> bool:
-        """Whether the file is being taken anew."""
+        """Whether the configuration is being reloaded."""
 
     def reload(self) -> None:
-        """Take the file anew; for a signal. One that comes while another is under way follows it."""
+        """Reload the configuration's file. A call while a reload is under way has another one follow it."""
 
     def retarget(self) -> None:
-        """What operators move has changed."""
+        """Route by the migrations as they are now."""
 
     def sockets(self) -> list[socket.socket]:
-        """Those that listen now, and pass to a process that takes over."""
+        """Sockets that listen now, and pass to a process that takes over."""
+
+
+class FleetSnapshotSource(Protocol):
+    """A component that knows this instance's place in the fleet."""
+
+    def note(self) -> FleetSnapshot:
+        """What a successor goes on from."""
+
+
+class ReplicatedOverrideTarget(Protocol):
+    """Where a fleet's replicated state puts overrides and migrations in force at one daemon."""
+
+    @property
+    def overrides(self) -> Mapping[str, Mapping[str, AdminOverride]]:
+        """Overrides in force by pool and endpoint."""
+
+    @property
+    def migrations(self) -> Mapping[str, Migrations]:
+        """Migrations by pool."""
+
+    def planned_overrides(self, change: Change) -> dict[str, AdminOverride | None]:
+        """The overrides that a change would leave, by endpoint; None for no override."""
+
+    def planned_migration(self, change: Change) -> Migration | None:
+        """The migration that a change would leave."""
+
+    def set_override(self, name: str, endpoint: str, override: AdminOverride | None) -> None:
+        """Put an override in force, also of a pool that is not there; None ends it."""
+
+    def set_migration(self, pool: str, migration: Migration | None) -> None:
+        """Put a migration in force; None ends it."""
+
+    def set_frozen(self, name: str, frozen: bool) -> None:
+        """Let a pool follow its source, or not."""
+
+    def describe(self, change: Change) -> dict[str, Any]:
+        """What is now true of the endpoints of a change, as the answer to it."""
+
+
+class ReplicatedOverrideOwner(Protocol):
+    """A component that has such a target."""
+
+    @property
+    def replicated(self) -> ReplicatedOverrideTarget:
+        """The target."""
--- a/loadbalancer/daemon/daemon.py
+++ b/loadbalancer/daemon/daemon.py
@@ -16,10 +16,11 @@
 
 from loadbalancer.config.plan import ListenerPlan, Plan
 from loadbalancer.config.reader import ConfigError, read_address
-from loadbalancer.daemon.component_factory import make_components, prepare
+from loadbalancer.daemon.component_factory import make_components
 from loadbalancer.daemon.components import Component
 from loadbalancer.daemon.listener_factory import Division, descriptors, divide, gate_of, serve_of
 from loadbalancer.daemon.pools import RunningPool
+from loadbalancer.daemon.preparation import prepare
 from loadbalancer.daemon.retirement import Retirement
 from loadbalancer.frontends.listener import Listener, drain
 from loadbalancer.frontends.reserve_descriptors import ReserveDescriptors
@@ -38,7 +39,7 @@
 if TYPE_CHECKING:  # loaded where they are configured
     from loadbalancer.admin.snapshot import Snapshot
     from loadbalancer.daemon.admin_server import AdminServer
-    from loadbalancer.daemon.hot_restart import InheritedState
+    from loadbalancer.daemon.hot_restart.takeover import InheritedState
     from loadbalancer.daemon.plugins import PluginComponent
     from loadbalancer.daemon.storage import Storage
     from loadbalancer.daemon.tls_keys import TlsKeys
@@ -61,9 +62,11 @@
         super().__init__()
         self.logger = logger
         self.plan: Plan | None = None
-        self.parts: dict[str, Component] = {}
-        self.taken: InheritedState | None = None  # sockets of the daemon before this one
-        self.learnt: Snapshot | None = None  # what that one had learnt, until it is used or too old
+        self.components: dict[str, Component] = {}
+        self.inherited: InheritedState | None = None  # sockets of the daemon before this one
+        self.inherited_snapshot: Snapshot | None = (
+            None  # what that one had learnt, until it is used or too old
+        )
         self.pools: dict[str, RunningPool] = {}
         self.listeners: dict[str, Listener] = {}
         self.reloads = 0  # that were taken
@@ -84,22 +87,22 @@
     @property
     def extensions(self) -> PluginComponent | None:
         """Plug-ins."""
-        return cast("PluginComponent | None", self.parts.get("extensions"))
+        return cast("PluginComponent | None", self.components.get("extensions"))
 
     @property
     def keys(self) -> TlsKeys | None:
         """Certificates, where anything speaks TLS."""
-        return cast("TlsKeys | None", self.parts.get("keys"))
+        return cast("TlsKeys | None", self.components.get("keys"))
 
     @property
     def memory(self) -> Storage | None:
         """What outlasts the process."""
-        return cast("Storage | None", self.parts.get("store"))
+        return cast("Storage | None", self.components.get("store"))
 
     @property
     def control(self) -> AdminServer | None:
         """What operators see and change."""
-        return cast("AdminServer | None", self.parts.get("control"))
+        return cast("AdminServer | None", self.components.get("control"))
 
     # Taking a configuration.
 
@@ -125,7 +128,7 @@
             for part in reversed(self._new(parts)):
                 part.end()
             raise
-        before, self.parts = self.parts, parts
+        before, self.components = self.components, parts
         self._swap(plan, made, sockets, kept, division)
         for name, part in before.items():
             if parts.get(name) is not part:
@@ -133,36 +136,38 @@
         self._learn()
 
     def _new(self, parts: Mapping[str, Component]) -> list[Component]:
-        return [part for name, part in parts.items() if self.parts.get(name) is not part]
+        return [part for name, part in parts.items() if self.components.get(name) is not part]
 
     def serve(self) -> None:
         """This process answers from now on, alone or in the place of the one before."""
-        for part in self.parts.values():
+        for part in self.components.values():
             part.serve()
 
     def _learn(self) -> None:
         """Go on from what the daemon before has learnt. A pool whose members are not listed yet has it once
         they are."""
-        if self.learnt is None:
+        if self.inherited_snapshot is None:
             return
         from loadbalancer.admin.snapshot import is_young, restore_pool
 
         now = time.time()
-        if not is_young(self.learnt, now):
-            self.learnt = None
+        if not is_young(self.inherited_snapshot, now):
+            self.inherited_snapshot = None
             return
         waiting = []
-        for note in self.learnt.pools:
+        for note in self.inherited_snapshot.pools:
             pool = self.pools.get(note.name)
             if pool is None:
                 continue
             if not pool.proxy.listed and note.members:
                 waiting.append(note)
             else:
-                restore_pool(note, pool.proxy.balancer, pool.proxy.now(), max(0.0, now - self.learnt.at))
-        self.learnt.pools = waiting
+                restore_pool(
+                    note, pool.proxy.balancer, pool.proxy.now(), max(0.0, now - self.inherited_snapshot.at)
+                )
+        self.inherited_snapshot.pools = waiting
         if not waiting:
-            self.learnt = None
+            self.inherited_snapshot = None
 
     def _bind(self, plan: Plan, kept: Mapping[str, str]) -> dict[str, socket.socket]:
         """Sockets for the listeners that no running one has the address of."""
@@ -171,7 +176,7 @@
             for name, listener in plan.listeners.items():
                 if name not in kept:
                     address = read_address(listener.table.address)
-                    there = self.taken.claim(address) if self.taken is not None else None
+                    there = self.inherited.claim(address) if self.inherited is not None else None
                     sockets[name] = there or bind(address)
         except OSError:
             for sock in sockets.values():
@@ -201,12 +206,12 @@
         shares: Mapping[str, PoolAllocation],
         control: AdminServer | None,
     ) -> None:
-        held = HOLD_S if self.plan is None and plan.file.fleet is not None and self.taken is None else 0.0
+        held = HOLD_S if self.plan is None and plan.file.fleet is not None and self.inherited is None else 0.0
         for name, pool in plan.pools.items():
             running = self.pools.get(name)
             if running is None or not running.plan.outlasts(pool):
                 seed = self._random.getrandbits(64)
-                marks = control.marks.get(name) if control is not None else None
+                marks = control.state.overrides.get(name) if control is not None else None
                 made[name] = RunningPool(
                     pool, shares[name], seed, self._ids, self.logger, plan.path.parent, marks, held
                 )
@@ -236,7 +241,7 @@
             pool.resize(shares[name], self._turns)
             pool.proxy.backends.free_descriptor = self.spares.take
             pool.proxy.backends.tls = self.keys.pools.get(name) if self.keys is not None else None
-        for part in self.parts.values():
+        for part in self.components.values():
             part.reload(plan)
         self._swap_listeners(plan, sockets, kept, slots)
         self.plan = plan
@@ -288,7 +293,7 @@
         if route.pool is None:
             return FixedTarget(name, route.status or 404)
         made = self._target_over(plan, name, route.pool)
-        moves = self.control.moves.get(route.pool) if self.control is not None else None
+        moves = self.control.state.migrations.get(route.pool) if self.control is not None else None
         if moves is None:
             return made
         other = moves.move.other if moves.move is not None else None
@@ -323,7 +328,7 @@
     def sockets(self) -> list[socket.socket]:
         """Those that listen now, also those of parts."""
         found = [one.listening for one in self.listeners.values() if one.listening is not None]
-        return found + [sock for part in self.parts.values() for sock in part.sockets()]
+        return found + [sock for part in self.components.values() for sock in part.sockets()]
 
     # A few times a second.
 
@@ -331,7 +336,7 @@
         self._timer = self._loop.call_later(LOOK_S, self._look_after)
         self._heed_limit()
         self._learn()
-        for part in self.parts.values():
+        for part in self.components.values():
             part.look()
         self._close_retired()
 
@@ -419,7 +424,7 @@
             listener.stop()
         for pool in (*self.pools.values(), *(pool for _, pool in self.retiring_pools)):
             pool.close()
-        for part in reversed(self.parts.values()):
+        for part in reversed(self.components.values()):
             part.end()
-        self.listeners, self.pools, self.parts = {}, {}, {}
+        self.listeners, self.pools, self.components = {}, {}, {}
         self.retiring_listeners, self.retiring_pools = [], []
--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -83,7 +83,7 @@
         self.share = FleetSize(table.instances)
         self._counted = table.instances
         # Of the process before; the daemon forgets it once its pools have what they can use.
-        self._place = daemon.learnt.fleet if daemon.learnt is not None else None
+        self._place = daemon.inherited_snapshot.fleet if daemon.inherited_snapshot is not None else None
         if self._place is not None and self._place.name != table.name:
             self._place = None
         try:
@@ -91,7 +91,7 @@
         except ValueError as problem:
             raise ConfigError([Problem(str(path), "fleet.key_file", str(problem))]) from None
         note: Callable[[str, str], None] = self.logger
-        taken = daemon.taken
+        taken = daemon.inherited
         claimed = (None, None) if taken is None else (taken.claim_datagrams(bound), taken.claim(bound))
         self.link = FleetTransport(self.view, table.name, boot, sealer, bound, note, claimed)
         self.agreed: ReplicationService | None = None
--- /dev/null
+++ b/loadbalancer/daemon/hot_restart/offer.py
@@ -0,0 +1,214 @@
+"""The old process's side of a hot restart."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from contextlib import suppress
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Callable, Protocol
+
+from loadbalancer.daemon.hot_restart.protocol import (
+    MAX_MESSAGE_BYTES,
+    RELEASED,
+    SERVING,
+    STORE,
+    YOURS,
+    Address,
+    encode_refusal,
+    send_offer,
+)
+from loadbalancer.daemon.unix_socket_files import place, remove_own
+from loadbalancer.frontends.sockets import bind
+from loadbalancer.resource_limits import RateLimitedLogger
+
+#: Seconds that a new process has from the offer until it serves.
+TAKEOVER_TIMEOUT_S = 60.0
+#: Bytes of one line of the successor, and of one read.
+MAX_LINE_BYTES = 64 << 10
+
+
+class StoreLender(Protocol):
+    """The owner of the store that a new process needs."""
+
+    def lend(self, done: Callable[[], None]) -> None:
+        """Close the store; `done` is called once that is so."""
+
+    def take_back(self) -> None:
+        """Open the store again: the new process has come to nothing."""
+
+
+@dataclass(frozen=True, slots=True)
+class OfferedState:
+    """What a new process gets, and what this one does about it.
+
+    Attributes:
+        sockets: The sockets that listen now.
+        snapshot: What is known of endpoints, as bytes.
+        store: Lent to a new process that asks for it.
+        on_replaced: Called once the new process serves.
+        on_line: Called with each line that the new process writes from then on.
+    """
+
+    sockets: Callable[[], list[socket.socket]]
+    snapshot: Callable[[], bytes]
+    store: StoreLender | None
+    on_replaced: Callable[[], None]
+    on_line: Callable[[bytes], None]
+
+
+class SuccessorConnection:
+    """Lines from the process that has taken over, until it closes the connection."""
+
+    def __init__(self, connection: socket.socket, on_line: Callable[[bytes], None]) -> None:
+        self._connection: socket.socket | None = connection
+        self._on_line = on_line
+        self._buffer = b""
+        self._loop = asyncio.get_running_loop()
+        self._loop.add_reader(connection, self._read)
+
+    @property
+    def is_open(self) -> bool:
+        """Whether further lines may come."""
+        return self._connection is not None
+
+    def _read(self) -> None:
+        assert self._connection is not None
+        try:
+            data = self._connection.recv(MAX_LINE_BYTES)
+        except BlockingIOError:
+            return
+        except OSError:
+            data = b""
+        *lines, self._buffer = (self._buffer + data).split(b"\n")
+        for line in lines:
+            self._on_line(line)
+        if not data or len(self._buffer) > MAX_LINE_BYTES:
+            self.close()
+
+    def close(self) -> None:
+        """Read no more."""
+        if self._connection is not None:
+            self._loop.remove_reader(self._connection)
+            self._connection.close()
+            self._connection = None
+
+
+class HotRestartOffer:
+    """Offers sockets, snapshot and store at a Unix socket. It owns that socket and its connections until `close`."""
+
+    def __init__(self, path: Path, state: OfferedState, logger: RateLimitedLogger) -> None:
+        self._path = path
+        self._state = state
+        self._logger = logger
+        self._loop = asyncio.get_running_loop()
+        self._listening: socket.socket | None = None
+        self._candidate: socket.socket | None = None  # has the sockets and does not serve yet
+        self._successor: SuccessorConnection | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._inode = 0
+
+    @property
+    def is_under_way(self) -> bool:
+        """Whether a process has the state of this one and does not serve yet: it would miss a change made now."""
+        return self._candidate is not None
+
+    @property
+    def has_successor(self) -> bool:
+        """Whether the process that has taken over still sends lines."""
+        return self._successor is not None and self._successor.is_open
+
+    def open(self) -> None:
+        """Listen; in the place of the daemon before, which may not have ended yet."""
+        self._inode = place(self._path, self._listen, 0o600, replaces=True)
+
+    def _listen(self, address: Address) -> None:
+        self._listening = bind(address)
+        self._loop.add_reader(self._listening, self._accept)
+
+    def _accept(self) -> None:
+        assert self._listening is not None
+        with suppress(OSError):
+            connection, _ = self._listening.accept()
+            connection.setblocking(False)
+            if self._candidate is not None:
+                with suppress(OSError):
+                    connection.send(encode_refusal("another upgrade is under way"))
+                connection.close()
+                return
+            self._offer(connection)
+
+    def _offer(self, connection: socket.socket) -> None:
+        state = self._state
+        try:
+            send_offer(connection, state.sockets(), state.snapshot(), state.store is not None)
+        except OSError as problem:
+            self._logger("upgrade", f"sockets could not be passed: {problem}")
+            connection.close()
+            return
+        self._candidate = connection
+        self._loop.add_reader(connection, self._read)
+        self._timer = self._loop.call_later(TAKEOVER_TIMEOUT_S, self._abandon, "it took too long")
+
+    def _read(self) -> None:
+        assert self._candidate is not None
+        try:
+            message = self._candidate.recv(MAX_MESSAGE_BYTES)
+        except BlockingIOError:
+            return
+        except OSError:
+            message = b""
+        if message == STORE and self._state.store is not None:
+            self._state.store.lend(self._store_closed)
+        elif message == SERVING:
+            self._replaced(self._candidate)
+        else:
+            self._abandon("the new one has ended before it served")
+
+    def _store_closed(self) -> None:
+        if self._candidate is None:  # it has gone meanwhile
+            assert self._state.store is not None
+            self._state.store.take_back()
+            return
+        with suppress(OSError):
+            self._candidate.send(RELEASED)
+
+    def _replaced(self, connection: socket.socket) -> None:
+        with suppress(OSError):
+            connection.send(YOURS)
+        self._candidate = None
+        self._stop_timer()
+        self._loop.remove_reader(connection)
+        self._successor = SuccessorConnection(connection, self._state.on_line)
+        self._state.on_replaced()
+
+    def _abandon(self, reason: str) -> None:
+        """Go on serving: the new process is broken, or too slow."""
+        self._logger("upgrade", f"nothing has changed: {reason}")
+        if self._state.store is not None:
+            self._state.store.take_back()
+        self._release_candidate()
+
+    def _stop_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _release_candidate(self) -> None:
+        self._stop_timer()
+        if self._candidate is not None:
+            self._loop.remove_reader(self._candidate)
+            self._candidate.close()
+            self._candidate = None
+
+    def close(self) -> None:
+        """Offer nothing more, and close all connections."""
+        self._release_candidate()
+        if self._successor is not None:
+            self._successor.close()
+        if self._listening is not None:
+            self._loop.remove_reader(self._listening)
+            self._listening.close()
+            self._listening = None
+            remove_own(self._path, self._inode)
--- /dev/null
+++ b/loadbalancer/daemon/hot_restart/service.py
@@ -0,0 +1,86 @@
+"""Hot restart as a daemon takes part in it: what it offers its successor, and what it tells its predecessor."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from pathlib import Path
+from typing import TYPE_CHECKING, cast
+
+from loadbalancer.admin.snapshot import Snapshot, encode, note_pool
+from loadbalancer.daemon.admin_notifications import apply_notification
+from loadbalancer.daemon.admin_state import AdminState
+from loadbalancer.daemon.components import DaemonContext, FleetSnapshotSource
+from loadbalancer.daemon.hot_restart.offer import HotRestartOffer, OfferedState
+from loadbalancer.daemon.hot_restart.protocol import offer_path
+
+if TYPE_CHECKING:
+    from loadbalancer.daemon.storage import Storage
+
+
+class HotRestartService:
+    """Lets another daemon take over from this one. It owns the offer; `close` releases it.
+
+    Attributes:
+        offer: Open from `open` on.
+        replaced: Set once another daemon serves in this one's place.
+    """
+
+    def __init__(self, daemon: DaemonContext, state: AdminState) -> None:
+        self._daemon = daemon
+        self._state = state
+        self.offer: HotRestartOffer | None = None
+        self.replaced = asyncio.Event()
+
+    @property
+    def is_under_way(self) -> bool:
+        """Whether another daemon has this one's state, or its store, and does not serve yet."""
+        storage = self._storage()
+        lent = storage is not None and storage.lent
+        return lent or (self.offer is not None and self.offer.is_under_way)
+
+    def _storage(self) -> Storage | None:
+        return cast("Storage | None", self._daemon.components.get("store"))
+
+    def open(self, management: Path) -> None:
+        """Offer this daemon's state beside its administrative socket."""
+        state = OfferedState(
+            sockets=self._daemon.sockets,
+            snapshot=self.snapshot,
+            store=self._storage(),
+            on_replaced=self._on_replaced,
+            on_line=lambda line: apply_notification(line, self._daemon.pools, self._daemon.logger),
+        )
+        self.offer = HotRestartOffer(offer_path(management), state, self._daemon.logger)
+        self.offer.open()
+
+    def snapshot(self) -> bytes:
+        """What a successor goes on from."""
+        pools = [
+            note_pool(
+                name,
+                pool.proxy.balancer,
+                pool.proxy.now(),
+                self._state.overrides.get(name, {}),
+                self._state.migration(name),
+            )
+            for name, pool in self._daemon.pools.items()
+        ]
+        fleet = cast("FleetSnapshotSource | None", self._daemon.components.get("fleet"))
+        return encode(Snapshot(time.time(), pools, fleet.note() if fleet is not None else None))
+
+    def _on_replaced(self) -> None:
+        for listener in self._daemon.listeners.values():
+            listener.shared = True
+        for component in self._daemon.components.values():
+            component.retire()
+        self._daemon.logger(
+            "upgrade", "another daemon serves; this one ends once it has answered what it holds"
+        )
+        self.replaced.set()
+
+    def close(self) -> None:
+        """Offer nothing more."""
+        if self.offer is not None:
+            self.offer.close()
+            self.offer = None
--- a/loadbalancer/daemon/persisted_overrides.py
+++ b/loadbalancer/daemon/persisted_overrides.py
@@ -1,58 +1,113 @@
-"""Marks and moves as the store keeps them."""
+"""Administrative overrides and traffic migrations in the daemon's store, one record each."""
 
 from __future__ import annotations
 
 from contextlib import suppress
+from functools import partial
+from typing import Callable, Mapping
 
 import msgspec
 
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.routing.traffic_migration import Migration
 from loadbalancer.store.errors import StoreError
-from loadbalancer.store.keeper import StoreView
+from loadbalancer.store.keeper import Job, Store, StoreView
 
-PREFIX, MOVES = b"mark/", b"move/"
+OVERRIDE_PREFIX = b"mark/"
+MIGRATION_PREFIX = b"move/"
 
+Saved = Callable[[StoreError | None], None]
 
-def mark_key(pool: str, member: str) -> bytes:
-    return PREFIX + f"{pool}/{member}".encode()
 
+def override_key(pool: str, endpoint: str) -> bytes:
+    """The key of an endpoint's override."""
+    return OVERRIDE_PREFIX + f"{pool}/{endpoint}".encode()
 
-def load_marks(view: StoreView) -> dict[str, dict[str, AdminOverride]]:
-    """All marks that a store keeps, by pool and member; what can't be read is passed over."""
-    found: dict[str, dict[str, AdminOverride]] = {}
-    for key in view.keys(PREFIX):
-        pool, _, member = key[len(PREFIX) :].decode("utf-8", "replace").partition("/")
-        try:
-            mark = msgspec.json.decode(view.get(key) or b"", type=AdminOverride)
-        except msgspec.MsgspecError:
-            continue
-        found.setdefault(pool, {})[member] = mark
-    return found
 
+def migration_key(pool: str) -> bytes:
+    """The key of a pool's migration."""
+    return MIGRATION_PREFIX + pool.encode()
 
-def load_moves(view: StoreView) -> dict[str, Migration]:
-    """All moves that a store keeps, by pool; what can't be read is passed over."""
-    found: dict[str, Migration] = {}
-    for key in view.keys(MOVES):
+
+def load_overrides(view: StoreView) -> dict[str, dict[str, AdminOverride]]:
+    """All overrides of a store by pool and endpoint; records that can't be read are skipped."""
+    overrides: dict[str, dict[str, AdminOverride]] = {}
+    for key in view.keys(OVERRIDE_PREFIX):
+        pool, _, endpoint = key[len(OVERRIDE_PREFIX) :].decode("utf-8", "replace").partition("/")
+        with suppress(msgspec.MsgspecError):
+            override = msgspec.json.decode(view.get(key) or b"", type=AdminOverride)
+            overrides.setdefault(pool, {})[endpoint] = override
+    return overrides
+
+
+def load_migrations(view: StoreView) -> dict[str, Migration]:
+    """All migrations of a store by pool; records that can't be read are skipped."""
+    migrations: dict[str, Migration] = {}
+    for key in view.keys(MIGRATION_PREFIX):
+        pool = key[len(MIGRATION_PREFIX) :].decode("utf-8", "replace")
         with suppress(msgspec.MsgspecError):
-            found[key[len(MOVES) :].decode("utf-8", "replace")] = msgspec.json.decode(
-                view.get(key) or b"", type=Migration
-            )
-    return found
+            migrations[pool] = msgspec.json.decode(view.get(key) or b"", type=Migration)
+    return migrations
 
 
-def delete(key: bytes, view: StoreView) -> None:
-    view.delete(key)
+def write_overrides(pool: str, overrides: Mapping[str, AdminOverride | None], view: StoreView) -> None:
+    """Replace the overrides of these endpoints of a pool; None deletes one."""
+    for endpoint, override in overrides.items():
+        key = override_key(pool, endpoint)
+        if override is None:
+            view.delete(key)
+        else:
+            view.put(key, msgspec.json.encode(override), override.until)
 
 
-def store_move(pool: str, move: Migration | None, view: StoreView) -> None:
-    key = MOVES + pool.encode()
-    if move is None:
+def write_migration(pool: str, migration: Migration | None, view: StoreView) -> None:
+    """Replace a pool's migration; None deletes it."""
+    key = migration_key(pool)
+    if migration is None:
         view.delete(key)
     else:
-        view.put(key, msgspec.json.encode(move), move.until)
+        view.put(key, msgspec.json.encode(migration), migration.until)
+
+
+class PersistedOverrides:
+    """Writes overrides and migrations to the store, where the daemon has one."""
+
+    def __init__(self, store: Callable[[], Store | None]) -> None:
+        """Make a writer.
+
+        Args:
+            store: The open store, asked at each write: a hot restart that failed opens another.
+        """
+        self._store = store
+
+    @property
+    def is_configured(self) -> bool:
+        """Whether there is a store to write to."""
+        return self._store() is not None
+
+    def save_overrides(self, pool: str, overrides: Mapping[str, AdminOverride | None], saved: Saved) -> None:
+        """Write overrides; `saved` is called once they are on disk, or with the error."""
+        self._run(partial(write_overrides, pool, overrides), saved)
+
+    def save_migration(self, pool: str, migration: Migration | None, saved: Saved) -> None:
+        """Write a migration; `saved` is called once it is on disk, or with the error."""
+        self._run(partial(write_migration, pool, migration), saved)
+
+    def forget_override(self, pool: str, endpoint: str) -> None:
+        """Delete an override that has expired. The record expires by itself where this fails."""
+        if self.is_configured:
+            self._run(partial(write_overrides, pool, {endpoint: None}), _ignore)
+
+    def forget_migration(self, pool: str) -> None:
+        """Delete a migration that has expired. The record expires by itself where this fails."""
+        if self.is_configured:
+            self._run(partial(write_migration, pool, None), _ignore)
+
+    def _run(self, job: Job[None], saved: Saved) -> None:
+        store = self._store()
+        assert store is not None
+        store.do(job, lambda _, problem: saved(problem))
 
 
-def forget(_: None, problem: StoreError | None) -> None:
-    """A mark that has ended and could not be taken out has its end in the store as well."""
+def _ignore(problem: StoreError | None) -> None:
+    """The record's own expiry holds."""
--- a/loadbalancer/daemon/replicated_commands.py
+++ b/loadbalancer/daemon/replicated_commands.py
@@ -31,7 +31,7 @@
 from loadbalancer.resource_limits import RateLimitedLogger
 
 if TYPE_CHECKING:
-    from loadbalancer.daemon.admin_server import AdminServer
+    from loadbalancer.daemon.components import ReplicatedOverrideTarget
 
 #: Seconds that each step of a roll-out serves before the next, if nobody says.
 SOAK_S = 10.0
@@ -57,7 +57,7 @@
         self._confirming: list[tuple[CommitTracker, Change, Callable[[Any], None], float]] = []
 
     @property
-    def control(self) -> AdminServer:
+    def control(self) -> ReplicatedOverrideTarget:
         raise NotImplementedError
 
     def _id(self) -> str:
@@ -99,9 +99,9 @@
     def _body(self, order: Change) -> tuple[str, msgspec.Struct] | None:
         said, verb = order.order, order.verb
         if verb in MARKS:
-            return "mark", MarkBody(said.pool or "", self.control.planned(order), order.until)
+            return "mark", MarkBody(said.pool or "", self.control.planned_overrides(order), order.until)
         if verb == "move":
-            return "move", MoveBody(said.pool or "", self.control.planned_move(order), order.until)
+            return "move", MoveBody(said.pool or "", self.control.planned_migration(order), order.until)
         if verb in ("freeze", "thaw"):
             return "freeze", FreezeBody(said.pool or "", verb == "freeze")
         if verb == "fleet/enrol":
@@ -199,5 +199,5 @@
             box: dict[str, Any] = {"version": confirming.version, "holds": found.is_committed}
             if not found.is_committed:
                 box["missing"], box["until_s"] = list(found.unconfirmed), found.time_remaining
-            done({**self.control.told(order), **box})
+            done({**self.control.describe(order), **box})
         self._confirming = waiting
--- /dev/null
+++ b/loadbalancer/daemon/replicated_overrides.py
@@ -0,0 +1,90 @@
+"""What a fleet has agreed on, put in force at one daemon; and what a change request would make of it."""
+
+from __future__ import annotations
+
+import time
+
+from loadbalancer.admin.calls import Change
+from loadbalancer.daemon.admin_notifications import PredecessorNotifier
+from loadbalancer.daemon.admin_rows import endpoint_row
+from loadbalancer.daemon.admin_state import AdminState
+from loadbalancer.daemon.components import DaemonContext
+from loadbalancer.daemon.persisted_overrides import PersistedOverrides
+from loadbalancer.daemon.requested_state import requested_migration, requested_override
+from loadbalancer.discovery.overrides import AdminOverride
+from loadbalancer.routing.traffic_migration import Migration, Migrations
+
+
+class ReplicatedOverrides:
+    """Applies decided commands; an implementation of `components.ReplicatedOverrideTarget`."""
+
+    def __init__(
+        self,
+        daemon: DaemonContext,
+        state: AdminState,
+        persisted: PersistedOverrides,
+        predecessor: PredecessorNotifier,
+    ) -> None:
+        self._daemon = daemon
+        self._state = state
+        self._persisted = persisted
+        self._predecessor = predecessor
+
+    @property
+    def overrides(self) -> dict[str, dict[str, AdminOverride]]:
+        """Overrides in force by pool and endpoint."""
+        return self._state.overrides
+
+    @property
+    def migrations(self) -> dict[str, Migrations]:
+        """Migrations by pool."""
+        return self._state.migrations
+
+    def planned_overrides(self, change: Change) -> dict[str, AdminOverride | None]:
+        """The overrides that a change would leave, by endpoint; None for no override."""
+        before = self._state.overrides.get(change.order.pool or "", {})
+        planned = {
+            endpoint: requested_override(change, before.get(endpoint), time.time(), 0.0)
+            for endpoint in change.members
+        }
+        return {
+            endpoint: None if override.says_nothing() else override for endpoint, override in planned.items()
+        }
+
+    def planned_migration(self, change: Change) -> Migration | None:
+        """The migration that a change would leave; its end is counted from when it is decided."""
+        return requested_migration(change, time.time(), 0.0)
+
+    def set_override(self, name: str, endpoint: str, override: AdminOverride | None) -> None:
+        """Put an override in force, also of a pool that is not there; None ends it."""
+        pool = self._daemon.pools.get(name)
+        overrides = self._state.pool_overrides(name)
+        if pool is not None:
+            self._state.apply_override(name, pool, endpoint, override or AdminOverride())
+        elif override is None:
+            overrides.pop(endpoint, None)
+        else:
+            overrides[endpoint] = override
+        self._predecessor.notify(name, endpoint, override)
+
+    def set_migration(self, pool: str, migration: Migration | None) -> None:
+        """Put a migration in force; None ends it."""
+        self._state.set_migration(pool, migration)
+
+    def set_frozen(self, name: str, frozen: bool) -> None:
+        """Let a pool follow its source, or not."""
+        pool = self._daemon.pools.get(name)
+        if pool is not None:
+            pool.overlay.freeze(frozen)
+
+    def describe(self, change: Change) -> dict[str, object]:
+        """What is now true of the endpoints of a change, as the answer to it."""
+        name = change.order.pool or ""
+        pool = self._daemon.pools.get(name)
+        kept = self._persisted.is_configured
+        if pool is None or not change.members:
+            return {"kept": kept}
+        return {
+            "members": [endpoint_row(name, pool, endpoint) for endpoint in change.members],
+            "kept": kept,
+        }
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -67,7 +67,7 @@
 from loadbalancer.store.keeper import Store, StoreView
 
 if TYPE_CHECKING:
-    from loadbalancer.daemon.admin_server import AdminServer
+    from loadbalancer.daemon.components import ReplicatedOverrideOwner, ReplicatedOverrideTarget
 
 #: What instances tell one another of the program that they run.
 BUILD = "0.1.0"
@@ -141,8 +141,8 @@
         link.send_replication = self._hear
 
     @property
-    def control(self) -> AdminServer:
-        return cast("AdminServer", self.daemon.parts["control"])
+    def control(self) -> ReplicatedOverrideTarget:
+        return cast("ReplicatedOverrideOwner", self.daemon.components["control"]).replicated
 
     def _clock(self) -> float:
         return clock()
@@ -390,13 +390,13 @@
     def _took_whole(self) -> None:
         self.history.append(Epoch(self.said.version, WHOLE, "", time.time()))
         control = self.control
-        for pool, marks in list(control.marks.items()):
+        for pool, marks in list(control.overrides.items()):
             for member in list(marks):
                 if member not in self.said.overrides.get(pool, {}):
-                    control.put_mark(pool, member, None)
-        for pool in list(control.moves):
+                    control.set_override(pool, member, None)
+        for pool in list(control.migrations):
             if pool not in self.said.migrations:
-                control.put_move(pool, None)
+                control.set_migration(pool, None)
         self._restore()
         self.fence.extend(self.said.majority, self.said.version)
         if self.store is not None:
@@ -412,12 +412,12 @@
         stands: Any = None
         if kind == "mark":
             stands = self.said.overrides.get(names[0], {}).get(names[1])
-            self.control.put_mark(names[0], names[1], stands[0] if stands is not None else None)
+            self.control.set_override(names[0], names[1], stands[0] if stands is not None else None)
         elif kind == "move":
             stands = self.said.migrations.get(names[0])
-            self.control.put_move(names[0], stands[0] if stands is not None else None)
+            self.control.set_migration(names[0], stands[0] if stands is not None else None)
         elif kind == "freeze":
-            self.control.put_freeze(names[0], names[0] in self.said.frozen)
+            self.control.set_frozen(names[0], names[0] in self.said.frozen)
         if stands is not None and stands[1]:
             self._ends[touched] = stands[2], clock() + stands[1]
         else:
@@ -427,7 +427,7 @@
 
     def bars(self, pool: str, stays: bool) -> Callable[[str], AttemptResult | None]:
         """What a pool asks ahead of each send to a member. `stays`: sessions go on at a draining member."""
-        fence, marks = self.fence, self.control.marks
+        fence, marks = self.fence, self.control.overrides
 
         def ask(member: str) -> AttemptResult | None:
             now = clock()
--- a/loadbalancer/daemon/rollout.py
+++ b/loadbalancer/daemon/rollout.py
@@ -18,8 +18,8 @@
 from blake3 import blake3
 
 from loadbalancer.config.reader import ConfigError
-from loadbalancer.daemon.component_factory import prepare
 from loadbalancer.daemon.components import DaemonContext
+from loadbalancer.daemon.preparation import prepare
 from loadbalancer.fleet.orchestration.rollout import RolloutPlan, StageReport, wants_new
 from loadbalancer.fleet.replication import messages as form
 from loadbalancer.fleet.wire import Message
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -393,7 +393,7 @@
         if store:
             daemon = Daemon(Heard(), seed=1)
             daemon.apply(load(tmp_path / "micastand.toml"))
-            assert daemon.control is not None and daemon.control.moves["p"].move is not None
+            assert daemon.control is not None and daemon.control.state.migrations["p"].move is not None
             daemon.close()
 
     run(scene)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -68,8 +68,8 @@
 
 
 def test_overrides_and_migrations_are_read(view: StoreView) -> None:
-    assert persisted_overrides.load_marks(view) == {"pool-a": {"m1": DRAINED, "m2": ADDED}}
-    assert persisted_overrides.load_moves(view) == {"pool-a": MIGRATION}
+    assert persisted_overrides.load_overrides(view) == {"pool-a": {"m1": DRAINED, "m2": ADDED}}
+    assert persisted_overrides.load_migrations(view) == {"pool-a": MIGRATION}
 
 
 def test_the_replicated_state_and_the_acceptor_state_are_read(view: StoreView) -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -21,7 +21,9 @@
 
 from loadbalancer.admin.snapshot import decode
 from loadbalancer.cli.__main__ import main
-from loadbalancer.daemon.hot_restart import HotRestartError, offer_path, remove_own, take
+from loadbalancer.daemon.hot_restart.protocol import HotRestartError, offer_path
+from loadbalancer.daemon.hot_restart.takeover import take_over
+from loadbalancer.daemon.unix_socket_files import remove_own
 from loadbalancer.policy.endpoints import FAILING_AFTER
 from loadbalancer.policy.selection import ERROR_LIMIT
 from loadbalancer.store.engine import Bounds, Engine
@@ -212,10 +214,10 @@
         while not offer.exists():
             await asyncio.sleep(0.01)
         assert offer.stat().st_mode & 0o777 == 0o600
-        first = await loop.run_in_executor(None, take, offer)
+        first = await loop.run_in_executor(None, take_over, offer)
         assert first.pid == old.pid and len(first.sockets) == 2
         with pytest.raises(HotRestartError, match="another upgrade is under way"):
-            await loop.run_in_executor(None, take, offer)
+            await loop.run_in_executor(None, take_over, offer)
         first.close()  # as by SIGKILL
         assert await upgrade(path) == 0
         assert await asyncio.wait_for(old.wait(), 20) == 0
@@ -250,7 +252,7 @@
         old = await start(path)
         loop = asyncio.get_running_loop()
         assert (await killing.ask("one"))[0] == 200
-        taken = await loop.run_in_executor(None, take, offer_path(tmp_path / "s"))
+        taken = await loop.run_in_executor(None, take_over, offer_path(tmp_path / "s"))
         await loop.run_in_executor(None, taken.borrow_store)
         status, body = await killing.ask("two")
         assert status == 503 and b"another process takes over" in body
@@ -284,17 +286,18 @@
             control = here.daemon.control
             assert control is not None
             control.serve()
+            restart = control.hot_restart
             offer, loop = offer_path(tmp_path / "s"), asyncio.get_running_loop()
-            taken = await loop.run_in_executor(None, take, offer)
+            taken = await loop.run_in_executor(None, take_over, offer)
             status, found = await call(here, "POST", "cordon", pool="p", member="a")
             assert status == 409 and "ask again" in found["error"]
             taken.close()
-            await here.until(lambda: control.offer is not None and not control.offer.under_way)
+            await here.until(lambda: restart.offer is not None and not restart.offer.is_under_way)
             assert (await call(here, "POST", "cordon", pool="p", member="a"))[0] == 200
             assert (await call(here, "POST", "uncordon", pool="p", member="a"))[0] == 200
-            taken = await loop.run_in_executor(None, take, offer)
+            taken = await loop.run_in_executor(None, take_over, offer)
             way = await loop.run_in_executor(None, taken.serving)
-            assert control.taken.is_set()
+            assert restart.replaced.is_set()
             way.sendall(b'["p","a",{"word":"cordon"}]\n["none","a",null]\nrubbish\n["p",')
             overlay = here.daemon.pools["p"].overlay
             await here.until(lambda: overlay.marks.get("a") and here.heard.count("can't be read"))
@@ -302,7 +305,7 @@
             way.sendall(b'"a",null]\n')
             await here.until(lambda: not overlay.marks)
             way.close()
-            await here.until(lambda: control.offer is not None and control.offer._follower is None)
+            await here.until(lambda: restart.offer is not None and not restart.offer.has_successor)
 
     run(scene)
 
@@ -331,8 +334,8 @@
         assert await asyncio.wait_for(old.wait(), 20) == 0
         # It has sent nothing yet, so what it would pass on is what it was passed. Asked so, since how long a member is
         # avoided goes by time: after two failures a second, which an upgrade on a busy machine takes.
-        taken = await loop.run_in_executor(None, take, offer_path(tmp_path / "s"))
-        notes = sorted(decode(taken.learnt).pools[0].members, key=lambda note: note.id)
+        taken = await loop.run_in_executor(None, take_over, offer_path(tmp_path / "s"))
+        notes = sorted(decode(taken.snapshot).pools[0].members, key=lambda note: note.id)
         taken.close()
         found = [
             note.errors > ERROR_LIMIT and note.failed >= FAILING_AFTER and note.errors_age >= 0
@@ -349,7 +352,7 @@
 
 def test_where_nothing_is_offered_nothing_is_taken(tmp_path: Path) -> None:
     with pytest.raises(HotRestartError, match="No such file"):
-        take(tmp_path / "none")
+        take_over(tmp_path / "none")
     path = tmp_path / "f"
     path.write_text("x")
     remove_own(path, 0)
