--- a/loadbalancer/admin/snapshot.py
+++ b/loadbalancer/admin/snapshot.py
@@ -1,13 +1,13 @@
-"""What a daemon has learnt, handed to the one that takes over from it. Pure: bytes in and out, times by the caller.
+"""What a daemon knows of endpoints, as bytes for the one that takes over from it, or for other instances of its fleet.
 
-Passes: error shares, utilization, pace and rows of failures of members, how far they have come since their starts, the
-usual times of classes, the level of refusing, marks and moves,
-the place in the fleet. Does not pass: requests and what their keys wait for
-(they end where they began; what must outlast them is the store's), connections, frozen sources (each daemon follows
-anew).
+It has error rates, utilization, times and failures of endpoints, how long they have been warming up, the usual time of
+each request class, the level of load shedding, overrides and migrations, and the place in the fleet. It has no
+requests, keys or connections: those end where they began, and what must outlast a process is in the store.
 
-Nothing of it is trusted: a checksum, a version, bounds on sizes and figures, and an age. What is older than AGE_MOST,
-or of another life of a member, is not used; all else fades from its own time on, as if it had been learnt here."""
+The reader trusts nothing of it: it checks a checksum, a version, bounds of sizes and figures, and the age. What is
+older than MAX_AGE_S, or of another start of an endpoint, is not used; all else fades from its own time on, as if the
+reader had measured it then.
+"""
 
 from __future__ import annotations
 
@@ -25,10 +25,16 @@
 from loadbalancer.routing.traffic_migration import Migration
 
 MAGIC = b"micastand learnt 1\n"
-#: Bytes of a snapshot at most: some 30,000 members.
-BYTES_MOST = 4 << 20
-#: Seconds after which nothing of it is used: by then members may have come back, and own samples are there.
-AGE_MOST = 15.0
+#: Some 30,000 endpoints.
+MAX_SNAPSHOT_BYTES = 4 << 20
+#: By then endpoints may have recovered, and the new process has samples of its own.
+MAX_AGE_S = 15.0
+#: How far a snapshot's time may lie in the future; more is of another clock.
+MAX_CLOCK_SKEW_S = 1.0
+#: An age that says that there was no sample.
+NEVER = -1.0
+MAX_CONSECUTIVE_FAILURES = 1000
+MAX_SHED_LEVEL = 100.0
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=1e9)]
@@ -40,153 +46,180 @@
 
 
 class EndpointSnapshot(Struct, array_like=True):
-    """One member. Ages in seconds at the snapshot's time; -1 for never."""
+    """One endpoint. Ages are in seconds at the snapshot's time, NEVER where there was no sample."""
 
     id: Text
     started: float  # as its source says it, Unix seconds, 0 for long ago
-    began_age: float  # since it began to count as started or woken
-    errors: Share
-    errors_age: float
-    util: Share
-    util_age: float
-    pace: Seconds
-    pace_age: float
-    failed: Annotated[int, Meta(ge=0, le=1000)]
-    by_class: dict[Text, tuple[Share, float]]
+    warming_age: float  # since it began to count as just started
+    error_rate: Share
+    error_rate_age: float
+    utilization: Share
+    utilization_age: float
+    time_per_attempt: Seconds
+    time_per_attempt_age: float
+    consecutive_failures: Annotated[int, Meta(ge=0, le=MAX_CONSECUTIVE_FAILURES)]
+    error_rate_by_class: dict[Text, tuple[Share, float]]  # with ages
 
 
 class PoolSnapshot(Struct, array_like=True):
+    """One pool."""
+
     name: Text
-    members: Annotated[list[EndpointSnapshot], Meta(max_length=50_000)]
-    usual: dict[Text, Seconds]  # by class
-    shed_level: Annotated[float, Meta(ge=0, le=100)]
-    marks: dict[Text, AdminOverride]
-    move: Migration | None
+    endpoints: Annotated[list[EndpointSnapshot], Meta(max_length=50_000)]
+    usual_times: dict[Text, Seconds]  # of an answer, by request class
+    shed_level: Annotated[float, Meta(ge=0, le=MAX_SHED_LEVEL)]
+    overrides: dict[Text, AdminOverride]  # by endpoint
+    migration: Migration | None
 
 
 class FleetSnapshot(Struct, array_like=True):
-    """A place in the fleet. `life`: the number of the life that passes it on; `facts`: what it holds of the others."""
+    """A place in the fleet."""
 
     name: Text
-    life: Annotated[int, Meta(ge=0, lt=1 << 40)]
-    facts: Annotated[list[MemberState], Meta(max_length=5_000)]
-    version: Annotated[int, Meta(ge=0)] = 0  # of the fleet's state, that it acts on
-    lease: float = 0.0  # until when it may, on the machine's clock
+    generation: Annotated[int, Meta(ge=0, lt=1 << 40)]  # of the process that passes it on
+    member_states: Annotated[list[MemberState], Meta(max_length=5_000)]
+    version: Annotated[int, Meta(ge=0)] = 0  # of the replicated state that it acts on
+    lease_end: float = 0.0  # on the machine's clock, in seconds
 
 
 class Snapshot(Struct, array_like=True):
+    """All that one process knows."""
+
     at: float  # Unix seconds
     pools: Annotated[list[PoolSnapshot], Meta(max_length=5_000)]
     fleet: FleetSnapshot | None = None
 
 
-def note_pool(
-    name: str, balancer: Balancer, now: float, marks: Mapping[str, AdminOverride], move: Migration | None
+def snapshot_pool(
+    name: str,
+    balancer: Balancer,
+    now: float,
+    overrides: Mapping[str, AdminOverride],
+    migration: Migration | None,
 ) -> PoolSnapshot:
-    """`now`: on the balancer's clock."""
+    """What a pool's balancer knows at a time of its own clock."""
     classes = [cls.name for cls in balancer.settings.classes]
     return PoolSnapshot(
         name,
-        [_note(server, classes, now) for server in balancer.servers.values()],
+        [_snapshot_endpoint(endpoint, classes, now) for endpoint in balancer.servers.values()],
         dict(zip(classes, balancer.usual, strict=True)),
-        min(100.0, balancer.shed_level),
-        dict(marks),
-        move,
+        min(MAX_SHED_LEVEL, balancer.shed_level),
+        dict(overrides),
+        migration,
     )
 
 
 def _age(at: float, now: float) -> float:
-    return max(0.0, now - at) if math.isfinite(at) and at > 0 else -1.0
+    return max(0.0, now - at) if math.isfinite(at) and at > 0 else NEVER
 
 
-def _note(server: Endpoint, classes: Sequence[str], now: float) -> EndpointSnapshot:
+def _snapshot_endpoint(endpoint: Endpoint, classes: Sequence[str], now: float) -> EndpointSnapshot:
     return EndpointSnapshot(
-        server.id,
-        server.started if math.isfinite(server.started) else 0.0,
-        _age(max(server.started, server.warm_started_at), now),
-        min(1.0, server.error_rate),
-        _age(server.error_rate_at, now),
-        min(1.0, server.utilization),
-        _age(server.utilization_at, now),
-        server.time_per_attempt,
-        _age(server.time_per_attempt_at, now),
-        min(1000, server.consecutive_failures),
+        endpoint.id,
+        endpoint.started if math.isfinite(endpoint.started) else 0.0,
+        _age(max(endpoint.started, endpoint.warm_started_at), now),
+        min(1.0, endpoint.error_rate),
+        _age(endpoint.error_rate_at, now),
+        min(1.0, endpoint.utilization),
+        _age(endpoint.utilization_at, now),
+        endpoint.time_per_attempt,
+        _age(endpoint.time_per_attempt_at, now),
+        min(MAX_CONSECUTIVE_FAILURES, endpoint.consecutive_failures),
         {
-            classes[n]: (min(1.0, share), _age(at, now))
-            for n, (share, at) in server.error_rate_by_class.items()
-            if n < len(classes)
+            classes[number]: (min(1.0, rate), _age(at, now))
+            for number, (rate, at) in endpoint.error_rate_by_class.items()
+            if number < len(classes)
         },
     )
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Empty where it would be longer than BYTES_MOST: then nothing passes."""
+    """The snapshot as bytes; empty where it would be longer than MAX_SNAPSHOT_BYTES: then nothing is passed on."""
     body = msgspec.msgpack.encode(snapshot)
     data = MAGIC + crc32c(body).to_bytes(4, "big") + body
-    return data if len(data) <= BYTES_MOST else b""
+    return data if len(data) <= MAX_SNAPSHOT_BYTES else b""
 
 
 def decode(data: bytes) -> Snapshot:
-    """LearntError for whatever is not whole, not of this version, or holds figures that can't be."""
-    if len(data) > BYTES_MOST:
-        raise SnapshotError(f"{len(data)} bytes; at most {BYTES_MOST}")
+    """Read and check a snapshot.
+
+    Raises:
+        SnapshotError: It is not whole, not of this version, or holds figures that can't be.
+    """
+    if len(data) > MAX_SNAPSHOT_BYTES:
+        raise SnapshotError(f"{len(data)} bytes; at most {MAX_SNAPSHOT_BYTES}")
     if not data.startswith(MAGIC):
         raise SnapshotError("not of this version")
-    head = len(MAGIC) + 4
-    body = data[head:]
-    if crc32c(body) != int.from_bytes(data[len(MAGIC) : head], "big"):
+    header_bytes = len(MAGIC) + 4
+    body = data[header_bytes:]
+    if crc32c(body) != int.from_bytes(data[len(MAGIC) : header_bytes], "big"):
         raise SnapshotError("damaged")
     try:
-        found = msgspec.msgpack.decode(body, type=Snapshot)
+        snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except (msgspec.ValidationError, msgspec.DecodeError) as problem:
         raise SnapshotError(f"not a snapshot: {problem}") from None
-    if not math.isfinite(found.at):
+    if not math.isfinite(snapshot.at):
         raise SnapshotError("of no time")
-    return found
+    return snapshot
 
 
-def is_young(snapshot: Snapshot, unix: float) -> bool:
-    """Whether anything of it may be used at this Unix time; one of the future is of another clock."""
-    return -1.0 <= unix - snapshot.at <= AGE_MOST
+def is_recent(snapshot: Snapshot, now: float) -> bool:
+    """Whether anything of it may be used at this Unix time."""
+    return -MAX_CLOCK_SKEW_S <= now - snapshot.at <= MAX_AGE_S
 
 
-def restore_pool(note: PoolSnapshot, balancer: Balancer, now: float, passed: float) -> int:
-    """Let the decisions of a pool go on from it; the number of members that it held for. `now`: on the balancer's
-    clock; `passed`: seconds since the snapshot. Guards against a new process that draws failing members like sound
-    ones, and that pushes over a cold one which it takes for warm. Harm: a member that recovered in between is avoided
-    until what was known of it has faded."""
-    numbers = {cls.name: number for number, cls in enumerate(balancer.settings.classes)}
-    for name, usual in note.usual.items():
-        if name in numbers and math.isfinite(usual):
-            balancer.usual[numbers[name]] = usual
-    balancer.shed_level = note.shed_level if math.isfinite(note.shed_level) else 0.0
-    used = 0
-    for member in note.members:
-        server = balancer.servers.get(member.id)
-        if server is not None and _is_same_life(member, server):
-            _restore(member, server, numbers, now - passed)
-            used += 1
-    return used
+def restore_pool(snapshot: PoolSnapshot, balancer: Balancer, now: float, age: float) -> int:
+    """Let a pool's balancer go on from a snapshot.
 
+    Without it a new process would select failing endpoints as often as others, and take those that are warming up for
+    warm ones. The trade-off: an endpoint that recovered in between is avoided until what was known of it has faded.
 
-def _is_same_life(member: EndpointSnapshot, server: Endpoint) -> bool:
-    """A start that the source states now must be the one that was known; one that only the old process saw counts."""
-    return server.started <= 0 or server.started == member.started
+    Args:
+        snapshot: What is known of the pool.
+        balancer: Its balancer; endpoints and classes that it does not have are skipped.
+        now: Time of the balancer's clock.
+        age: Seconds since the snapshot.
 
-
-def _restore(member: EndpointSnapshot, server: Endpoint, numbers: Mapping[str, int], then: float) -> None:
-    def at(age: float) -> float:
-        return then - age if math.isfinite(age) and age >= 0 else -math.inf
-
-    def share(value: float) -> float:
+    Returns:
+        For how many endpoints it was used.
+    """
+    numbers = {cls.name: number for number, cls in enumerate(balancer.settings.classes)}
+    for name, usual_time in snapshot.usual_times.items():
+        if name in numbers and math.isfinite(usual_time):
+            balancer.usual[numbers[name]] = usual_time
+    balancer.shed_level = snapshot.shed_level if math.isfinite(snapshot.shed_level) else 0.0
+    restored = 0
+    for endpoint_snapshot in snapshot.endpoints:
+        endpoint = balancer.servers.get(endpoint_snapshot.id)
+        if endpoint is not None and _is_same_start(endpoint_snapshot, endpoint):
+            _restore_endpoint(endpoint_snapshot, endpoint, numbers, now - age)
+            restored += 1
+    return restored
+
+
+def _is_same_start(snapshot: EndpointSnapshot, endpoint: Endpoint) -> bool:
+    """Whether it is the endpoint's same start, where its source states one."""
+    return endpoint.started <= 0 or endpoint.started == snapshot.started
+
+
+def _restore_endpoint(
+    snapshot: EndpointSnapshot, endpoint: Endpoint, numbers: Mapping[str, int], taken_at: float
+) -> None:
+    def time_of(age: float) -> float:
+        return taken_at - age if math.isfinite(age) and age >= 0 else -math.inf
+
+    def finite(value: float) -> float:
         return value if math.isfinite(value) else 0.0
 
-    server.error_rate, server.error_rate_at = share(member.errors), max(0.0, at(member.errors_age))
-    server.utilization, server.utilization_at = share(member.util), max(0.0, at(member.util_age))
-    if math.isfinite(member.pace) and member.pace > 0:
-        server.time_per_attempt, server.time_per_attempt_at = member.pace, at(member.pace_age)
-    server.consecutive_failures = member.failed
-    server.warm_started_at = max(server.warm_started_at, at(member.began_age))
-    for name, (value, age) in member.by_class.items():
+    endpoint.error_rate = finite(snapshot.error_rate)
+    endpoint.error_rate_at = max(0.0, time_of(snapshot.error_rate_age))
+    endpoint.utilization = finite(snapshot.utilization)
+    endpoint.utilization_at = max(0.0, time_of(snapshot.utilization_age))
+    if math.isfinite(snapshot.time_per_attempt) and snapshot.time_per_attempt > 0:
+        endpoint.time_per_attempt = snapshot.time_per_attempt
+        endpoint.time_per_attempt_at = time_of(snapshot.time_per_attempt_age)
+    endpoint.consecutive_failures = snapshot.consecutive_failures
+    endpoint.warm_started_at = max(endpoint.warm_started_at, time_of(snapshot.warming_age))
+    for name, (rate, age) in snapshot.error_rate_by_class.items():
         if name in numbers:
-            server.error_rate_by_class[numbers[name]] = share(value), max(0.0, at(age))
+            endpoint.error_rate_by_class[numbers[name]] = finite(rate), max(0.0, time_of(age))
--- a/loadbalancer/admin/snapshot_merge.py
+++ b/loadbalancer/admin/snapshot_merge.py
@@ -1,70 +1,88 @@
-"""What several survivors have learnt of members, made one: so that one that is wrong, or lies, does not decide. Pure.
+"""One snapshot of several instances' ones, such that a single one that is wrong does not decide.
 
-Of each figure of a member the median counts of those who know the member in the same life; with two the worse of
-both, since a sick member that is taken for a sound one costs requests, and the other way round only its share for a
-while. The level of refusing and the usual times of classes are medians too. What is older than its bound is nobody's
-word.
+Of each figure of an endpoint the median counts, over the instances that know the endpoint's latest start; of two the
+worse: a failing endpoint that is taken for a sound one costs requests, and a sound one that is taken for failing only
+its share for a while. Usual times and the level of load shedding are medians too.
 """
 
 from __future__ import annotations
 
-from typing import Sequence
+from typing import Callable, Sequence
 
 from msgspec import structs
 
-from loadbalancer.admin.snapshot import AGE_MOST, EndpointSnapshot, PoolSnapshot, Snapshot
+from loadbalancer.admin.snapshot import EndpointSnapshot, PoolSnapshot, Snapshot, is_recent
 
-#: Known by fewer than this part of those asked, a figure counts as unknown.
-KNOWN = 0.5
+#: An endpoint that a smaller share of the instances knows is left out.
+MIN_KNOWN_SHARE = 0.5
 
 
-def middle(values: Sequence[float]) -> float:
+def median(values: Sequence[float]) -> float:
     """The median; of an even number the greater of the two in the middle."""
     return sorted(values)[len(values) // 2]
 
 
-def combine(snapshots: Sequence[Snapshot], now: float) -> Snapshot | None:
-    """Those that are young enough, as one at time `now`; None for none. No marks pass here: those are the state's."""
-    young = [one for one in snapshots if -1.0 <= now - one.at <= AGE_MOST]
-    if not young:
+def merge_snapshots(snapshots: Sequence[Snapshot], now: float) -> Snapshot | None:
+    """Merge those that are recent.
+
+    Args:
+        snapshots: One of each instance that has answered.
+        now: Unix time in seconds.
+
+    Returns:
+        The merged snapshot, without overrides and migrations, which the replicated state has; None where none of
+        them is recent.
+    """
+    recent = [snapshot for snapshot in snapshots if is_recent(snapshot, now)]
+    if not recent:
         return None
-    names = sorted({pool.name for one in young for pool in one.pools})
+    names = sorted({pool.name for snapshot in recent for pool in snapshot.pools})
     pools = [
-        _pool(name, [pool for one in young for pool in one.pools if pool.name == name]) for name in names
+        _merge_pools([pool for snapshot in recent for pool in snapshot.pools if pool.name == name])
+        for name in names
     ]
-    return Snapshot(min(one.at for one in young), pools)
+    return Snapshot(min(snapshot.at for snapshot in recent), pools)
+
+
+def _merge_pools(pools: Sequence[PoolSnapshot]) -> PoolSnapshot:
+    """Merge the snapshots of one pool."""
+    by_endpoint: dict[str, list[EndpointSnapshot]] = {}
+    for pool in pools:
+        for endpoint in pool.endpoints:
+            by_endpoint.setdefault(endpoint.id, []).append(endpoint)
+    latest = [_of_latest_start(snapshots) for snapshots in by_endpoint.values()]
+    endpoints = [
+        _merge_endpoints(snapshots) for snapshots in latest if len(snapshots) >= MIN_KNOWN_SHARE * len(pools)
+    ]
+    classes = sorted({name for pool in pools for name in pool.usual_times})
+    usual_times = {
+        name: median([pool.usual_times[name] for pool in pools if name in pool.usual_times])
+        for name in classes
+    }
+    shed_level = median([pool.shed_level for pool in pools])
+    return PoolSnapshot(pools[0].name, endpoints, usual_times, shed_level, {}, None)
 
 
-def _pool(name: str, notes: Sequence[PoolSnapshot]) -> PoolSnapshot:
-    least = KNOWN * len(notes)
-    by_member: dict[str, list[EndpointSnapshot]] = {}
-    for note in notes:
-        for member in note.members:
-            by_member.setdefault(member.id, []).append(member)
-    members = [
-        _member(same) for known in by_member.values() if (same := _same_life(known)) and len(same) >= least
-    ]
-    classes = {cls for note in notes for cls in note.usual}
-    usual = {cls: middle([note.usual[cls] for note in notes if cls in note.usual]) for cls in sorted(classes)}
-    return PoolSnapshot(name, members, usual, middle([note.shed_level for note in notes]), {}, None)
+def _of_latest_start(snapshots: Sequence[EndpointSnapshot]) -> list[EndpointSnapshot]:
+    latest = max(snapshot.started for snapshot in snapshots)
+    return [snapshot for snapshot in snapshots if snapshot.started == latest]
 
 
-def _same_life(notes: Sequence[EndpointSnapshot]) -> list[EndpointSnapshot]:
-    """Of the latest start that any of them knows."""
-    latest = max(note.started for note in notes)
-    return [note for note in notes if note.started == latest]
+def _merge_endpoints(snapshots: Sequence[EndpointSnapshot]) -> EndpointSnapshot:
+    """Merge the snapshots of one start of an endpoint; a figure and its age come from the same instance."""
 
+    def median_by(figure: Callable[[EndpointSnapshot], float]) -> EndpointSnapshot:
+        return sorted(snapshots, key=figure)[len(snapshots) // 2]
 
-def _member(notes: Sequence[EndpointSnapshot]) -> EndpointSnapshot:
-    errors = sorted(notes, key=lambda note: note.errors)[len(notes) // 2]
-    pace = sorted(notes, key=lambda note: note.pace)[len(notes) // 2]
-    util = sorted(notes, key=lambda note: note.util)[len(notes) // 2]
+    by_error_rate = median_by(lambda snapshot: snapshot.error_rate)
+    by_time = median_by(lambda snapshot: snapshot.time_per_attempt)
+    by_utilization = median_by(lambda snapshot: snapshot.utilization)
     return structs.replace(
-        errors,
-        util=util.util,
-        util_age=util.util_age,
-        pace=pace.pace,
-        pace_age=pace.pace_age,
-        failed=int(middle([note.failed for note in notes])),
-        began_age=min(note.began_age for note in notes),
+        by_error_rate,
+        utilization=by_utilization.utilization,
+        utilization_age=by_utilization.utilization_age,
+        time_per_attempt=by_time.time_per_attempt,
+        time_per_attempt_age=by_time.time_per_attempt_age,
+        consecutive_failures=int(median([snapshot.consecutive_failures for snapshot in snapshots])),
+        warming_age=min(snapshot.warming_age for snapshot in snapshots),
     )
--- a/loadbalancer/admin/tokens.py
+++ b/loadbalancer/admin/tokens.py
@@ -1,8 +1,9 @@
-"""Who may call by TCP: tokens by their digests, with a role each. Pure: the file's text comes in.
+"""Tokens of administrative calls by TCP: their digests, whose they are, and what each may do.
 
-A line of the file: `ROLE DIGEST NAME`, such as `changes sha256:9f86... rita`. The file holds no token that could be
-used by who reads it. Any number of lines are valid at once, so a token changes by adding the new one first.
-`micastand token` makes a token and its line."""
+A line of the file of tokens is `ROLE DIGEST NAME`, such as `changes sha256:9f86... rita`; lines that begin with `#` are
+comments. Nobody can call with what the file holds. Any number of tokens are valid at once, so a token is changed by
+adding the new one first. `micastand token` makes a token and its line.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +13,15 @@
 from typing import Literal
 
 Role = Literal["reads", "changes"]
-#: Characters of a token that is looked at.
-TOKEN_MOST = 256
+#: Characters of a token; a longer one is nobody's.
+MAX_TOKEN_CHARACTERS = 256
 #: Lines of a file.
-LINES_MOST = 1000
-#: Wrong tokens in WINDOW_S after which no call by TCP is heard until the window ends.
-WRONG_MOST = 20
-WINDOW_S = 10.0
-PREFIX = "sha256:"
+MAX_LINES = 1000
+#: Wrong tokens in a window, after which no call by TCP is answered until the window ends.
+MAX_WRONG_TOKENS = 20
+WRONG_TOKEN_WINDOW_S = 10.0
+DIGEST_PREFIX = "sha256:"
+DIGEST_CHARACTERS = 64
 
 
 class TokenError(ValueError):
@@ -35,70 +37,94 @@
 
 
 def digest(token: str) -> str:
-    """A token is long and random, so a plain digest can't be guessed back."""
+    """The digest of a token, in hexadecimal. A token is long and random, so a plain digest gives nothing away."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def line_of(token: str, role: Role, name: str) -> str:
-    return f"{role} {PREFIX}{digest(token)} {name}\n"
+    """The line of a token in the file."""
+    return f"{role} {DIGEST_PREFIX}{digest(token)} {name}\n"
 
 
 class Tokens:
-    """The holders of one file."""
+    """The tokens of one file."""
 
     def __init__(self, holders: list[tuple[str, TokenHolder]]) -> None:
+        """Take digests in lower case, with whose they are."""
         self._holders = holders
 
     @classmethod
     def read(cls, text: str) -> Tokens:
-        """TokenError with the first line that is wrong."""
-        holders: list[tuple[str, TokenHolder]] = []
+        """Read a file's text; TokenError with the first line that is wrong."""
         lines = text.splitlines()
-        if len(lines) > LINES_MOST:
-            raise TokenError(f"{len(lines)} lines; at most {LINES_MOST}")
-        for number, line in enumerate(lines, 1):
-            if not line.strip() or line.lstrip().startswith("#"):
-                continue
-            words = line.split()
-            if len(words) != 3 or words[0] not in ("reads", "changes") or not _is_digest(words[1]):
-                raise TokenError(
-                    f"line {number}: not `reads|changes sha256:HEX NAME`; `micastand token` makes one"
-                )
-            holders.append((words[1].removeprefix(PREFIX).lower(), TokenHolder(words[2], words[0])))  # type: ignore[arg-type]
+        if len(lines) > MAX_LINES:
+            raise TokenError(f"{len(lines)} lines; at most {MAX_LINES}")
+        holders = [
+            _read_line(number, line)
+            for number, line in enumerate(lines, 1)
+            if line.strip() and not line.lstrip().startswith("#")
+        ]
         if not holders:
             raise TokenError("holds no token; `micastand token` makes a line")
         return cls(holders)
 
     def holder(self, header: str | None) -> TokenHolder | None:
-        """Whose token an Authorization header bears (RFC 6750, 2.1); None for nobody's. Takes as long for each."""
-        kind, _, token = (header or "").strip().partition(" ")
+        """Whose token an Authorization header has (RFC 6750, 2.1); None for nobody's.
+
+        All digests are compared, each in constant time, so that the time taken says nothing of the token.
+        """
+        scheme, _, token = (header or "").strip().partition(" ")
         token = token.strip()
-        if kind.lower() != "bearer" or not token or len(token) > TOKEN_MOST:
+        if scheme.lower() != "bearer" or not token or len(token) > MAX_TOKEN_CHARACTERS:
             return None
-        mine, found = digest(token), None
+        presented = digest(token)
+        found = None
         for known, holder in self._holders:
-            if hmac.compare_digest(known, mine) and found is None:
+            if hmac.compare_digest(known, presented) and found is None:
                 found = holder
         return found
 
 
+def _read_line(number: int, line: str) -> tuple[str, TokenHolder]:
+    words = line.split()
+    role = _read_role(words[0])
+    if len(words) != 3 or role is None or not _is_digest(words[1]):
+        raise TokenError(f"line {number}: not `reads|changes sha256:HEX NAME`; `micastand token` makes one")
+    return words[1].removeprefix(DIGEST_PREFIX).lower(), TokenHolder(words[2], role)
+
+
+def _read_role(word: str) -> Role | None:
+    if word == "reads":
+        return "reads"
+    return "changes" if word == "changes" else None
+
+
 def _is_digest(word: str) -> bool:
-    rest = word.removeprefix(PREFIX)
-    return word.startswith(PREFIX) and len(rest) == 64 and all(c in "0123456789abcdefABCDEF" for c in rest)
+    digits = word.removeprefix(DIGEST_PREFIX)
+    return (
+        word.startswith(DIGEST_PREFIX)
+        and len(digits) == DIGEST_CHARACTERS
+        and all(digit in "0123456789abcdefABCDEF" for digit in digits)
+    )
 
 
 class GuessLimiter:
-    """Guards against guessing: past WRONG_MOST wrong tokens in a window no call by TCP is heard until it ends. Harm:
-    who can reach the address can keep operators off it; the Unix socket stays."""
+    """Limits how many wrong tokens are tried: past MAX_WRONG_TOKENS in a window all calls by TCP are rejected.
+
+    The trade-off: who can reach the address can keep operators off it. The Unix socket stays open to them.
+    """
 
     def __init__(self) -> None:
-        self._count, self._began = 0, 0.0
+        self._wrong_tokens = 0
+        self._window_began = 0.0
 
     def may_try(self, now: float) -> bool:
-        """`now`: seconds on any clock that only advances."""
-        if now - self._began >= WINDOW_S:
-            self._count, self._began = 0, now
-        return self._count < WRONG_MOST
+        """Whether a token is looked at now; in seconds on any clock that only advances."""
+        if now - self._window_began >= WRONG_TOKEN_WINDOW_S:
+            self._wrong_tokens = 0
+            self._window_began = now
+        return self._wrong_tokens < MAX_WRONG_TOKENS
 
     def wrong(self) -> None:
-        self._count += 1
+        """Count a wrong token."""
+        self._wrong_tokens += 1
--- a/loadbalancer/daemon/admin_api.py
+++ b/loadbalancer/daemon/admin_api.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Callable, Mapping
+from typing import Callable
 
-from loadbalancer.admin.calls import Change, ChangeDone
+from loadbalancer.admin.calls import Change, ChangeDone, Verbs
 from loadbalancer.daemon.admin_changes import ChangeHandler
 from loadbalancer.daemon.admin_queries import AdminQueries
 
@@ -28,7 +28,7 @@
         """Start a query that other instances answer; whether there is one by this path."""
         return self._queries.ask(what, done)
 
-    def verbs(self) -> Mapping[str, tuple[frozenset[str], str]]:
+    def verbs(self) -> Verbs:
         """Verbs of components."""
         return self._changes.verbs()
 
--- a/loadbalancer/daemon/admin_changes.py
+++ b/loadbalancer/daemon/admin_changes.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Callable, Mapping, Protocol, runtime_checkable
 
-from loadbalancer.admin.calls import CallError, Change, ChangeDone, ChangeResult
+from loadbalancer.admin.calls import CallError, Change, ChangeDone, ChangeResult, Verbs
 from loadbalancer.daemon.admin_notifications import PredecessorNotifier
 from loadbalancer.daemon.admin_queries import AdminQueries
 from loadbalancer.daemon.admin_rows import endpoint_row, pool_row
@@ -68,7 +68,7 @@
             "log": self._set_log_level,
         }
 
-    def verbs(self) -> dict[str, tuple[frozenset[str], str]]:
+    def verbs(self) -> Verbs:
         """The verbs of components: what each requires, and what it does in a line."""
         verbs: dict[str, tuple[frozenset[str], str]] = {}
         for component in self._daemon.components.values():
@@ -107,7 +107,7 @@
         self._done(change, {"reload": "asked for; the log says what became of it"}, done)
 
     def _set_log_level(self, change: Change, done: ChangeDone) -> None:
-        level = change.order.level or "info"
+        level = change.request.level or "info"
         logger = self._daemon.logger
         if not isinstance(logger, LevelledLogger):
             raise CallError(409, "this log has no levels; put [log] into the file and restart")
@@ -115,14 +115,14 @@
         self._done(change, {"level": level}, done)
 
     def _freeze(self, frozen: bool, change: Change, done: ChangeDone) -> None:
-        name = change.order.pool
+        name = change.request.pool
         assert name is not None
         pool = self._daemon.pools[name]
         pool.overlay.freeze(frozen)
         self._done(change, {**pool_row(name, pool)}, done)
 
     def _migrate(self, change: Change, done: ChangeDone) -> None:
-        name = change.order.pool
+        name = change.request.pool
         assert name is not None
         now = time.time()
         before = self._state.migration(name)
@@ -137,17 +137,17 @@
         )
 
     def _override(self, change: Change, done: ChangeDone) -> None:
-        name = change.order.pool
+        name = change.request.pool
         assert name is not None
         now = time.time()
         pool, overrides = self._daemon.pools[name], self._state.pool_overrides(name)
-        before = {endpoint: overrides.get(endpoint) for endpoint in change.members}
-        for endpoint in change.members:
+        before = {endpoint: overrides.get(endpoint) for endpoint in change.endpoints}
+        for endpoint in change.endpoints:
             override = requested_override(change, before[endpoint], now, _end(change, now))
             self._state.apply_override(name, pool, endpoint, override)
             self._predecessor.notify(name, endpoint, overrides.get(endpoint))
-        rows = [endpoint_row(name, pool, endpoint) for endpoint in change.members]
-        after = {endpoint: overrides.get(endpoint) for endpoint in change.members}
+        rows = [endpoint_row(name, pool, endpoint) for endpoint in change.endpoints]
+        after = {endpoint: overrides.get(endpoint) for endpoint in change.endpoints}
 
         def undo() -> None:
             for endpoint, override in before.items():
--- a/loadbalancer/daemon/admin_server.py
+++ b/loadbalancer/daemon/admin_server.py
@@ -148,7 +148,7 @@
     def retire(self) -> None:
         """Accept no more calls by TCP: they go to the successor."""
         if self._tcp_server is not None:
-            self._tcp_server.deafen()
+            self._tcp_server.stop_accepting()
 
     def end(self) -> None:
         """Close all sockets, and remove their files."""
--- a/loadbalancer/daemon/audit_log.py
+++ b/loadbalancer/daemon/audit_log.py
@@ -20,13 +20,13 @@
 
     def note(self, change: Change, outcome: str) -> None:
         """Write one line. As JSON it stays one line whatever the operator has sent."""
-        request = change.order
+        request = change.request
         fields = {
             "at": round(time.time(), 3),
             "by": request.by,
             "verb": change.verb,
             "pool": request.pool,
-            "members": list(change.members),
+            "members": list(change.endpoints),
             "weight": request.weight,
             "address": request.address,
             "other": request.other,
--- a/loadbalancer/daemon/change_validation.py
+++ b/loadbalancer/daemon/change_validation.py
@@ -40,7 +40,7 @@
         Raises:
             CallError: It can't be applied; says why.
         """
-        name = change.order.pool
+        name = change.request.pool
         if name is None:
             return
         pool = self._daemon.pools.get(name)
@@ -52,20 +52,20 @@
                 409, "an upgrade is under way, and the new daemon would not know of it; ask again"
             )
         if change.verb == "move":
-            self._check_migration(name, change.order.other or "")
+            self._check_migration(name, change.request.other or "")
             return
         self._check_endpoints(name, pool, change)
-        if change.verb in VERBS_THAT_REMOVE and not change.order.last:
+        if change.verb in VERBS_THAT_REMOVE and not change.request.last:
             _check_one_remains(pool, change)
 
     def _check_endpoints(self, name: str, pool: RunningPool, change: Change) -> None:
         overlay = pool.overlay
-        unknown = [endpoint for endpoint in change.members if not overlay.knows(endpoint)]
+        unknown = [endpoint for endpoint in change.endpoints if not overlay.knows(endpoint)]
         if change.verb == "add":
-            if len(change.members) != 1:
+            if len(change.endpoints) != 1:
                 raise CallError(400, "add takes one member")
-            if change.members[0] in overlay.listed():
-                raise CallError(409, f"{change.members[0]!r} is listed by the pool's source already")
+            if change.endpoints[0] in overlay.listed():
+                raise CallError(409, f"{change.endpoints[0]!r} is listed by the pool's source already")
         elif unknown and change.verb not in VERBS_FOR_UNKNOWN_ENDPOINTS:
             raise CallError(404, f"no such member of {name}: {', '.join(unknown)}")
 
@@ -91,7 +91,7 @@
     """Refuse to take a pool's last endpoint out of use; the request's `last` says that this is meant."""
     overridden = {name for name, override in pool.overlay.marks.items() if override.word is not None}
     ready = {entry.endpoint for entry, _ in pool.overlay.entries() if entry.state == EndpointState.READY}
-    if ready and not ready - overridden - set(change.members):
+    if ready and not ready - overridden - set(change.endpoints):
         raise CallError(
-            409, f"this would leave pool {change.order.pool} without any member; say last if it is meant"
+            409, f"this would leave pool {change.request.pool} without any member; say last if it is meant"
         )
--- a/loadbalancer/daemon/component_factory.py
+++ b/loadbalancer/daemon/component_factory.py
@@ -113,8 +113,8 @@
         elif self._daemon.inherited_snapshot is not None:
             pools = self._daemon.inherited_snapshot.pools
             server.restore(
-                {pool.name: pool.marks for pool in pools},
-                {pool.name: pool.move for pool in pools if pool.move is not None},
+                {pool.name: pool.overrides for pool in pools},
+                {pool.name: pool.migration for pool in pools if pool.migration is not None},
             )
 
     def _fleet(self) -> FleetComponent | None:
--- a/loadbalancer/daemon/components.py
+++ b/loadbalancer/daemon/components.py
@@ -14,7 +14,7 @@
 import socket
 from typing import TYPE_CHECKING, Any, Callable, Mapping, Protocol
 
-from loadbalancer.admin.calls import Change, ChangeDone
+from loadbalancer.admin.calls import Change, ChangeDone, Verbs
 from loadbalancer.config.plan import Plan
 from loadbalancer.daemon.pools import RunningPool
 from loadbalancer.discovery.overrides import AdminOverride
@@ -68,7 +68,7 @@
         """What operators can read that other instances answer, by path; each gets a callback for the answer."""
         return {}
 
-    def more_verbs(self) -> Mapping[str, tuple[frozenset[str], str]]:
+    def more_verbs(self) -> Verbs:
         """Changes that operators can ask of it, by verb: the fields that each requires, and what it does in a line."""
         return {}
 
--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -110,12 +110,12 @@
         place = self._place
         first: list[Action] = []
         if place is not None:
-            first = self.view.resume(time.monotonic(), place.life, place.facts)
+            first = self.view.resume(time.monotonic(), place.generation, place.member_states)
         self.link.start(first)
         self.returning.start(place is not None)
         if self.agreed is not None:
             if place is not None:
-                self.agreed.take_lease(place.version, place.lease)
+                self.agreed.take_lease(place.version, place.lease_end)
             self.agreed.start()
 
     def _answer(self, message: Message) -> Iterator[tuple[Message, float]] | None:
--- a/loadbalancer/daemon/hot_restart/service.py
+++ b/loadbalancer/daemon/hot_restart/service.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, cast
 
-from loadbalancer.admin.snapshot import Snapshot, encode, note_pool
+from loadbalancer.admin.snapshot import Snapshot, encode, snapshot_pool
 from loadbalancer.daemon.admin_notifications import apply_notification
 from loadbalancer.daemon.admin_state import AdminState
 from loadbalancer.daemon.components import DaemonContext, FleetSnapshotSource
@@ -57,7 +57,7 @@
     def snapshot(self) -> bytes:
         """What a successor goes on from."""
         pools = [
-            note_pool(
+            snapshot_pool(
                 name,
                 pool.proxy.balancer,
                 pool.proxy.now(),
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -16,10 +16,10 @@
     SnapshotError,
     decode,
     encode,
-    note_pool,
     restore_pool,
+    snapshot_pool,
 )
-from loadbalancer.admin.snapshot_merge import combine
+from loadbalancer.admin.snapshot_merge import merge_snapshots
 from loadbalancer.daemon.components import DaemonContext
 from loadbalancer.fleet.membership.member_table import NOT_HEARD
 from loadbalancer.fleet.membership.view import MembershipView
@@ -179,7 +179,7 @@
         lists = self._take_lists(names[0])
         found, _ = await asyncio.gather(asyncio.gather(*(self._ask(name) for name in names)), lists)
         known = [one for one in found if one is not None]
-        self._lessons = combine(known, time.time())
+        self._lessons = merge_snapshots(known, time.time())
         self._use()
         self.comeback.learnt()
 
@@ -219,7 +219,7 @@
             return None
         # Ages are on clocks that may differ: what was told now counts as of now.
         found.at = time.time()
-        self.asked[name] = f"{sum(len(pool.members) for pool in found.pools)} members"
+        self.asked[name] = f"{sum(len(pool.endpoints) for pool in found.pools)} members"
         return found
 
     def _use(self) -> None:
@@ -248,7 +248,7 @@
             return None
         elif self.comeback.phase == RecoveryPhase.FULL:
             pools = [
-                note_pool(name, pool.proxy.balancer, pool.proxy.now(), {}, None)
+                snapshot_pool(name, pool.proxy.balancer, pool.proxy.now(), {}, None)
                 for name, pool in self.daemon.pools.items()
             ]
             data = encode(Snapshot(time.time(), pools))
--- a/loadbalancer/daemon/replicated_commands.py
+++ b/loadbalancer/daemon/replicated_commands.py
@@ -75,7 +75,7 @@
         self._orders.clear()
 
     def change(self, order: Change, done: Callable[[Any], None]) -> bool:
-        if order.order.here and order.verb in (*MARKS, "move", "freeze", "thaw"):
+        if order.request.here and order.verb in (*MARKS, "move", "freeze", "thaw"):
             return False
         body = self._body(order)
         if body is None:
@@ -83,7 +83,7 @@
         kind, struct = body
         try:
             change = Command(
-                self._id(), kind, write_body(struct), order.order.by, order.order.reason, time.time()
+                self._id(), kind, write_body(struct), order.request.by, order.request.reason, time.time()
             )
             self.said.check(change)
         except StateError as problem:
@@ -91,13 +91,13 @@
         if kind == "recover":
             self._recover(change, order, done)
             return True
-        if_version = -1 if order.order.if_version is None else order.order.if_version
+        if_version = -1 if order.request.if_version is None else order.request.if_version
         self._orders[change.id] = order, done, self.clock()
         self._propose(change, if_version)
         return True
 
     def _body(self, order: Change) -> tuple[str, msgspec.Struct] | None:
-        said, verb = order.order, order.verb
+        said, verb = order.request, order.verb
         if verb in MARKS:
             return "mark", MarkBody(said.pool or "", self.control.planned_overrides(order), order.until)
         if verb == "move":
@@ -128,7 +128,7 @@
     def _plan_of(self, order: Change) -> PlanBody:
         """A file beside this daemon, as its operator names it. Harm: whoever may call may have any file checked as a
         configuration; so calls by TCP, whose holders have tokens alone, name none."""
-        path = Path(order.order.path or "")
+        path = Path(order.request.path or "")
         if not path.is_absolute():
             raise CallError(400, f"{path}: an absolute path is wanted")
         try:
@@ -150,17 +150,18 @@
 
     def _recover(self, change: Command, order: Change, done: Callable[[Any], None]) -> None:
         """The operator's way out after a majority was lost for good. Guards against use while there is one."""
-        if not order.order.last:
+        if not order.request.last:
             raise CallError(
                 409, "this lets a minority go on without those who may know more; say last if it is meant"
             )
         if self.fence.is_open(self.clock()):
             raise CallError(409, "a majority answers; nothing has to be recovered")
-        if self.name not in order.order.roster:
+        if self.name not in order.request.roster:
             raise CallError(409, f"{self.name!r}, where this is said, has to be on the new roster")
         self._do(self.versions.recover(change))
         self.logger(
-            "fleet: recovered by an operator", f"{order.order.by}: {', '.join(order.order.roster)} vote now"
+            "fleet: recovered by an operator",
+            f"{order.request.by}: {', '.join(order.request.roster)} vote now",
         )
         done({"version": self.said.version, "holds": True, "roster": dict(self.said.voters)})
 
--- a/loadbalancer/daemon/replicated_overrides.py
+++ b/loadbalancer/daemon/replicated_overrides.py
@@ -42,10 +42,10 @@
 
     def planned_overrides(self, change: Change) -> dict[str, AdminOverride | None]:
         """The overrides that a change would leave, by endpoint; None for no override."""
-        before = self._state.overrides.get(change.order.pool or "", {})
+        before = self._state.overrides.get(change.request.pool or "", {})
         planned = {
             endpoint: requested_override(change, before.get(endpoint), time.time(), 0.0)
-            for endpoint in change.members
+            for endpoint in change.endpoints
         }
         return {
             endpoint: None if override.says_nothing() else override for endpoint, override in planned.items()
@@ -79,12 +79,12 @@
 
     def describe(self, change: Change) -> dict[str, object]:
         """What is now true of the endpoints of a change, as the answer to it."""
-        name = change.order.pool or ""
+        name = change.request.pool or ""
         pool = self._daemon.pools.get(name)
         kept = self._persisted.is_configured
-        if pool is None or not change.members:
+        if pool is None or not change.endpoints:
             return {"kept": kept}
         return {
-            "members": [endpoint_row(name, pool, endpoint) for endpoint in change.members],
+            "members": [endpoint_row(name, pool, endpoint) for endpoint in change.endpoints],
             "kept": kept,
         }
--- a/loadbalancer/daemon/requested_state.py
+++ b/loadbalancer/daemon/requested_state.py
@@ -23,7 +23,7 @@
         now: Unix time in seconds.
         until: When the override ends, in Unix seconds; 0 for no end.
     """
-    request = change.order
+    request = change.request
     verb = change.verb
     if verb == "remove":
         if before is not None and before.address is not None:
@@ -44,7 +44,7 @@
 
 def requested_migration(change: Change, now: float, until: float) -> Migration | None:
     """The migration that a change asks for; None where it ends one. Times as in `requested_override`."""
-    request = change.order
+    request = change.request
     assert request.other is not None and request.share is not None
     if not request.share:
         return None
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -50,7 +50,7 @@
         if self.passing is not None and not self.passing.over:
             raise CallError(409, "a restart of the fleet is under way here")
         names = [self.name, *(peer.state.name for peer in self.view.table.living)]
-        self.passing = RollingRestart(self.name, names, change.order.group, time.monotonic())
+        self.passing = RollingRestart(self.name, names, change.request.group, time.monotonic())
         self._task = self._loop.create_task(self._run(self.passing))
         done(self.report())
 
--- a/loadbalancer/daemon/snapshot_restore.py
+++ b/loadbalancer/daemon/snapshot_restore.py
@@ -17,17 +17,17 @@
     Returns:
         The snapshot with the pools that wait for their list; None where none waits, or where it is too old.
     """
-    from loadbalancer.admin.snapshot import is_young, restore_pool
+    from loadbalancer.admin.snapshot import is_recent, restore_pool
 
     now = time.time()
-    if not is_young(snapshot, now):
+    if not is_recent(snapshot, now):
         return None
     waiting = []
     for pool_snapshot in snapshot.pools:
         pool = pools.get(pool_snapshot.name)
         if pool is None:
             continue
-        if not pool.proxy.listed and pool_snapshot.members:
+        if not pool.proxy.listed and pool_snapshot.endpoints:
             waiting.append(pool_snapshot)
         else:
             age = max(0.0, now - snapshot.at)
--- a/loadbalancer/hot_restart/phases.py
+++ b/loadbalancer/hot_restart/phases.py
@@ -1,8 +1,8 @@
-"""What a process is in an upgrade, and what it may do and hold; decided from what it sees, nothing else.
+"""What a process is while another one of the same proxy lives, and what it may do and hold.
 
-Pure: no I/O and no clock. The two processes count as one proxy, with one set of limits between them.
+The processes count as one proxy, with one set of limits between them.
 
-| phase | it is that | accepts | says yes | holds descriptors |
+| phase | it is that | accepts | is ready | holds descriptors |
 | --- | --- | --- | --- | --- |
 | ALONE | no other process lives | yes | yes | all |
 | NEW | an older one lives, and this one has no list of its own | no | no | a reserve |
@@ -17,19 +17,21 @@
 from typing import NamedTuple, Sequence
 
 #: Descriptors that a process needs to start beside another: its listeners, discovery, operators, a few connections.
-RESERVE = 64
+START_SOCKETS = 64
 #: And at most this share of all, where there are few.
-RESERVE_SHARE = 0.2
-#: A newcomer that has no fresh list after this long serves with the one it was given: discovery may be silent, and
-#: it must say yes within 6 s.
-LIST_WAIT_S = 3.0
-#: Descriptors beyond those in use that a leaving process may still need: each open request may go again.
-SPARE = 16
-#: And those by which an old one may still grow.
-GROWTH = 32
+MAX_START_SHARE = 0.2
+#: For so long a new process waits for a list from discovery; then it serves with the one that it was given, since it
+#: must be ready within 6 s.
+LIST_TIMEOUT_S = 3.0
+#: Descriptors beyond those in use that a leaving process may need: each open request may be retried.
+LEAVING_SPARE_SOCKETS = 16
+#: Descriptors by which an old process may grow.
+OLD_SPARE_SOCKETS = 32
 
 
 class Phase(IntEnum):
+    """What a process is beside others; see the table above."""
+
     ALONE = 0
     NEW = 1
     NEXT = 2
@@ -37,51 +39,64 @@
     LEAVING = 4
 
 
-class Observation(NamedTuple):
-    """What a process knows of itself and of the others."""
-
-    age: float  # seconds since its start
-    listed: bool  # it has a list of members
-    fresh: bool  # and has heard from discovery itself
-    elders: bool  # one that lived when it started lives still
-    others: Sequence[int]  # descriptors that each other living process claims
-    ending: bool  # it was told to end
-    used: int  # descriptors in use
+#: Phases in which a process accepts clients.
+ACCEPTING = frozenset((Phase.ALONE, Phase.NEXT, Phase.OLD))
 
 
-def phase(seen: Observation) -> Phase:
-    """A process that has lost its elder, or whose successor has died, is alone again."""
-    if seen.ending:
+class Observation(NamedTuple):
+    """What a process knows of itself and of the others.
+
+    Attributes:
+        age: Seconds since its start.
+        listed: Whether it has an endpoint list.
+        fresh: Whether it has a list from discovery itself.
+        elders: Whether a process that lived at its start lives still.
+        others: Descriptors that each other living process claims.
+        ending: Whether it was told to end.
+        used: Descriptors in use.
+    """
+
+    age: float
+    listed: bool
+    fresh: bool
+    elders: bool
+    others: Sequence[int]
+    ending: bool
+    used: int
+
+
+def phase(observation: Observation) -> Phase:
+    """The phase of a process. One whose elder or successor has died is alone again."""
+    if observation.ending:
         return Phase.LEAVING
-    if not seen.others:
+    if not observation.others:
         return Phase.ALONE
-    if not seen.elders:
+    if not observation.elders:
         return Phase.OLD
-    return Phase.NEXT if seen.listed and (seen.fresh or seen.age >= LIST_WAIT_S) else Phase.NEW
+    may_serve = observation.fresh or observation.age >= LIST_TIMEOUT_S
+    return Phase.NEXT if observation.listed and may_serve else Phase.NEW
 
 
-def reserve(sockets: int) -> int:
-    """Descriptors that a newcomer has in any case, of `sockets` for all."""
-    return min(RESERVE, int(sockets * RESERVE_SHARE))
+def start_sockets(sockets: int) -> int:
+    """Descriptors that a new process has in any case, of so many for all."""
+    return min(START_SOCKETS, int(sockets * MAX_START_SHARE))
 
 
-def share(now: Phase, seen: Observation, sockets: int) -> int:
-    """Descriptors that a process may hold, of `sockets` for all of them.
+def share(current: Phase, observation: Observation, sockets: int) -> int:
+    """Descriptors that a process may hold, of so many for all processes.
 
-    Nobody takes what another claims, so the sum stays within `sockets` but for what a process held when the other
-    came; that shrinks as requests end."""
-    kept = reserve(sockets)
-    if not seen.others:
+    No process takes what another one claims. The sum is within `sockets` but for what a process held already when
+    another one came; that shrinks as requests end.
+    """
+    if not observation.others:
         return sockets
-    free = max(kept, sockets - sum(seen.others))
-    if now == Phase.NEW:
+    kept = start_sockets(sockets)
+    unclaimed = max(kept, sockets - sum(observation.others))
+    if current == Phase.NEW:
         return kept
-    if now == Phase.OLD:
-        return min(max(sockets // 3, seen.used + GROWTH), sockets - kept, max(free, sockets // 2))
-    if now == Phase.LEAVING:
-        return min(sockets - kept, seen.used + SPARE)
-    return free
-
-
-#: Phases in which a process takes new connections.
-ACCEPTING = frozenset((Phase.ALONE, Phase.NEXT, Phase.OLD))
+    if current == Phase.OLD:
+        wanted = max(sockets // 3, observation.used + OLD_SPARE_SOCKETS)
+        return min(wanted, sockets - kept, max(unclaimed, sockets // 2))
+    if current == Phase.LEAVING:
+        return min(sockets - kept, observation.used + LEAVING_SPARE_SOCKETS)
+    return unclaimed
--- a/loadbalancer/platform/operations.py
+++ b/loadbalancer/platform/operations.py
@@ -1,9 +1,9 @@
-"""The platform's form of what operators read, and its words for the calls."""
+"""What the platform's operators read and change of one proxy, in the platform's form."""
 
 from __future__ import annotations
 
 import time
-from typing import Any, Callable, Mapping
+from typing import Callable, Mapping, TypedDict
 
 import orjson
 
@@ -14,15 +14,33 @@
 from loadbalancer.proxy.proxy import Proxy
 
 PATHS = CallPaths(names.HEALTH, names.STATS, names.CORDON, names.UNCORDON)
-#: A read within this long of the one before gets the same figures: they may be half a second old, and counting them
-#: takes a pass over the fleet.
-FRESH_S = 0.1
+#: For so long a read gets the counts of the one before: they may be half a second old, and counting takes a pass over
+#: the endpoints.
+MAX_COUNTS_AGE_S = 0.1
 
 
-def figures(proxy: Proxy, classes: Mapping[str, int]) -> dict[str, Any]:
-    """All counts, in the platform's form."""
+class HandledRequests(TypedDict):
+    """Requests of one class by their end."""
+
+    passed: int
+    dropped: int
+    bad_gateway: int
+
+
+class Counts(TypedDict):
+    """The answer to a read; the keys are the platform's."""
+
+    handled: dict[str, HandledRequests]
+    upstream_tries: int
+    in_progress: int
+    known_backends: int
+    skipped_backends: int
+
+
+def counts_of(proxy: Proxy, classes: Mapping[str, int]) -> Counts:
+    """All counts of a proxy, with its request classes by name and number."""
     ended = proxy.figures.ended
-    handled = {
+    handled: dict[str, HandledRequests] = {
         name: {
             "passed": ended[number][RequestResult.PASSED],
             "dropped": ended[number][RequestResult.DROPPED],
@@ -40,23 +58,42 @@
 
 
 class PlatformOperations:
-    """What the platform's operators can do to one proxy."""
+    """One proxy as `management.calls.ManagedProcess` describes it."""
 
     def __init__(
-        self, proxy: Proxy, classes: Mapping[str, int], marks: PlatformOverrides, serves: Callable[[], bool]
+        self,
+        proxy: Proxy,
+        classes: Mapping[str, int],
+        overrides: PlatformOverrides,
+        serves: Callable[[], bool],
     ) -> None:
-        self.proxy, self.classes, self.marks, self._serves = proxy, classes, marks, serves
-        self._read_at = -FRESH_S
-        self._read = b""
+        """Make the operations of a proxy.
+
+        Args:
+            proxy: The proxy.
+            classes: Numbers of request classes by name.
+            overrides: Which endpoints operators have taken out of use.
+            serves: Whether the process can serve.
+        """
+        self._proxy = proxy
+        self._classes = classes
+        self._overrides = overrides
+        self._serves = serves
+        self._read_at = -MAX_COUNTS_AGE_S
+        self._answer = b""
 
     def serves(self) -> bool:
+        """Whether the process can serve."""
         return self._serves()
 
     def stats(self) -> bytes:
+        """The counts as JSON."""
         now = time.monotonic()
-        if now - self._read_at >= FRESH_S:
-            self._read_at, self._read = now, orjson.dumps(figures(self.proxy, self.classes))
-        return self._read
+        if now - self._read_at >= MAX_COUNTS_AGE_S:
+            self._read_at = now
+            self._answer = orjson.dumps(counts_of(self._proxy, self._classes))
+        return self._answer
 
     def mark(self, member: str, out: bool, done: Callable[[str | None], None]) -> None:
-        self.marks.mark(member, out, done)
+        """Take an endpoint out of use, or use it again; `done` gets None, or why that can't be done."""
+        self._overrides.mark(member, out, done)
--- a/loadbalancer/platform/upgrade.py
+++ b/loadbalancer/platform/upgrade.py
@@ -1,7 +1,6 @@
-"""What the platform's `run` does where operators reach it: management, marks, and upgrades.
+"""Where operators reach the platform's `run`: their address, overrides, and hot restart. Loaded only there.
 
-Loaded only there. Files and sockets are their owners' (shared.py, management/server.py); what a process may do beside
-another one is decided in phases.py, and this carries it out.
+What a process may do beside another one of the same proxy is decided in `hot_restart/phases.py`; this carries it out.
 """
 
 from __future__ import annotations
@@ -22,122 +21,144 @@
 from loadbalancer.platform.operations import PATHS, PlatformOperations
 from loadbalancer.resource_limits import ResourceLimits
 
-#: How often the folder is looked at: what the other process says counts within this.
-LOOK_S = 0.1
+#: Between two looks at the folder: what another process says counts within this.
+LOOK_INTERVAL_S = 0.1
 
 
 class PlatformUpgrade:
-    """Owns the management address, the marks, and this process's place among those of one proxy."""
+    """Owns the management address, the overrides, and this process's file among those of one proxy.
+
+    Attributes:
+        phase: What this process is beside others.
+        overrides: Which endpoints operators have taken out of use.
+    """
 
     def __init__(self, node: Node, environment: Mapping[str, str]) -> None:
-        """OSError where the operators' address can't be had."""
+        """Open the folder that processes share, and the operators' address; OSError where that can't be had."""
         configuration = node.configuration
-        self.node, self.logger = node, node.logger
+        self.phase = Phase.ALONE
+        self._node = node
+        self._logger = node.logger
         self._began = time.monotonic()
         self._loop = asyncio.get_running_loop()
-        self._file: OverridesFile | None = None
-        self._life: ProcessFile | None = None
-        self._elders: frozenset[str] = frozenset()
+        self._timer: asyncio.TimerHandle | None = None
+        self._overrides_file: OverridesFile | None = None
+        self._process_file: ProcessFile | None = None
+        self._elders: frozenset[str] = frozenset()  # names of files of older processes
         self._open_folder(environment.get(names.FOLDER_VARIABLE), configuration.accept_fd is not None)
-        self._keeper = OverrideWriter(self._file.save) if self._file is not None else None
-        self.marks = PlatformOverrides(node.proxy, self._keeper, time.time, self.logger)
-        node.proxy.marks = self.marks
-        if self._file is not None:
-            self.marks.follow(self._file.read() or {})
-        self.phase, self._share = Phase.ALONE, configuration.limits.sockets
+        self._writer: OverrideWriter | None = None
+        self._sockets = configuration.limits.sockets  # that this process may hold
         self._processes = 1
-        self.server: ManagementServer | None = None
-        if configuration.management is not None:
-            operations = PlatformOperations(
-                node.proxy, configuration.deployment.classes, self.marks, self.serves
-            )
-            self.server = ManagementServer(ManagementSession(PATHS, operations), self.logger)
-            self.server.listen(configuration.management)
-
-    def start(self) -> None:
-        """Take clients, unless an older process takes them for now; OSError where the address can't be had."""
-        self._look()
-        if self.phase in ACCEPTING and not self.node.listener.accepting:
-            self.node.accept()
-        self._timer = self._loop.call_later(LOOK_S, self._tick)
+        self.overrides = self._make_overrides()
+        self._server = self._open_server()
 
     def _open_folder(self, folder: str | None, shared: bool) -> None:
-        """Guards against a folder that takes no file: the process then runs as if it were alone."""
+        """Use the folder; where it takes no file the process runs as if it were alone."""
         if not folder:
             return
-        self._file = OverridesFile(Path(folder), self.logger)
+        self._overrides_file = OverridesFile(Path(folder), self._logger)
         if shared:
             try:
-                self._life = ProcessFile(Path(folder))
-                self._elders = frozenset(self._life.others())
+                self._process_file = ProcessFile(Path(folder))
+                self._elders = frozenset(self._process_file.others())
             except OSError as problem:
-                self.logger("no upgrade can be seen", problem)
+                self._logger("no upgrade can be seen", problem)
+
+    def _make_overrides(self) -> PlatformOverrides:
+        file = self._overrides_file
+        if file is not None:
+            self._writer = OverrideWriter(file.save)
+        overrides = PlatformOverrides(self._node.proxy, self._writer, time.time, self._logger)
+        self._node.proxy.marks = overrides
+        if file is not None:
+            overrides.follow(file.read() or {})
+        return overrides
+
+    def _open_server(self) -> ManagementServer | None:
+        configuration = self._node.configuration
+        if configuration.management is None:
+            return None
+        operations = PlatformOperations(
+            self._node.proxy, configuration.deployment.classes, self.overrides, self.serves
+        )
+        server = ManagementServer(ManagementSession(PATHS, operations), self._logger)
+        server.listen(configuration.management)
+        return server
 
-    # What others ask.
+    def start(self) -> None:
+        """Accept clients, unless an older process does for now; OSError where the address can't be had."""
+        self._look()
+        self._accept_if_due()
+        self._timer = self._loop.call_later(LOOK_INTERVAL_S, self._tick)
+
+    def _accept_if_due(self) -> None:
+        if self.phase in ACCEPTING and not self._node.listener.accepting:
+            self._node.accept()
 
     def serves(self) -> bool:
-        return self.phase in ACCEPTING and self.node.serves()
+        """Whether this process is one that clients should come to."""
+        return self.phase in ACCEPTING and self._node.serves()
 
     def succeeded(self) -> bool:
-        """Whether another process takes the clients from now on."""
+        """Whether another process accepts the clients from now on."""
         return self._processes > 1
 
     def end(self) -> None:
-        """The process was told to end: it takes no more, and gives up what it does not need."""
+        """The process was told to end: give up the descriptors that it does not need."""
         self._look()
 
     def close(self) -> None:
-        self._timer.cancel()
-        if self.server is not None:
-            self.server.close()
-        if self._keeper is not None:
-            self._keeper.close()
-        if self._life is not None:
-            self._life.close()
-
-    # Looking.
+        """Release the address, the writer's thread, and the process's file."""
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._server is not None:
+            self._server.close()
+        if self._writer is not None:
+            self._writer.close()
+        if self._process_file is not None:
+            self._process_file.close()
 
     def _tick(self) -> None:
-        self._timer = self._loop.call_later(LOOK_S, self._tick)
-        if self._file is not None:
-            marks = self._file.changed()
-            if marks is not None:
-                self.marks.follow(marks)
+        self._timer = self._loop.call_later(LOOK_INTERVAL_S, self._tick)
+        if self._overrides_file is not None:
+            overrides = self._overrides_file.changed()
+            if overrides is not None:
+                self.overrides.follow(overrides)
         self._look()
 
     def _look(self) -> None:
-        """See who is there, decide, and carry it out."""
-        if self._life is None:
+        """See which other processes live, decide what this one is beside them, and carry it out."""
+        if self._process_file is None:
             return
-        node = self.node
         try:
-            others = self._life.others()
+            others = self._process_file.others()
         except OSError as problem:
-            self.logger("the shared folder can't be read", problem)
+            self._logger("the shared folder can't be read", problem)
             return
         self._elders &= others.keys()
-        proxy, ending = node.proxy, node.stopping.is_set()
-        seen = Observation(
-            time.monotonic() - self._began,
-            bool(proxy.listed),
-            proxy.fresh,
-            bool(self._elders),
-            list(others.values()),
-            ending,
-            node.used(),
+        proxy = self._node.proxy
+        observation = Observation(
+            age=time.monotonic() - self._began,
+            listed=bool(proxy.listed),
+            fresh=proxy.fresh,
+            elders=bool(self._elders),
+            others=list(others.values()),
+            ending=self._node.stopping.is_set(),
+            used=self._node.used(),
         )
-        self._become(phase(seen), seen)
-
-    def _become(self, now: Phase, seen: Observation) -> None:
-        limits, processes = self.node.configuration.limits, 1 + len(seen.others)
-        held = share(now, seen, limits.sockets)
-        if now != self.phase:
-            self.logger(f"upgrade: {now.name.lower()}", f"{held} of {limits.sockets} descriptors")
-        if (held, processes) != (self._share, self._processes):
-            mine = ResourceLimits(limits.memory_mb / processes, held, limits.reserved_descriptors)
-            self.node.resize(mine)
-        self.phase, self._share, self._processes = now, held, processes
-        assert self._life is not None
-        self._life.claim(held)
-        if now in ACCEPTING and not self.node.listener.accepting:
-            self.node.accept()
+        self._enter(phase(observation), observation, self._process_file)
+
+    def _enter(self, entered: Phase, observation: Observation, file: ProcessFile) -> None:
+        limits = self._node.configuration.limits
+        processes = 1 + len(observation.others)
+        sockets = share(entered, observation, limits.sockets)
+        if entered != self.phase:
+            self._logger(f"upgrade: {entered.name.lower()}", f"{sockets} of {limits.sockets} descriptors")
+        if (sockets, processes) != (self._sockets, self._processes):
+            memory_mb = limits.memory_mb / processes
+            self._node.resize(ResourceLimits(memory_mb, sockets, limits.reserved_descriptors))
+        self.phase = entered
+        self._sockets = sockets
+        self._processes = processes
+        file.claim(sockets)
+        self._accept_if_due()
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -19,7 +19,7 @@
 
 from emulator.herd import Herd, Measures
 from loadbalancer.admin.snapshot import EndpointSnapshot, PoolSnapshot, Snapshot
-from loadbalancer.admin.snapshot_merge import combine
+from loadbalancer.admin.snapshot_merge import merge_snapshots
 from loadbalancer.discovery.list_handoff import read, write
 from loadbalancer.fleet.orchestration.recovery import (
     ASKED,
@@ -228,7 +228,7 @@
 
 
 def test_one_of_several_that_is_wrong_decides_nothing() -> None:
-    found = combine(
+    found = merge_snapshots(
         [
             snapshot(10, note(0.9), level=0.2),
             snapshot(10, note(0.8), level=0.3),
@@ -236,19 +236,25 @@
         ],
         11.0,
     )
-    assert found is not None and found.pools[0].members[0].errors == 0.8 and found.pools[0].shed_level == 0.3
-    found = combine([snapshot(10, note(0.0)), snapshot(10, note(0.7))], 11.0)
-    assert found is not None and found.pools[0].members[0].errors == 0.7  # of two the worse
+    assert (
+        found is not None
+        and found.pools[0].endpoints[0].error_rate == 0.8
+        and found.pools[0].shed_level == 0.3
+    )
+    found = merge_snapshots([snapshot(10, note(0.0)), snapshot(10, note(0.7))], 11.0)
+    assert found is not None and found.pools[0].endpoints[0].error_rate == 0.7  # of two the worse
 
 
 def test_what_is_old_of_another_life_or_known_to_few_is_unknown() -> None:
-    assert combine([snapshot(10, note(0.5))], 60.0) is None and combine([], 1.0) is None
-    found = combine(
+    assert merge_snapshots([snapshot(10, note(0.5))], 60.0) is None and merge_snapshots([], 1.0) is None
+    found = merge_snapshots(
         [snapshot(10, note(0.9, started=5.0)), snapshot(10, note(0.1, started=9.0)), snapshot(10)], 11.0
     )
-    assert found is not None and found.pools[0].members == []
-    found = combine([snapshot(10, note(0.9, started=5.0)), snapshot(10, note(0.1, started=9.0))], 11.0)
-    assert found is not None and [one.errors for one in found.pools[0].members] == [0.1]
+    assert found is not None and found.pools[0].endpoints == []
+    found = merge_snapshots(
+        [snapshot(10, note(0.9, started=5.0)), snapshot(10, note(0.1, started=9.0))], 11.0
+    )
+    assert found is not None and [one.error_rate for one in found.pools[0].endpoints] == [0.1]
 
 
 def test_a_list_goes_by_names_and_an_old_one_goes_nowhere() -> None:
--- a/tests/test_learnt.py
+++ b/tests/test_learnt.py
@@ -12,15 +12,15 @@
 from test_choice import SAFE, balancer, fleet
 
 from loadbalancer.admin.snapshot import (
-    AGE_MOST,
-    BYTES_MOST,
+    MAX_AGE_S,
+    MAX_SNAPSHOT_BYTES,
     Snapshot,
     SnapshotError,
     decode,
     encode,
-    is_young,
-    note_pool,
+    is_recent,
     restore_pool,
+    snapshot_pool,
 )  # fmt: skip
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.policy.actions import (
@@ -57,7 +57,7 @@
 
 
 def handed_over(b: Balancer, now: float, passed: float, *entries: EndpointEntry) -> Balancer:
-    note = decode(encode(Snapshot(now, [note_pool("p", b, now, {}, None)]))).pools[0]
+    note = decode(encode(Snapshot(now, [snapshot_pool("p", b, now, {}, None)]))).pools[0]
     made = balancer(*entries, seed=2)
     restore_pool(note, made, now + passed, passed)
     return made
@@ -111,26 +111,28 @@
 
 
 def test_members_and_classes_that_are_not_there_are_passed_over() -> None:
-    note = note_pool("p", sick(), NOW, {}, None)
+    note = snapshot_pool("p", sick(), NOW, {}, None)
     made = Balancer(PolicySettings(classes=(SAFE,)), 1)
     assert restore_pool(note, made, NOW, 0.0) == 0 and made.usual[0] > 0
 
 
 def test_marks_and_a_move_pass() -> None:
     marks = {"a": AdminOverride(word="cordon", by="rita", until=5.0, address=("127.0.0.1", 9))}
-    note = note_pool("p", sick(), NOW, marks, Migration("q", 0.2, by="rita"))
+    note = snapshot_pool("p", sick(), NOW, marks, Migration("q", 0.2, by="rita"))
     found = decode(encode(Snapshot(NOW, [note]))).pools[0]
-    assert found.marks == marks and found.move == Migration("q", 0.2, by="rita")
+    assert found.overrides == marks and found.migration == Migration("q", 0.2, by="rita")
 
 
 def test_age() -> None:
     made = Snapshot(100.0, [])
-    assert is_young(made, 100.0) and is_young(made, 100.0 + AGE_MOST)
-    assert not is_young(made, 100.1 + AGE_MOST) and not is_young(made, 90.0)
+    assert is_recent(made, 100.0) and is_recent(made, 100.0 + MAX_AGE_S)
+    assert not is_recent(made, 100.1 + MAX_AGE_S) and not is_recent(made, 90.0)
 
 
 def test_cut_or_flipped_at_every_byte_it_is_no_snapshot() -> None:
-    data = encode(Snapshot(NOW, [note_pool("p", sick(2), NOW, {"s0": AdminOverride(word="drain")}, None)]))
+    data = encode(
+        Snapshot(NOW, [snapshot_pool("p", sick(2), NOW, {"s0": AdminOverride(word="drain")}, None)])
+    )
     decode(data)
     for place in range(len(data)):
         with pytest.raises(SnapshotError):
@@ -138,7 +140,7 @@
         with pytest.raises(SnapshotError):
             decode(data[:place] + bytes([data[place] ^ 0x55]) + data[place + 1 :])
     with pytest.raises(SnapshotError, match="at most"):
-        decode(bytes(BYTES_MOST + 1))
+        decode(bytes(MAX_SNAPSHOT_BYTES + 1))
 
 
 @given(st.binary(max_size=200))
@@ -154,24 +156,24 @@
 @pytest.mark.parametrize("value", [math.nan, math.inf, -math.inf])
 def test_figures_that_can_not_be_change_nothing_for_good(value: float) -> None:
     b = sick()
-    note = note_pool("p", b, NOW, {}, None)
+    note = snapshot_pool("p", b, NOW, {}, None)
     broken: Any = msgspec.structs.replace(
         note,
         shed_level=value,
-        usual={"safe": value},
-        members=[
+        usual_times={"safe": value},
+        endpoints=[
             msgspec.structs.replace(
                 m,
-                errors=value,
-                util=value,
-                pace=value,
-                errors_age=value,
-                util_age=value,
-                pace_age=value,
-                began_age=value,
-                by_class={"safe": (value, value)},
+                error_rate=value,
+                utilization=value,
+                time_per_attempt=value,
+                error_rate_age=value,
+                utilization_age=value,
+                time_per_attempt_age=value,
+                warming_age=value,
+                error_rate_by_class={"safe": (value, value)},
             )
-            for m in note.members
+            for m in note.endpoints
         ],
     )
     made = balancer(*fleet(6), seed=2)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -28,7 +28,7 @@
 from loadbalancer.deployment import read_deployment
 from loadbalancer.discovery.platform_overrides import PlatformOverrides
 from loadbalancer.management.calls import ManagementSession
-from loadbalancer.management.server import CALLERS_MOST, ManagementServer
+from loadbalancer.management.server import MAX_CALLERS, ManagementServer
 from loadbalancer.platform.operations import PATHS, PlatformOperations
 from loadbalancer.resource_limits import RateLimitedLogger
 
@@ -100,7 +100,7 @@
     async def scene() -> None:
         async with desk(ScriptedBackend("a", answering(OK))) as here:
             held = []
-            for _ in range(3 * CALLERS_MOST):
+            for _ in range(3 * MAX_CALLERS):
                 reader, writer = await asyncio.open_connection(*here.address)
                 writer.write(b"GET /admin/health HTTP/1.1\r\nHo")
                 held.append((reader, writer))
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -20,7 +20,7 @@
     encode,
 )
 from loadbalancer.hot_restart.override_writer import OverrideWriter
-from loadbalancer.hot_restart.shared_files import LOCK, OverridesFile, ProcessFile
+from loadbalancer.hot_restart.shared_files import LOCK_FILE, OverridesFile, ProcessFile
 from loadbalancer.resource_limits import RateLimitedLogger
 
 SOME = {"s-1": 1700000000.5, "s-2": 1700000001.0, "é": 3.0}
@@ -150,8 +150,8 @@
 def test_a_writer_that_stands_still_with_the_lock_is_not_waited_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("loadbalancer.hot_restart.shared_files.LOCK_TRIES", 3)
-    holder = os.open(tmp_path / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+    monkeypatch.setattr("loadbalancer.hot_restart.shared_files.MAX_LOCK_TRIES", 3)
+    holder = os.open(tmp_path / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
     fcntl.flock(holder, fcntl.LOCK_EX)
     marks = PlatformOverrides(Told(), AtOnce(OverridesFile(tmp_path, RateLimitedLogger())), lambda: 1.0)
     marks.listed(["a"])
@@ -165,7 +165,7 @@
     one.claim(100)
     other.claim(30)
     assert list(one.others().values()) == [30] and list(other.others().values()) == [100]
-    os.close(other._held)  # as the kernel does when it dies, however it does
+    os.close(other._descriptor)  # as the kernel does when it dies, however it does
     assert one.others() == {}
     assert [name for name in os.listdir(tmp_path) if name != one.path.name] == []
     one.close()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -111,15 +111,15 @@
     balancer = Balancer(PolicySettings((RequestClass("track", 0.6, 1.5),)), seed=1)
     balancer.handle(105.0, [EndpointList((EndpointEntry("s-1", started=95.0), EndpointEntry("s-2")))])
 
-    restored = hot_restart.restore_pool(found.pools[0], balancer, 106.0, passed=1.0)
+    restored = hot_restart.restore_pool(found.pools[0], balancer, 106.0, age=1.0)
 
     assert found.at == NOW
     assert restored == 2
     assert balancer.servers["s-1"].error_rate == pytest.approx(0.19277, abs=1e-5)
     assert balancer.servers["s-2"].error_rate == 0.0
     assert found.fleet is not None
-    assert (found.fleet.name, found.fleet.version, found.fleet.lease) == ("i0", 5, 12.5)
-    assert found.fleet.facts == [MEMBER]
+    assert (found.fleet.name, found.fleet.version, found.fleet.lease_end) == ("i0", 5, 12.5)
+    assert found.fleet.member_states == [MEMBER]
     assert hot_restart.encode(found) == (STORED / "hot_restart_snapshot.bin").read_bytes()
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -335,10 +335,12 @@
         # It has sent nothing yet, so what it would pass on is what it was passed. Asked so, since how long a member is
         # avoided goes by time: after two failures a second, which an upgrade on a busy machine takes.
         taken = await loop.run_in_executor(None, take_over, offer_path(tmp_path / "s"))
-        notes = sorted(decode(taken.snapshot).pools[0].members, key=lambda note: note.id)
+        notes = sorted(decode(taken.snapshot).pools[0].endpoints, key=lambda note: note.id)
         taken.close()
         found = [
-            note.errors > ERROR_LIMIT and note.failed >= FAILING_AFTER and note.errors_age >= 0
+            note.error_rate > ERROR_LIMIT
+            and note.consecutive_failures >= FAILING_AFTER
+            and note.error_rate_age >= 0
             for note in notes
         ]
         assert found == [True, False, False, False]
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -12,7 +12,14 @@
 from ports import kept_port
 from test_control import run, text
 
-from loadbalancer.admin.tokens import TOKEN_MOST, WRONG_MOST, GuessLimiter, TokenError, Tokens, line_of
+from loadbalancer.admin.tokens import (
+    MAX_TOKEN_CHARACTERS,
+    MAX_WRONG_TOKENS,
+    GuessLimiter,
+    TokenError,
+    Tokens,
+    line_of,
+)
 from loadbalancer.cli.__main__ import main
 from loadbalancer.config.plan import load
 from loadbalancer.config.reader import ConfigError
@@ -38,7 +45,7 @@
         "Basic one",
         "one",
         "Bearer three",
-        "Bearer " + "x" * (TOKEN_MOST + 1),
+        "Bearer " + "x" * (MAX_TOKEN_CHARACTERS + 1),
     ):
         assert found.holder(wrong) is None
 
@@ -56,7 +63,7 @@
 
 def test_guessing_ends() -> None:
     guesses = GuessLimiter()
-    for _ in range(WRONG_MOST):
+    for _ in range(MAX_WRONG_TOKENS):
         assert guesses.may_try(100.0)
         guesses.wrong()
     assert not guesses.may_try(109.9) and guesses.may_try(110.0)
@@ -82,7 +89,7 @@
     keep(path, line_of("new", "changes", "rita"))
     refused = door.session("Bearer old")
     assert isinstance(refused, Response) and refused.status == 401
-    for _ in range(WRONG_MOST):
+    for _ in range(MAX_WRONG_TOKENS):
         door.session("Bearer wrong")
     shut = door.session("Bearer new")
     assert isinstance(shut, Response) and shut.status == 429
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,8 +20,8 @@
 from peers import SETTINGS
 from ports import kept_port
 
-from loadbalancer.hot_restart.phases import ACCEPTING, Observation, Phase, phase, reserve, share
-from loadbalancer.hot_restart.startup_pacing import LIFE
+from loadbalancer.hot_restart.phases import ACCEPTING, Observation, Phase, phase, share, start_sockets
+from loadbalancer.hot_restart.startup_pacing import PROCESS_FILE_PREFIX
 
 ALL = 384
 
@@ -58,7 +58,7 @@
     used = min(used, sockets // 2)
     new = share(Phase.NEW, seen(others=[sockets]), sockets)
     old = share(Phase.OLD, seen(others=[new], used=used), sockets)
-    assert old >= used and new == reserve(sockets) and old + new <= sockets
+    assert old >= used and new == start_sockets(sockets) and old + new <= sockets
     following = share(Phase.NEXT, seen(others=[old]), sockets)
     assert old + following <= sockets
     leaving = share(Phase.LEAVING, seen(others=[following], used=used), sockets)
@@ -159,7 +159,7 @@
 
     def lives(self) -> int:
         """Processes that have made themselves known in the folder."""
-        return sum(name.startswith(LIFE) for name in os.listdir(self.folder))
+        return sum(name.startswith(PROCESS_FILE_PREFIX) for name in os.listdir(self.folder))
 
     def call(self, where: tuple[str, int], method: str, path: str) -> int:
         connection = http.client.HTTPConnection(*where, timeout=10)
