--- a/loadbalancer/daemon/admin_changes.py
+++ b/loadbalancer/daemon/admin_changes.py
@@ -140,7 +140,8 @@
         name = change.request.pool
         assert name is not None
         now = time.time()
-        pool, overrides = self._daemon.pools[name], self._state.pool_overrides(name)
+        pool = self._daemon.pools[name]
+        overrides = self._state.pool_overrides(name)
         before = {endpoint: overrides.get(endpoint) for endpoint in change.endpoints}
         for endpoint in change.endpoints:
             override = requested_override(change, before[endpoint], now, _end(change, now))
--- a/loadbalancer/daemon/listener_factory.py
+++ b/loadbalancer/daemon/listener_factory.py
@@ -47,10 +47,8 @@
         admission.growth,
         admission.remembered,
     )
-    known, exempt = _networks(admission.known), _networks(admission.exempt)
-    gate = AdmissionGate(
-        Admission(caps, known, admission.reserve, exempt), _networks(table.proxy_protocol_from)
-    )
+    rules = Admission(caps, _networks(admission.known), admission.reserve, _networks(admission.exempt))
+    gate = AdmissionGate(rules, _networks(table.proxy_protocol_from))
     return old if old is not None and old.is_like(gate) else gate
 
 
--- a/loadbalancer/daemon/pools.py
+++ b/loadbalancer/daemon/pools.py
@@ -70,6 +70,24 @@
     return partial(connection, application=application(fastcgi.params, fastcgi.keep, fastcgi.multiplex))
 
 
+def _make_proxy(
+    plan: PoolPlan, share: PoolAllocation, seed: int, ids: TransactionIds, logger: RateLimitedLogger
+) -> Proxy:
+    proxy = Proxy(
+        plan.deployment,
+        seed,
+        share,
+        logger,
+        dialect=dialect_of(plan),
+        connect=connect_of(plan),
+        ids=ids,
+        timeout_status=GATEWAY_TIMEOUT,
+        tunnels=tunnels_of(plan.table.tunnels),
+    )
+    proxy.name = plan.table.name
+    return proxy
+
+
 class RunningPool:
     """One pool between its first request and its last. The daemon owns it; `close` releases all that it holds.
 
@@ -114,18 +132,7 @@
         self._logger = logger
         self._base = base
         self._max_first_poll_delay_s = max_first_poll_delay_s
-        self.proxy = Proxy(
-            plan.deployment,
-            seed,
-            share,
-            logger,
-            dialect=dialect_of(plan),
-            connect=connect_of(plan),
-            ids=ids,
-            timeout_status=GATEWAY_TIMEOUT,
-            tunnels=tunnels_of(plan.table.tunnels),
-        )
-        self.proxy.name = plan.table.name
+        self.proxy = _make_proxy(plan, share, seed, ids, logger)
         self.reader = (
             PlatformReader(self.proxy, plan.deployment) if plan.table.dialect == "platform" else None
         )
--- a/loadbalancer/daemon/tls_keys.py
+++ b/loadbalancer/daemon/tls_keys.py
@@ -31,7 +31,8 @@
         self.listeners: dict[str, ServerKeys] = {}
         self.pools: dict[str, MemberKeys] = {}
         self._looked_at = 0.0
-        base, problems = plan.path.parent, []
+        base = plan.path.parent
+        problems: list[tuple[str, str]] = []
         for name, listener in plan.listeners.items():
             if listener.table.tls is not None:
                 try:
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import importlib.util
 import json
 import os
 import signal
@@ -200,7 +201,10 @@
         "admission.admission",
         "admission.addresses",
         "admission.proxyprotocol",
-        "fronts.gate",
-        "fronts.spares",
+        "frontends.admission_gate",
+        "frontends.reserve_descriptors",
     ):
+        assert (
+            importlib.util.find_spec(f"loadbalancer.{name}") is not None
+        )  # a name that is gone checks nothing
         assert f"loadbalancer.{name}" not in said
