--- a/tests/test_tokens.py
+++ b/tests/admin/test_tokens.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 import pytest
+from administered import run, text
 from daemons import Ground, Heard, ground
 from ports import kept_port
-from test_control import run, text
 
 from loadbalancer.admin.tokens import (
     MAX_TOKEN_CHARACTERS,
--- /dev/null
+++ b/tests/administered.py
@@ -0,0 +1,49 @@
+"""A daemon with administrative sockets, for tests, and calls to it."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import Any, Awaitable, Callable
+
+from daemons import LISTENER, Ground, pool, requests_to, route
+
+from standins.member import Member
+
+
+def run(scene: Callable[[], Awaitable[None]]) -> None:
+    async def bounded() -> None:
+        await asyncio.wait_for(scene(), 60)
+
+    asyncio.run(bounded())
+
+
+MANAGED = '[management]\nsocket = "s"\nread_socket = "r"\naudit = "audit.log"\n'
+STORE = '[store]\nfolder = "state"\n'
+
+
+def text(members: list[Member], *more: str) -> str:
+    return "\n".join(
+        (*more, LISTENER, route("r", "p"), pool("p", members, "[pool.rules]", 'new_members = "warm"'))
+    )
+
+
+async def call(here: Ground, method: str, path: str, name: str = "s", **body: Any) -> tuple[int, Any]:
+    reader, writer = await asyncio.open_unix_connection(str(here.path.parent / name))
+    data = json.dumps({"by": "ops", **body}).encode() if method == "POST" else b""
+    writer.write(
+        b"%b /v1/%b HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b"
+        % (method.encode(), path.encode(), len(data), data)
+    )
+    found = await reader.read()
+    writer.close()
+    head, _, rest = found.partition(b"\r\n\r\n")
+    return int(head[9:12]), json.loads(rest)
+
+
+async def served_by(here: Ground, count: int = 40) -> set[str]:
+    found = set()
+    for _ in range(count):
+        status, _, body = await here.ask(requests_to())
+        found.add(json.loads(body)["member"] if status == 200 else str(status))
+    return found
--- a/tests/test_control.py
+++ b/tests/daemon/test_admin_server.py
@@ -1,192 +1,24 @@
-"""Operators over sources: the two layers, calls by the socket, marks over restarts, the verbs."""
+"""Operators over sources: calls by the socket, overrides over restarts, migrations, decisions of requests."""
 
 from __future__ import annotations
 
 import asyncio
-import io
 import json
 import stat
-import subprocess
-import sys
 from pathlib import Path
-from typing import Any, Awaitable, Callable
+from typing import Any
 
 import pytest
+from administered import MANAGED, STORE, call, run, served_by, text
 from daemons import LISTENER, Ground, Heard, ground, pool, requests_to, route
 
-from loadbalancer.admin.calls import VERBS, CallError, read_change
 from loadbalancer.cli.__main__ import main
-from loadbalancer.cli.output import lines, show, watch
+from loadbalancer.cli.output import lines
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
-from loadbalancer.discovery.endpoint_source import Entry
-from loadbalancer.discovery.overrides import AdminOverride, EndpointOverrides, merge_override
-from loadbalancer.policy.events import (
-    EndpointEntry,
-    EndpointState,
-)
 from standins.member import Member
 
 
-class Taker:
-    def __init__(self) -> None:
-        self.heard: list[Any] = []
-
-    def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
-        assert whole
-        self.heard.append({e.endpoint: (e.state.name, e.weight, address[1]) for e, address in entries})
-
-    def list_failed(self, busy: bool = False) -> None:
-        self.heard.append("failed")
-
-    def cordon(self, server: str, out: bool) -> None:
-        self.heard.append((server, out))
-
-
-def entry(name: str, port: int = 1, state: EndpointState = EndpointState.READY, weight: float = 1.0) -> Entry:
-    return EndpointEntry(name, state=state, weight=weight), ("127.0.0.1", port)
-
-
-def layers(*entries: Entry, now: float = 100.0) -> tuple[EndpointOverrides, Taker, list[float]]:
-    taker, clock = Taker(), [now]
-    made = EndpointOverrides(taker, {}, lambda: clock[0])
-    made.take_list(list(entries), whole=True)
-    return made, taker, clock
-
-
-def test_a_cordon_is_told_ahead_of_the_list_and_outlasts_what_the_source_says() -> None:
-    made, taker, _ = layers(entry("a"), entry("b"))
-    made.mark("a", AdminOverride("cordon", by="x"))
-    assert taker.heard[-2:] == [("a", True), {"a": ("READY", 1.0, 1), "b": ("READY", 1.0, 1)}]
-    made.take_list([entry("b")], whole=True)  # the source drops it
-    made.take_list([entry("a", 5)], whole=False)  # and brings it back
-    assert ("a", False) not in taker.heard and made.marks["a"].word == "cordon"
-    made.mark("a", merge_override(made.marks["a"], 101.0, "y", "", lift=True))
-    assert taker.heard[-1] == ("a", False) and not made.marks
-
-
-def test_drain_and_weight_stand_over_the_source_and_lift_no_stop() -> None:
-    made, taker, _ = layers(entry("a", weight=2.0), entry("b", state=EndpointState.DRAINING))
-    made.mark("a", merge_override(None, 100.0, "x", "", word="drain", weight=5.0))
-    made.mark("b", merge_override(None, 100.0, "x", "", weight=3.0))
-    assert taker.heard[-1] == {"a": ("DRAINING", 5.0, 1), "b": ("DRAINING", 3.0, 1)}
-    made.mark("a", merge_override(made.marks["a"], 101.0, "y", "", lift=True))
-    assert taker.heard[-1]["a"] == ("READY", 5.0, 1)  # the weight is another word and stays
-
-
-def test_a_mark_for_a_member_not_known_yet_counts_once_it_comes() -> None:
-    made, taker, _ = layers(entry("a"))
-    made.mark("b", AdminOverride("cordon"))
-    made.take_list([entry("b")], whole=False)
-    assert taker.heard.index(("b", True)) < len(taker.heard) - 1 and "b" in taker.heard[-1]
-
-
-def test_an_added_member_stands_beside_the_source_until_that_lists_it() -> None:
-    made, taker, _ = layers(entry("a"))
-    made.mark("new", merge_override(None, 100.0, "x", "", address=("127.0.0.1", 7)))
-    assert taker.heard[-1]["new"] == ("READY", 1.0, 7) and made.knows("new")
-    assert next(e.started for e, _ in made.entries() if e.endpoint == "new") == 100.0  # it may be cold
-    made.take_list([entry("new", 9)], whole=False)
-    assert taker.heard[-1]["new"] == ("READY", 1.0, 9)
-    made.take_list([entry("new", state=EndpointState.GONE)], whole=False)
-    assert taker.heard[-1]["new"] == ("READY", 1.0, 7)
-    made.mark("new", AdminOverride())
-    assert "new" not in taker.heard[-1]
-
-
-def test_a_frozen_source_is_heard_and_followed_from_the_thaw_on() -> None:
-    made, taker, _ = layers(entry("a"))
-    made.freeze(True)
-    count = len(taker.heard)
-    made.take_list([entry("b")], whole=True)
-    made.take_list([entry("c")], whole=False)
-    assert len(taker.heard) == count and set(made.listed()) == {"a"}
-    made.mark("a", AdminOverride("drain"))
-    assert taker.heard[-1] == {"a": ("DRAINING", 1.0, 1)}
-    made.freeze(False)
-    assert set(taker.heard[-1]) == {"b", "c"}
-
-
-def test_marks_end_by_their_time_and_of_two_operators_the_later_counts() -> None:
-    made, taker, clock = layers(entry("a"))
-    made.mark("a", merge_override(None, 100.0, "x", "first", 110.0, word="cordon"))
-    made.mark("a", merge_override(made.marks["a"], 101.0, "y", "second", 120.0, word="drain"))
-    assert (made.marks["a"].by, made.marks["a"].word) == ("y", "drain")
-    clock[0] = 119.0
-    assert made.expire() == []
-    clock[0] = 120.0
-    assert made.expire() == ["a"] and taker.heard[-1] == {"a": ("READY", 1.0, 1)}
-    assert EndpointOverrides(taker, {"a": AdminOverride("cordon", until=5.0)}, lambda: 6.0).marks == {}
-
-
-# Calls.
-
-
-@pytest.mark.parametrize(
-    "verb, body, status, words",
-    [
-        ("fly", b"{}", 404, "there is no verb"),
-        ("drain", b"{", 400, "can't be read"),
-        ("drain", b'{"pool": "p", "member": "a"}', 400, "by"),
-        ("drain", b'{"by": "x", "member": "a"}', 400, "wants pool"),
-        ("drain", b'{"by": "x", "pool": "p"}', 400, "wants member"),
-        ("drain", b'{"by": "x", "pool": "p", "member": "a", "weight": 2}', 400, "takes no weight"),
-        ("drain", b'{"by": "x", "pool": "p", "member": "a", "until": "soon"}', 400, "a duration in quotes"),
-        ("drain", b'{"by": "x", "pool": "p", "member": "a", "odd": 1}', 400, "odd"),
-        ("weight", b'{"by": "x", "pool": "p", "member": "a", "weight": 0}', 400, "> 0"),
-        (
-            "add",
-            b'{"by": "x", "pool": "p", "member": "a", "address": "nowhere"}',
-            400,
-            "is not an IPv4 address",
-        ),
-        ("drain", b'{"by": "' + b"x" * 300 + b'", "pool": "p", "member": "a"}', 400, "length"),
-    ],
-)
-def test_a_call_is_checked_whole(verb: str, body: bytes, status: int, words: str) -> None:
-    with pytest.raises(CallError) as caught:
-        read_change(verb, body)
-    assert caught.value.status == status and words in str(caught.value)
-
-
-def run(scene: Callable[[], Awaitable[None]]) -> None:
-    async def bounded() -> None:
-        await asyncio.wait_for(scene(), 60)
-
-    asyncio.run(bounded())
-
-
-MANAGED = '[management]\nsocket = "s"\nread_socket = "r"\naudit = "audit.log"\n'
-STORE = '[store]\nfolder = "state"\n'
-
-
-def text(members: list[Member], *more: str) -> str:
-    return "\n".join(
-        (*more, LISTENER, route("r", "p"), pool("p", members, "[pool.rules]", 'new_members = "warm"'))
-    )
-
-
-async def call(here: Ground, method: str, path: str, name: str = "s", **body: Any) -> tuple[int, Any]:
-    reader, writer = await asyncio.open_unix_connection(str(here.path.parent / name))
-    data = json.dumps({"by": "ops", **body}).encode() if method == "POST" else b""
-    writer.write(
-        b"%b /v1/%b HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b"
-        % (method.encode(), path.encode(), len(data), data)
-    )
-    found = await reader.read()
-    writer.close()
-    head, _, rest = found.partition(b"\r\n\r\n")
-    return int(head[9:12]), json.loads(rest)
-
-
-async def served_by(here: Ground, count: int = 40) -> set[str]:
-    found = set()
-    for _ in range(count):
-        status, _, body = await here.ask(requests_to())
-        found.add(json.loads(body)["member"] if status == 200 else str(status))
-    return found
-
-
 @pytest.mark.parametrize("store", ["", STORE])
 def test_changes_take_effect_at_once_are_told_and_written_down(tmp_path: Path, store: str) -> None:
     async def scene() -> None:
@@ -448,44 +280,3 @@
             assert status == 409 and "why = 1000" in found["error"]
 
     run(scene)
-
-
-class Terminal(io.StringIO):
-    def isatty(self) -> bool:
-        return True
-
-
-def test_colour_is_for_terminals_and_what_peers_sent_is_no_markup() -> None:
-    rows = [{"member": "[red]a[/]", "used": False}, {"member": "b", "used": True}]
-    plain, terminal = io.StringIO(), Terminal()
-    show(rows, plain)
-    show(rows, terminal)
-    assert "\x1b" not in plain.getvalue() and "[red]a[/]  False" in plain.getvalue()
-    assert "[red]a[/]" in terminal.getvalue()
-
-
-def test_a_watch_shows_what_is_so_each_time(capsys: pytest.CaptureFixture[str]) -> None:
-    rows = iter([[{"member": "a"}], [{"member": "b"}], []])
-    watch(lambda: next(rows), 0.0, 3)
-    assert capsys.readouterr().out.split() == ["member", "a", "member", "b", "none"]
-
-
-@pytest.mark.parametrize("shell", ["bash", "zsh", "tcsh"])
-def test_completion_knows_every_verb(shell: str, capsys: pytest.CaptureFixture[str]) -> None:
-    assert main(["completion", shell]) == 0
-    out = capsys.readouterr().out
-    assert all(verb in out for verb in (*VERBS, "upgrade", "why", "status"))
-
-
-def test_help_loads_nothing_that_serves() -> None:
-    words = "import sys; from loadbalancer.cli.__main__ import parser; parser(); print(*sys.modules)"
-    found = subprocess.run(
-        [sys.executable, "-c", words], capture_output=True, text=True, check=True
-    ).stdout.split()
-    assert not {"uvloop", "asyncio", "msgspec", "rich", "structlog", "httptools"} & set(found)
-
-
-def test_every_verb_is_a_verb_of_the_command() -> None:
-    from loadbalancer.cli.control import CHANGES
-
-    assert set(CHANGES) == set(VERBS)
--- a/tests/test_takeover.py
+++ b/tests/daemon/test_hot_restart.py
@@ -15,9 +15,9 @@
 from typing import Any, Awaitable, Callable
 
 import pytest
+from administered import MANAGED, call, served_by, text
 from daemons import ground
 from ports import kept_port
-from test_control import MANAGED, call, served_by, text
 
 from loadbalancer.admin.snapshot import decode
 from loadbalancer.cli.__main__ import main
@@ -34,7 +34,7 @@
 from standins.member import Fleet, Member
 from standins.processes import start
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 CONFIG = """\
 [management]
 socket = "s"
