--- a/loadbalancer/daemon/persisted_state.py
+++ b/loadbalancer/daemon/persisted_state.py
@@ -1,5 +1,6 @@
 """The versioned state as the store keeps it: the identity of the store, votes, what was met, changes, and each item of
-the state by itself, so that a change costs what it touches."""
+the state by itself, so that a change costs what it touches.
+"""
 
 from __future__ import annotations
 
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -16,10 +16,10 @@
     SnapshotError,
     decode,
     encode,
-    note_pool,
     restore_pool,
+    snapshot_pool,
 )
-from loadbalancer.admin.snapshot_merge import combine
+from loadbalancer.admin.snapshot_merge import merge_snapshots
 from loadbalancer.daemon.components import DaemonContext
 from loadbalancer.fleet.membership.member_table import NOT_HEARD
 from loadbalancer.fleet.membership.view import MembershipView
@@ -119,7 +119,8 @@
 
     def _release(self, seen: RecoveryObservation) -> None:
         """Sources of lists are called at once, or each at its turn by those that come back and have a list already.
-        Where nobody has one, the first by name calls, and the others ask it until their turn."""
+        Where nobody has one, the first by name calls, and the others ask it until their turn.
+        """
         after = turn(self.comeback.name, seen.recovering, SOURCE_S, SOURCES_S)
         lacking = [pool for pool in self.daemon.pools.values() if not pool.proxy.listed]
         for pool in self.daemon.pools.values():
@@ -162,7 +163,8 @@
     def _keep_pace(self) -> None:
         """By the members that are listed by now. None where connections are not kept anyway, as each of many proxies
         sends a member little: there each request opens one in usual times too, and would only wait; it shows after the
-        first requests."""
+        first requests.
+        """
         for pool in self.daemon.pools.values():
             pacer, members = pool.proxy.backends.pacer, len(pool.proxy.listed)
             if pacer is None:
@@ -180,7 +182,7 @@
         lists = self._take_lists(names[0])
         found, _ = await asyncio.gather(asyncio.gather(*(self._ask(name) for name in names)), lists)
         known = [one for one in found if one is not None]
-        self._lessons = combine(known, time.time())
+        self._lessons = merge_snapshots(known, time.time())
         self._use()
         self.comeback.learnt()
 
@@ -220,7 +222,7 @@
             return None
         # Ages are on clocks that may differ: what was told now counts as of now.
         found.at = time.time()
-        self.asked[name] = f"{sum(len(pool.members) for pool in found.pools)} members"
+        self.asked[name] = f"{sum(len(pool.endpoints) for pool in found.pools)} members"
         return found
 
     def _use(self) -> None:
@@ -249,7 +251,7 @@
             return None
         elif self.comeback.phase == RecoveryPhase.FULL:
             pools = [
-                note_pool(name, pool.proxy.balancer, pool.proxy.now(), {}, None)
+                snapshot_pool(name, pool.proxy.balancer, pool.proxy.now(), {}, None)
                 for name, pool in self.daemon.pools.items()
             ]
             data = encode(Snapshot(time.time(), pools))
--- a/tests/test_tokens.py
+++ b/tests/admin/test_tokens.py
@@ -8,11 +8,18 @@
 from typing import Any
 
 import pytest
+from administered import run, text
 from daemons import Ground, Heard, ground
 from ports import kept_port
-from test_control import run, text
 
-from loadbalancer.admin.tokens import TOKEN_MOST, WRONG_MOST, GuessLimiter, TokenError, Tokens, line_of
+from loadbalancer.admin.tokens import (
+    MAX_TOKEN_CHARACTERS,
+    MAX_WRONG_TOKENS,
+    GuessLimiter,
+    TokenError,
+    Tokens,
+    line_of,
+)
 from loadbalancer.cli.__main__ import main
 from loadbalancer.config.plan import load
 from loadbalancer.config.reader import ConfigError
@@ -38,7 +45,7 @@
         "Basic one",
         "one",
         "Bearer three",
-        "Bearer " + "x" * (TOKEN_MOST + 1),
+        "Bearer " + "x" * (MAX_TOKEN_CHARACTERS + 1),
     ):
         assert found.holder(wrong) is None
 
@@ -56,7 +63,7 @@
 
 def test_guessing_ends() -> None:
     guesses = GuessLimiter()
-    for _ in range(WRONG_MOST):
+    for _ in range(MAX_WRONG_TOKENS):
         assert guesses.may_try(100.0)
         guesses.wrong()
     assert not guesses.may_try(109.9) and guesses.may_try(110.0)
@@ -71,23 +78,23 @@
 def test_a_door_follows_its_file_and_keeps_the_last_good_one(tmp_path: Path) -> None:
     path, heard, now = keep(tmp_path / "tokens", line_of("old", "reads", "rita")), Heard(), [0.0]
     door = TokenAuthenticator(path, None, heard, lambda: now[0])  # type: ignore[arg-type]
-    assert not isinstance(door.desk("Bearer old"), Response)
+    assert not isinstance(door.session("Bearer old"), Response)
     keep(path, line_of("old", "reads", "rita") + line_of("new", "changes", "rita"))
-    desk = door.desk("Bearer new")
+    desk = door.session("Bearer new")
     assert not isinstance(desk, Response) and desk.by == "rita" and not desk.reads_only
     keep(path, "half a li")
-    assert not isinstance(door.desk("Bearer new"), Response) and heard.count("tokens not taken")
+    assert not isinstance(door.session("Bearer new"), Response) and heard.count("tokens not taken")
     path.unlink()
-    assert not isinstance(door.desk("Bearer old"), Response)
+    assert not isinstance(door.session("Bearer old"), Response)
     keep(path, line_of("new", "changes", "rita"))
-    refused = door.desk("Bearer old")
+    refused = door.session("Bearer old")
     assert isinstance(refused, Response) and refused.status == 401
-    for _ in range(WRONG_MOST):
-        door.desk("Bearer wrong")
-    shut = door.desk("Bearer new")
+    for _ in range(MAX_WRONG_TOKENS):
+        door.session("Bearer wrong")
+    shut = door.session("Bearer new")
     assert isinstance(shut, Response) and shut.status == 429
     now[0] = 11.0
-    assert not isinstance(door.desk("Bearer new"), Response)
+    assert not isinstance(door.session("Bearer new"), Response)
 
 
 @pytest.mark.parametrize("mode", [0o644, 0o620, 0o660, 0o604])
