--- /dev/null
+++ b/loadbalancer/daemon/applied_state.py
@@ -0,0 +1,105 @@
+"""Brings the replicated state into force at this daemon's pools, and notes which version was in force when."""
+
+from __future__ import annotations
+
+import time
+from collections import deque
+from dataclasses import dataclass
+from typing import Iterator
+
+from loadbalancer.daemon.command_factory import CommandContent
+from loadbalancer.daemon.fleet_interfaces import Clock, OverrideTarget
+from loadbalancer.daemon.persisted_state import StoredMigration, StoredOverride, Touched
+from loadbalancer.fleet.replication.epochs import AS_KEPT, WHOLE, Epoch, describe
+from loadbalancer.fleet.replication.replica import CommandApplied
+from loadbalancer.fleet.replication.replicated_state import MarkBody, MoveBody, ReplicatedState
+
+#: Versions of which it is noted when they were applied here.
+MAX_HISTORY = 64
+#: Seconds after which the end of an override is proposed again, if the first proposal comes to nothing.
+EXPIRY_RETRY_INTERVAL_S = 10.0
+
+
+@dataclass(slots=True)
+class Expiry:
+    """When an override or a migration ends."""
+
+    version: int  # of the command that made it: a later one is not touched
+    at: float  # on the clock of the replica
+
+
+class AppliedState:
+    """Applies the replicated state to the pools.
+
+    Attributes:
+        history: the last versions that were in force here, never empty.
+    """
+
+    def __init__(self, state: ReplicatedState, overrides: OverrideTarget, clock: Clock) -> None:
+        self._state = state
+        self._overrides = overrides
+        self._clock = clock
+        first = Epoch(state.version, AS_KEPT, "", time.time())
+        self.history: deque[Epoch] = deque([first], maxlen=MAX_HISTORY)
+        self._expiries: dict[Touched, Expiry] = {}
+
+    def apply_all(self) -> None:
+        """Bring all that stands into force."""
+        for pool, overrides in self._state.overrides.items():
+            for endpoint in overrides:
+                self._apply(("mark", pool, endpoint))
+        for pool in self._state.migrations:
+            self._apply(("move", pool))
+        for pool in self._state.frozen:
+            self._apply(("freeze", pool))
+
+    def apply_command(self, action: CommandApplied) -> None:
+        """Bring into force what a command has touched."""
+        command = action.command
+        self.history.append(Epoch(action.version, describe(command), command.by, time.time()))
+        for touched in action.touched:
+            self._apply(touched)
+
+    def apply_snapshot(self) -> None:
+        """Bring a state into force that replaces another one, and lift what it does not have."""
+        self.history.append(Epoch(self._state.version, WHOLE, "", time.time()))
+        for pool, overrides in list(self._overrides.marks.items()):
+            for endpoint in list(overrides):
+                if endpoint not in self._state.overrides.get(pool, {}):
+                    self._overrides.put_mark(pool, endpoint, None)
+        for pool in list(self._overrides.moves):
+            if pool not in self._state.migrations:
+                self._overrides.put_move(pool, None)
+        self.apply_all()
+
+    def expire(self, now: float) -> Iterator[CommandContent]:
+        """Return commands that end what is over; the first instance to see it proposes it for all."""
+        for touched, expiry in list(self._expiries.items()):
+            if now < expiry.at:
+                continue
+            self._expiries[touched] = Expiry(expiry.version, now + EXPIRY_RETRY_INTERVAL_S)
+            kind, pool, *endpoint = touched
+            if kind == "mark":
+                lifted = dict.fromkeys(endpoint)
+                yield CommandContent(kind, MarkBody(pool, lifted, 0.0, expiry.version))
+            else:
+                yield CommandContent(kind, MoveBody(pool, None, 0.0, expiry.version))
+
+    def _apply(self, touched: Touched) -> None:
+        kind, *names = touched
+        item: StoredOverride | StoredMigration | None = None
+        if kind == "mark":
+            pool, endpoint = names
+            override = self._state.overrides.get(pool, {}).get(endpoint)
+            self._overrides.put_mark(pool, endpoint, override[0] if override is not None else None)
+            item = override
+        elif kind == "move":
+            migration = self._state.migrations.get(names[0])
+            self._overrides.put_move(names[0], migration[0] if migration is not None else None)
+            item = migration
+        elif kind == "freeze":
+            self._overrides.put_freeze(names[0], names[0] in self._state.frozen)
+        if item is not None and item[1]:
+            self._expiries[touched] = Expiry(item[2], self._clock() + item[1])
+        else:
+            self._expiries.pop(touched, None)
--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -6,7 +6,7 @@
 import socket
 import time
 from pathlib import Path
-from typing import Any, Callable, Iterator, Mapping
+from typing import TYPE_CHECKING, Any, Callable, Iterator, Mapping, cast
 
 from loadbalancer.admin.calls import Change
 from loadbalancer.admin.snapshot import FleetSnapshot
@@ -14,10 +14,12 @@
 from loadbalancer.config.reader import ConfigError, Problem, read_address
 from loadbalancer.config.types import FleetTable
 from loadbalancer.daemon.components import Component, DaemonContext
+from loadbalancer.daemon.fleet_interfaces import OverrideTarget
+from loadbalancer.daemon.fleet_peers import FleetPeers
 from loadbalancer.daemon.recovery import RecoveryService
 from loadbalancer.daemon.replication_service import ReplicationService
 from loadbalancer.daemon.rolling_restart import RollingRestartService
-from loadbalancer.daemon.rollout import rows
+from loadbalancer.daemon.rollout import rollout_status
 from loadbalancer.fleet import report
 from loadbalancer.fleet.membership.events import Action, Leave, ProcessReplaced
 from loadbalancer.fleet.membership.view import MembershipView
@@ -28,6 +30,9 @@
 from loadbalancer.tls.files import read, stamps
 from loadbalancer.tls.pairs import PairError
 
+if TYPE_CHECKING:
+    from loadbalancer.daemon.storage import Storage
+
 #: What operators say of the roster, beside what they say of pools.
 VERBS = {
     "fleet/enrol": (frozenset(("name",)), "an instance votes from now on, by the store that it has"),
@@ -96,11 +101,13 @@
         self.link = FleetTransport(self.view, table.name, boot, sealer, bound, note, claimed)
         self.agreed: ReplicationService | None = None
         if table.voters:
-            memory: Any = made.get("store")
-            store = memory.store if memory is not None else None
-            self.agreed = ReplicationService(daemon, table, self.link, self.view, store, path)
-        kept = self.agreed is not None and self.agreed.said.version > 0
-        may_act = self.agreed.may_act if self.agreed is not None else lambda: True
+            storage = cast("Storage | None", made.get("store"))
+            store = storage.store if storage is not None else None
+            peers = FleetPeers(table.name, self.link, self.view)
+            overrides = cast(OverrideTarget, made["control"])
+            self.agreed = ReplicationService(daemon, table, self.link, peers, overrides, store, path)
+        kept = self.agreed is not None and self.agreed.state.version > 0
+        may_act = self.agreed.lease.may_act if self.agreed is not None else lambda: True
         self.returning = RecoveryService(daemon, table.name, self.link, self.view, kept, may_act)
         self.restarting = RollingRestartService(daemon, table.name, self.link, self.view, self.returning)
         self.link.streams = self._answer
@@ -115,7 +122,7 @@
         self.returning.start(place is not None)
         if self.agreed is not None:
             if place is not None:
-                self.agreed.take_lease(place.version, place.lease)
+                self.agreed.lease.inherit(place.version, place.lease)
             self.agreed.start()
 
     def _answer(self, message: Message) -> Iterator[tuple[Message, float]] | None:
@@ -131,10 +138,10 @@
         agreed.configured(plan.path)
         for name, pool in self.daemon.pools.items():
             stays = plan.pools[name].table.sticky_while_draining
-            pool.proxy.backends.barred = agreed.bars(name, stays)
-            pool.proxy.fence = agreed.may_act
+            pool.proxy.backends.barred = agreed.send_guard.for_pool(name, stays)
+            pool.proxy.fence = agreed.lease.may_act
             if pool.proxy.trace is not None:
-                pool.proxy.trace.version = lambda: agreed.said.version
+                pool.proxy.trace.version = lambda: agreed.state.version
 
     def more_verbs(self) -> Mapping[str, tuple[frozenset[str], str]]:
         return {**VERBS, **RESTART} if self.agreed is not None else RESTART
@@ -143,10 +150,10 @@
         if change.verb in RESTART:
             self.restarting.begin(change, done)
             return True
-        return self.agreed is not None and self.agreed.change(change, done)
+        return self.agreed is not None and self.agreed.commands.submit(change, done)
 
     def asks(self) -> Mapping[str, Callable[[Callable[[Any], None]], None]]:
-        return {"fleet/versions": self.agreed.collect} if self.agreed is not None else {}
+        return {"fleet/versions": self.agreed.report.collect} if self.agreed is not None else {}
 
     def note(self) -> FleetSnapshot:
         """What a successor goes on from."""
@@ -154,7 +161,7 @@
         agreed = self.agreed
         if agreed is None:
             return FleetSnapshot(self.table.name, life, facts)
-        return FleetSnapshot(self.table.name, life, facts, agreed.said.version, agreed.lease())
+        return FleetSnapshot(self.table.name, life, facts, agreed.state.version, agreed.lease.expires_at())
 
     def look(self) -> None:
         self._look_at_key()
@@ -197,8 +204,10 @@
         keys = ("state", "settled", "digest", "living", "suspected", "dead")
         box = {key: found[key] for key in keys}
         if self.agreed is not None:
-            standing = self.agreed.standing()
-            box |= {key: standing[key] for key in ("version", "behind", "shut_out")}
+            standing = self.agreed.report.status()
+            box["version"] = standing["version"]
+            box["behind"] = standing["behind"]
+            box["shut_out"] = standing["shut_out"]
         return {"fleet": box}
 
     def reads(self) -> Mapping[str, Callable[[], Any]]:
@@ -214,9 +223,9 @@
     def _read_rollout(self) -> dict[str, Any]:
         agreed = self.agreed
         assert agreed is not None
-        return rows(
-            agreed.said.rollout_plan,
-            {**agreed.versions.peer_metadata, self.table.name: agreed.versions.metadata},
+        return rollout_status(
+            agreed.state.rollout_plan,
+            {**agreed.replica.peer_metadata, self.table.name: agreed.replica.metadata},
         )
 
     def _read_members(self) -> list[dict[str, Any]]:
@@ -227,7 +236,7 @@
         found = report.status(self.view, now)
         count = self.share.step(now, self.view.fleet_size, bool(found["settled"]))
         if self.agreed is not None:
-            found["agreed"] = self.agreed.standing()
+            found["agreed"] = self.agreed.report.status()
         found["coming_back"] = self.returning.report()
         return found | {
             "counted_with": count.instances,
--- a/loadbalancer/daemon/persisted_state.py
+++ b/loadbalancer/daemon/persisted_state.py
@@ -1,12 +1,16 @@
-"""The versioned state as the store keeps it: the identity of the store, votes, what was met, changes, and each item of
-the state by itself, so that a change costs what it touches."""
+"""The replicated state as records of the store.
+
+The store holds its own identity, what this voter has accepted, the stores of others that it has observed, the retained
+commands, and each override and migration as a record of its own, so that a command costs what it touches.
+"""
 
 from __future__ import annotations
 
 import random
-from typing import Any
+from typing import NamedTuple, Sequence, TypeVar
 
 import msgspec
+from msgspec.msgpack import Decoder
 
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.orchestration.rollout import RolloutPlan
@@ -16,112 +20,183 @@
 from loadbalancer.routing.traffic_migration import Migration
 from loadbalancer.store.keeper import StoreView
 
-STORE, VOTE, HEAD = b"fleet/store", b"fleet/vote", b"fleet/head"
-MET, LOG, MARK, MOVE = b"fleet/met/", b"fleet/log/", b"fleet/mark/", b"fleet/move/"
+# Keys of records, and prefixes of keys.
+IDENTITY_KEY = b"fleet/store"
+ACCEPTOR_KEY = b"fleet/vote"
+HEAD_KEY = b"fleet/head"
+OBSERVED_STORE_PREFIX = b"fleet/met/"
+COMMAND_PREFIX = b"fleet/log/"
+OVERRIDE_PREFIX = b"fleet/mark/"
+MIGRATION_PREFIX = b"fleet/move/"
+
+#: An override with its duration in seconds (0 for none) and the version of the command that made it.
+StoredOverride = tuple[AdminOverride, float, int]
+#: A migration with the same.
+StoredMigration = tuple[Migration, float, int]
+#: What a command has touched: a kind and names, such as ("mark", pool, endpoint) or ("move", pool).
+Touched = tuple[str, ...]
+
+RecordT = TypeVar("RecordT")
+_override_decoder: Decoder[StoredOverride] = Decoder(StoredOverride)
+_migration_decoder: Decoder[StoredMigration] = Decoder(StoredMigration)
+_acceptor_decoder = Decoder(AcceptorState)
+_observed_store_decoder = Decoder(ObservedStore)
+_command_decoder = Decoder(Command)
 
 
 class StoredIdentity(msgspec.Struct, array_like=True):
-    """Of a store: drawn once. `opened`: how often, and a draw at each."""
+    """Identity of a store.
+
+    Attributes:
+        store: drawn once, when the store is made.
+        opened: how often it was opened, above `GENERATION_NONCE_BITS` bits that are drawn at each opening.
+    """
 
     store: str
     opened: int
 
 
 class StoredHead(msgspec.Struct, array_like=True):
-    """What of the state is small."""
+    """The small parts of the replicated state."""
 
     version: int
-    roster: dict[str, str]
+    voters: dict[str, str]
     frozen: list[str]
-    plan: RolloutPlan | None = None
+    rollout_plan: RolloutPlan | None = None
+
+
+class PersistedReplica(NamedTuple):
+    """What a Paxos replica goes on from after a restart."""
+
+    acceptor_state: AcceptorState | None
+    observed_stores: dict[str, ObservedStore]
+    command_log: dict[int, Command]
+
+
+class RecordChange(NamedTuple):
+    """A record to write; `value` None deletes it."""
+
+    key: bytes
+    value: bytes | None
 
 
 def open_identity(view: StoreView, source: random.Random) -> StoredIdentity:
-    """That of the store, made where it has none; another opening is counted."""
-    data = view.get(STORE)
-    found = (
-        msgspec.msgpack.decode(data, type=StoredIdentity)
-        if data
-        else StoredIdentity(f"{source.getrandbits(64):016x}", 0)
-    )
-    found.opened = (
-        (found.opened >> GENERATION_NONCE_BITS) + 1
-    ) << GENERATION_NONCE_BITS | source.getrandbits(GENERATION_NONCE_BITS)
-    view.put(STORE, msgspec.msgpack.encode(found))
-    return found
-
-
-def load(
-    view: StoreView, said: ReplicatedState
-) -> tuple[AcceptorState | None, dict[str, ObservedStore], dict[int, Command]]:
-    """The state into `said`; votes, what was met, and the changes that are held."""
-    data = view.get(HEAD)
+    """Read the identity of the store, drawn now where it has none, and count another opening."""
+    data = view.get(IDENTITY_KEY)
+    if data:
+        identity = msgspec.msgpack.decode(data, type=StoredIdentity)
+    else:
+        identity = StoredIdentity(f"{source.getrandbits(64):016x}", 0)
+    openings = (identity.opened >> GENERATION_NONCE_BITS) + 1
+    identity.opened = openings << GENERATION_NONCE_BITS | source.getrandbits(GENERATION_NONCE_BITS)
+    write_identity(view, identity)
+    return identity
+
+
+def write_identity(view: StoreView, identity: StoredIdentity) -> None:
+    """Write the identity of the store."""
+    view.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))
+
+
+def load(view: StoreView, state: ReplicatedState) -> PersistedReplica:
+    """Read the replicated state into `state`, and return what else its replica needs."""
+    data = view.get(HEAD_KEY)
     if data:
         head = msgspec.msgpack.decode(data, type=StoredHead)
-        marks: dict[str, dict[str, tuple[AdminOverride, float, int]]] = {}
-        for key in view.keys(MARK):
-            pool, member = msgspec.msgpack.decode(key[len(MARK) :], type=tuple[str, str])
-            marks.setdefault(pool, {})[member] = _item(view, key, tuple[AdminOverride, float, int])
-        moves = {
-            key[len(MOVE) :].decode(): _item(view, key, tuple[Migration, float, int])
-            for key in view.keys(MOVE)
-        }
-        whole = Snapshot(head.version, marks, moves, head.frozen, head.roster, head.plan)
-        said.install_snapshot(msgspec.msgpack.encode(whole))
-    vote = _item(view, VOTE, AcceptorState) if view.get(VOTE) else None
-    met = {key[len(MET) :].decode(): _item(view, key, ObservedStore) for key in view.keys(MET)}
-    log = {int(key[len(LOG) :]): _item(view, key, Command) for key in view.keys(LOG)}
-    return vote, met, log
+        snapshot = Snapshot(
+            head.version,
+            _load_overrides(view),
+            _load_migrations(view),
+            head.frozen,
+            head.voters,
+            head.rollout_plan,
+        )
+        state.install_snapshot(msgspec.msgpack.encode(snapshot))
+    return PersistedReplica(
+        _read(view, ACCEPTOR_KEY, _acceptor_decoder) if view.get(ACCEPTOR_KEY) else None,
+        {
+            key[len(OBSERVED_STORE_PREFIX) :].decode(): _read(view, key, _observed_store_decoder)
+            for key in view.keys(OBSERVED_STORE_PREFIX)
+        },
+        {
+            int(key[len(COMMAND_PREFIX) :]): _read(view, key, _command_decoder)
+            for key in view.keys(COMMAND_PREFIX)
+        },
+    )
+
 
+def _load_overrides(view: StoreView) -> dict[str, dict[str, StoredOverride]]:
+    overrides: dict[str, dict[str, StoredOverride]] = {}
+    for key in view.keys(OVERRIDE_PREFIX):
+        pool, endpoint = msgspec.msgpack.decode(key[len(OVERRIDE_PREFIX) :], type=tuple[str, str])
+        overrides.setdefault(pool, {})[endpoint] = _read(view, key, _override_decoder)
+    return overrides
 
-def _item(view: StoreView, key: bytes, kind: Any) -> Any:
-    return msgspec.msgpack.decode(view.get(key) or b"", type=kind)
 
+def _load_migrations(view: StoreView) -> dict[str, StoredMigration]:
+    return {
+        key[len(MIGRATION_PREFIX) :].decode(): _read(view, key, _migration_decoder)
+        for key in view.keys(MIGRATION_PREFIX)
+    }
 
-def keep_vote(view: StoreView, vote: AcceptorState | None, met: tuple[str, ObservedStore] | None) -> None:
-    if vote is not None:
-        view.put(VOTE, msgspec.msgpack.encode(vote))
-    if met is not None:
-        view.put(MET + met[0].encode(), msgspec.msgpack.encode(met[1]))
 
+def _read(view: StoreView, key: bytes, decoder: Decoder[RecordT]) -> RecordT:
+    return decoder.decode(view.get(key) or b"")
 
-def _mark_key(pool: str, member: str) -> bytes:
-    return MARK + msgspec.msgpack.encode((pool, member))
+
+def write_acceptor_state(
+    view: StoreView, acceptor_state: AcceptorState | None, observed: tuple[str, ObservedStore] | None
+) -> None:
+    """Write what this voter has accepted, and the store that it has observed at an instance; None changes nothing."""
+    if acceptor_state is not None:
+        view.put(ACCEPTOR_KEY, msgspec.msgpack.encode(acceptor_state))
+    if observed is not None:
+        name, store = observed
+        view.put(OBSERVED_STORE_PREFIX + name.encode(), msgspec.msgpack.encode(store))
 
 
-def snapshot(said: ReplicatedState, touched: tuple[tuple[str, ...], ...]) -> list[tuple[bytes, bytes | None]]:
-    """What the store has to hold of these items, and of the head; None takes out. Made at once, written later."""
-    found: list[tuple[bytes, bytes | None]] = []
+def encode_touched(state: ReplicatedState, touched: Sequence[Touched]) -> list[RecordChange]:
+    """Encode the items that a command has touched, and the head, as they stand now; they may be written later."""
+    changes: list[RecordChange] = []
     for kind, *names in touched:
         if kind == "mark":
-            stands = said.overrides.get(names[0], {}).get(names[1])
-            found.append((_mark_key(*names), msgspec.msgpack.encode(stands) if stands else None))
+            pool, endpoint = names
+            override = state.overrides.get(pool, {}).get(endpoint)
+            key = OVERRIDE_PREFIX + msgspec.msgpack.encode((pool, endpoint))
+            changes.append(RecordChange(key, msgspec.msgpack.encode(override) if override else None))
         elif kind == "move":
-            moved = said.migrations.get(names[0])
-            found.append((MOVE + names[0].encode(), msgspec.msgpack.encode(moved) if moved else None))
-    head = StoredHead(said.version, dict(said.voters), sorted(said.frozen), said.rollout_plan)
-    found.append((HEAD, msgspec.msgpack.encode(head)))
-    return found
+            migration = state.migrations.get(names[0])
+            key = MIGRATION_PREFIX + names[0].encode()
+            changes.append(RecordChange(key, msgspec.msgpack.encode(migration) if migration else None))
+    head = StoredHead(state.version, dict(state.voters), sorted(state.frozen), state.rollout_plan)
+    changes.append(RecordChange(HEAD_KEY, msgspec.msgpack.encode(head)))
+    return changes
 
 
-def keep_items(
-    view: StoreView, items: list[tuple[bytes, bytes | None]], version: int, change: Command | None
-) -> None:
-    """`change`: None for a whole state, all of which is in `items`; what was held before goes."""
-    if change is None:
-        for prefix in (MARK, MOVE, LOG):
-            for key in view.keys(prefix):
-                view.delete(key)
-    else:
-        view.put(LOG + b"%d" % version, msgspec.msgpack.encode(change))
-        view.delete(LOG + b"%d" % (version - RETAINED_COMMANDS))
-    for key, value in items:
+def encode_all(state: ReplicatedState) -> list[RecordChange]:
+    """Encode all items of the state, and the head."""
+    overrides = [("mark", pool, endpoint) for pool, found in state.overrides.items() for endpoint in found]
+    return encode_touched(state, (*overrides, *(("move", pool) for pool in state.migrations)))
+
+
+def write_command(view: StoreView, changes: Sequence[RecordChange], version: int, command: Command) -> None:
+    """Write a command that makes `version`, with the items that it has touched; the oldest command is deleted."""
+    view.put(COMMAND_PREFIX + b"%d" % version, msgspec.msgpack.encode(command))
+    view.delete(COMMAND_PREFIX + b"%d" % (version - RETAINED_COMMANDS))
+    _write(view, changes)
+
+
+def write_snapshot(view: StoreView, changes: Sequence[RecordChange]) -> None:
+    """Write all items of a state in the place of all that was there; no command is retained."""
+    for prefix in (OVERRIDE_PREFIX, MIGRATION_PREFIX, COMMAND_PREFIX):
+        for key in view.keys(prefix):
+            view.delete(key)
+    _write(view, changes)
+
+
+def _write(view: StoreView, changes: Sequence[RecordChange]) -> None:
+    for key, value in changes:
         if value is None:
             view.delete(key)
         else:
             view.put(key, value)
-
-
-def all_items(said: ReplicatedState) -> list[tuple[bytes, bytes | None]]:
-    touched = [("mark", pool, member) for pool, marks in said.overrides.items() for member in marks]
-    return snapshot(said, (*touched, *(("move", pool) for pool in said.migrations)))
--- a/loadbalancer/daemon/replicated_commands.py
+++ b/loadbalancer/daemon/replicated_commands.py
@@ -1,203 +1,192 @@
-"""What operators say at one daemon of a fleet: into a change, through the vote, and back once all have confirmed."""
+"""Operators' changes at a fleet member: proposed as commands, and answered once all instances have confirmed them."""
 
 from __future__ import annotations
 
-import time
-from pathlib import Path
-from typing import TYPE_CHECKING, Any, Callable
-
-import msgspec
+from dataclasses import dataclass
+from typing import Callable
 
 from loadbalancer.admin.calls import CallError, Change
-from loadbalancer.daemon.components import DaemonContext
-from loadbalancer.daemon.rollout import RolloutService
-from loadbalancer.fleet.membership.member_state import MemberStatus
-from loadbalancer.fleet.membership.view import MembershipView as FleetView
-from loadbalancer.fleet.orchestration.rollout import PlanBody, StageBody
-from loadbalancer.fleet.replication.commit_tracking import CommitTracker
+from loadbalancer.daemon.command_factory import (
+    FREEZE_VERBS,
+    MIGRATION_VERB,
+    OVERRIDE_VERBS,
+    ChangeTranslator,
+    CommandNumbering,
+)
+from loadbalancer.daemon.fleet_interfaces import AnswerCallback, Clock, JsonObject, OverrideTarget
+from loadbalancer.daemon.fleet_peers import FleetPeers
+from loadbalancer.fleet.replication.commit_tracking import CommitStatus, CommitTracker
 from loadbalancer.fleet.replication.lease import Lease
-from loadbalancer.fleet.replication.replica import Action, CommandCompleted, PaxosReplica
-from loadbalancer.fleet.replication.replicated_state import (
-    Command,
-    FreezeBody,
-    MarkBody,
-    MoveBody,
-    RecoverBody,
-    ReplicatedState,
-    RosterBody,
-    StateError,
-    write_body,
-)  # fmt: skip
+from loadbalancer.fleet.replication.replica import CommandCompleted, PaxosReplica
+from loadbalancer.fleet.replication.replicated_state import Command, StateError
 from loadbalancer.resource_limits import RateLimitedLogger
 
-if TYPE_CHECKING:
-    from loadbalancer.daemon.admin_server import AdminServer
+#: Changes that an operator may make at one instance alone.
+LOCAL_VERBS = (*OVERRIDE_VERBS, MIGRATION_VERB, *FREEZE_VERBS)
+#: Seconds for which confirmations are awaited at least.
+MIN_WAIT_S = 0.05
+ANY_VERSION = -1
 
-#: Seconds that each step of a roll-out serves before the next, if nobody says.
-SOAK_S = 10.0
-MARKS = ("drain", "cordon", "uncordon", "weight", "add", "remove")
 
+@dataclass(frozen=True, slots=True)
+class PendingChange:
+    """A change whose operator waits for the answer."""
 
-class ReplicatedCommands:
-    """The part of `Agreed` that speaks with operators."""
-
-    name: str
-    daemon: DaemonContext
-    said: ReplicatedState
-    versions: PaxosReplica
-    fence: Lease
-    view: FleetView
-    logger: RateLimitedLogger
-    rolling: RolloutService
-    _store_name: str
-
-    def __init__(self, clock: Callable[[], float]) -> None:
-        self.clock = clock
-        self._orders: dict[str, tuple[Change, Callable[[Any], None], float]] = {}
-        self._confirming: list[tuple[CommitTracker, Change, Callable[[Any], None], float]] = []
+    change: Change
+    answer: AnswerCallback
+    began: float  # on the replica's clock
 
-    @property
-    def control(self) -> AdminServer:
-        raise NotImplementedError
 
-    def _id(self) -> str:
-        raise NotImplementedError
+@dataclass(frozen=True, slots=True)
+class PendingCommit:
+    """A change that is decided, and that not all instances have confirmed."""
 
-    def _propose(self, change: Command, if_version: int = -1) -> None:
-        raise NotImplementedError
+    tracker: CommitTracker
+    pending: PendingChange
+    answer_at: float  # on the replica's clock: whether or not all have confirmed by then
 
-    def _do(self, actions: list[Action]) -> None:
-        raise NotImplementedError
 
-    def _end_orders(self) -> None:
-        for _, done, _ in self._orders.values():
-            done({"error": "this instance ends; it is not known whether the change stands"})
-        self._orders.clear()
+class ReplicatedCommands:
+    """Answers each change request once; a bounded time after its proposal at the latest.
+
+    The replica gives a command up after its time; each decided change is answered after its operator's waiting time;
+    `close` answers those that are not decided when the process ends.
+    """
+
+    def __init__(
+        self,
+        replica: PaxosReplica,
+        lease: Lease,
+        peers: FleetPeers,
+        overrides: OverrideTarget,
+        translator: ChangeTranslator,
+        numbering: CommandNumbering,
+        propose: Callable[[Command, int], None],
+        recover: Callable[[Command], None],
+        clock: Clock,
+        logger: RateLimitedLogger,
+    ) -> None:
+        """Hand in what commands are made of and given to.
+
+        Args:
+            replica: is read, and not driven.
+            lease: says how long others may act on older versions.
+            peers: the instances that have to confirm.
+            overrides: says what is true of an endpoint after a change.
+            translator: of change requests.
+            numbering: of commands.
+            propose: gives a command to the replica, only right after the given version if that is not ANY_VERSION.
+            recover: applies a command without a vote.
+            clock: the replica's.
+            logger: gets a line for a recovery.
+        """
+        self._replica = replica
+        self._lease = lease
+        self._peers = peers
+        self._overrides = overrides
+        self._translator = translator
+        self._numbering = numbering
+        self._propose = propose
+        self._recover = recover
+        self._clock = clock
+        self._logger = logger
+        self._proposed: dict[str, PendingChange] = {}  # by the command's identifier
+        self._committing: list[PendingCommit] = []
 
-    def change(self, order: Change, done: Callable[[Any], None]) -> bool:
-        if order.order.here and order.verb in (*MARKS, "move", "freeze", "thaw"):
+    @property
+    def is_awaiting_confirmation(self) -> bool:
+        """Whether `check_commits` has to be called soon."""
+        return bool(self._committing)
+
+    def close(self) -> None:
+        """Answer all changes that are not decided."""
+        for pending in self._proposed.values():
+            pending.answer({"error": "this instance ends; it is not known whether the change stands"})
+        self._proposed.clear()
+
+    def submit(self, change: Change, answer: AnswerCallback) -> bool:
+        """Propose an operator's change.
+
+        Returns:
+            Whether it is one of the replicated state; `answer` is called once then.
+
+        Raises:
+            CallError: it can't be done, and is not proposed.
+        """
+        if change.order.here and change.verb in LOCAL_VERBS:
             return False
-        body = self._body(order)
-        if body is None:
+        content = self._translator.translate(change)
+        if content is None:
             return False
-        kind, struct = body
         try:
-            change = Command(
-                self._id(), kind, write_body(struct), order.order.by, order.order.reason, time.time()
-            )
-            self.said.check(change)
+            command = self._numbering.command(content, change.order.by, change.order.reason)
+            self._replica.state.check(command)
         except StateError as problem:
             raise CallError(409, str(problem)) from None
-        if kind == "recover":
-            self._recover(change, order, done)
+        if content.kind == "recover":
+            self._submit_recovery(command, change, answer)
             return True
-        if_version = -1 if order.order.if_version is None else order.order.if_version
-        self._orders[change.id] = order, done, self.clock()
-        self._propose(change, if_version)
+        expected = change.order.if_version
+        self._proposed[command.id] = PendingChange(change, answer, self._clock())
+        self._propose(command, ANY_VERSION if expected is None else expected)
         return True
 
-    def _body(self, order: Change) -> tuple[str, msgspec.Struct] | None:
-        said, verb = order.order, order.verb
-        if verb in MARKS:
-            return "mark", MarkBody(said.pool or "", self.control.planned(order), order.until)
-        if verb == "move":
-            return "move", MoveBody(said.pool or "", self.control.planned_move(order), order.until)
-        if verb in ("freeze", "thaw"):
-            return "freeze", FreezeBody(said.pool or "", verb == "freeze")
-        if verb == "fleet/enrol":
-            return "roster", RosterBody(said.name or "", self._store_of(said.name or ""))
-        if verb == "fleet/expel":
-            return "roster", RosterBody(said.name or "", "")
-        if verb == "fleet/rollout":
-            return "plan", self._plan_of(order)
-        if verb in ("fleet/halt", "fleet/back"):
-            plan = self.said.rollout_plan
-            if plan is None or plan.stage in ("done", "ended"):
-                raise CallError(409, "no roll-out is under way")
-            return "stage", StageBody(
-                plan.id,
-                plan.stage,
-                verb.removeprefix("fleet/") + "ed" * (verb == "fleet/halt"),
-                f"by {said.by}"[:200],
-                plan.old_bad,
-            )
-        if verb == "fleet/recover":
-            return "recover", RecoverBody({name: self.said.voters.get(name, "") for name in said.roster})
-        return None
-
-    def _plan_of(self, order: Change) -> PlanBody:
-        """A file beside this daemon, as its operator names it. Harm: whoever may call may have any file checked as a
-        configuration; so calls by TCP, whose holders have tokens alone, name none."""
-        path = Path(order.order.path or "")
-        if not path.is_absolute():
-            raise CallError(400, f"{path}: an absolute path is wanted")
-        try:
-            digest = self.rolling.offer(path.read_bytes())
-        except (OSError, ValueError) as problem:
-            raise CallError(400, f"{path}: {problem}") from None
-        return PlanBody(f"r{self.said.version + 1}", digest, self.name, order.until or SOAK_S)
-
-    def _store_of(self, name: str) -> str:
-        """Of one that is to vote: the store that it has said its votes are kept in."""
-        met = self.versions.peer_metadata.get(name, {}).get("store", "")
-        if name == self.name:
-            met = self._store_name
-        if not met:
-            raise CallError(
-                409, f"{name!r} has not said where its votes are kept; it has to live, with a [store]"
-            )
-        return met
-
-    def _recover(self, change: Command, order: Change, done: Callable[[Any], None]) -> None:
-        """The operator's way out after a majority was lost for good. Guards against use while there is one."""
-        if not order.order.last:
+    def _submit_recovery(self, command: Command, change: Change, answer: AnswerCallback) -> None:
+        """Let a minority go on after a majority was lost for good; refused while a majority answers."""
+        name, request = self._replica.name, change.order
+        if not request.last:
             raise CallError(
                 409, "this lets a minority go on without those who may know more; say last if it is meant"
             )
-        if self.fence.is_open(self.clock()):
+        if self._lease.is_open(self._clock()):
             raise CallError(409, "a majority answers; nothing has to be recovered")
-        if self.name not in order.order.roster:
-            raise CallError(409, f"{self.name!r}, where this is said, has to be on the new roster")
-        self._do(self.versions.recover(change))
-        self.logger(
-            "fleet: recovered by an operator", f"{order.order.by}: {', '.join(order.order.roster)} vote now"
-        )
-        done({"version": self.said.version, "holds": True, "roster": dict(self.said.voters)})
-
-    def _ended_order(self, ended: CommandCompleted) -> None:
-        found = self._orders.pop(ended.command_id, None)
-        if found is None:
+        if name not in request.roster:
+            raise CallError(409, f"{name!r}, where this is said, has to be on the new roster")
+        self._recover(command)
+        self._logger("fleet: recovered by an operator", f"{request.by}: {', '.join(request.roster)} vote now")
+        state = self._replica.state
+        answer({"version": state.version, "holds": True, "roster": dict(state.voters)})
+
+    def complete(self, completed: CommandCompleted) -> None:
+        """Begin to wait for confirmations of a command that was decided; answer one that was not."""
+        pending = self._proposed.pop(completed.command_id, None)
+        if pending is None:
             return
-        order, done, began = found
-        if not ended.version:
-            done({"error": ended.reason})
+        if not completed.version:
+            pending.answer({"error": completed.reason})
             return
-        accepted = self.clock()
-        confirming = CommitTracker(
-            ended.version,
-            accepted,
-            ended.leaseholders,
-            self.fence.expiry_with_drift,
-            self.fence.serves_when_expired,
+        now = self._clock()
+        tracker = CommitTracker(
+            completed.version,
+            now,
+            completed.leaseholders,
+            self._lease.expiry_with_drift,
+            self._lease.serves_when_expired,
         )
-        self._confirming.append((confirming, order, done, began + max(order.wait, 0.05)))
-        self._look_at_confirming(accepted)
+        answer_at = pending.began + max(pending.change.wait, MIN_WAIT_S)
+        self._committing.append(PendingCommit(tracker, pending, answer_at))
+        self.check_commits(now)
 
-    def _look_at_confirming(self, now: float) -> None:
-        if not self._confirming:
+    def check_commits(self, now: float) -> None:
+        """Answer the changes that all have confirmed, and those whose operators' waiting time is over."""
+        if not self._committing:
             return
-        at = {**self.versions.announced_versions, self.name: self.said.version}
-        known = [p.state.name for p in self.view.table if p.state.status != MemberStatus.LEFT]
-        left = [p.state.name for p in self.view.table if p.state.status == MemberStatus.LEFT]
+        name = self._replica.name
+        versions = {**self._replica.announced_versions, name: self._replica.state.version}
+        known = [*(member.name for member in self._peers.members()), name]
+        left = self._peers.left_names()
         waiting = []
-        for item in self._confirming:
-            confirming, order, done, until = item
-            found = confirming.status(now, at, [*known, self.name], left)
-            if not found.is_committed and now < until:
-                waiting.append(item)
-                continue
-            box: dict[str, Any] = {"version": confirming.version, "holds": found.is_committed}
-            if not found.is_committed:
-                box["missing"], box["until_s"] = list(found.unconfirmed), found.time_remaining
-            done({**self.control.told(order), **box})
-        self._confirming = waiting
+        for commit in self._committing:
+            status = commit.tracker.status(now, versions, known, left)
+            if not status.is_committed and now < commit.answer_at:
+                waiting.append(commit)
+            else:
+                self._answer(commit, status)
+        self._committing = waiting
+
+    def _answer(self, commit: PendingCommit, status: CommitStatus) -> None:
+        result: JsonObject = {"version": commit.tracker.version, "holds": status.is_committed}
+        if not status.is_committed:
+            result["missing"] = list(status.unconfirmed)
+            result["until_s"] = status.time_remaining
+        commit.pending.answer({**self._overrides.told(commit.pending.change), **result})
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -1,7 +1,7 @@
-"""What a fleet has agreed on, at one of its daemons: the pure parts (versions, fence, catching up) between the link,
-the store and what operators say here.
+"""Drives the Paxos replica of one daemon: its timer, its messages, and the actions that it asks for.
 
-A change is in force at an instance before it says so to anybody; a vote is on disk before it is told.
+A command is in force at an instance before the instance announces its version; an acceptor's answer is on disk before
+it is sent.
 """
 
 from __future__ import annotations
@@ -9,38 +9,43 @@
 import asyncio
 import random
 import time
-from collections import deque
 from pathlib import Path
-from typing import TYPE_CHECKING, Any, Callable, cast
+from typing import cast
 
-import msgspec
 from blake3 import blake3
 
 from loadbalancer.config.types import FleetTable
+from loadbalancer.daemon.applied_state import AppliedState
+from loadbalancer.daemon.command_factory import ChangeTranslator, CommandContent, CommandNumbering
 from loadbalancer.daemon.components import DaemonContext
-from loadbalancer.daemon.lease_monitor import LeaseMonitor
-from loadbalancer.daemon.persisted_state import (
-    STORE,
-    StoredIdentity,
-    all_items,
-    keep_items,
-    keep_vote,
-    load,
-    open_identity,
-    snapshot,
+from loadbalancer.daemon.fleet_interfaces import (
+    OverrideTarget,
+    StreamedAnswer,
+    StreamedMessage,
 )
-from loadbalancer.daemon.replicated_commands import ReplicatedCommands
-from loadbalancer.daemon.rollout import RolloutService
-from loadbalancer.fleet.membership.member_state import MemberStatus
-from loadbalancer.fleet.membership.view import MembershipView as FleetView
-from loadbalancer.fleet.orchestration.rollout import OPEN, StageReport, follows
-from loadbalancer.fleet.replication import messages as form
-from loadbalancer.fleet.replication.epochs import AS_KEPT, WHOLE, Epoch, describe
+from loadbalancer.daemon.fleet_peers import FleetPeers
+from loadbalancer.daemon.lease_monitor import LeaseMonitor
+from loadbalancer.daemon.replica_storage import ReplicaStorage
+from loadbalancer.daemon.replicated_commands import ANY_VERSION, ReplicatedCommands
+from loadbalancer.daemon.rollout import RequestCounts, RolloutService
+from loadbalancer.daemon.rollout_coordinator import RolloutCoordinator
+from loadbalancer.daemon.send_guard import SendGuard
+from loadbalancer.daemon.state_transfer import StateTransferDriver
+from loadbalancer.daemon.version_report import VERSIONS_QUERY, VersionReport
+from loadbalancer.fleet.orchestration.rollout import OPEN
 from loadbalancer.fleet.replication.lease import Lease
+from loadbalancer.fleet.replication.messages import (
+    LeaseGrant,
+    LeaseRequest,
+    QueryRequest,
+    ReplicationMessage,
+    StateRequest,
+)
 from loadbalancer.fleet.replication.replica import (
     Action,
     CommandApplied,
     CommandCompleted,
+    CommandsReceived,
     Event,
     MessageReceived,
     PaxosReplica,
@@ -49,412 +54,327 @@
     RequestStateTransfer,
     SendMessage,
     SnapshotInstalled,
+    SnapshotReceived,
     TimerExpired,
-)  # fmt: skip
-from loadbalancer.fleet.replication.replicated_state import (
-    Command,
-    MarkBody,
-    MoveBody,
-    ReplicatedState,
-    write_body,
-)  # fmt: skip
+)
+from loadbalancer.fleet.replication.replicated_state import Command, ReplicatedState
 from loadbalancer.fleet.transport import FleetTransport
 from loadbalancer.fleet.wire import Message
-from loadbalancer.policy.events import (
-    AttemptResult,
-)
-from loadbalancer.store.errors import StoreError
-from loadbalancer.store.keeper import Store, StoreView
-
-if TYPE_CHECKING:
-    from loadbalancer.daemon.admin_server import AdminServer
+from loadbalancer.store.keeper import Store
 
-#: What instances tell one another of the program that they run.
+#: The version of the program that instances tell one another.
 BUILD = "0.1.0"
-#: Seconds that a change has to be accepted, beside what its operator waits for those who confirm.
-ACCEPT_S = 3.0
-#: Seconds between two looks at those who have not confirmed, and at what ends by its time.
-CONFIRM_S, ENDS_S = 0.02, 0.5
-#: Versions of which it is kept when they were taken up here.
-HISTORY_MOST = 64
+#: Seconds in which a command has to be accepted; its operator waits for confirmations beside that.
+ACCEPT_TIMEOUT_S = 3.0
+#: Seconds between two checks of outstanding confirmations.
+CONFIRMATION_INTERVAL_S = 0.02
+#: Seconds between two looks at overrides that end, at the rollout, and at the metadata of this instance.
+HOUSEKEEPING_INTERVAL_S = 0.5
+#: The shortest wait of the timer, in seconds.
+MIN_TIMER_S = 0.002
+#: Pools whose endpoint lists are told others by a digest.
+MAX_LIST_DIGESTS = 4
+#: Longest key or value of metadata, in characters.
+MAX_METADATA_LENGTH = 64
+
+
+def boot_clock() -> float:
+    """Return seconds of a clock that also runs while the machine sleeps."""
+    return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def clock() -> float:
-    """Seconds that also pass while the machine sleeps."""
-    return time.clock_gettime(time.CLOCK_BOOTTIME)
+class ReplicationService:
+    """The replicated state at one daemon.
 
+    It owns the timer of the replica and its parts: the rollout service and the state transfer, each of which has a
+    task. `end` releases all of them. The transport, the membership view and the store are the daemon's.
 
-class ReplicationService(ReplicatedCommands, LeaseMonitor):
-    """One daemon's. The daemon's fleet owns it; `end` stops its timer."""
+    Attributes:
+        state: the replicated state as it is applied here.
+        replica: the state machine that is driven.
+        commands: takes operators' changes.
+        lease: says whether this instance may send.
+        send_guard: makes the check before each send.
+        report: answers what operators ask.
+    """
 
     def __init__(
         self,
         daemon: DaemonContext,
         table: FleetTable,
-        link: FleetTransport,
-        view: FleetView,
+        transport: FleetTransport,
+        peers: FleetPeers,
+        overrides: OverrideTarget,
         store: Store | None,
         path: Path,
     ) -> None:
-        """`path`: of the configuration."""
-        self.daemon, self.table, self.link, self.view, self.store = daemon, table, link, view, store
-        self.logger = daemon.logger
-        self.name = table.name
-        self.fence = Lease(float(table.stale_most), table.cut_off == "serve")
-        self.said = ReplicatedState(dict.fromkeys(table.voters, ""))
-        source = random.SystemRandom()
-        identity = StoredIdentity("", 0)
-        vote: form.AcceptorState | None = None
-        met: dict[str, form.ObservedStore] = {}
-        log: dict[int, Command] = {}
-        if store is not None:
-            kept = StoreView(store.engine)  # before the store's thread has anything to do
-            identity = open_identity(kept, source)
-            vote, met, log = load(kept, self.said)
-        self.versions = PaxosReplica(
-            table.name,
-            "",
-            identity.opened,
-            self.said,
-            random.Random(source.getrandbits(60)),
-            self.fence.active_leaseholders,
-        )
-        self.versions.command_log, self.versions.observed_stores = log, met
-        if vote is not None and vote.slot == self.said.version + 1:
-            self.versions.acceptor_state = vote
-        self._identity, self._store_name = identity, identity.store
-        self._config = ""  # digest of the file that runs
-        ReplicatedCommands.__init__(self, clock)
-        LeaseMonitor.__init__(self, self.versions)
-        first = Epoch(self.said.version, AS_KEPT, "", time.time())
-        self.history: deque[Epoch] = deque([first], maxlen=HISTORY_MOST)
-        self._ends: dict[tuple[str, ...], tuple[int, float]] = {}  # what ends by its time: version and when
-        self._ends_at = 0.0
-        self._ids = 0
-        self._tag = f"{table.name}-{source.getrandbits(48):x}"
+        """Read the store; nothing is sent before `start`.
+
+        Args:
+            daemon: whose pools and log are used.
+            table: the configuration's table [fleet].
+            transport: calls this service for each replication message.
+            peers: the other instances.
+            overrides: where overrides and migrations are brought into force.
+            store: None where the daemon has none, and this instance no vote.
+            path: of the configuration.
+        """
+        self._daemon = daemon
+        self._name = table.name
+        self._peers = peers
+        self._logger = daemon.logger
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._ended = False
-        self._drive_at = 0.0
-        self._stage_began = (0, 0.0)
-        self.rolling = RolloutService(daemon, table.name, path, self.ask_named, self._requests, self._changed)
-        link.send_replication = self._hear
-
-    @property
-    def control(self) -> AdminServer:
-        return cast("AdminServer", self.daemon.parts["control"])
-
-    def _clock(self) -> float:
-        return clock()
+        self._housekeeping_at = 0.0
+        self._configuration_digest = ""
+        source = random.SystemRandom()
+        lease = Lease(float(table.stale_most), table.cut_off == "serve")
+        self.state = ReplicatedState(dict.fromkeys(table.voters, ""))
+        self._storage = ReplicaStorage(store, self.state, source, daemon.logger)
+        self.replica = self._make_replica(lease, source)
+        self._numbering = CommandNumbering(f"{table.name}-{source.getrandbits(48):x}")
+        self._applied = AppliedState(self.state, overrides, boot_clock)
+        self._rollout = RolloutService(
+            daemon, table.name, path, peers.ask, self._count_requests, self._rollout_changed
+        )
+        self._coordinator = RolloutCoordinator(self.replica, peers, self._metadata)
+        self._transfer = StateTransferDriver(
+            self.replica, peers, self._transferred, self._schedule, self._transfer_failed
+        )
+        self._transport = transport
+        self.lease = LeaseMonitor(lease, self.replica, boot_clock)
+        self.send_guard = SendGuard(lease, overrides, self._applied.history, boot_clock)
+        self.report = VersionReport(self.replica, lease, self._applied.history, peers, boot_clock)
+        self.commands = self._make_commands(lease, overrides)
+        transport.send_replication = self._receive
+
+    def _make_replica(self, lease: Lease, source: random.Random) -> PaxosReplica:
+        replica = PaxosReplica(
+            self._name,
+            "",  # it votes only once the opening of the store is on disk
+            self._storage.identity.opened,
+            self.state,
+            random.Random(source.getrandbits(60)),
+            lease.active_leaseholders,
+        )
+        persisted = self._storage.persisted
+        replica.command_log = persisted.command_log
+        replica.observed_stores = persisted.observed_stores
+        acceptor_state = persisted.acceptor_state
+        if acceptor_state is not None and acceptor_state.slot == self.state.version + 1:
+            replica.acceptor_state = acceptor_state
+        return replica
+
+    def _make_commands(self, lease: Lease, overrides: OverrideTarget) -> ReplicatedCommands:
+        translator = ChangeTranslator(self._name, self.state, overrides, self._rollout, self._store_of)
+        return ReplicatedCommands(
+            self.replica,
+            lease,
+            self._peers,
+            overrides,
+            translator,
+            self._numbering,
+            self._propose,
+            self._recover,
+            boot_clock,
+            self._logger,
+        )
 
-    # Life.
+    # Lifecycle.
 
     def start(self) -> None:
-        """Vote once it is on disk that this store was opened again."""
-        self._restore()
-        self.versions.metadata = self._card()
-        if self.store is not None:
-
-            def job(view: StoreView) -> None:
-                view.put(STORE, msgspec.msgpack.encode(self._identity))
-
-            def opened(_: None, problem: StoreError | None) -> None:
-                if problem is None:
-                    self.versions.store_id = self._store_name
-                else:
-                    self.logger("fleet: this instance does not vote", problem)
-
-            self.store.do(job, opened)
+        """Bring into force what was kept, and take part; vote once the opening of the store is on disk."""
+        self._applied.apply_all()
+        self.replica.metadata = self._metadata()
+        self._storage.save_identity(self._enable_vote)
         self._tick()
 
+    def _enable_vote(self) -> None:
+        self.replica.store_id = self._storage.identity.store
+
     def end(self) -> None:
+        """Cancel the timer and the tasks, and answer operators that still wait."""
         self._ended = True
         if self._timer is not None:
             self._timer.cancel()
-        if self._catching is not None:
-            self._catching.cancel()
-        self.rolling.close()
-        self._end_orders()
-
-    def _restore(self) -> None:
-        """What was kept is in force from the start."""
-        for pool, marks in self.said.overrides.items():
-            for member in marks:
-                self._in_force(("mark", pool, member))
-        for pool in self.said.migrations:
-            self._in_force(("move", pool))
-        for pool in self.said.frozen:
-            self._in_force(("freeze", pool))
+        self._transfer.close()
+        self._rollout.close()
+        self.commands.close()
 
     def configured(self, path: Path) -> None:
-        """Another configuration is in force; its digest is taken once, as it stands then."""
+        """Take the digest of a configuration that is in force from now on, as the file is at this moment."""
         try:
-            self._config = blake3(path.read_bytes()).hexdigest(4)
+            self._configuration_digest = blake3(path.read_bytes()).hexdigest(4)
         except OSError as problem:
-            self._config = f"not read: {problem.strerror}"[:64]
+            self._configuration_digest = f"not read: {problem.strerror}"[:MAX_METADATA_LENGTH]
+
+    # Metadata.
+
+    def _metadata(self) -> dict[str, str]:
+        """Return what else this instance runs under, for people."""
+        metadata = {
+            "build": BUILD,
+            "store": self._storage.identity.store,
+            "config": self._configuration_digest,
+        }
+        if report := self._rollout.report(self.state.rollout_plan):
+            metadata["plan"] = report
+        for name, pool in sorted(self._daemon.pools.items())[:MAX_LIST_DIGESTS]:
+            endpoints = ",".join(sorted(pool.overlay.listed()))
+            metadata[f"list {name}"[:MAX_METADATA_LENGTH]] = blake3(endpoints.encode()).hexdigest(4)
+        return metadata
 
-    def _card(self) -> dict[str, str]:
-        """What else this instance runs under, for people."""
-        found = {"build": BUILD, "store": self._store_name, "config": self._config}
-        if report := self.rolling.report(self.said.rollout_plan):
-            found["plan"] = report
-        for name, pool in sorted(self.daemon.pools.items())[:4]:
-            listed = ",".join(sorted(pool.overlay.listed()))
-            found[f"list {name}"[:64]] = blake3(listed.encode()).hexdigest(4)
-        return found
+    def _store_of(self, name: str) -> str:
+        if name == self._name:
+            return self._storage.identity.store
+        return self.replica.peer_metadata.get(name, {}).get("store", "")
 
-    # Time.
+    # Timer.
 
     def _tick(self) -> None:
-        """Guards the lease against a defect in any step: the loop logs it, and the next step comes all the same."""
+        """Step, and set the timer again also where the step fails: the lease must not end by a defect in one step."""
         if self._ended:
             return
         try:
-            self._step(clock())
+            self._step(boot_clock())
         finally:
             self._schedule()
 
     def _step(self, now: float) -> None:
-        living = tuple(
-            peer.state.name for peer in self.view.table.living if peer.state.status == MemberStatus.ALIVE
-        )
-        self._hand(TimerExpired(living))
-        if now >= self.fence.next_timer:
-            number = self.fence.request(now)
-            for name in self.said.voters:
-                self._send(name, form.LeaseRequest(number, self.said.version))
-        if now >= self._ends_at:
-            self._ends_at = now + ENDS_S
-            self._end_by_time(now)
-            self._roll(now)
-            self.versions.metadata = self._card()
-        self._look_at_confirming(now)
+        self._handle(TimerExpired(self._peers.alive_names()))
+        if now >= self.lease.next_timer:
+            request = self.lease.request(now)
+            for voter in self.state.voters:
+                self._send(voter, request)
+        if now >= self._housekeeping_at:
+            self._housekeeping_at = now + HOUSEKEEPING_INTERVAL_S
+            for content in self._applied.expire(now):
+                self._propose_own(content, "its time is over")
+            self._step_rollout(now)
+            self.replica.metadata = self._metadata()
+        self.commands.check_commits(now)
 
     def _schedule(self) -> None:
         if self._ended:
             return
         if self._timer is not None:
             self._timer.cancel()
-        due = min(self.versions.next_timer, self.fence.next_timer, self._ends_at)
-        wait = min(max(0.002, due - clock()), CONFIRM_S if self._confirming else ENDS_S)
+        due = min(self.replica.next_timer, self.lease.next_timer, self._housekeeping_at)
+        awaits = self.commands.is_awaiting_confirmation
+        longest = CONFIRMATION_INTERVAL_S if awaits else HOUSEKEEPING_INTERVAL_S
+        wait = min(max(MIN_TIMER_S, due - boot_clock()), longest)
         self._timer = self._loop.call_later(wait, self._tick)
 
-    def _end_by_time(self, now: float) -> None:
-        """Whoever sees the end of a mark first says so to all; a word that was said since is not touched."""
-        for key, (version, at) in list(self._ends.items()):
-            if now < at:
-                continue
-            self._ends[key] = version, now + 10.0  # if that comes to nothing
-            if key[0] == "mark":
-                body: Any = MarkBody(key[1], {key[2]: None}, 0.0, version)
-            else:
-                body = MoveBody(key[1], None, 0.0, version)
-            self._propose(
-                Command(self._id(), key[0], write_body(body), self.name, "its time is over", time.time())
-            )
-
-    # A roll-out.
-
-    def _requests(self) -> tuple[int, int]:
-        """All that have ended so far, and those refused or failed."""
-        ended = [pool.proxy.figures.ended for pool in self.daemon.pools.values()]
-        served = sum(one[0] for counts in ended for one in counts)
-        bad = sum(one[1] + one[2] for counts in ended for one in counts)
-        return served + bad, bad
-
-    def _changed(self) -> None:
-        self.versions.metadata = self._card()
-        self._do(self.versions.announce_to_all())
-
-    def _roll(self, now: float) -> None:
-        """Do this instance's part; the first of the living voters also says what follows."""
-        plan = self.said.rollout_plan
-        names = sorted(
-            {
-                self.name,
-                *(peer.state.name for peer in self.view.table if peer.state.status != MemberStatus.LEFT),
-            }
-        )
-        self.rolling.look(plan, names)
+    # Rollout.
+
+    def _step_rollout(self, now: float) -> None:
+        plan = self.state.rollout_plan
+        names = sorted({self._name, *(member.name for member in self._peers.members())})
+        self._rollout.step(plan, names)
         if plan is None or plan.stage not in OPEN:
             return
-        self._do(self.versions.announce_to_voters())
-        if self._stage_began[0] != plan.version:
-            self._stage_began = plan.version, now
-        living = [self.name, *(peer.state.name for peer in self.view.table.living)]
-        voters = sorted(name for name in living if name in self.said.voters)
-        if not voters or voters[0] != self.name or now < self._drive_at + 1.0:
-            return
-        self._drive_at = now
-        cards = {**self.versions.peer_metadata, self.name: self._card()}
-        reports = {
-            name: found
-            for name, card in cards.items()
-            if (found := StageReport.read(card.get("plan", ""), plan.id)) is not None
-        }
-        dead = [name for name in names if name not in living]
-        body = follows(plan, reports, living, dead, now - self._stage_began[1])
+        self._perform(self.replica.announce_to_voters())
+        body = self._coordinator.next_stage(plan, now)
         if body is not None:
-            self._propose(Command(self._id(), "stage", write_body(body), self.name, body.why, time.time()))
+            self._propose_own(CommandContent("stage", body), body.why)
+
+    def _count_requests(self) -> RequestCounts:
+        ended = [counts for pool in self._daemon.pools.values() for counts in pool.proxy.figures.ended]
+        served = sum(counts[0] for counts in ended)
+        failed = sum(counts[1] + counts[2] for counts in ended)
+        return RequestCounts(served + failed, failed)
+
+    def _rollout_changed(self) -> None:
+        self.replica.metadata = self._metadata()
+        self._perform(self.replica.announce_to_all())
 
-    def _id(self) -> str:
-        self._ids += 1
-        return f"{self._tag}-{self._ids}"
+    # Proposals.
 
-    def _propose(self, change: Command, if_version: int = -1) -> None:
-        self._hand(Propose(change, clock() + ACCEPT_S, if_version))
+    def _propose_own(self, content: CommandContent, reason: str) -> None:
+        self._propose(self._numbering.command(content, self._name, reason))
+
+    def _propose(self, command: Command, expected_version: int = ANY_VERSION) -> None:
+        self._handle(Propose(command, boot_clock() + ACCEPT_TIMEOUT_S, expected_version))
         self._schedule()
 
+    def _recover(self, command: Command) -> None:
+        self._perform(self.replica.recover(command))
+
+    # State transfer.
+
+    def _transferred(self, event: CommandsReceived | SnapshotReceived) -> None:
+        self._handle(event)
+        self._perform(self.replica.announce_to_all())
+
+    def _transfer_failed(self, reason: str) -> None:
+        self._transport.counts["catching up failed"] += 1
+        self._logger("fleet: catching up was cut", reason)
+
     # Messages.
 
+    def answer(self, message: Message) -> StreamedAnswer | None:
+        """Return the answer to a message that opens a connection; None where it is not this service's."""
+        if isinstance(message, StateRequest):
+            return self._transfer.answer(message)
+        if not isinstance(message, QueryRequest):
+            return None
+        if message.path == VERSIONS_QUERY:
+            return iter([StreamedMessage(self.report.answer(), 0.0)])
+        if message.path.startswith("plan/"):
+            digest = message.path.removeprefix("plan/")
+            return (StreamedMessage(part, 0.0) for part in self._rollout.answer(digest))
+        return None
+
     def _send(self, to: str, message: Message) -> None:
-        if to == self.name:
-            self._loop.call_soon(self._hear, to, message)
-            return
-        peer = self.view.table.get(to)
-        if peer is not None:
-            self.link.send_datagram(peer.state.address, peer.state.boot, message)
+        if to == self._name:
+            self._loop.call_soon(self._receive, to, message)
+        else:
+            self._peers.send(to, message)
 
-    def _hear(self, sender: str, message: Message) -> None:
+    def _receive(self, sender: str, message: Message) -> None:
         if self._ended:
             return
-        now = clock()
-        if isinstance(message, form.LeaseRequest):
-            self.versions.announced_versions[sender] = max(
-                message.version, self.versions.announced_versions.get(sender, 0)
-            )
-            if self.versions.can_vote:
-                self.fence.grant(now, sender)
-                self._send(
-                    sender, form.LeaseGrant(message.number, self.versions.highest_accepted_version, now)
-                )
-        elif isinstance(message, form.LeaseGrant):
-            self.fence.granted(
-                now,
-                message.number,
-                sender,
-                message.highest_known_version,
-                message.clock,
-                self.said.majority,
-                self.said.version,
-            )
+        now = boot_clock()
+        if isinstance(message, LeaseRequest):
+            grant = self.lease.grant(now, sender, message)
+            if grant is not None:
+                self._send(sender, grant)
+        elif isinstance(message, LeaseGrant):
+            self.lease.granted(now, sender, message)
         else:
-            self._hand(MessageReceived(sender, message))  # type: ignore[arg-type]
-            self._look_at_confirming(now)
+            self._handle(MessageReceived(sender, cast(ReplicationMessage, message)))
+            self.commands.check_commits(now)
             self._schedule()
 
-    def _hand(self, event: Event) -> None:
-        self._do(self.versions.handle(clock(), event))
-
-    def _do(self, actions: list[Action]) -> None:
-        for action in actions:
-            if isinstance(action, SendMessage):
-                self._send(action.to, action.message)
-            elif isinstance(action, Persist):
-                self._keep(action)
-            elif isinstance(action, CommandApplied):
-                self._took(action)
-            elif isinstance(action, SnapshotInstalled):
-                self._took_whole()
-            elif isinstance(action, RequestStateTransfer):
-                self._catch(action.source)
-            elif isinstance(action, CommandCompleted):
-                self._ended_order(action)
-
-    def _keep(self, action: Persist) -> None:
-        """A vote that can't be kept is not told; the proposer asks again, or goes on without this voter."""
-        if self.store is None:
-            return
-
-        def done(_: None, problem: StoreError | None) -> None:
-            if problem is not None:
-                self.logger("fleet: a vote could not be kept", problem)
-                return
-            for say in action.then_send:
-                self._send(say.to, say.message)
-
-        self.store.do(lambda view: keep_vote(view, action.acceptor_state, action.observed_store), done)
-
-    # What is in force.
-
-    def _took(self, action: CommandApplied) -> None:
-        change = action.command
-        self.history.append(Epoch(action.version, describe(change), change.by, time.time()))
-        for touched in action.touched:
-            self._in_force(touched)
-        self.fence.extend(self.said.majority, self.said.version)
-        if self.store is not None:
-            items = snapshot(self.said, action.touched)
-            self.store.do(lambda view: keep_items(view, items, action.version, change), self._kept)
-
-    def _took_whole(self) -> None:
-        self.history.append(Epoch(self.said.version, WHOLE, "", time.time()))
-        control = self.control
-        for pool, marks in list(control.marks.items()):
-            for member in list(marks):
-                if member not in self.said.overrides.get(pool, {}):
-                    control.put_mark(pool, member, None)
-        for pool in list(control.moves):
-            if pool not in self.said.migrations:
-                control.put_move(pool, None)
-        self._restore()
-        self.fence.extend(self.said.majority, self.said.version)
-        if self.store is not None:
-            items, version = all_items(self.said), self.said.version
-            self.store.do(lambda view: keep_items(view, items, version, None), self._kept)
-
-    def _kept(self, _: None, problem: StoreError | None) -> None:
-        if problem is not None:
-            self.logger("fleet: a change is in force and could not be kept", problem)
-
-    def _in_force(self, touched: tuple[str, ...]) -> None:
-        kind, *names = touched
-        stands: Any = None
-        if kind == "mark":
-            stands = self.said.overrides.get(names[0], {}).get(names[1])
-            self.control.put_mark(names[0], names[1], stands[0] if stands is not None else None)
-        elif kind == "move":
-            stands = self.said.migrations.get(names[0])
-            self.control.put_move(names[0], stands[0] if stands is not None else None)
-        elif kind == "freeze":
-            self.control.put_freeze(names[0], names[0] in self.said.frozen)
-        if stands is not None and stands[1]:
-            self._ends[touched] = stands[2], clock() + stands[1]
-        else:
-            self._ends.pop(touched, None)
-
-    # At each send.
-
-    def bars(self, pool: str, stays: bool) -> Callable[[str], AttemptResult | None]:
-        """What a pool asks ahead of each send to a member. `stays`: sessions go on at a draining member."""
-        fence, marks = self.fence, self.control.marks
-
-        def ask(member: str) -> AttemptResult | None:
-            now = clock()
-            if not fence.may_act(now):
-                return AttemptResult.NOT_SENT
-            mark = marks.get(pool, {}).get(member)
-            if mark is not None and (mark.word == "cordon" or (mark.word == "drain" and not stays)):
-                return (
-                    AttemptResult.NO_CONNECTION
-                )  # said while this waited for its connection; others may take it
-            epoch = self.history[-1]
-            epoch.sends += 1
-            epoch.last = now
-            return None
-
-        return ask
-
-    def lease(self) -> float:
-        """Until when this instance may act, on `clock`; 0 where it may not."""
-        return self.fence.expires_at if self.fence.is_open(clock()) else 0.0
+    # Actions of the replica.
 
-    def take_lease(self, version: int, until: float) -> None:
-        """Of the process before, whose place this one has taken: it is the name's, and the clock is the machine's.
-        Guards an upgrade against a moment in which nobody of the name may act. Only where the store had all that the
-        lease was given on."""
-        if self.said.version >= version and until <= clock() + self.fence.duration:
-            self.fence.expires_at = until
+    def _handle(self, event: Event) -> None:
+        self._perform(self.replica.handle(boot_clock(), event))
 
-    def may_act(self) -> bool:
-        return self.fence.may_act(clock())
+    def _perform(self, actions: list[Action]) -> None:
+        for action in actions:
+            match action:
+                case SendMessage():
+                    self._send(action.to, action.message)
+                case Persist():
+                    self._persist(action)
+                case CommandApplied():
+                    self._applied.apply_command(action)
+                    self.lease.extend()
+                    self._storage.save_command(action)
+                case SnapshotInstalled():
+                    self._applied.apply_snapshot()
+                    self.lease.extend()
+                    self._storage.save_snapshot()
+                case RequestStateTransfer():
+                    self._transfer.fetch(action.source)
+                case CommandCompleted():
+                    self.commands.complete(action)
+
+    def _persist(self, action: Persist) -> None:
+        def send() -> None:
+            for message in action.then_send:
+                self._send(message.to, message.message)
+
+        self._storage.save_acceptor_state(action, send)
--- a/loadbalancer/daemon/rollout.py
+++ b/loadbalancer/daemon/rollout.py
@@ -1,8 +1,8 @@
-"""A configuration that is rolled out, at one daemon: fetched, checked, taken up, taken back. What follows when is
-decided in fleet/orchestration/rollout.py.
+"""A rollout of a configuration at one instance: the file is fetched, checked, loaded, and taken back.
 
-What is of this instance alone stays its own: [process], [store], [management], [log], [fleet], and of each listener
-its address and keys. So secrets and keys are never carried.
+Which stage follows is decided in `fleet/orchestration/rollout.py`. What belongs to an instance alone is not rolled out,
+so secrets and keys are never carried: the tables [process], [store], [management], [log] and [fleet], and of each
+listener its address and keys.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import os
 import tomllib
 from pathlib import Path
-from typing import Any, AsyncIterator, Callable, Iterator, Mapping, Protocol
+from typing import AsyncIterator, Callable, Coroutine, Iterator, Mapping, NamedTuple
 
 import msgspec
 import tomli_w
@@ -20,212 +20,283 @@
 from loadbalancer.config.reader import ConfigError
 from loadbalancer.daemon.component_factory import prepare
 from loadbalancer.daemon.components import DaemonContext
+from loadbalancer.daemon.fleet_interfaces import JsonObject
 from loadbalancer.fleet.orchestration.rollout import RolloutPlan, StageReport, wants_new
-from loadbalancer.fleet.replication import messages as form
+from loadbalancer.fleet.replication.messages import QueryRequest, QueryResponse
 from loadbalancer.fleet.wire import Message
 
 #: Tables that an instance keeps as they are.
-OWN = ("process", "store", "management", "log", "fleet")
-#: Keys of a listener that it keeps.
-OWN_OF_LISTENER = ("address", "tls")
-#: Bytes of a file that is rolled out, and of one message of it.
-FILE_MOST, PART = 1 << 20, 12 << 10
-#: Seconds between two tries to fetch a file.
-FETCH_S = 0.5
+INSTANCE_TABLES = ("process", "store", "management", "log", "fleet")
+#: Keys of a listener that an instance keeps.
+INSTANCE_LISTENER_KEYS = ("address", "tls")
+MAX_FILE_BYTES = 1 << 20
+#: Bytes of the file in one message.
+MESSAGE_BYTES = 12 << 10
+#: Seconds between two attempts to fetch the file, and between two looks at a reload that is under way.
+FETCH_RETRY_INTERVAL_S = 0.5
+RELOAD_POLL_INTERVAL_S = 0.01
+#: Bytes of the digest by which a file is known.
+DIGEST_BYTES = 16
 
+#: Asks an instance by its name; raises ConnectionError where the name is not known.
+AskInstance = Callable[[str, Message], AsyncIterator[Message]]
 
-class RolloutControl(Protocol):
-    def __call__(self, name: str, message: Message) -> AsyncIterator[Message]: ...
 
+class RequestCounts(NamedTuple):
+    """Requests that have ended since the start of the process."""
 
-def merged(theirs: bytes, ours: bytes) -> bytes:
-    """The file that an instance runs under. ValueError where either is no TOML."""
-    new, own = tomllib.loads(theirs.decode()), tomllib.loads(ours.decode())
-    for key in OWN:
+    ended: int
+    failed: int  # of these, rejected or failed
+
+
+def merged(rolled_out: bytes, current: bytes) -> bytes:
+    """Return the file that an instance runs under: the rolled out one with what is the instance's own.
+
+    Raises:
+        ValueError: one of the files is no TOML.
+    """
+    new = tomllib.loads(rolled_out.decode())
+    own = tomllib.loads(current.decode())
+    for key in INSTANCE_TABLES:
         new.pop(key, None)
         if key in own:
             new[key] = own[key]
-    mine = {one.get("name"): one for one in own.get("listener", [])}
+    own_listeners = {listener.get("name"): listener for listener in own.get("listener", [])}
     for listener in new.get("listener", []):
-        kept = mine.get(listener.get("name"), {})
-        for key in OWN_OF_LISTENER:
+        own_listener = own_listeners.get(listener.get("name"), {})
+        for key in INSTANCE_LISTENER_KEYS:
             listener.pop(key, None)
-            if key in kept:
-                listener[key] = kept[key]
+            if key in own_listener:
+                listener[key] = own_listener[key]
     return tomli_w.dumps(new).encode()
 
 
 class RolloutService:
-    """One daemon's. It owns two files beside the configuration: what was checked, and what was in force before."""
+    """Carries out this instance's part of a rollout, one step at a time.
+
+    It owns a task, which `close` cancels, and two files beside the configuration: the one that was checked, which the
+    next check overwrites, and the one that was in force before, which is deleted once it is in force again.
+    """
 
     def __init__(
         self,
         daemon: DaemonContext,
         name: str,
         path: Path,
-        ask: RolloutControl,
-        counts: Callable[[], tuple[int, int]],
-        tell: Callable[[], None],
+        ask: AskInstance,
+        count_requests: Callable[[], RequestCounts],
+        on_changed: Callable[[], None],
     ) -> None:
-        """`counts`: all requests so far, and those refused or failed. `tell`: what is reported has changed."""
-        self.daemon, self.name, self.path = daemon, name, path
-        self._ask, self._counts, self._tell = ask, counts, tell
-        self.files: dict[str, bytes] = {}  # by digest, as they came from an operator
-        self._plan = ""
-        self._stage = 0
-        self._since = (0, 0)
-        self._has, self._refused = False, ""
-        self._work: asyncio.Task[None] | None = None
+        """Begin without a plan.
+
+        Args:
+            daemon: is made to reload.
+            name: of this instance.
+            path: of its configuration.
+            ask: asks another instance for the file.
+            count_requests: counts those of all pools.
+            on_changed: called when `report` has changed.
+        """
+        self._daemon = daemon
+        self._name = name
+        self._path = path
+        self._ask = ask
+        self._count_requests = count_requests
+        self._on_changed = on_changed
+        self._files: dict[str, bytes] = {}  # the last one, by its digest, as it came from an operator
+        self._plan_id = ""
+        self._stage_version = 0
+        self._counts_at_stage = RequestCounts(0, 0)
+        self._has_file = False
+        self._refusal = ""
+        self._task: asyncio.Task[None] | None = None
 
     @property
-    def _checked(self) -> Path:
-        return self.path.with_name(f".{self.path.name}.next.toml")
+    def _checked_path(self) -> Path:
+        return self._path.with_name(f".{self._path.name}.next.toml")
 
     @property
-    def _before(self) -> Path:
-        return self.path.with_name(f".{self.path.name}.before-{self._plan}")
+    def _previous_path(self) -> Path:
+        return self._path.with_name(f".{self._path.name}.before-{self._plan_id}")
 
     def close(self) -> None:
-        if self._work is not None:
-            self._work.cancel()
+        """Cancel what is under way."""
+        if self._task is not None:
+            self._task.cancel()
 
     def offer(self, text: bytes) -> str:
-        """Hold a file that an operator wants rolled out; its digest. ValueError where it is none."""
-        if len(text) > FILE_MOST:
-            raise ValueError(f"{len(text)} bytes; at most {FILE_MOST}")
+        """Hold a file that an operator wants to roll out, and return its digest.
+
+        Raises:
+            ValueError: it is too long, or no TOML.
+        """
+        if len(text) > MAX_FILE_BYTES:
+            raise ValueError(f"{len(text)} bytes; at most {MAX_FILE_BYTES}")
         tomllib.loads(text.decode())
-        digest = blake3(text).hexdigest(16)
-        self.files = {digest: text}
+        digest = _digest(text)
+        self._files = {digest: text}
         return digest
 
     def answer(self, digest: str) -> Iterator[Message]:
-        text = self.files.get(digest, b"")
-        for at in range(0, len(text), PART):
-            yield form.QueryResponse(text[at : at + PART])
-        yield form.QueryResponse(b"")
+        """Return the file of this digest in messages, and an empty one at the end."""
+        text = self._files.get(digest, b"")
+        for offset in range(0, len(text), MESSAGE_BYTES):
+            yield QueryResponse(text[offset : offset + MESSAGE_BYTES])
+        yield QueryResponse(b"")
 
     @property
     def runs(self) -> str:
-        """ "" while it changes."""
-        if self._work is not None and not self._work.done() and self._has:
+        """Return which file is in force, "new" or "old"; "" while it changes."""
+        if self._is_working and self._has_file:
             return ""
-        return "new" if self._plan and self._before.exists() else "old"
+        return "new" if self._plan_id and self._previous_path.exists() else "old"
+
+    @property
+    def _is_working(self) -> bool:
+        return self._task is not None and not self._task.done()
 
     def report(self, plan: RolloutPlan | None) -> str:
-        if plan is None or plan.id != self._plan:
+        """Return this instance's report on a plan, as its metadata carries it; "" for none."""
+        if plan is None or plan.id != self._plan_id:
             return ""
-        requests, bad = self._counts()
-        found = StageReport(
-            self.runs, self._has, self._refused, requests - self._since[0], bad - self._since[1]
+        counts = self._count_requests()
+        report = StageReport(
+            self.runs,
+            self._has_file,
+            self._refusal,
+            counts.ended - self._counts_at_stage.ended,
+            counts.failed - self._counts_at_stage.failed,
         )
-        return found.write(plan.id)
+        return report.write(plan.id)
+
+    def step(self, plan: RolloutPlan | None, names: list[str]) -> None:
+        """Begin what the plan asks of this instance now, unless something is under way.
 
-    def look(self, plan: RolloutPlan | None, names: list[str]) -> None:
-        """Do what the plan wants of this instance now, one thing at a time. `names`: of the fleet."""
+        Args:
+            plan: as it stands.
+            names: of all instances of the fleet.
+        """
         if plan is None:
             return
-        if plan.id != self._plan:
-            self._plan, self._has, self._refused = plan.id, False, ""
-        if plan.version != self._stage:
-            self._stage, self._since = plan.version, self._counts()
-        if self._work is not None and not self._work.done():
+        if plan.id != self._plan_id:
+            self._plan_id = plan.id
+            self._has_file = False
+            self._refusal = ""
+        if plan.version != self._stage_version:
+            self._stage_version = plan.version
+            self._counts_at_stage = self._count_requests()
+        if self._is_working:
             return
-        if plan.stage == "checking" and not self._has and not self._refused:
+        if plan.stage == "checking" and not self._has_file and not self._refusal:
             self._begin(self._fetch(plan))
-        elif not self._refused and wants_new(plan, self.name, names, self.runs) and self.runs == "old":
-            self._begin(self._take(plan))
-        elif self.runs == "new" and not wants_new(plan, self.name, names, self.runs):
+        elif not self._refusal and wants_new(plan, self._name, names, self.runs) and self.runs == "old":
+            self._begin(self._load(plan))
+        elif self.runs == "new" and not wants_new(plan, self._name, names, self.runs):
             self._begin(self._take_back())
 
-    def _begin(self, work: Any) -> None:
-        self._work = asyncio.get_running_loop().create_task(work)
-        self._work.add_done_callback(lambda _: self._tell())
-
-    # Off the loop's way, one at a time.
+    def _begin(self, work: Coroutine[None, None, None]) -> None:
+        self._task = asyncio.get_running_loop().create_task(work)
+        self._task.add_done_callback(lambda _: self._on_changed())
 
     async def _fetch(self, plan: RolloutPlan) -> None:
-        """Whole, by its digest, then checked as a reload would; nothing that runs is touched by it."""
-        if plan.digest not in self.files:
-            text = b""
-            try:
-                async for message in self._ask(plan.origin, form.QueryRequest(f"plan/{plan.digest}")):
-                    if not isinstance(message, form.QueryResponse) or not message.body:
-                        break
-                    text += message.body
-                    if len(text) > FILE_MOST:
-                        break
-            except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError):
-                text = b""
-            if blake3(text).hexdigest(16) != plan.digest:
-                await asyncio.sleep(FETCH_S)  # another try follows, until the stage is over
+        """Fetch the whole file and check it as a reload would; the running configuration is not touched."""
+        if plan.digest not in self._files:
+            text = await self._download(plan)
+            if _digest(text) != plan.digest:
+                await asyncio.sleep(
+                    FETCH_RETRY_INTERVAL_S
+                )  # another attempt follows, until the stage is over
                 return
-            self.files = {plan.digest: text}
-        self._refused = await asyncio.get_running_loop().run_in_executor(
-            None, self._check, self.files[plan.digest]
+            self._files = {plan.digest: text}
+        self._refusal = await asyncio.get_running_loop().run_in_executor(
+            None, self._check, self._files[plan.digest]
         )
-        self._has = not self._refused
+        self._has_file = not self._refusal
+
+    async def _download(self, plan: RolloutPlan) -> bytes:
+        text = b""
+        try:
+            async for message in self._ask(plan.origin, QueryRequest(f"plan/{plan.digest}")):
+                if not isinstance(message, QueryResponse) or not message.body:
+                    break
+                text += message.body
+                if len(text) > MAX_FILE_BYTES:
+                    break
+        except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError):
+            return b""
+        return text
 
     def _check(self, text: bytes) -> str:
+        """Return why this instance can't run the file, "" where it can; called in another thread."""
         try:
-            self._checked.write_bytes(merged(text, self.path.read_bytes()))
-            prepare(self._checked, self.daemon.logger)
+            self._checked_path.write_bytes(merged(text, self._path.read_bytes()))
+            prepare(self._checked_path, self._daemon.logger)
         except ConfigError as error:
             return str(error.problems[0].text)
         except (OSError, ValueError, TypeError, AttributeError) as problem:
             return f"{type(problem).__name__}: {problem}"
         return ""
 
-    async def _take(self, plan: RolloutPlan) -> None:
-        text = self.files.get(plan.digest)
+    async def _load(self, plan: RolloutPlan) -> None:
+        text = self._files.get(plan.digest)
         if text is None:
             await self._fetch(plan)
-            text = self.files.get(plan.digest)
-            if text is None or self._refused:
+            text = self._files.get(plan.digest)
+            if text is None or self._refusal:
                 return
-        new = merged(text, self.path.read_bytes())
-        self._before.write_bytes(self.path.read_bytes())
+        new = merged(text, self._path.read_bytes())
+        self._previous_path.write_bytes(self._path.read_bytes())
         if not await self._reload(new):
-            self._refused = "the reload was refused; the log of the instance says why"
-            self.path.write_bytes(self._before.read_bytes())
-            self._before.unlink()
+            self._refusal = "the reload was refused; the log of the instance says why"
+            self._path.write_bytes(self._previous_path.read_bytes())
+            self._previous_path.unlink()
 
     async def _take_back(self) -> None:
-        old = self._before.read_bytes()
-        if await self._reload(old):
-            self._before.unlink()
+        if await self._reload(self._previous_path.read_bytes()):
+            self._previous_path.unlink()
 
     async def _reload(self, text: bytes) -> bool:
-        """Whether it was taken."""
-        new = self.path.with_name(f".{self.path.name}.new")
-        new.write_bytes(text)
-        os.replace(new, self.path)
-        taken = self.daemon.reloads
-        self.daemon.reload()
-        while self.daemon.reloading:
-            await asyncio.sleep(0.01)
-        return self.daemon.reloads > taken
-
-
-def rows(plan: RolloutPlan | None, cards: Mapping[str, Mapping[str, str]]) -> dict[str, Any]:
-    """For `fleet rollout status`."""
+        """Replace the configuration; return whether the daemon has taken it."""
+        new_path = self._path.with_name(f".{self._path.name}.new")
+        new_path.write_bytes(text)
+        os.replace(new_path, self._path)
+        reloads = self._daemon.reloads
+        self._daemon.reload()
+        while self._daemon.reloading:
+            await asyncio.sleep(RELOAD_POLL_INTERVAL_S)
+        return self._daemon.reloads > reloads
+
+
+def _digest(text: bytes) -> str:
+    return blake3(text).hexdigest(DIGEST_BYTES)
+
+
+def rollout_status(plan: RolloutPlan | None, metadata: Mapping[str, Mapping[str, str]]) -> JsonObject:
+    """Return what `fleet rollout status` shows.
+
+    Args:
+        plan: the latest rollout.
+        metadata: of all instances, by their names.
+    """
     if plan is None:
         return {"rollout": None}
-    found = []
-    for name, card in sorted(cards.items()):
-        report = StageReport.read(card.get("plan", ""), plan.id)
-        row: dict[str, Any] = {"instance": name, "runs": "not known"}
-        if report is not None:
-            row |= {
-                "runs": report.runs or "changing",
-                "has": report.has,
-                "refused": report.refused or None,
-                "requests": report.requests,
-                "bad": report.bad,
-            }
-        found.append(row)
     return {
         "rollout": msgspec.to_builtins(plan),
         "stage": plan.stage,
         "why": plan.why or None,
-        "instances": found,
+        "instances": [_instance_row(plan, name, fields) for name, fields in sorted(metadata.items())],
+    }
+
+
+def _instance_row(plan: RolloutPlan, name: str, metadata: Mapping[str, str]) -> JsonObject:
+    report = StageReport.read(metadata.get("plan", ""), plan.id)
+    if report is None:
+        return {"instance": name, "runs": "not known"}
+    return {
+        "instance": name,
+        "runs": report.runs or "changing",
+        "has": report.has,
+        "refused": report.refused or None,
+        "requests": report.requests,
+        "bad": report.bad,
     }
