--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -43,10 +43,12 @@
 #: Seconds between two requests of each of the clients at one daemon; ten a daemon.
 PAUSE, CLIENTS = 0.08, 10
 SPAN = 0.1
-NO_PACE = "from loadbalancer.daemon.recovery import RecoveryService as R; R._pace = lambda self, wish: None\n"
+NO_PACE = (
+    "from loadbalancer.daemon.recovery import RecoveryService as R; R._set_pace = lambda self, pace: None\n"
+)
 NO_LESSONS = (
     "from loadbalancer.daemon.recovery import RecoveryService as R\n"
-    "async def _none(self, names): self.comeback.learnt()\nR._learn = _none\n"
+    "async def _none(self, names): self.coordinator.learnt()\nR._learn = _none\n"
 )
 #: By name: what runs ahead of the program, and whether there is one state.
 BUILDS = {
--- a/loadbalancer/daemon/applied_state.py
+++ b/loadbalancer/daemon/applied_state.py
@@ -73,15 +73,17 @@
         self.apply_all()
 
     def expire(self, now: float) -> Iterator[CommandContent]:
-        """Return commands that end what is over; the first instance to see it proposes it for all."""
+        """Return commands that end what is over; the first instance to see it proposes it for all.
+
+        What a command ends is noted before it is returned, so the caller may propose each at once.
+        """
         for touched, expiry in list(self._expiries.items()):
             if now < expiry.at:
                 continue
             self._expiries[touched] = Expiry(expiry.version, now + EXPIRY_RETRY_INTERVAL_S)
-            kind, pool, *endpoint = touched
+            kind, pool, *names = touched
             if kind == "mark":
-                lifted = dict.fromkeys(endpoint)
-                yield CommandContent(kind, MarkBody(pool, lifted, 0.0, expiry.version))
+                yield CommandContent(kind, MarkBody(pool, {names[0]: None}, 0.0, expiry.version))
             else:
                 yield CommandContent(kind, MoveBody(pool, None, 0.0, expiry.version))
 
--- a/loadbalancer/daemon/component_factory.py
+++ b/loadbalancer/daemon/component_factory.py
@@ -114,7 +114,7 @@
         raise ConfigError([Problem(str(plan.path), "fleet", text)]) from None
 
     assert table is not None
-    return FleetComponent(daemon, table, plan.path, made)
+    return FleetComponent(daemon, table, plan.path, made, prepare)
 
 
 #: In the order in which they are made, and against which they end.
--- a/loadbalancer/daemon/daemon.py
+++ b/loadbalancer/daemon/daemon.py
@@ -53,12 +53,12 @@
 RELOAD_SPARES = 2
 
 
-class Daemon(Retirement):
+class Daemon:
     """Listeners, pools and parts of one configuration at a time."""
 
     def __init__(self, logger: RateLimitedLogger, seed: int | None = None) -> None:
         """`seed`: of all random choices; from the system if it is not given."""
-        super().__init__()
+        self.retirement = Retirement()
         self.logger = logger
         self.plan: Plan | None = None
         self.parts: dict[str, Component] = {}
@@ -81,6 +81,11 @@
         self._reloading: asyncio.Task[None] | None = None
         self._again = False  # another reload was asked for while one ran
 
+    @property
+    def retiring(self) -> int:
+        """Pools and listeners that a reload took out, and that are not closed yet."""
+        return len(self.retirement)
+
     @property
     def extensions(self) -> PluginComponent | None:
         """Plug-ins."""
@@ -223,7 +228,7 @@
         slots, shares = division
         for name in list(self.pools):
             if name in made or name not in plan.pools:
-                self._retire_pool(self.pools.pop(name))
+                self.retirement.retire_pool(self.pools.pop(name))
         for name, pool in self.pools.items():
             try:
                 pool.update(plan.pools[name])
@@ -250,7 +255,7 @@
     ) -> None:
         running = {name: self.listeners.pop(old) for name, old in kept.items()}
         for listener in self.listeners.values():
-            self._retire_listener(listener)
+            self.retirement.retire_listener(listener)
         self.listeners = running
         targets = {name: self._target(plan, name) for name in plan.routes}
         for name, listener_plan in plan.listeners.items():
@@ -333,7 +338,7 @@
         self._learn()
         for part in self.parts.values():
             part.look()
-        self._close_retired()
+        self.retirement.close_idle()
 
     def _heed_limit(self) -> None:
         """Guards against a limit of descriptors that is lowered while the process runs, or was lower than the file
@@ -407,7 +412,7 @@
         longest = self.plan.longest if self.plan is not None else 0.0
         for pool in self.pools.values():
             pool.proxy.tunnels.retire()
-        listeners = [*self.listeners.values(), *self.retiring_listeners]
+        listeners = [*self.listeners.values(), *self.retirement.listeners]
         await drain(listeners, longest, longest + END_BESIDE_S, succeeded)
         self.close()
 
@@ -415,11 +420,11 @@
         self.spares.close()
         self._timer.cancel()
         self._window.cancel()
-        for listener in (*self.listeners.values(), *self.retiring_listeners):
+        for listener in (*self.listeners.values(), *self.retirement.listeners):
             listener.stop()
-        for pool in (*self.pools.values(), *(pool for _, pool in self.retiring_pools)):
+        for pool in (*self.pools.values(), *(retired.pool for retired in self.retirement.pools)):
             pool.close()
         for part in reversed(self.parts.values()):
             part.end()
         self.listeners, self.pools, self.parts = {}, {}, {}
-        self.retiring_listeners, self.retiring_pools = [], []
+        self.retirement = Retirement()
--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as a part of the daemon: its key, its sockets, what passes at an upgrade, and whom its numbers are for."""
+"""The fleet as a component of the daemon: composes the services of a fleet member, and answers operators for them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import socket
 import time
 from pathlib import Path
-from typing import TYPE_CHECKING, Any, Callable, Iterator, Mapping, cast
+from typing import TYPE_CHECKING, Any, Callable, Mapping, cast
 
 from loadbalancer.admin.calls import Change
 from loadbalancer.admin.snapshot import FleetSnapshot
@@ -14,10 +14,17 @@
 from loadbalancer.config.reader import ConfigError, Problem, read_address
 from loadbalancer.config.types import FleetTable
 from loadbalancer.daemon.components import Component, DaemonContext
-from loadbalancer.daemon.fleet_interfaces import OverrideTarget
+from loadbalancer.daemon.fleet_interfaces import (
+    AnswerCallback,
+    JsonObject,
+    OverrideTarget,
+    PrepareConfiguration,
+    StreamedAnswer,
+)
+from loadbalancer.daemon.fleet_keys import KeyFile
 from loadbalancer.daemon.fleet_peers import FleetPeers
 from loadbalancer.daemon.recovery import RecoveryService
-from loadbalancer.daemon.replication_service import ReplicationService
+from loadbalancer.daemon.replication_service import ReplicationContext, ReplicationService
 from loadbalancer.daemon.rolling_restart import RollingRestartService
 from loadbalancer.daemon.rollout import rollout_status
 from loadbalancer.fleet import report
@@ -26,15 +33,13 @@
 from loadbalancer.fleet.orchestration.fleet_size import FleetSize
 from loadbalancer.fleet.settings import PROFILES, Identity, Settings
 from loadbalancer.fleet.transport import FleetTransport
-from loadbalancer.fleet.wire import Message, Sealer, read_keys
-from loadbalancer.tls.files import read, stamps
-from loadbalancer.tls.pairs import PairError
+from loadbalancer.fleet.wire import Message, Sealer
 
 if TYPE_CHECKING:
     from loadbalancer.daemon.storage import Storage
 
-#: What operators say of the roster, beside what they say of pools.
-VERBS = {
+#: Operators' changes of the replicated state, beside those of pools: wanted fields, and a line about each.
+REPLICATION_VERBS = {
     "fleet/enrol": (frozenset(("name",)), "an instance votes from now on, by the store that it has"),
     "fleet/expel": (frozenset(("name",)), "an instance votes no more"),
     "fleet/rollout": (
@@ -45,211 +50,273 @@
     "fleet/back": (frozenset(), "a roll-out is taken back"),
     "fleet/recover": (frozenset(("roster",)), "a minority goes on alone, after a majority was lost for good"),
 }
-#: What they say of instances, with a state of the fleet or without.
-RESTART = {
+#: Their changes of instances, with a replicated state or without.
+RESTART_VERBS = {
     "fleet/restart": (
         frozenset[str](),
         "all instances, each group in full service before the next",
     )
 }
-#: How often the key's file is looked at, in seconds.
-KEY_LOOK_S = 1.0
+#: Bits of the number by which two processes under one name are told apart.
+BOOT_BITS = 62
 
 
-def read_sealer(path: Path) -> Sealer:
-    """ValueError says what is wrong with the key's file."""
-    try:
-        return Sealer(read_keys(read(path, private=True).decode("ascii")))
-    except PairError as problem:
-        raise ValueError(str(problem.problems[0])) from None
-    except UnicodeDecodeError:
-        raise ValueError(f"{path}: keys are hexadecimal digits") from None
+class FleetComponent(Component):
+    """One for a daemon with `[fleet]`.
 
+    It owns the fleet transport, whose sockets `end` closes, and the services, which `end` ends.
 
-class FleetComponent(Component):
-    """One for a daemon with `[fleet]`. It owns the link; `end` gives its sockets back."""
+    Attributes:
+        table: the configuration.
+        view: the membership view.
+        transport: the sockets between instances.
+        replication: the replicated state, None in a fleet without voters.
+        recovery: how this instance comes back after a restart.
+        rolling_restart: restarts of the fleet.
+    """
 
     def __init__(
-        self, daemon: DaemonContext, table: FleetTable, path: Path, made: Mapping[str, Component]
+        self,
+        daemon: DaemonContext,
+        table: FleetTable,
+        path: Path,
+        made: Mapping[str, Component],
+        prepare: PrepareConfiguration,
     ) -> None:
-        """ConfigError where the key or the address can't be had."""
-        self.daemon, self.table, self.logger = daemon, table, daemon.logger
-        self._key_path = path.parent / table.key_file
-        self._key_stamp = stamps([self._key_path])
-        self._key_at = time.monotonic()
-        source = random.SystemRandom()
-        boot = source.getrandbits(62) + 1
-        bound = read_address(table.bind)
-        advertised = read_address(table.advertise) if table.advertise else bound
-        identity = Identity(table.name, boot, advertised, table.zone)
-        seeds = tuple(read_address(text) for text in table.seeds)
-        settings = Settings(seeds, table.instances, PROFILES[table.profile])
-        self.view = MembershipView(identity, settings, source.getrandbits(60))
-        self.share = FleetSize(table.instances)
-        self._counted = table.instances
-        # Of the process before; the daemon forgets it once its pools have what they can use.
-        self._place = daemon.learnt.fleet if daemon.learnt is not None else None
-        if self._place is not None and self._place.name != table.name:
-            self._place = None
+        """Open the sockets; nothing is read of them before `serve`.
+
+        Args:
+            daemon: whose pools and log are used.
+            table: the configuration.
+            path: of the configuration's file, beside which the key file is.
+            made: the components that were made before this one, by their names.
+            prepare: checks a configuration that is rolled out.
+
+        Raises:
+            ConfigError: the keys can't be read.
+            OSError: the address can't be bound.
+        """
+        self.table = table
+        self._daemon = daemon
+        self._logger = daemon.logger
+        self._key_file = KeyFile(path.parent / table.key_file)
+        self._inherited = _inherited_snapshot(daemon, table)
+        self.view = _make_view(table)
+        self._size = FleetSize(table.instances)
+        self._instance_count = table.instances
+        self.transport = self._open_transport(path)
+        peers = FleetPeers(table.name, self.transport, self.view)
+        self.replication: ReplicationService | None = None
+        if table.voters:
+            self.replication = self._make_replication(peers, path, made, prepare)
+        has_stored_state = self.replication is not None and self.replication.state.version > 0
+        self.recovery = RecoveryService(daemon, peers, self.view, has_stored_state, self._may_act)
+        self.rolling_restart = RollingRestartService(
+            daemon, peers, self.view, lambda: self.recovery.in_full_service
+        )
+        self.transport.streams = self._answer
+
+    def _open_transport(self, path: Path) -> FleetTransport:
         try:
-            sealer = read_sealer(self._key_path)
+            sealer: Sealer = self._key_file.read()
         except ValueError as problem:
             raise ConfigError([Problem(str(path), "fleet.key_file", str(problem))]) from None
-        note: Callable[[str, str], None] = self.logger
-        taken = daemon.taken
+        bound = read_address(self.table.bind)
+        log_notice: Callable[[str, str], None] = self._logger
+        taken = self._daemon.taken
         claimed = (None, None) if taken is None else (taken.claim_datagrams(bound), taken.claim(bound))
-        self.link = FleetTransport(self.view, table.name, boot, sealer, bound, note, claimed)
-        self.agreed: ReplicationService | None = None
-        if table.voters:
-            storage = cast("Storage | None", made.get("store"))
-            store = storage.store if storage is not None else None
-            peers = FleetPeers(table.name, self.link, self.view)
-            overrides = cast(OverrideTarget, made["control"])
-            self.agreed = ReplicationService(daemon, table, self.link, peers, overrides, store, path)
-        kept = self.agreed is not None and self.agreed.state.version > 0
-        may_act = self.agreed.lease.may_act if self.agreed is not None else lambda: True
-        self.returning = RecoveryService(daemon, table.name, self.link, self.view, kept, may_act)
-        self.restarting = RollingRestartService(daemon, table.name, self.link, self.view, self.returning)
-        self.link.streams = self._answer
+        boot = self.view.own_state.boot
+        return FleetTransport(self.view, self.table.name, boot, sealer, bound, log_notice, claimed)
+
+    def _make_replication(
+        self, peers: FleetPeers, path: Path, made: Mapping[str, Component], prepare: PrepareConfiguration
+    ) -> ReplicationService:
+        storage = cast("Storage | None", made.get("store"))
+        return ReplicationService(
+            ReplicationContext(
+                daemon=self._daemon,
+                table=self.table,
+                transport=self.transport,
+                peers=peers,
+                overrides=cast(OverrideTarget, made["control"]),
+                store=storage.store if storage is not None else None,
+                path=path,
+                prepare=prepare,
+            )
+        )
+
+    def _may_act(self) -> bool:
+        return self.replication is None or self.replication.lease.may_act()
+
+    # Lifecycle.
 
     def serve(self) -> None:
-        """Take part from now on. Of a place that was taken over, nobody sees a death."""
-        place = self._place
+        """Take part from now on; where this process has replaced another one, no instance sees a death."""
+        inherited = self._inherited
         first: list[Action] = []
-        if place is not None:
-            first = self.view.resume(time.monotonic(), place.life, place.facts)
-        self.link.start(first)
-        self.returning.start(place is not None)
-        if self.agreed is not None:
-            if place is not None:
-                self.agreed.lease.inherit(place.version, place.lease)
-            self.agreed.start()
-
-    def _answer(self, message: Message) -> Iterator[tuple[Message, float]] | None:
-        """What a stream of another instance gets that begins so."""
-        found = self.returning.answer(message) or self.restarting.answer(message)
-        return found if found is not None or self.agreed is None else self.agreed.answer(message)
+        if inherited is not None:
+            first = self.view.resume(time.monotonic(), inherited.life, inherited.facts)
+        self.transport.start(first)
+        self.recovery.start(inherited is not None)
+        if self.replication is not None:
+            if inherited is not None:
+                self.replication.lease.inherit(inherited.version, inherited.lease)
+            self.replication.start()
 
     def reload(self, plan: Plan) -> None:
-        """Pools ask the fence ahead of each send, and give the version to whoever asks why."""
-        agreed = self.agreed
-        if agreed is None:
+        """Have all pools ask the lease before each send, and note the version in decision traces."""
+        replication = self.replication
+        if replication is None:
             return
-        agreed.configured(plan.path)
-        for name, pool in self.daemon.pools.items():
-            stays = plan.pools[name].table.sticky_while_draining
-            pool.proxy.backends.barred = agreed.send_guard.for_pool(name, stays)
-            pool.proxy.fence = agreed.lease.may_act
+        replication.metadata.configured(plan.path)
+        for name, pool in self._daemon.pools.items():
+            sticky = plan.pools[name].table.sticky_while_draining
+            pool.proxy.backends.barred = replication.send_guard.for_pool(name, sticky)
+            pool.proxy.fence = replication.lease.may_act
             if pool.proxy.trace is not None:
-                pool.proxy.trace.version = lambda: agreed.state.version
-
-    def more_verbs(self) -> Mapping[str, tuple[frozenset[str], str]]:
-        return {**VERBS, **RESTART} if self.agreed is not None else RESTART
-
-    def take_change(self, change: Change, done: Callable[[Any], None]) -> bool:
-        if change.verb in RESTART:
-            self.restarting.begin(change, done)
-            return True
-        return self.agreed is not None and self.agreed.commands.submit(change, done)
-
-    def asks(self) -> Mapping[str, Callable[[Callable[[Any], None]], None]]:
-        return {"fleet/versions": self.agreed.report.collect} if self.agreed is not None else {}
-
-    def note(self) -> FleetSnapshot:
-        """What a successor goes on from."""
-        life, facts = self.view.hand_over()
-        agreed = self.agreed
-        if agreed is None:
-            return FleetSnapshot(self.table.name, life, facts)
-        return FleetSnapshot(self.table.name, life, facts, agreed.state.version, agreed.lease.expires_at())
+                pool.proxy.trace.version = lambda: replication.state.version
 
     def look(self) -> None:
-        self._look_at_key()
-        self.returning.look()
-        now = time.monotonic()
-        count = self.share.step(now, self.view.fleet_size, report.is_settled(self.view, now))
-        if count.instances != self._counted:
-            self._counted = count.instances
-            self.logger("fleet: instances counted with", count.instances)
-        for pool in self.daemon.pools.values():
-            pool.count_instances(count.instances)
-
-    def _look_at_key(self) -> None:
-        """Guards against a new key that is half written: what was read last stays in force."""
+        """Look at the keys, the recovery, and the number of instances that limits are divided by."""
+        self._look_at_keys()
+        self.recovery.step()
         now = time.monotonic()
-        if now - self._key_at < KEY_LOOK_S:
-            return
-        self._key_at = now
-        stamp = stamps([self._key_path])
-        if stamp == self._key_stamp:
+        size = self._size.step(now, self.view.fleet_size, report.is_settled(self.view, now))
+        if size.instances != self._instance_count:
+            self._instance_count = size.instances
+            self._logger("fleet: instances counted with", size.instances)
+        for pool in self._daemon.pools.values():
+            pool.count_instances(size.instances)
+
+    def _look_at_keys(self) -> None:
+        """Read changed keys. A file that is half written can't be read, and the keys before stay in force."""
+        if not self._key_file.has_changed():
             return
-        self._key_stamp = stamp
         try:
-            self.link.sealer = read_sealer(self._key_path)
+            self.transport.sealer = self._key_file.read()
         except ValueError as problem:
-            self.logger("fleet: the new key is not taken", problem)
+            self._logger("fleet: the new key is not taken", problem)
         else:
-            self.logger("fleet: key taken", f"{len(self.link.sealer.keys)} in force")
+            self._logger("fleet: key taken", f"{len(self.transport.sealer.keys)} in force")
 
     def retire(self) -> None:
-        """The successor has the place."""
-        self.link.hand(ProcessReplaced())
-        self.link.pause_reading()
+        """Stop taking part: another process does so under this name."""
+        self.transport.hand(ProcessReplaced())
+        self.transport.pause_reading()
+
+    def end(self) -> None:
+        """End the services, tell others that this instance leaves unless it was replaced, and close the sockets."""
+        if self.replication is not None:
+            self.replication.end()
+        self.recovery.end()
+        self.rolling_restart.end()
+        self.transport.hand(Leave())
+        self.transport.close()
+
+    # Hot restart.
 
     def sockets(self) -> list[socket.socket]:
-        return [self.link.udp, self.link.tcp]
+        """Return the sockets that pass to the next process."""
+        return [self.transport.udp, self.transport.tcp]
 
-    def figures(self) -> Mapping[str, Any]:
-        found = report.status(self.view, time.monotonic())
-        keys = ("state", "settled", "digest", "living", "suspected", "dead")
-        box = {key: found[key] for key in keys}
-        if self.agreed is not None:
-            standing = self.agreed.report.status()
-            box["version"] = standing["version"]
-            box["behind"] = standing["behind"]
-            box["shut_out"] = standing["shut_out"]
-        return {"fleet": box}
+    def note(self) -> FleetSnapshot:
+        """Return what the next process goes on from."""
+        life, facts = self.view.hand_over()
+        replication = self.replication
+        if replication is None:
+            return FleetSnapshot(self.table.name, life, facts)
+        version, lease = replication.state.version, replication.lease.expires_at()
+        return FleetSnapshot(self.table.name, life, facts, version, lease)
+
+    # Other instances and operators.
+
+    def _answer(self, message: Message) -> StreamedAnswer | None:
+        """Return the answer to a connection of another instance that begins with this message."""
+        found = self.recovery.answer(message) or self.rolling_restart.answer(message)
+        if found is not None or self.replication is None:
+            return found
+        return self.replication.answer(message)
+
+    def more_verbs(self) -> Mapping[str, tuple[frozenset[str], str]]:
+        """Return the changes that this component takes beside those of pools."""
+        return {**REPLICATION_VERBS, **RESTART_VERBS} if self.replication is not None else RESTART_VERBS
+
+    def take_change(self, change: Change, done: AnswerCallback) -> bool:
+        """Take an operator's change; return whether it is one of the fleet.
+
+        Raises:
+            CallError: it can't be done.
+        """
+        if change.verb in RESTART_VERBS:
+            self.rolling_restart.begin(change, done)
+            return True
+        return self.replication is not None and self.replication.commands.submit(change, done)
+
+    def asks(self) -> Mapping[str, Callable[[Callable[[Any], None]], None]]:
+        """Return the reads that other instances have to be asked for."""
+        return {"fleet/versions": self.replication.report.collect} if self.replication is not None else {}
 
     def reads(self) -> Mapping[str, Callable[[], Any]]:
+        """Return the reads that this instance answers alone."""
         found: dict[str, Callable[[], Any]] = {
             "fleet/members": self._read_members,
             "fleet/status": self._read_status,
-            "fleet/restart": self.restarting.report,
+            "fleet/restart": self.rolling_restart.report,
         }
-        if self.agreed is not None:
+        if self.replication is not None:
             found["fleet/rollout"] = self._read_rollout
         return found
 
-    def _read_rollout(self) -> dict[str, Any]:
-        agreed = self.agreed
-        assert agreed is not None
-        return rollout_status(
-            agreed.state.rollout_plan,
-            {**agreed.replica.peer_metadata, self.table.name: agreed.replica.metadata},
-        )
+    def figures(self) -> Mapping[str, Any]:
+        """Return what the daemon's status shows of the fleet."""
+        status = report.status(self.view, time.monotonic())
+        keys = ("state", "settled", "digest", "living", "suspected", "dead")
+        fleet = {key: status[key] for key in keys}
+        if self.replication is not None:
+            replication = self.replication.report.status()
+            fleet["version"] = replication["version"]
+            fleet["behind"] = replication["behind"]
+            fleet["shut_out"] = replication["shut_out"]
+        return {"fleet": fleet}
+
+    def _read_rollout(self) -> JsonObject:
+        assert self.replication is not None
+        replica = self.replication.replica
+        metadata = {**replica.peer_metadata, self.table.name: replica.metadata}
+        return rollout_status(self.replication.state.rollout_plan, metadata)
 
     def _read_members(self) -> list[dict[str, Any]]:
         return report.rows(self.view, time.monotonic())
 
-    def _read_status(self) -> dict[str, Any]:
+    def _read_status(self) -> JsonObject:
         now = time.monotonic()
-        found = report.status(self.view, now)
-        count = self.share.step(now, self.view.fleet_size, bool(found["settled"]))
-        if self.agreed is not None:
-            found["agreed"] = self.agreed.report.status()
-        found["coming_back"] = self.returning.report()
+        found: JsonObject = report.status(self.view, now)
+        size = self._size.step(now, self.view.fleet_size, bool(found["settled"]))
+        if self.replication is not None:
+            found["agreed"] = self.replication.report.status()
+        found["coming_back"] = self.recovery.report()
         return found | {
-            "counted_with": count.instances,
-            "counted_as": count.standing,
-            "keys": [f"{number:02x}" for number in self.link.sealer.keys],
-            "wire": dict(sorted(self.link.counts.items())),
+            "counted_with": size.instances,
+            "counted_as": size.standing,
+            "keys": [f"{number:02x}" for number in self.transport.sealer.keys],
+            "wire": dict(sorted(self.transport.counts.items())),
         }
 
-    def end(self) -> None:
-        """Leave politely, unless the place has passed on."""
-        if self.agreed is not None:
-            self.agreed.end()
-        self.returning.end()
-        self.restarting.end()
-        self.link.hand(Leave())
-        self.link.close()
+
+def _inherited_snapshot(daemon: DaemonContext, table: FleetTable) -> FleetSnapshot | None:
+    """Return what the process before has passed on under this name.
+
+    It is read at once, since the daemon forgets it when its pools have what they can use.
+    """
+    inherited = daemon.learnt.fleet if daemon.learnt is not None else None
+    return inherited if inherited is not None and inherited.name == table.name else None
+
+
+def _make_view(table: FleetTable) -> MembershipView:
+    source = random.SystemRandom()
+    boot = source.getrandbits(BOOT_BITS) + 1
+    advertised = read_address(table.advertise) if table.advertise else read_address(table.bind)
+    identity = Identity(table.name, boot, advertised, table.zone)
+    seeds = tuple(read_address(text) for text in table.seeds)
+    settings = Settings(seeds, table.instances, PROFILES[table.profile])
+    return MembershipView(identity, settings, source.getrandbits(60))
--- a/loadbalancer/daemon/fleet_interfaces.py
+++ b/loadbalancer/daemon/fleet_interfaces.py
@@ -2,17 +2,21 @@
 
 from __future__ import annotations
 
+from pathlib import Path
 from typing import Callable, Iterator, Mapping, NamedTuple, Protocol
 
 from loadbalancer.admin.calls import Change
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.wire import Message
+from loadbalancer.resource_limits import RateLimitedLogger
 from loadbalancer.routing.traffic_migration import Migration
 
 #: An object of an answer to an operator, as it is encoded to JSON.
 JsonObject = dict[str, object]
 #: Receives the one answer to an operator's call.
 AnswerCallback = Callable[[JsonObject], None]
+#: Loads a configuration file, and checks all that a reload would need; raises ConfigError or OSError.
+PrepareConfiguration = Callable[[Path, RateLimitedLogger], object]
 #: Seconds on a clock that also runs while the machine sleeps.
 Clock = Callable[[], float]
 
--- /dev/null
+++ b/loadbalancer/daemon/fleet_keys.py
@@ -0,0 +1,46 @@
+"""The file of the keys that seal a fleet's messages, which may change while the daemon runs."""
+
+from __future__ import annotations
+
+import time
+from pathlib import Path
+
+from loadbalancer.fleet.wire import Sealer, read_keys
+from loadbalancer.tls.files import read, stamps
+from loadbalancer.tls.pairs import PairError
+
+#: Seconds between two looks at the file.
+POLL_INTERVAL_S = 1.0
+
+
+class KeyFile:
+    """Reads the keys again when the file has changed. The file is open only while it is read."""
+
+    def __init__(self, path: Path) -> None:
+        self._path = path
+        self._stamp = stamps([path])
+        self._polled_at = time.monotonic()
+
+    def read(self) -> Sealer:
+        """Return the keys.
+
+        Raises:
+            ValueError: says what is wrong with the file.
+        """
+        try:
+            return Sealer(read_keys(read(self._path, private=True).decode("ascii")))
+        except PairError as problem:
+            raise ValueError(str(problem.problems[0])) from None
+        except UnicodeDecodeError:
+            raise ValueError(f"{self._path}: keys are hexadecimal digits") from None
+
+    def has_changed(self) -> bool:
+        """Return whether the file differs from the last time; it is looked at once in POLL_INTERVAL_S."""
+        now = time.monotonic()
+        if now - self._polled_at < POLL_INTERVAL_S:
+            return False
+        self._polled_at = now
+        stamp = stamps([self._path])
+        changed = stamp != self._stamp
+        self._stamp = stamp
+        return changed
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -1,6 +1,6 @@
-"""How one daemon of a fleet comes back.
+"""Recovery of one daemon after its start.
 
-Carries out what `fleet.orchestration.recovery` decides, with the pools, the link and the log.
+Carries out what `fleet/orchestration/recovery.py` decides, with the pools, the other instances and the log.
 """
 
 from __future__ import annotations
@@ -8,19 +8,12 @@
 import asyncio
 import random
 import time
-from typing import Any, Callable, Iterator
+from typing import Callable, Coroutine
 
-from loadbalancer.admin.snapshot import (
-    PoolSnapshot,
-    Snapshot,
-    SnapshotError,
-    decode,
-    encode,
-    note_pool,
-    restore_pool,
-)
-from loadbalancer.admin.snapshot_merge import combine
 from loadbalancer.daemon.components import DaemonContext
+from loadbalancer.daemon.fleet_interfaces import JsonObject, StreamedAnswer
+from loadbalancer.daemon.fleet_peers import FleetPeers
+from loadbalancer.daemon.peer_learning import LIST_QUERY_PREFIX, SNAPSHOT_QUERY, PeerLearning, empty_answer
 from loadbalancer.fleet.membership.member_table import NOT_HEARD
 from loadbalancer.fleet.membership.view import MembershipView
 from loadbalancer.fleet.orchestration.recovery import (
@@ -33,235 +26,217 @@
     is_full,
     return_after,
     turn,
-)  # fmt: skip
-from loadbalancer.fleet.replication import messages as form
-from loadbalancer.fleet.transport import FleetTransport
+)
+from loadbalancer.fleet.replication.messages import QueryRequest
 from loadbalancer.fleet.wire import Message
 from loadbalancer.policy.state import SPARSE
 from loadbalancer.upstreams.pacing import Pacer
 
-#: Seconds between two looks until the instance is full, and that a survivor has to tell.
-LOOK_S, TELL_S = 0.05, 1.5
-#: Bytes of what was learnt in one message, and of all of one answer.
-PART, LEARNT_MOST = 12 << 10, 8 << 20
-#: Between two questions for a list at the first of those that come back.
-FIRST_S = 0.1
-#: Requests after which the rate of an instance is known well enough.
-SEEN_LEAST = 20
-#: Between the calls of two that come back together to a source of lists, and over which all are spread.
-SOURCE_S, SOURCES_S = 0.25, 5.0
+#: Seconds between two steps until the instance is in full service.
+STEP_INTERVAL_S = 0.05
+#: Seconds between two questions for a list at the first of those that recover together.
+LIST_RETRY_INTERVAL_S = 0.1
+#: Requests from which on the request rate of an instance is known well enough.
+MIN_REQUESTS_FOR_RATE = 20
+#: The shortest time that a request rate is measured over, in seconds.
+MIN_RATE_PERIOD_S = 0.1
+#: Seconds between the calls of two instances that recover together to a discovery service.
+DISCOVERY_TURN_S = 0.25
+#: Seconds over which the calls of all of them are spread at most.
+MAX_DISCOVERY_SPREAD_S = 5.0
 
 
 class RecoveryService:
-    """One daemon's. It owns a timer until the instance is full, and the task that asks survivors."""
+    """Takes this instance through the phases of a recovery.
+
+    It owns a timer until the instance is in full service, and the tasks that ask other instances; `end` cancels them.
+    """
 
     def __init__(
         self,
         daemon: DaemonContext,
-        name: str,
-        link: FleetTransport,
+        peers: FleetPeers,
         view: MembershipView,
-        kept: bool,
+        has_stored_state: bool,
         may_act: Callable[[], bool],
     ) -> None:
-        self.daemon, self.link, self.view, self._kept, self._may_act = daemon, link, view, kept, may_act
-        self.comeback = RecoveryCoordinator(name, time.monotonic())
+        """Hand in what a recovery is judged by.
+
+        Args:
+            daemon: whose pools recover.
+            peers: the other instances.
+            view: tells their phases, and is told this one's.
+            has_stored_state: the store held a replicated state.
+            may_act: whether this instance may send.
+        """
+        self.view = view
+        self.coordinator = RecoveryCoordinator(peers.name, time.monotonic())
+        self._daemon = daemon
+        self._has_stored_state = has_stored_state
+        self._may_act = may_act
+        self._learning = PeerLearning(daemon, peers)
         self.view.phase = RecoveryPhase.FINDING
         self._random = random.Random()
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
-        self._asking: asyncio.Task[None] | None = None
-        self._lessons: Snapshot | None = None  # for pools whose members are not listed yet
-        self._per_member = 0.0  # openings a second, while there is a pace
-        self.asked: dict[str, str] = {}  # survivors, and what became of it
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._connections_per_endpoint_s = 0.0  # while there is a pace
         self._ended = False
 
-    def start(self, upgraded: bool) -> None:
-        """`upgraded`: in the place of a process that has passed on all that it knew."""
-        if upgraded:
-            self.comeback.phase = RecoveryPhase.FULL
+    @property
+    def in_full_service(self) -> bool:
+        """Whether the recovery is over."""
+        return self.coordinator.phase == RecoveryPhase.FULL
+
+    def start(self, replaces_process: bool) -> None:
+        """Begin the recovery; there is none in the place of a process that has passed on all that it knew."""
+        if replaces_process:
+            self.coordinator.phase = RecoveryPhase.FULL
             self.view.phase = RecoveryPhase.FULL
         else:
             self._tick()
 
     def end(self) -> None:
+        """Cancel the timer and the tasks."""
         self._ended = True
         if self._timer is not None:
             self._timer.cancel()
-        if self._asking is not None:
-            self._asking.cancel()
+        for task in self._tasks:
+            task.cancel()
 
     def _tick(self) -> None:
         if self._ended:
             return
-        self.look()
-        if self.comeback.phase != RecoveryPhase.FULL:
-            self._timer = self._loop.call_later(LOOK_S, self._tick)
-
-    def look(self) -> None:
-        """Also a few times a second once it is full: who is told to return hears how many come back."""
-        now, seen = time.monotonic(), self._seen()
-        for wish in self.comeback.step(now, seen):
-            if isinstance(wish, PhaseChanged):
-                self.view.phase = wish.phase
-                if wish.phase == RecoveryPhase.WARMING:
-                    self._release(seen)
-                text = f"{wish.phase.name.lower()} after {wish.elapsed:.2f} s: {wish.reason}"
-                self.daemon.logger(f"fleet: coming back: {wish.phase.name.lower()}", text)
-            elif isinstance(wish, LearnFromPeers):
-                self._asking = self._loop.create_task(self._learn(wish.names))
-            elif isinstance(wish, ConnectionPace):
-                self._pace(wish)
-        for pool in self.daemon.pools.values():
+        self.step()
+        if not self.in_full_service:
+            self._timer = self._loop.call_later(STEP_INTERVAL_S, self._tick)
+
+    def step(self) -> None:
+        """Carry out what is due.
+
+        Also called a few times a second in full service, since clients that are told to retry later are spread by the
+        number of instances that recover.
+        """
+        now = time.monotonic()
+        seen = self._observe()
+        for action in self.coordinator.step(now, seen):
+            match action:
+                case PhaseChanged():
+                    self._change_phase(action, seen)
+                case LearnFromPeers():
+                    self._run(self._learn(action.names))
+                case ConnectionPace():
+                    self._set_pace(action)
+        for pool in self._daemon.pools.values():
             pool.proxy.return_s = return_after(self._random.random(), len(seen.recovering))
-        self._keep_pace()
-        self._use()
+        self._adjust_pace()
+        self._learning.apply()
+
+    def _run(self, work: Coroutine[None, None, None]) -> None:
+        task = self._loop.create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def _change_phase(self, change: PhaseChanged, seen: RecoveryObservation) -> None:
+        self.view.phase = change.phase
+        if change.phase == RecoveryPhase.WARMING:
+            self._start_discovery(seen)
+        phase = change.phase.name.lower()
+        text = f"{phase} after {change.elapsed:.2f} s: {change.reason}"
+        self._daemon.logger(f"fleet: coming back: {phase}", text)
+
+    def _start_discovery(self, seen: RecoveryObservation) -> None:
+        """Let the pools call their discovery services.
+
+        They call at once, or in a mass restart each instance at its turn where it has a list already. Where no instance
+        has one, the first by name calls, and the others ask it until their turn.
+        """
+        name = self.coordinator.name
+        is_mass_restart = self.coordinator.kind == "mass"
+        delay_s = turn(name, seen.recovering, DISCOVERY_TURN_S, MAX_DISCOVERY_SPREAD_S)
+        lacking = [pool for pool in self._daemon.pools.values() if not pool.proxy.listed]
+        for pool in self._daemon.pools.values():
+            pool.release(delay_s if pool not in lacking or is_mass_restart else 0.0)
+        first = min((*seen.recovering, name))
+        if lacking and is_mass_restart and first != name:
+            self._run(self._ask_for_lists(first, time.monotonic() + delay_s))
+
+    async def _ask_for_lists(self, name: str, until: float) -> None:
+        while time.monotonic() < until and not self._has_all_lists():
+            await self._learning.take_lists(name)
+            await asyncio.sleep(LIST_RETRY_INTERVAL_S)
+
+    def _has_all_lists(self) -> bool:
+        return all(pool.proxy.listed for pool in self._daemon.pools.values())
 
-    def _release(self, seen: RecoveryObservation) -> None:
-        """Sources of lists are called at once, or each at its turn by those that come back and have a list already.
-        Where nobody has one, the first by name calls, and the others ask it until their turn."""
-        after = turn(self.comeback.name, seen.recovering, SOURCE_S, SOURCES_S)
-        lacking = [pool for pool in self.daemon.pools.values() if not pool.proxy.listed]
-        for pool in self.daemon.pools.values():
-            pool.release(after if pool not in lacking or self.comeback.kind == "mass" else 0.0)
-        first = min((*seen.recovering, self.comeback.name))
-        if lacking and self.comeback.kind == "mass" and first != self.comeback.name:
-            self._asking = self._loop.create_task(self._ask_first(first, time.monotonic() + after))
-
-    async def _ask_first(self, name: str, until: float) -> None:
-        while time.monotonic() < until and any(not pool.proxy.listed for pool in self.daemon.pools.values()):
-            await self._take_lists(name)
-            await asyncio.sleep(FIRST_S)
+    async def _learn(self, names: tuple[str, ...]) -> None:
+        await self._learning.learn(names)
+        self.coordinator.learnt()
 
-    def _seen(self) -> RecoveryObservation:
-        living = [peer for peer in self.view.table.living]
+    def _observe(self) -> RecoveryObservation:
+        living = list(self.view.table.living)
         heard = [peer for peer in living if peer.phase != NOT_HEARD]
-        full = tuple(peer.state.name for peer in heard if is_full(peer.phase))
-        coming = tuple(peer.state.name for peer in heard if not is_full(peer.phase))
         served = ended = 0
-        for pool in self.daemon.pools.values():
+        for pool in self._daemon.pools.values():
             for counts in pool.proxy.figures.ended:
-                served, ended = served + counts[0], ended + sum(counts)
+                served += counts[0]
+                ended += sum(counts)
         return RecoveryObservation(
             self.view.joined,
             self._may_act(),
-            self._kept,
-            full,
-            coming,
+            self._has_stored_state,
+            tuple(peer.state.name for peer in heard if is_full(peer.phase)),
+            tuple(peer.state.name for peer in heard if not is_full(peer.phase)),
             len(living) - len(heard),
             served,
             ended,
         )
 
-    def _pace(self, wish: ConnectionPace) -> None:
-        for pool in self.daemon.pools.values():
-            per_s = wish.per_member_s
+    # Pace of new connections.
+
+    def _set_pace(self, pace: ConnectionPace) -> None:
+        per_s = pace.per_member_s
+        for pool in self._daemon.pools.values():
             pool.proxy.backends.set_pace(None if per_s is None else Pacer(per_s, time.monotonic()))
-        self._per_member = wish.per_member_s or 0.0
+        self._connections_per_endpoint_s = per_s or 0.0
 
-    def _keep_pace(self) -> None:
-        """By the members that are listed by now. None where connections are not kept anyway, as each of many proxies
-        sends a member little: there each request opens one in usual times too, and would only wait; it shows after the
-        first requests."""
-        for pool in self.daemon.pools.values():
-            pacer, members = pool.proxy.backends.pacer, len(pool.proxy.listed)
+    def _adjust_pace(self) -> None:
+        """Adjust the pace to the endpoints that are listed by now.
+
+        There is none where connections are not kept anyway, as each of many proxies sends an endpoint little: there
+        each request opens a connection in usual times too, and would only wait. The first requests show it.
+        """
+        for pool in self._daemon.pools.values():
+            pacer = pool.proxy.backends.pacer
+            endpoints = len(pool.proxy.listed)
             if pacer is None:
                 continue
-            pacer.per_s = self._per_member * max(1, members)
-            seen = sum(map(sum, pool.proxy.figures.ended)) + len(pool.proxy.open)
-            rate = seen / max(0.1, time.monotonic() - self.comeback.since)
-            if seen >= SEEN_LEAST and rate < SPARSE * pool.proxy.balancer.settings.instance_count * members:
+            pacer.per_s = self._connections_per_endpoint_s * max(1, endpoints)
+            requests = sum(map(sum, pool.proxy.figures.ended)) + len(pool.proxy.open)
+            rate = requests / max(MIN_RATE_PERIOD_S, time.monotonic() - self.coordinator.since)
+            sparse_rate = SPARSE * pool.proxy.balancer.settings.instance_count * endpoints
+            if requests >= MIN_REQUESTS_FOR_RATE and rate < sparse_rate:
                 pool.proxy.backends.set_pace(None)
 
-    # What survivors have learnt.
-
-    async def _learn(self, names: tuple[str, ...]) -> None:
-        lists = self._take_lists(names[0])
-        found, _ = await asyncio.gather(asyncio.gather(*(self._ask(name) for name in names)), lists)
-        known = [one for one in found if one is not None]
-        self._lessons = combine(known, time.time())
-        self._use()
-        self.comeback.learnt()
-
-    async def _whole(self, name: str, what: str) -> bytes:
-        """All that another one answers; ConnectionError where it is not known."""
-        peer = self.view.table.get(name)
-        if peer is None:
-            raise ConnectionError("not known any more")
-        data = b""
-        async with asyncio.timeout(TELL_S):
-            async for message in self.link.ask(peer.state.address, peer.state.boot, form.QueryRequest(what)):
-                if not isinstance(message, form.QueryResponse) or not message.body:
-                    break
-                data += message.body
-                if len(data) > LEARNT_MOST:
-                    raise ValueError(f"over {LEARNT_MOST} bytes")
-        return data
-
-    async def _take_lists(self, name: str) -> None:
-        """Lists of members that another one has heard of late, for pools whose source is to be called."""
-        for pool_name, pool in list(self.daemon.pools.items()):
-            if pool.plan.table.discovery is None or pool.proxy.listed:
-                continue
-            try:
-                count = pool.take_over(await self._whole(name, f"list/{pool_name}"))
-                self.daemon.logger(
-                    "fleet: a list was handed on", f"{count} members of {pool_name}, by {name}"
-                )
-            except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError) as problem:
-                self.daemon.logger("fleet: no list was handed on", f"{pool_name}, by {name}: {problem}")
-
-    async def _ask(self, name: str) -> Snapshot | None:
-        try:
-            found = decode(await self._whole(name, "learnt"))
-        except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError, SnapshotError) as problem:
-            self.asked[name] = f"nothing: {problem}"
-            return None
-        # Ages are on clocks that may differ: what was told now counts as of now.
-        found.at = time.time()
-        self.asked[name] = f"{sum(len(pool.members) for pool in found.pools)} members"
-        return found
-
-    def _use(self) -> None:
-        """What was learnt, once a pool's members are listed."""
-        if self._lessons is None:
-            return
-        passed = max(0.0, time.time() - self._lessons.at)
-        waiting: list[PoolSnapshot] = []
-        for note in self._lessons.pools:
-            pool = self.daemon.pools.get(note.name)
-            if pool is not None and not pool.proxy.listed:
-                waiting.append(note)
-            elif pool is not None:
-                restore_pool(note, pool.proxy.balancer, pool.proxy.now(), passed)
-        self._lessons = Snapshot(self._lessons.at, waiting) if waiting and passed < TELL_S * 4 else None
+    # What others and operators are told.
 
-    def answer(self, message: Message) -> Iterator[tuple[Message, float]] | None:
-        """What one that comes back hears of this one; nothing of one that has just begun itself."""
-        if not isinstance(message, form.QueryRequest):
+    def answer(self, message: Message) -> StreamedAnswer | None:
+        """Return what an instance that recovers asks for; None for any other message."""
+        if not isinstance(message, QueryRequest):
             return None
-        data = b""
-        if message.path.startswith("list/"):
-            pool = self.daemon.pools.get(message.path.removeprefix("list/"))
-            data = pool.hand_on() if pool is not None else b""
-        elif message.path != "learnt":
-            return None
-        elif self.comeback.phase == RecoveryPhase.FULL:
-            pools = [
-                note_pool(name, pool.proxy.balancer, pool.proxy.now(), {}, None)
-                for name, pool in self.daemon.pools.items()
-            ]
-            data = encode(Snapshot(time.time(), pools))
-        parts = [data[at : at + PART] for at in range(0, len(data), PART)]
-        return iter([(form.QueryResponse(part), 0.0) for part in (*parts, b"")])
-
-    def report(self) -> dict[str, Any]:
-        """This instance's, and the fleet's: full once all that live are."""
-        seen = self._seen()
-        found = self.comeback.report(time.monotonic())
-        fleet_full = not seen.recovering and self.comeback.phase == RecoveryPhase.FULL
-        return found | {
-            "survivors": self.asked,
+        if message.path.startswith(LIST_QUERY_PREFIX):
+            return self._learning.answer_list(message.path.removeprefix(LIST_QUERY_PREFIX))
+        if message.path == SNAPSHOT_QUERY:
+            # One that has just started itself has learnt nothing worth telling.
+            return self._learning.answer_snapshot() if self.in_full_service else empty_answer()
+        return None
+
+    def report(self) -> JsonObject:
+        """Return this instance's recovery and the fleet's, which is full once all that live are."""
+        seen = self._observe()
+        return {
+            **self.coordinator.report(time.monotonic()),
+            "survivors": self._learning.outcomes,
             "coming_back": list(seen.recovering),
-            "fleet_full": fleet_full,
+            "fleet_full": not seen.recovering and self.in_full_service,
         }
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -9,21 +9,22 @@
 import asyncio
 import random
 import time
+from dataclasses import dataclass
 from pathlib import Path
 from typing import cast
 
-from blake3 import blake3
-
 from loadbalancer.config.types import FleetTable
 from loadbalancer.daemon.applied_state import AppliedState
 from loadbalancer.daemon.command_factory import ChangeTranslator, CommandContent, CommandNumbering
 from loadbalancer.daemon.components import DaemonContext
 from loadbalancer.daemon.fleet_interfaces import (
     OverrideTarget,
+    PrepareConfiguration,
     StreamedAnswer,
     StreamedMessage,
 )
 from loadbalancer.daemon.fleet_peers import FleetPeers
+from loadbalancer.daemon.instance_metadata import InstanceMetadata
 from loadbalancer.daemon.lease_monitor import LeaseMonitor
 from loadbalancer.daemon.replica_storage import ReplicaStorage
 from loadbalancer.daemon.replicated_commands import ANY_VERSION, ReplicatedCommands
@@ -62,8 +63,6 @@
 from loadbalancer.fleet.wire import Message
 from loadbalancer.store.keeper import Store
 
-#: The version of the program that instances tell one another.
-BUILD = "0.1.0"
 #: Seconds in which a command has to be accepted; its operator waits for confirmations beside that.
 ACCEPT_TIMEOUT_S = 3.0
 #: Seconds between two checks of outstanding confirmations.
@@ -72,10 +71,6 @@
 HOUSEKEEPING_INTERVAL_S = 0.5
 #: The shortest wait of the timer, in seconds.
 MIN_TIMER_S = 0.002
-#: Pools whose endpoint lists are told others by a digest.
-MAX_LIST_DIGESTS = 4
-#: Longest key or value of metadata, in characters.
-MAX_METADATA_LENGTH = 64
 
 
 def boot_clock() -> float:
@@ -83,11 +78,36 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
+@dataclass(frozen=True, slots=True)
+class ReplicationContext:
+    """What the replicated state of one daemon is built on; the service owns none of it.
+
+    Attributes:
+        daemon: whose pools and log are used.
+        table: the configuration's table [fleet].
+        transport: calls the service for each replication message.
+        peers: the other instances.
+        overrides: where overrides and migrations are brought into force.
+        store: None where the daemon has none, and this instance no vote.
+        path: of the configuration.
+        prepare: checks a configuration that is rolled out.
+    """
+
+    daemon: DaemonContext
+    table: FleetTable
+    transport: FleetTransport
+    peers: FleetPeers
+    overrides: OverrideTarget
+    store: Store | None
+    path: Path
+    prepare: PrepareConfiguration
+
+
 class ReplicationService:
     """The replicated state at one daemon.
 
     It owns the timer of the replica and its parts: the rollout service and the state transfer, each of which has a
-    task. `end` releases all of them. The transport, the membership view and the store are the daemon's.
+    task. `end` releases all of them.
 
     Attributes:
         state: the replicated state as it is applied here.
@@ -96,58 +116,40 @@
         lease: says whether this instance may send.
         send_guard: makes the check before each send.
         report: answers what operators ask.
+        metadata: what this instance tells of itself.
     """
 
-    def __init__(
-        self,
-        daemon: DaemonContext,
-        table: FleetTable,
-        transport: FleetTransport,
-        peers: FleetPeers,
-        overrides: OverrideTarget,
-        store: Store | None,
-        path: Path,
-    ) -> None:
-        """Read the store; nothing is sent before `start`.
-
-        Args:
-            daemon: whose pools and log are used.
-            table: the configuration's table [fleet].
-            transport: calls this service for each replication message.
-            peers: the other instances.
-            overrides: where overrides and migrations are brought into force.
-            store: None where the daemon has none, and this instance no vote.
-            path: of the configuration.
-        """
-        self._daemon = daemon
-        self._name = table.name
-        self._peers = peers
-        self._logger = daemon.logger
+    def __init__(self, context: ReplicationContext) -> None:
+        """Read the store; nothing is sent before `start`."""
+        self._context = context
+        self._name = context.table.name
+        self._peers = context.peers
+        self._logger = context.daemon.logger
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._ended = False
         self._housekeeping_at = 0.0
-        self._configuration_digest = ""
         source = random.SystemRandom()
-        lease = Lease(float(table.stale_most), table.cut_off == "serve")
-        self.state = ReplicatedState(dict.fromkeys(table.voters, ""))
-        self._storage = ReplicaStorage(store, self.state, source, daemon.logger)
+        lease = Lease(float(context.table.stale_most), context.table.cut_off == "serve")
+        self.state = ReplicatedState(dict.fromkeys(context.table.voters, ""))
+        self._storage = ReplicaStorage(context.store, self.state, source, self._logger)
         self.replica = self._make_replica(lease, source)
-        self._numbering = CommandNumbering(f"{table.name}-{source.getrandbits(48):x}")
-        self._applied = AppliedState(self.state, overrides, boot_clock)
-        self._rollout = RolloutService(
-            daemon, table.name, path, peers.ask, self._count_requests, self._rollout_changed
+        self._numbering = CommandNumbering(f"{self._name}-{source.getrandbits(48):x}")
+        self._applied = AppliedState(self.state, context.overrides, boot_clock)
+        self._rollout = self._make_rollout()
+        self.metadata = InstanceMetadata(
+            context.daemon, self._storage.identity.store, self._rollout, self.state
         )
-        self._coordinator = RolloutCoordinator(self.replica, peers, self._metadata)
+        self._coordinator = RolloutCoordinator(self.replica, self._peers, self.metadata.current)
         self._transfer = StateTransferDriver(
-            self.replica, peers, self._transferred, self._schedule, self._transfer_failed
+            self.replica, self._peers, self._transferred, self._schedule, self._transfer_failed
         )
-        self._transport = transport
+        history = self._applied.history
         self.lease = LeaseMonitor(lease, self.replica, boot_clock)
-        self.send_guard = SendGuard(lease, overrides, self._applied.history, boot_clock)
-        self.report = VersionReport(self.replica, lease, self._applied.history, peers, boot_clock)
-        self.commands = self._make_commands(lease, overrides)
-        transport.send_replication = self._receive
+        self.send_guard = SendGuard(lease, context.overrides, history, boot_clock)
+        self.report = VersionReport(self.replica, lease, history, self._peers, boot_clock)
+        self.commands = self._make_commands(lease)
+        context.transport.send_replication = self._receive
 
     def _make_replica(self, lease: Lease, source: random.Random) -> PaxosReplica:
         replica = PaxosReplica(
@@ -166,7 +168,19 @@
             replica.acceptor_state = acceptor_state
         return replica
 
-    def _make_commands(self, lease: Lease, overrides: OverrideTarget) -> ReplicatedCommands:
+    def _make_rollout(self) -> RolloutService:
+        return RolloutService(
+            self._context.daemon,
+            self._name,
+            self._context.path,
+            self._context.prepare,
+            self._peers.ask,
+            self._count_requests,
+            self._rollout_changed,
+        )
+
+    def _make_commands(self, lease: Lease) -> ReplicatedCommands:
+        overrides = self._context.overrides
         translator = ChangeTranslator(self._name, self.state, overrides, self._rollout, self._store_of)
         return ReplicatedCommands(
             self.replica,
@@ -186,7 +200,7 @@
     def start(self) -> None:
         """Bring into force what was kept, and take part; vote once the opening of the store is on disk."""
         self._applied.apply_all()
-        self.replica.metadata = self._metadata()
+        self.replica.metadata = self.metadata.current()
         self._storage.save_identity(self._enable_vote)
         self._tick()
 
@@ -202,29 +216,6 @@
         self._rollout.close()
         self.commands.close()
 
-    def configured(self, path: Path) -> None:
-        """Take the digest of a configuration that is in force from now on, as the file is at this moment."""
-        try:
-            self._configuration_digest = blake3(path.read_bytes()).hexdigest(4)
-        except OSError as problem:
-            self._configuration_digest = f"not read: {problem.strerror}"[:MAX_METADATA_LENGTH]
-
-    # Metadata.
-
-    def _metadata(self) -> dict[str, str]:
-        """Return what else this instance runs under, for people."""
-        metadata = {
-            "build": BUILD,
-            "store": self._storage.identity.store,
-            "config": self._configuration_digest,
-        }
-        if report := self._rollout.report(self.state.rollout_plan):
-            metadata["plan"] = report
-        for name, pool in sorted(self._daemon.pools.items())[:MAX_LIST_DIGESTS]:
-            endpoints = ",".join(sorted(pool.overlay.listed()))
-            metadata[f"list {name}"[:MAX_METADATA_LENGTH]] = blake3(endpoints.encode()).hexdigest(4)
-        return metadata
-
     def _store_of(self, name: str) -> str:
         if name == self._name:
             return self._storage.identity.store
@@ -252,7 +243,7 @@
             for content in self._applied.expire(now):
                 self._propose_own(content, "its time is over")
             self._step_rollout(now)
-            self.replica.metadata = self._metadata()
+            self.replica.metadata = self.metadata.current()
         self.commands.check_commits(now)
 
     def _schedule(self) -> None:
@@ -280,13 +271,15 @@
             self._propose_own(CommandContent("stage", body), body.why)
 
     def _count_requests(self) -> RequestCounts:
-        ended = [counts for pool in self._daemon.pools.values() for counts in pool.proxy.figures.ended]
+        ended = [
+            counts for pool in self._context.daemon.pools.values() for counts in pool.proxy.figures.ended
+        ]
         served = sum(counts[0] for counts in ended)
         failed = sum(counts[1] + counts[2] for counts in ended)
         return RequestCounts(served + failed, failed)
 
     def _rollout_changed(self) -> None:
-        self.replica.metadata = self._metadata()
+        self.replica.metadata = self.metadata.current()
         self._perform(self.replica.announce_to_all())
 
     # Proposals.
@@ -308,7 +301,7 @@
         self._perform(self.replica.announce_to_all())
 
     def _transfer_failed(self, reason: str) -> None:
-        self._transport.counts["catching up failed"] += 1
+        self._context.transport.counts["catching up failed"] += 1
         self._logger("fleet: catching up was cut", reason)
 
     # Messages.
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -1,5 +1,7 @@
-"""A fleet that is restarted on purpose, as one of its daemons drives it; each instance hands over in place, so that no
-door closes. What follows when is decided in fleet/orchestration/rolling_restart.py.
+"""A rolling restart of the fleet, driven by one of its daemons.
+
+Each instance is replaced by a hot restart, so that none closes its listeners. Which instance follows when is decided in
+`fleet/orchestration/rolling_restart.py`.
 """
 
 from __future__ import annotations
@@ -7,124 +9,147 @@
 import asyncio
 import sys
 import time
-from typing import Any, Callable, Iterator
+from typing import Callable
 
 from loadbalancer.admin.calls import CallError, Change
 from loadbalancer.daemon.components import DaemonContext
-from loadbalancer.daemon.recovery import RecoveryService
+from loadbalancer.daemon.fleet_interfaces import AnswerCallback, JsonObject, StreamedAnswer, StreamedMessage
+from loadbalancer.daemon.fleet_peers import FleetPeers
 from loadbalancer.fleet.membership.member_state import MemberStatus
 from loadbalancer.fleet.membership.view import MembershipView
-from loadbalancer.fleet.orchestration.recovery import RecoveryPhase, is_full
-from loadbalancer.fleet.orchestration.rolling_restart import MemberRestart, RestartMember, RollingRestart
-from loadbalancer.fleet.replication import messages as form
-from loadbalancer.fleet.transport import FleetTransport
+from loadbalancer.fleet.orchestration.recovery import is_full
+from loadbalancer.fleet.orchestration.rolling_restart import MemberRestart, RollingRestart
+from loadbalancer.fleet.replication.messages import QueryRequest, QueryResponse
 from loadbalancer.fleet.wire import Message
 
-#: Seconds between two looks, and that the program of an instance has to hand over.
-LOOK_S, HAND_S = 0.25, 50
+#: Seconds between two looks at the instances that restart.
+POLL_INTERVAL_S = 0.25
+#: Seconds that the successor of an instance has to take over.
+HOT_RESTART_TIMEOUT_S = 50
+#: The question that makes another instance restart, and its answer where it does.
+RESTART_QUERY = "restart"
+RESTART_BEGUN = "begun"
 
 
 class RollingRestartService:
-    """One daemon's. It owns the pass that it drives, and the program that hands this instance over."""
+    """Restarts this instance, and drives a rolling restart that was begun here.
+
+    It owns the task of the rolling restart, which `end` cancels. The program that replaces this process outlives it on
+    purpose; the task that waits for that program ends with it, or with the event loop.
+    """
 
     def __init__(
         self,
         daemon: DaemonContext,
-        name: str,
-        link: FleetTransport,
+        peers: FleetPeers,
         view: MembershipView,
-        returning: RecoveryService,
+        in_full_service: Callable[[], bool],
     ) -> None:
-        self.daemon, self.name, self.link, self.view, self.returning = daemon, name, link, view, returning
-        self.passing: RollingRestart | None = None
-        self._loop = asyncio.get_running_loop()
+        """`in_full_service`: whether this instance has recovered from its own start."""
+        self._daemon = daemon
+        self._peers = peers
+        self._view = view
+        self._in_full_service = in_full_service
+        self._restart: RollingRestart | None = None
         self._task: asyncio.Task[None] | None = None
-        self._program: asyncio.Task[None] | None = None
+        self._successor: asyncio.Task[None] | None = None
 
     def end(self) -> None:
+        """Stop driving; instances that are restarting go on."""
         if self._task is not None:
             self._task.cancel()
 
-    def begin(self, change: Change, done: Callable[[Any], None]) -> None:
-        """CallError where one is under way here."""
-        if self.passing is not None and not self.passing.over:
+    def begin(self, change: Change, answer: AnswerCallback) -> None:
+        """Restart all instances that live, in groups of the size that the change says.
+
+        Raises:
+            CallError: a rolling restart is under way here.
+        """
+        if self._restart is not None and not self._restart.over:
             raise CallError(409, "a restart of the fleet is under way here")
-        names = [self.name, *(peer.state.name for peer in self.view.table.living)]
-        self.passing = RollingRestart(self.name, names, change.order.group, time.monotonic())
-        self._task = self._loop.create_task(self._run(self.passing))
-        done(self.report())
-
-    async def _run(self, passing: RollingRestart) -> None:
-        while not passing.over:
-            for begin in passing.step(time.monotonic(), self._lives()):
-                await self._restart(begin, passing)
-            await asyncio.sleep(LOOK_S)
-        self.daemon.logger("fleet: restart", passing.halted or "all have restarted")
-
-    def _lives(self) -> dict[str, MemberRestart]:
+        names = [self._peers.name, *self._peers.live_names()]
+        self._restart = RollingRestart(self._peers.name, names, change.order.group, time.monotonic())
+        self._task = asyncio.get_running_loop().create_task(self._drive(self._restart))
+        answer(self.report())
+
+    async def _drive(self, restart: RollingRestart) -> None:
+        while not restart.over:
+            for member in restart.step(time.monotonic(), self._observe()):
+                await self._restart_member(member.name, restart)
+            await asyncio.sleep(POLL_INTERVAL_S)
+        self._daemon.logger("fleet: restart", restart.halted or "all have restarted")
+
+    def _observe(self) -> dict[str, MemberRestart]:
         found = {
-            self.name: MemberRestart(
-                self.view.own_state.boot, True, self.returning.comeback.phase == RecoveryPhase.FULL
-            )
+            self._peers.name: MemberRestart(self._view.own_state.boot, True, self._in_full_service()),
         }
-        for peer in self.view.table:
+        for peer in self._view.table:
             if peer.state.status != MemberStatus.LEFT:
                 found[peer.state.name] = MemberRestart(peer.state.boot, peer.is_live, is_full(peer.phase))
         return found
 
-    async def _restart(self, begin: RestartMember, passing: RollingRestart) -> None:
-        if begin.name == self.name:
-            self.hand_over()
+    async def _restart_member(self, name: str, restart: RollingRestart) -> None:
+        if name == self._peers.name:
+            self.begin_hot_restart()
             return
-        peer = self.view.table.get(begin.name)
         try:
-            if peer is None:
-                raise ConnectionError("not known")
-            async for message in self.link.ask(
-                peer.state.address, peer.state.boot, form.QueryRequest("restart")
-            ):
-                if isinstance(message, form.QueryResponse) and message.body != b"begun":
-                    raise ConnectionError(message.body.decode("utf-8", "replace"))
-                break
+            await self._ask_to_restart(name)
         except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError) as problem:
-            passing.halted = f"{begin.name} could not be asked: {problem}"
+            restart.halted = f"{name} could not be asked: {problem}"
 
-    def hand_over(self) -> str:
-        """Have a new process take this one's place; says why not, or nothing."""
-        plan = self.daemon.plan
+    async def _ask_to_restart(self, name: str) -> None:
+        async for message in self._peers.ask(name, QueryRequest(RESTART_QUERY)):
+            if isinstance(message, QueryResponse) and message.body != RESTART_BEGUN.encode():
+                raise ConnectionError(message.body.decode("utf-8", "replace"))
+            break
+
+    def begin_hot_restart(self) -> str:
+        """Have a new process take this one's place; return why that can't be, "" where it is under way."""
+        plan = self._daemon.plan
         if plan is None or plan.file.management is None or plan.file.management.socket is None:
             return "no [management] socket, by which a successor would find this process"
-        if self._program is None or self._program.done():
-            words = ("-m", "loadbalancer.cli", "upgrade", "-c", str(plan.path), "--timeout", str(HAND_S))
-            self._program = self._loop.create_task(self._spawn(words))
+        if self._successor is None or self._successor.done():
+            arguments = ("upgrade", "-c", str(plan.path), "--timeout", str(HOT_RESTART_TIMEOUT_S))
+            self._successor = asyncio.get_running_loop().create_task(self._run_successor(arguments))
         return ""
 
-    async def _spawn(self, words: tuple[str, ...]) -> None:
-        made = await asyncio.create_subprocess_exec(
+    async def _run_successor(self, arguments: tuple[str, ...]) -> None:
+        """Run the command that starts the successor; its failure is logged."""
+        process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *words,
+            "-m",
+            "loadbalancer.cli",
+            *arguments,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
             start_new_session=True,
         )
-        _, errors = await made.communicate()
-        if made.returncode:
-            self.daemon.logger(
-                "fleet: restart of this instance failed", errors.decode("utf-8", "replace").strip()
-            )
-
-    def answer(self, message: Message) -> Iterator[tuple[Message, float]] | None:
-        if not isinstance(message, form.QueryRequest) or message.path != "restart":
+        _, errors = await process.communicate()
+        if process.returncode:
+            text = errors.decode("utf-8", "replace").strip()
+            self._daemon.logger("fleet: restart of this instance failed", text)
+
+    def answer(self, message: Message) -> StreamedAnswer | None:
+        """Begin a hot restart if another instance asks for it; None for any other message."""
+        if not isinstance(message, QueryRequest) or message.path != RESTART_QUERY:
             return None
-        return iter([(form.QueryResponse((self.hand_over() or "begun").encode()), 0.0)])
+        text = self.begin_hot_restart() or RESTART_BEGUN
+        return iter([StreamedMessage(QueryResponse(text.encode()), 0.0)])
 
-    def report(self) -> dict[str, Any]:
-        passing = self.passing
-        if passing is None:
+    def report(self) -> JsonObject:
+        """Return what `fleet restart` shows of the last rolling restart that was begun here."""
+        restart = self._restart
+        if restart is None:
             return {"restart": None}
         return {
-            "restart": "halted" if passing.halted else "done" if passing.over else "under way",
-            "why": passing.halted or None,
-            "done": passing.done,
-            "left": [n for group in passing.groups for n in group],
+            "restart": _progress(restart),
+            "why": restart.halted or None,
+            "done": restart.done,
+            "left": [name for group in restart.groups for name in group],
         }
+
+
+def _progress(restart: RollingRestart) -> str:
+    if restart.halted:
+        return "halted"
+    return "done" if restart.over else "under way"
--- a/loadbalancer/daemon/rollout.py
+++ b/loadbalancer/daemon/rollout.py
@@ -18,9 +18,8 @@
 from blake3 import blake3
 
 from loadbalancer.config.reader import ConfigError
-from loadbalancer.daemon.component_factory import prepare
 from loadbalancer.daemon.components import DaemonContext
-from loadbalancer.daemon.fleet_interfaces import JsonObject
+from loadbalancer.daemon.fleet_interfaces import JsonObject, PrepareConfiguration
 from loadbalancer.fleet.orchestration.rollout import RolloutPlan, StageReport, wants_new
 from loadbalancer.fleet.replication.messages import QueryRequest, QueryResponse
 from loadbalancer.fleet.wire import Message
@@ -83,6 +82,7 @@
         daemon: DaemonContext,
         name: str,
         path: Path,
+        prepare: PrepareConfiguration,
         ask: AskInstance,
         count_requests: Callable[[], RequestCounts],
         on_changed: Callable[[], None],
@@ -93,6 +93,7 @@
             daemon: is made to reload.
             name: of this instance.
             path: of its configuration.
+            prepare: checks a configuration as a reload would; called in another thread.
             ask: asks another instance for the file.
             count_requests: counts those of all pools.
             on_changed: called when `report` has changed.
@@ -100,6 +101,7 @@
         self._daemon = daemon
         self._name = name
         self._path = path
+        self._prepare = prepare
         self._ask = ask
         self._count_requests = count_requests
         self._on_changed = on_changed
@@ -230,7 +232,7 @@
         """Return why this instance can't run the file, "" where it can; called in another thread."""
         try:
             self._checked_path.write_bytes(merged(text, self._path.read_bytes()))
-            prepare(self._checked_path, self._daemon.logger)
+            self._prepare(self._checked_path, self._daemon.logger)
         except ConfigError as error:
             return str(error.problems[0].text)
         except (OSError, ValueError, TypeError, AttributeError) as problem:
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -569,8 +569,8 @@
     """It neither tells nor asks; who comes back beside it gets on without."""
     old = (
         "from loadbalancer.daemon.recovery import RecoveryService\n"
-        "RecoveryService.start = lambda self, upgraded: setattr(self.view, 'phase', 0)\n"
-        "RecoveryService.look = lambda self: None\n"
+        "RecoveryService.start = lambda self, replaces_process: setattr(self.view, 'phase', 0)\n"
+        "RecoveryService.step = lambda self: None\n"
         "RecoveryService.answer = lambda self, message: None\n"
     )
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -6,6 +6,7 @@
 import gc
 import os
 import socket
+from dataclasses import replace
 from functools import partial
 from pathlib import Path
 from typing import Any
@@ -155,7 +156,7 @@
             status, head, _ = await client.read()
             assert status == 200 and b"Connection: close" in head
             assert await idle.ended() == b""
-            await here.until(lambda: not here.daemon.retiring_listeners)
+            await here.until(lambda: not here.daemon.retirement.listeners)
 
     play(scene)
 
@@ -294,10 +295,10 @@
             assert sum(sum(c.answers.values()) for c in callers) == sum(m.counts.requests for m in members)
             for client in here.clients:
                 client.writer.close()
-            for since, retired in here.daemon.retiring_pools:  # what holds them back is time alone
-                assert since and not retired.proxy.open
-            here.daemon.retiring_pools = [(0.0, retired) for _, retired in here.daemon.retiring_pools]
-            await here.until(lambda: not here.daemon.retiring_pools and not here.daemon.retiring_listeners)
+            for retired in here.daemon.retirement.pools:  # what holds them back is time alone
+                assert retired.retired_at and not retired.pool.proxy.open
+            here.daemon.retirement.pools = [replace(r, retired_at=0.0) for r in here.daemon.retirement.pools]
+            await here.until(lambda: not here.daemon.retiring)
             await here.until(lambda: not here.daemon.listeners["main"].connections)
             for running in here.daemon.pools.values():
                 assert running.proxy.budget.held == 0 and not running.proxy.open
