--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -184,7 +184,7 @@
         size = self._size.step(now, self.view.fleet_size, report.is_settled(self.view, now))
         if size.instances != self._instance_count:
             self._instance_count = size.instances
-            self._logger("fleet: instances counted with", size.instances)
+            self._logger("fleet: size estimate changed", size.instances)
         for pool in self._daemon.pools.values():
             pool.count_instances(size.instances)
 
--- a/loadbalancer/daemon/peer_learning.py
+++ b/loadbalancer/daemon/peer_learning.py
@@ -87,10 +87,10 @@
             try:
                 count = pool.take_over(await self._fetch(name, f"{LIST_QUERY_PREFIX}{pool_name}"))
                 self._daemon.logger(
-                    "fleet: a list was handed on", f"{count} members of {pool_name}, by {name}"
+                    "fleet: endpoint list received", f"{count} members of {pool_name}, by {name}"
                 )
             except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError) as problem:
-                self._daemon.logger("fleet: no list was handed on", f"{pool_name}, by {name}: {problem}")
+                self._daemon.logger("fleet: endpoint list not received", f"{pool_name}, by {name}: {problem}")
 
     def apply(self) -> None:
         """Apply what was learnt to the pools whose endpoints are listed by now."""
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -143,7 +143,7 @@
             self._start_discovery(seen)
         phase = change.phase.name.lower()
         text = f"{phase} after {change.elapsed:.2f} s: {change.reason}"
-        self._daemon.logger(f"fleet: coming back: {phase}", text)
+        self._daemon.logger(f"fleet: recovery: {phase}", text)
 
     def _start_discovery(self, seen: RecoveryObservation) -> None:
         """Let the pools call their discovery services.
--- a/loadbalancer/daemon/replica_storage.py
+++ b/loadbalancer/daemon/replica_storage.py
@@ -79,7 +79,7 @@
             if problem is None:
                 on_saved()
             else:
-                self._logger("fleet: a vote could not be kept", problem)
+                self._logger("fleet: acceptor state not persisted", problem)
 
         self._store.do(
             lambda view: write_acceptor_state(view, action.acceptor_state, action.observed_store), completed
@@ -103,4 +103,4 @@
 
     def _command_saved(self, _: None, problem: StoreError | None) -> None:
         if problem is not None:
-            self._logger("fleet: a change is in force and could not be kept", problem)
+            self._logger("fleet: applied command not persisted", problem)
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -302,7 +302,7 @@
 
     def _transfer_failed(self, reason: str) -> None:
         self._context.transport.counts["catching up failed"] += 1
-        self._logger("fleet: catching up was cut", reason)
+        self._logger("fleet: state transfer failed", reason)
 
     # Messages.
 
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -77,7 +77,7 @@
             for member in restart.step(time.monotonic(), self._observe()):
                 await self._restart_member(member.name, restart)
             await asyncio.sleep(POLL_INTERVAL_S)
-        self._daemon.logger("fleet: restart", restart.halted or "all have restarted")
+        self._daemon.logger("fleet: rolling restart ended", restart.halted or "all have restarted")
 
     def _observe(self) -> dict[str, MemberRestart]:
         found = {
@@ -127,7 +127,7 @@
         _, errors = await process.communicate()
         if process.returncode:
             text = errors.decode("utf-8", "replace").strip()
-            self._daemon.logger("fleet: restart of this instance failed", text)
+            self._daemon.logger("fleet: hot restart failed", text)
 
     def answer(self, message: Message) -> StreamedAnswer | None:
         """Begin a hot restart if another instance asks for it; None for any other message."""
--- a/tests/fleet/scenes.py
+++ b/tests/fleet/scenes.py
@@ -40,23 +40,23 @@
 
 
 async def row(asked: Any, name: str) -> dict[str, Any] | None:
-    """What one instance holds of another."""
-    found = await asked.read("fleet/members")
-    return next((one for one in found if one["instance"] == name), None)
+    """Return what one instance holds of another, None where it does not know the name."""
+    members = await asked.read("fleet/members")
+    return next((member for member in members if member["instance"] == name), None)
 
 
 async def held(asked: Any, name: str, state: str) -> None:
-    """Wait until one instance holds another for this."""
+    """Wait until one instance holds another for alive, suspected or dead."""
 
-    async def so() -> bool:
-        found = await row(asked, name)
-        return found is not None and found["state"] == state
+    async def is_held() -> bool:
+        member = await row(asked, name)
+        return member is not None and member["state"] == state
 
-    await until(so, f"{asked.name} holds {name} {state}")
+    await until(is_held, f"{asked.name} holds {name} {state}")
 
 
 @asynccontextmanager
-async def agreeing(
+async def replicated_fleet(
     folder: Path,
     size: int,
     *numbers: int,
@@ -66,36 +66,41 @@
     cut_off: str = "refuse",
     **more: Any,
 ) -> AsyncIterator[Fleet]:
-    """A fleet with one state; it is left once all may act, where all are started."""
+    """A fleet with a replicated state; where all are started, it is entered once all may act."""
     names = ", ".join(f'"i{number}"' for number in range(min(size, voters)))
-    words = f'voters = [{names}]\nstale_most = "{stale}"\ncut_off = "{cut_off}"'
+    settings = f'voters = [{names}]\nstale_most = "{stale}"\ncut_off = "{cut_off}"'
     config = '[store]\nfolder = "state"\n' + CONFIG
     async with fleet(
-        folder, size, *numbers, members=members, config=config, fleet_more=words, **more
-    ) as made:
+        folder, size, *numbers, members=members, config=config, fleet_more=settings, **more
+    ) as started:
         if not numbers:
-            await acting(made.all)
-        yield made
+            await until_acting(started.all)
+        yield started
 
 
-async def standing(one: One) -> dict[str, Any]:
-    return dict((await one.read("fleet/status"))["agreed"])
+async def replication_status(instance: One) -> dict[str, Any]:
+    """Return an instance's place in the replicated state."""
+    return dict((await instance.read("fleet/status"))["agreed"])
 
 
-async def acting(among: Sequence[One], version: int = 0) -> None:
+async def until_acting(instances: Sequence[One], version: int = 0) -> None:
     """Wait until all of these may act, on this version or a later one."""
 
-    async def so() -> bool:
-        found = await asyncio.gather(*(standing(one) for one in among))
-        return all(not one["shut_out"] and one["version"] >= version and not one["behind"] for one in found)
+    async def all_act() -> bool:
+        found = await asyncio.gather(*(replication_status(instance) for instance in instances))
+        return all(
+            not status["shut_out"] and status["version"] >= version and not status["behind"]
+            for status in found
+        )
 
-    await until(so, f"{', '.join(one.name for one in among)} act on version {version}")
+    names = ", ".join(instance.name for instance in instances)
+    await until(all_act, f"{names} act on version {version}")
 
 
-async def on(one: One, version: int) -> None:
-    """Wait until one acts on this version."""
+async def until_version(instance: One, version: int) -> None:
+    """Wait until an instance acts on this version or a later one."""
 
-    async def so() -> bool:
-        return int((await standing(one))["version"]) >= version
+    async def is_reached() -> bool:
+        return int((await replication_status(instance))["version"]) >= version
 
-    await until(so, f"{one.name} is on version {version}")
+    await until(is_reached, f"{instance.name} is on version {version}")
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -15,7 +15,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from scenes import acting, agreeing, fleet, run
+from scenes import fleet, replicated_fleet, run, until_acting
 
 from emulator.herd import Herd, Measures
 from loadbalancer.admin.snapshot import EndpointSnapshot, PoolSnapshot, Snapshot
@@ -356,7 +356,7 @@
                     return await ask(port) == "200"
 
                 await until(serves, f"i{number} serves")
-                assert "a list was handed on" in made.all[number].log
+                assert "endpoint list received" in made.all[number].log
             await source.start()
             await until(lambda: heard(source, 4), "all have called the source again")
             assert await ask(made.all[2].port) == "200"
@@ -366,7 +366,7 @@
             await made.start(0, 1, 2, 3)
             await whole(made, [0, 1, 2, 3])
             assert [await ask(one.port) for one in made.all] == ["200"] * 4
-            assert any("a list was handed on" in one.log for one in made.all)
+            assert any("endpoint list received" in one.log for one in made.all)
         source.down()
         await members.stop()
 
@@ -375,7 +375,7 @@
 
 def test_a_fleet_that_is_restarted_on_purpose_loses_no_request(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with agreeing(tmp_path, 3, voters=3) as made:
+        async with replicated_fleet(tmp_path, 3, voters=3) as made:
             await whole(made, [0, 1, 2])
             before = [(await one.read("status"))["pid"] for one in made.all]
             askers = Askers([one.port for one in made.all])
@@ -418,7 +418,7 @@
     async def scene() -> None:
         members = Members(6)
         members.members[0] = sick = Member("m1", Behaviour(status=500))
-        async with agreeing(tmp_path, 8, members=members) as made:
+        async with replicated_fleet(tmp_path, 8, members=members) as made:
             askers = Askers([made.all[0].port])
             askers.start()
             _, said = await made.all[1].say("cordon", pool="p", member="m2", wait="20s")
@@ -489,20 +489,20 @@
 def test_all_of_them_twice_in_a_row_and_the_last_survivor_dies_while_it_tells(tmp_path: Path) -> None:
     async def scene() -> None:
         members = Members(3)
-        async with agreeing(tmp_path, 5, members=members) as made:
+        async with replicated_fleet(tmp_path, 5, members=members) as made:
             _, said = await made.all[1].say("cordon", pool="p", member="m1", wait="20s")
             assert said["holds"]
             before = members.members[0].counts.requests
             for _ in range(2):
                 await asyncio.gather(*(one.kill() for one in made.all))
                 await made.start(*range(5))
-            await acting(made.all, said["version"])
+            await until_acting(made.all, said["version"])
             await asyncio.gather(*(made.all[n].kill() for n in range(1, 5)))
             starting = asyncio.ensure_future(made.start(1, 2, 3, 4))
             await made.all[0].kill()
             await starting
             await made.start(0)
-            await acting(made.all, said["version"])
+            await until_acting(made.all, said["version"])
             found = await whole(made, list(range(5)))
             assert all(one["full_after_s"] is not None for one in found)
             for one in made.all:
@@ -532,7 +532,7 @@
 
     async def scene() -> None:
         members = Members(3)
-        async with agreeing(tmp_path, 4, voters=3, members=members) as made:
+        async with replicated_fleet(tmp_path, 4, voters=3, members=members) as made:
             one = made.all[3]
             for phase in ("state", "learning", "warming"):
                 await one.kill()
@@ -540,7 +540,7 @@
                 await one.start()
 
                 async def told(word: str = phase) -> bool:
-                    return f"coming back: {word}" in one.log
+                    return f"recovery: {word}" in one.log
 
                 await until(told, f"it is in {phase}")
                 one.send(signal.SIGSTOP)
@@ -549,7 +549,7 @@
                 assert said["holds"]
                 before = members.members[0].counts.requests
                 one.send(signal.SIGCONT)
-                await acting(made.all, said["version"])
+                await until_acting(made.all, said["version"])
                 found = await whole(made, [3])
                 assert [row["phase"] for row in found[0]["phases"]] == [
                     "finding",
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from scenes import agreeing, run
+from scenes import replicated_fleet, run
 
 from loadbalancer.daemon.rollout import merged
 from loadbalancer.fleet.orchestration.rollout import (
@@ -141,7 +141,7 @@
 
 def test_a_good_file_goes_to_all_and_a_bad_one_nowhere_under_load(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with agreeing(tmp_path, 4, voters=3, members=Members(3)) as made:
+        async with replicated_fleet(tmp_path, 4, voters=3, members=Members(3)) as made:
             askers = Askers([one.port for one in made.all])
             askers.start()
             good = written(made, 'deadline = "3s"', 'deadline = "4s"')
@@ -167,7 +167,7 @@
     """The instance at which it was said is killed; the rest ends it, one way."""
 
     async def scene() -> None:
-        async with agreeing(tmp_path, 4, voters=3) as made:
+        async with replicated_fleet(tmp_path, 4, voters=3) as made:
             good = written(made, 'deadline = "3s"', 'deadline = "4s"')
             status, _ = await made.all[3].say("fleet/rollout", path=str(good), until="1h")
             assert status == 200
@@ -193,7 +193,7 @@
 
 def test_an_operator_halts_it_and_takes_it_back(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with agreeing(tmp_path, 3, voters=3) as made:
+        async with replicated_fleet(tmp_path, 3, voters=3) as made:
             assert (await made.all[0].say("fleet/back"))[0] == 409
             good = written(made, 'deadline = "3s"', 'deadline = "4s"')
             await made.all[0].say("fleet/rollout", path=str(good), until="1h")
--- a/tests/fleet/test_versions_processes.py
+++ b/tests/fleet/test_versions_processes.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from scenes import acting, agreeing, on, run, standing
+from scenes import replicated_fleet, replication_status, run, until_acting, until_version
 
 from standins.askers import Askers, ask
 from standins.member import Fleet as Members
@@ -35,7 +35,7 @@
 
     async def scene() -> None:
         members = Members(3)
-        async with agreeing(tmp_path, 8, members=members) as made:
+        async with replicated_fleet(tmp_path, 8, members=members) as made:
             askers = Askers([one.port for one in made.all for _ in range(2)])
             askers.start()
             source = random.Random(1)
@@ -48,9 +48,9 @@
                 before = await marker(members.members[0])
                 stopped.send(signal.SIGCONT)
                 made.network.heal()
-                await on(stopped, said["version"])
-                await on(cut, said["version"])
-                await acting(made.all, said["version"])
+                await until_version(stopped, said["version"])
+                await until_version(cut, said["version"])
+                await until_acting(made.all, said["version"])
                 for one in made.all:
                     assert await ask(one.port) == "200"
                 assert await marker(members.members[0]) == before + 1
@@ -68,11 +68,11 @@
 
     async def scene() -> None:
         members = Members(2)
-        async with agreeing(tmp_path, 4, 0, 1, 2, members=members, voters=3) as made:
+        async with replicated_fleet(tmp_path, 4, 0, 1, 2, members=members, voters=3) as made:
             made.all[3].prelude = defect
             await made.start(3)
             await made.settled()
-            await acting(made.all)
+            await until_acting(made.all)
             made.network.part((0, 1, 2), (3,))
             said = await drained(made.all[0])
             assert said["holds"] is True
@@ -86,7 +86,7 @@
 
 def test_changes_on_both_sides_of_a_partition_the_minority_takes_none(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with agreeing(tmp_path, 5) as made:
+        async with replicated_fleet(tmp_path, 5) as made:
             made.network.part((0, 1, 2), (3, 4))
             near = asyncio.ensure_future(made.all[0].say("cordon", pool="p", member="m1", wait="1s"))
             far = asyncio.ensure_future(made.all[3].say("cordon", pool="p", member="m2", wait="1s"))
@@ -94,12 +94,12 @@
             assert stands["version"] == 1 and "no majority" in refused["error"]
 
             async def shut() -> bool:
-                return bool((await standing(made.all[3]))["shut_out"])
+                return bool((await replication_status(made.all[3]))["shut_out"])
 
             await until(shut, "the minority is shut out")
             assert await ask(made.all[3].port) == "503"
             made.network.heal()
-            await acting(made.all, 1)
+            await until_acting(made.all, 1)
             marks = [await one.read("marks") for one in made.all]
             assert all([(m["member"], m["word"]) for m in found] == [("m1", "cordon")] for found in marks)
             _, late = await made.all[2].say("cordon", pool="p", member="m2", if_version=0)
@@ -114,7 +114,7 @@
     """One order everywhere, nothing lost that was said to stand, and nothing twice."""
 
     async def scene() -> None:
-        async with agreeing(tmp_path, 5, members=Members(6)) as made:
+        async with replicated_fleet(tmp_path, 5, members=Members(6)) as made:
             source, stands, refused = random.Random(7), dict[int, str](), 0
             over = asyncio.Event()
             faulty = asyncio.ensure_future(trouble(made, source, over))
@@ -141,7 +141,7 @@
                 if one.process is None:
                     await one.start()
                 one.send(signal.SIGCONT)
-            await acting(made.all, max(stands))
+            await until_acting(made.all, max(stands))
             found = [await one.read("marks") for one in made.all]
             assert all(one == found[0] for one in found[1:])
             assert len(stands) > 150
@@ -173,21 +173,21 @@
 def test_the_state_outlasts_a_restart_of_all_and_a_lost_store_is_told(tmp_path: Path) -> None:
     async def scene() -> None:
         members = Members(3)
-        async with agreeing(tmp_path, 4, members=members, voters=3) as made:
+        async with replicated_fleet(tmp_path, 4, members=members, voters=3) as made:
             assert (await drained(made.all[1]))["holds"]
             await asyncio.gather(*(one.kill() for one in made.all))
             for file in sorted((made.all[2].folder / "state").iterdir()):
                 file.unlink()
             before = await marker(members.members[0])
             await made.start(0, 1, 2, 3)
-            await acting(made.all, 1)
+            await until_acting(made.all, 1)
             for one in made.all:
                 for _ in range(5):
                     assert await ask(one.port) == "200"
             assert await marker(members.members[0]) == before + 1
 
             async def whole() -> bool:
-                found = await standing(made.all[2])
+                found = await replication_status(made.all[2])
                 return bool(found["votes"]) and not found["lost_state"]
 
             await until(whole, "the new store of i2 votes")
@@ -201,12 +201,12 @@
     steps = "import time; _real = time.time\n"
 
     async def scene() -> None:
-        async with agreeing(tmp_path, 3, 0) as made:
+        async with replicated_fleet(tmp_path, 3, 0) as made:
             made.all[1].prelude = steps + "time.time = lambda: _real() + 7200"
             made.all[2].prelude = steps + "time.time = lambda: _real() - 86400"
             await made.start(1, 2)
             await made.settled()
-            await acting(made.all)
+            await until_acting(made.all)
             _, long = await made.all[0].say("cordon", pool="p", member="m1", until="1h")
             _, short = await made.all[1].say("cordon", pool="p", member="m2", until="500ms")
             assert long["holds"] and short["holds"]
@@ -222,7 +222,7 @@
 
 def test_a_majority_that_is_lost_for_good_is_replaced_by_an_operators_word(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with agreeing(tmp_path, 4, voters=3) as made:
+        async with replicated_fleet(tmp_path, 4, voters=3) as made:
             _, said = await made.all[0].say("cordon", pool="p", member="m1")
             assert said["holds"]
             status, _ = await made.all[0].say("fleet/recover", roster=["i0"], last=True)
@@ -230,15 +230,15 @@
             await asyncio.gather(made.all[1].kill(), made.all[2].kill())
 
             async def shut() -> bool:
-                return bool((await standing(made.all[0]))["shut_out"])
+                return bool((await replication_status(made.all[0]))["shut_out"])
 
             await until(shut, "i0 is shut out")
             assert (await made.all[0].say("fleet/recover", roster=["i0"]))[0] == 409  # it has to be meant
             status, found = await made.all[0].say("fleet/recover", roster=["i0"], last=True)
             assert status == 200 and found["version"] == 2
-            await acting([made.all[0], made.all[3]], 2)
+            await until_acting([made.all[0], made.all[3]], 2)
             _, said = await made.all[3].say("fleet/enrol", name="i3")
-            assert said["holds"] and sorted((await standing(made.all[0]))["roster"]) == ["i0", "i3"]
+            assert said["holds"] and sorted((await replication_status(made.all[0]))["roster"]) == ["i0", "i3"]
             assert [m["member"] for m in await made.all[3].read("marks")] == ["m1"]
 
     run(scene)
@@ -246,20 +246,20 @@
 
 def test_one_that_serves_on_when_it_is_cut_off_says_so_and_is_waited_for(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with agreeing(tmp_path, 4, voters=3, cut_off="serve") as made:
+        async with replicated_fleet(tmp_path, 4, voters=3, cut_off="serve") as made:
             made.network.part((0, 1, 2), (3,))
             found = await drained(made.all[0], wait="3s")
             assert found["holds"] is False and found["missing"] == ["i3"] and found["until_s"] is None
             assert await ask(made.all[3].port) == "200"
             made.network.heal()
-            await on(made.all[3], found["version"])
+            await until_version(made.all[3], found["version"])
 
     run(scene)
 
 
 def test_a_configuration_file_that_is_gone_is_no_matter_of_what_runs(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with agreeing(tmp_path, 3, voters=3) as made:
+        async with replicated_fleet(tmp_path, 3, voters=3) as made:
             made.all[1].config.unlink()
             sent = made.network.counts["datagrams"]
 
@@ -267,7 +267,7 @@
                 return made.network.counts["datagrams"] > sent + 400
 
             await until(longer_than_a_lease, "400 datagrams have passed")
-            await acting(made.all)
+            await until_acting(made.all)
             assert await ask(made.all[1].port) == "200" and "defect" not in made.all[1].log
 
     run(scene)
@@ -275,7 +275,7 @@
 
 def test_why_names_the_version_and_versions_tell_who_acted_on_which(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with agreeing(tmp_path, 3, voters=3) as made:
+        async with replicated_fleet(tmp_path, 3, voters=3) as made:
             assert await ask(made.all[1].port, "GET", "/", "X-Request-Id: early") == "200"
             said = await drained(made.all[0])
             assert await ask(made.all[1].port, "GET", "/", "X-Request-Id: late") == "200"
