--- /dev/null
+++ b/tests/daemon/override_targets.py
@@ -0,0 +1,38 @@
+"""A stand-in for the administrative overrides of a daemon's pools."""
+
+from __future__ import annotations
+
+from loadbalancer.admin.calls import Change
+from loadbalancer.daemon.fleet_interfaces import JsonObject
+from loadbalancer.discovery.overrides import AdminOverride
+from loadbalancer.routing.traffic_migration import Migration
+
+
+class RecordingOverrides:
+    """Holds what was applied; each change that it is asked about would drain its endpoints, or end a migration."""
+
+    def __init__(self) -> None:
+        self.marks: dict[str, dict[str, AdminOverride]] = {}
+        self.moves: dict[str, Migration | None] = {}
+        self.frozen: dict[str, bool] = {}
+
+    def planned(self, change: Change) -> dict[str, AdminOverride | None]:
+        return {member: AdminOverride("drain") for member in change.members}
+
+    def planned_move(self, change: Change) -> Migration | None:
+        return None
+
+    def put_mark(self, name: str, member: str, mark: AdminOverride | None) -> None:
+        overrides = self.marks.setdefault(name, {})
+        overrides.pop(member, None)
+        if mark is not None:
+            overrides[member] = mark
+
+    def put_move(self, pool: str, move: Migration | None) -> None:
+        self.moves[pool] = move
+
+    def put_freeze(self, name: str, frozen: bool) -> None:
+        self.frozen[name] = frozen
+
+    def told(self, change: Change) -> JsonObject:
+        return {}
--- /dev/null
+++ b/tests/daemon/test_applied_state.py
@@ -0,0 +1,67 @@
+"""The replicated state in force at one daemon."""
+
+from __future__ import annotations
+
+from override_targets import RecordingOverrides
+
+from loadbalancer.daemon.applied_state import EXPIRY_RETRY_INTERVAL_S, AppliedState
+from loadbalancer.daemon.command_factory import CommandContent
+from loadbalancer.discovery.overrides import AdminOverride
+from loadbalancer.fleet.replication.epochs import WHOLE
+from loadbalancer.fleet.replication.replica import CommandApplied
+from loadbalancer.fleet.replication.replicated_state import Command, MarkBody, ReplicatedState, write_body
+
+NOW = 100.0
+DRAIN = AdminOverride("drain")
+
+
+def drained(duration_s: float) -> tuple[AppliedState, RecordingOverrides]:
+    """Version 1: endpoint m1 of pool p is drained."""
+    state = ReplicatedState({})
+    overrides = RecordingOverrides()
+    applied = AppliedState(state, overrides, lambda: NOW)
+    body = MarkBody("p", {"m1": DRAIN}, duration_s)
+    command = Command("a-1", "mark", write_body(body), "operator")
+    touched = tuple(state.apply(command))
+    applied.apply_command(CommandApplied(state.version, command, touched))
+    return applied, overrides
+
+
+def test_a_command_is_in_force_and_noted() -> None:
+    applied, overrides = drained(0.0)
+
+    assert overrides.marks == {"p": {"m1": DRAIN}}
+    assert [epoch.version for epoch in applied.history] == [0, 1]
+    assert applied.history[-1].by == "operator"
+
+
+def test_an_override_without_a_duration_does_not_end() -> None:
+    applied, _ = drained(0.0)
+
+    assert list(applied.expire(NOW + 1e9)) == []
+
+
+def test_the_end_of_an_override_is_proposed_again_until_it_is_applied() -> None:
+    applied, _ = drained(5.0)
+    end = CommandContent("mark", MarkBody("p", {"m1": None}, 0.0, 1))
+
+    assert list(applied.expire(NOW + 4.9)) == []
+    assert list(applied.expire(NOW + 5.0)) == [end]
+    assert list(applied.expire(NOW + 5.1)) == []
+    assert list(applied.expire(NOW + 5.0 + EXPIRY_RETRY_INTERVAL_S)) == [end]
+
+
+def test_a_snapshot_lifts_what_it_does_not_have() -> None:
+    state = ReplicatedState({})
+    overrides = RecordingOverrides()
+    overrides.put_mark("p", "m1", DRAIN)
+    overrides.put_move("p", None)
+    state.frozen.add("q")
+    applied = AppliedState(state, overrides, lambda: NOW)
+
+    applied.apply_snapshot()
+
+    assert overrides.marks == {"p": {}}
+    assert overrides.moves == {"p": None}
+    assert overrides.frozen == {"q": True}
+    assert applied.history[-1].what == WHOLE
