--- a/loadbalancer/daemon/component_factory.py
+++ b/loadbalancer/daemon/component_factory.py
@@ -7,7 +7,7 @@
 from loadbalancer.config.plan import Plan
 from loadbalancer.config.reader import ConfigError, Problem
 from loadbalancer.daemon.components import Component, DaemonContext
-from loadbalancer.daemon.preparation import make_plugins, make_tls_keys, missing_package
+from loadbalancer.daemon.preparation import make_plugins, make_tls_keys, missing_package, prepare
 
 if TYPE_CHECKING:
     from loadbalancer.daemon.admin_server import AdminServer
@@ -130,4 +130,4 @@
             from loadbalancer.daemon.fleet import FleetComponent
         except ImportError as problem:
             raise missing_package(plan, "fleet", "a fleet needs", problem, "requirements-tools.txt") from None
-        return FleetComponent(daemon, table, plan.path, self._components)
+        return FleetComponent(daemon, table, plan.path, self._components, prepare)
--- a/loadbalancer/daemon/components.py
+++ b/loadbalancer/daemon/components.py
@@ -20,7 +20,7 @@
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.frontends.listener import Listener
 from loadbalancer.resource_limits import RateLimitedLogger
-from loadbalancer.routing.traffic_migration import Migration, Migrations
+from loadbalancer.routing.traffic_migration import Migration
 
 if TYPE_CHECKING:  # loaded where one daemon takes over from another
     from loadbalancer.admin.snapshot import FleetSnapshot, Snapshot
@@ -153,8 +153,8 @@
         """Overrides in force by pool and endpoint."""
 
     @property
-    def migrations(self) -> Mapping[str, Migrations]:
-        """Migrations by pool."""
+    def migrations(self) -> Mapping[str, object]:
+        """Migrations by pool, of those of which a part was ever migrated."""
 
     def planned_overrides(self, change: Change) -> dict[str, AdminOverride | None]:
         """The overrides that a change would leave, by endpoint; None for no override."""
--- a/loadbalancer/daemon/daemon.py
+++ b/loadbalancer/daemon/daemon.py
@@ -122,7 +122,7 @@
     @property
     def retiring(self) -> int:
         """Pools and listeners that a reload took out, and that are not closed yet."""
-        return self.retirement.retiring
+        return len(self.retirement)
 
     # Applying a configuration.
 
@@ -228,7 +228,7 @@
         self._restore_snapshot()
         for component in self.components.values():
             component.look()
-        self.retirement.close_retired()
+        self.retirement.close_idle()
 
     def _follow_descriptor_limit(self) -> None:
         """Divide the descriptors anew where the process's limit has changed, or is lower than configured.
@@ -269,7 +269,7 @@
         longest = self.plan.longest if self.plan is not None else 0.0
         for pool in self.pools.values():
             pool.proxy.tunnels.retire()
-        listeners = [*self.listeners.values(), *self.retirement.retiring_listeners]
+        listeners = [*self.listeners.values(), *self.retirement.listeners]
         await drain(listeners, longest, longest + END_MARGIN_S, succeeded)
         self.close()
 
@@ -278,17 +278,16 @@
         self.spares.close()
         self._look_timer.cancel()
         self._usage_timer.cancel()
-        for listener in (*self.listeners.values(), *self.retirement.retiring_listeners):
+        for listener in (*self.listeners.values(), *self.retirement.listeners):
             listener.stop()
-        for pool in (*self.pools.values(), *(pool for _, pool in self.retirement.retiring_pools)):
+        for pool in (*self.pools.values(), *(retired.pool for retired in self.retirement.pools)):
             pool.close()
         for component in reversed(self.components.values()):
             component.end()
         self._listener_set.running = {}
         self._pool_set.running = {}
         self.components = {}
-        self.retirement.retiring_listeners = []
-        self.retirement.retiring_pools = []
+        self.retirement = Retirement()
 
 
 def _request_ids(draws: random.Random) -> Iterator[bytes]:
