--- a/emulator/fleetview.py
+++ b/emulator/fleetview.py
@@ -12,6 +12,7 @@
 from typing import Callable, Iterable
 
 from emulator.clock import Clock
+from loadbalancer.fleet.member_state import MemberStatus
 from loadbalancer.fleet.membership.events import (
     Action,
     Event,
@@ -21,7 +22,6 @@
     SynchronizeState,
     TimerExpired,
 )
-from loadbalancer.fleet.membership.member_state import MemberStatus
 from loadbalancer.fleet.membership.view import MembershipView
 from loadbalancer.fleet.replay_window import ReplayProtection
 from loadbalancer.fleet.settings import Address, Identity, Settings, Timers
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -6,8 +6,7 @@
 from loadbalancer.hot_restart.startup_pacing import begin
 
 if __name__ == "__main__":
-    # Guards against a new configuration that is announced while this loads: the signal would end the process. It waits,
-    # and is heard once the handlers are there (Node.take_signals), after the file was read. Harm: none.
+    # A SIGHUP that comes while this loads would end the process; it waits until the handlers are there.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
     pace = begin(os.environ)
     from loadbalancer.platform.main import main
--- a/loadbalancer/admin/snapshot.py
+++ b/loadbalancer/admin/snapshot.py
@@ -19,7 +19,7 @@
 from msgspec import Meta, Struct
 
 from loadbalancer.discovery.overrides import AdminOverride
-from loadbalancer.fleet.membership.member_state import MemberState
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.endpoints import Endpoint
 from loadbalancer.routing.traffic_migration import Migration
--- a/loadbalancer/daemon/fleet_peers.py
+++ b/loadbalancer/daemon/fleet_peers.py
@@ -4,7 +4,7 @@
 
 from typing import AsyncIterator
 
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.view import MembershipView
 from loadbalancer.fleet.stream_exchange import EXCHANGE_TIMEOUT_S
 from loadbalancer.fleet.transport import FleetTransport
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -15,7 +15,7 @@
 from loadbalancer.daemon.components import DaemonContext
 from loadbalancer.daemon.fleet_interfaces import AnswerCallback, JsonObject, StreamedAnswer, StreamedMessage
 from loadbalancer.daemon.fleet_peers import FleetPeers
-from loadbalancer.fleet.membership.member_state import MemberStatus
+from loadbalancer.fleet.member_state import MemberStatus
 from loadbalancer.fleet.membership.view import MembershipView
 from loadbalancer.fleet.orchestration.recovery import is_full
 from loadbalancer.fleet.orchestration.rolling_restart import MemberRestart, RollingRestart
--- a/loadbalancer/daemon/state_transfer.py
+++ b/loadbalancer/daemon/state_transfer.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.daemon.fleet_interfaces import StreamedAnswer, StreamedMessage
 from loadbalancer.daemon.fleet_peers import FleetPeers
-from loadbalancer.fleet.membership.member_state import MemberState
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.replication.messages import LogEntries, SnapshotChunk, StateRequest
 from loadbalancer.fleet.replication.replica import CommandsReceived, PaxosReplica, SnapshotReceived
 from loadbalancer.fleet.replication.state_transfer import StateReceiver, StateSender
--- a/loadbalancer/daemon/version_report.py
+++ b/loadbalancer/daemon/version_report.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.daemon.fleet_interfaces import AnswerCallback, Clock, JsonObject
 from loadbalancer.daemon.fleet_peers import FleetPeers
-from loadbalancer.fleet.membership.member_state import MemberState
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.replication.epochs import Epoch, merge
 from loadbalancer.fleet.replication.lease import Lease
 from loadbalancer.fleet.replication.messages import QueryRequest, QueryResponse
--- a/loadbalancer/fleet/datagram_socket.py
+++ b/loadbalancer/fleet/datagram_socket.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from typing import Callable
 
-from loadbalancer.fleet.membership.member_state import MemberState
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.packet_codec import PacketCodec
 from loadbalancer.fleet.settings import Address
 from loadbalancer.fleet.wire import MAX_DATAGRAM_BYTES, Message, Packet
--- a/loadbalancer/fleet/framed_connection.py
+++ b/loadbalancer/fleet/framed_connection.py
@@ -9,7 +9,7 @@
 from typing import AsyncIterator
 
 from loadbalancer.fleet.errors import ExchangeError
-from loadbalancer.fleet.membership.member_state import MemberState
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.packet_codec import PacketCodec
 from loadbalancer.fleet.wire import MAX_PIECE_BYTES, Message, Packet
 
--- a/loadbalancer/fleet/membership/dissemination.py
+++ b/loadbalancer/fleet/membership/dissemination.py
@@ -14,10 +14,10 @@
 import math
 from typing import Sequence
 
+from loadbalancer.fleet.member_state import MemberState, MemberStatus, encoded_size
 from loadbalancer.fleet.membership.context import ViewContext
 from loadbalancer.fleet.membership.events import SendPacket
 from loadbalancer.fleet.membership.gossip import GossipQueue
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus, encoded_size
 from loadbalancer.fleet.membership.member_table import Peer
 from loadbalancer.fleet.settings import Address
 from loadbalancer.fleet.wire import AliveNotice, GossipReply, Hello, Message, NameConflictNotice, Packet
--- a/loadbalancer/fleet/membership/events.py
+++ b/loadbalancer/fleet/membership/events.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Union
 
-from loadbalancer.fleet.membership.member_state import MemberState
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.settings import Address
 from loadbalancer.fleet.wire import Message, Packet
 
--- a/loadbalancer/fleet/membership/gossip.py
+++ b/loadbalancer/fleet/membership/gossip.py
@@ -10,7 +10,7 @@
 import math
 from typing import Iterator
 
-from loadbalancer.fleet.membership.member_state import MemberState, encoded_size
+from loadbalancer.fleet.member_state import MemberState, encoded_size
 from loadbalancer.fleet.wire import MAX_GOSSIP_BYTES
 
 #: Transmissions of a state, as a multiple of the binary logarithm of the fleet's size.
--- a/loadbalancer/fleet/membership/lifecycle.py
+++ b/loadbalancer/fleet/membership/lifecycle.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.context import ViewContext
 from loadbalancer.fleet.membership.dissemination import Dissemination
 from loadbalancer.fleet.membership.failure_detector import FailureDetector
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.state_synchronization import StateSynchronization
 
 #: Members that are told directly that this instance leaves; they pass it on.
--- a/loadbalancer/fleet/membership/local_member.py
+++ b/loadbalancer/fleet/membership/local_member.py
@@ -13,7 +13,7 @@
 
 import enum
 
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.settings import Identity
 from loadbalancer.fleet.wire import AliveNotice, Hello
 
--- a/loadbalancer/fleet/membership/member_deadlines.py
+++ b/loadbalancer/fleet/membership/member_deadlines.py
@@ -5,8 +5,8 @@
 import math
 from typing import Iterator
 
+from loadbalancer.fleet.member_state import MemberStatus
 from loadbalancer.fleet.membership.context import ViewContext
-from loadbalancer.fleet.membership.member_state import MemberStatus
 from loadbalancer.fleet.membership.member_table import Peer
 
 
--- a/loadbalancer/fleet/membership/member_table.py
+++ b/loadbalancer/fleet/membership/member_table.py
@@ -13,7 +13,7 @@
 import math
 from typing import Iterator
 
-from loadbalancer.fleet.membership.member_state import DIGEST_MODULUS, MemberState, MemberStatus, digest_of
+from loadbalancer.fleet.member_state import DIGEST_MODULUS, MemberState, MemberStatus, digest_of
 from loadbalancer.fleet.membership.suspicion import Suspicion
 
 MAX_NAMES = 4_096
--- a/loadbalancer/fleet/membership/member_updates.py
+++ b/loadbalancer/fleet/membership/member_updates.py
@@ -13,10 +13,10 @@
 
 import math
 
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.context import ViewContext
 from loadbalancer.fleet.membership.dissemination import Dissemination
 from loadbalancer.fleet.membership.member_deadlines import MemberDeadlines
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.member_table import Peer
 from loadbalancer.fleet.membership.probe_schedule import ProbeSchedule
 from loadbalancer.fleet.membership.reconnection import Reconnection
--- a/loadbalancer/fleet/membership/name_conflicts.py
+++ b/loadbalancer/fleet/membership/name_conflicts.py
@@ -16,11 +16,11 @@
 
 import math
 
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.context import ViewContext
 from loadbalancer.fleet.membership.dissemination import Dissemination
 from loadbalancer.fleet.membership.lifecycle import Lifecycle
 from loadbalancer.fleet.membership.local_health import LocalHealth
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.settings import Address
 from loadbalancer.fleet.wire import Hello, NameConflictNotice, Packet
 
--- a/loadbalancer/fleet/membership/probe_messages.py
+++ b/loadbalancer/fleet/membership/probe_messages.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.membership.context import ViewContext
 from loadbalancer.fleet.membership.dissemination import Dissemination
-from loadbalancer.fleet.membership.member_state import MemberState
 from loadbalancer.fleet.membership.member_table import Peer
 from loadbalancer.fleet.wire import Ack, Ping
 
--- a/loadbalancer/fleet/membership/reconnection.py
+++ b/loadbalancer/fleet/membership/reconnection.py
@@ -11,9 +11,9 @@
 
 import math
 
+from loadbalancer.fleet.member_state import MemberStatus
 from loadbalancer.fleet.membership.context import ViewContext
 from loadbalancer.fleet.membership.dissemination import Dissemination
-from loadbalancer.fleet.membership.member_state import MemberStatus
 from loadbalancer.fleet.membership.member_table import Peer
 
 
--- a/loadbalancer/fleet/membership/view.py
+++ b/loadbalancer/fleet/membership/view.py
@@ -25,6 +25,7 @@
 from collections import Counter
 from typing import Iterator, Sequence
 
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.membership.context import ViewContext
 from loadbalancer.fleet.membership.dissemination import Dissemination
 from loadbalancer.fleet.membership.events import (
@@ -41,7 +42,6 @@
 from loadbalancer.fleet.membership.lifecycle import Lifecycle
 from loadbalancer.fleet.membership.local_health import LocalHealth
 from loadbalancer.fleet.membership.local_member import LocalMember, LocalStatus
-from loadbalancer.fleet.membership.member_state import MemberState
 from loadbalancer.fleet.membership.member_table import MemberTable
 from loadbalancer.fleet.membership.member_updates import MemberUpdates
 from loadbalancer.fleet.membership.name_conflicts import NameConflicts
--- a/loadbalancer/fleet/packet_codec.py
+++ b/loadbalancer/fleet/packet_codec.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from loadbalancer.fleet.errors import DropReason, MessageError
-from loadbalancer.fleet.membership.member_state import MemberState
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.replay_window import ReplayProtection
 from loadbalancer.fleet.wire import Message, Packet, Sealer
 
--- a/loadbalancer/fleet/report.py
+++ b/loadbalancer/fleet/report.py
@@ -9,7 +9,7 @@
 import math
 from typing import NamedTuple, TypedDict
 
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.member_table import Peer
 from loadbalancer.fleet.membership.view import MembershipView
 
--- a/loadbalancer/fleet/stream_exchange.py
+++ b/loadbalancer/fleet/stream_exchange.py
@@ -10,8 +10,8 @@
 
 from loadbalancer.fleet.errors import ExchangeError
 from loadbalancer.fleet.framed_connection import FramedConnection, open_framed
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.membership.events import SynchronizeState
-from loadbalancer.fleet.membership.member_state import MemberState
 from loadbalancer.fleet.packet_codec import PacketCodec
 from loadbalancer.fleet.replication.messages import StreamMessage
 from loadbalancer.fleet.settings import Address
--- a/loadbalancer/fleet/transport.py
+++ b/loadbalancer/fleet/transport.py
@@ -19,6 +19,7 @@
 from typing import AsyncIterator, Callable, Iterable, Protocol, get_args
 
 from loadbalancer.fleet.datagram_socket import DatagramSocket
+from loadbalancer.fleet.member_state import MemberState
 from loadbalancer.fleet.membership.events import (
     Action,
     Event,
@@ -28,7 +29,6 @@
     SynchronizeState,
     TimerExpired,
 )
-from loadbalancer.fleet.membership.member_state import MemberState
 from loadbalancer.fleet.packet_codec import PacketCodec
 from loadbalancer.fleet.replication.messages import ReplicationMessage
 from loadbalancer.fleet.settings import Address
--- a/loadbalancer/fleet/view_exchange.py
+++ b/loadbalancer/fleet/view_exchange.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.fleet.errors import ExchangeError
 from loadbalancer.fleet.framed_connection import FramedConnection
-from loadbalancer.fleet.membership.member_state import MemberState, encoded_size
+from loadbalancer.fleet.member_state import MemberState, encoded_size
 from loadbalancer.fleet.wire import MAX_PIECE_BYTES, MAX_PIECES, Packet, Piece
 
 #: Bytes of member states in one piece; the rest is for the packet and its seal.
--- a/loadbalancer/fleet/wire.py
+++ b/loadbalancer/fleet/wire.py
@@ -20,7 +20,7 @@
 
 from loadbalancer.fleet.errors import DropReason, KeyFileError, MessageError
 from loadbalancer.fleet.keys import KEY_BYTES, MAX_KEYS, key_number
-from loadbalancer.fleet.membership.member_state import Count, Host, MemberState, Name, Port
+from loadbalancer.fleet.member_state import Count, Host, MemberState, Name, Port
 from loadbalancer.fleet.replication.messages import ReplicationMessage, StreamMessage
 
 MAGIC = b"mS"
--- a/tests/fleet/membership/test_view.py
+++ b/tests/fleet/membership/test_view.py
@@ -10,9 +10,9 @@
 import pytest
 
 from emulator.fleetview import FleetModel
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.events import Action, PacketReceived, SendPacket, TimerExpired
 from loadbalancer.fleet.membership.failure_detector import FailureDetector
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.membership.member_table import MAX_NAMES, Peer
 from loadbalancer.fleet.membership.name_conflicts import NameConflicts
 from loadbalancer.fleet.membership.reconnection import Reconnection
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from loadbalancer.fleet import wire as form
+from loadbalancer.fleet.member_state import MemberState, MemberStatus, encoded_size
 from loadbalancer.fleet.membership.gossip import GossipQueue
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus, encoded_size
 from loadbalancer.fleet.wire import Packet, Sealer
 
 OLD = b"o" * 32
--- a/tests/fleet/test_view_exchange.py
+++ b/tests/fleet/test_view_exchange.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from loadbalancer.fleet import wire as form
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.view_exchange import split_into_pieces
 from loadbalancer.fleet.wire import Packet, Sealer
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -10,7 +10,7 @@
 from loadbalancer.fleet import wire as form
 from loadbalancer.fleet.errors import MessageError
 from loadbalancer.fleet.keys import key_number
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.wire import Packet, Sealer
 
 OLD, NEW = b"o" * 32, b"n" * 32
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -20,7 +20,7 @@
 from loadbalancer.discovery import platform_overrides
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet import wire
-from loadbalancer.fleet.membership.member_state import MemberState, MemberStatus
+from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.replication import messages
 from loadbalancer.fleet.replication.messages import AcceptorState, ObservedStore
 from loadbalancer.fleet.replication.replicated_state import Command, ReplicatedState
