--- a/loadbalancer/daemon/admin_queries.py
+++ b/loadbalancer/daemon/admin_queries.py
@@ -128,7 +128,7 @@
         for name, pool in self._daemon.pools.items():
             now = pool.proxy.now()
             for request in pool.proxy.open.values():
-                began = min((attempt.began for attempt in request.attempts), default=now)
+                began = min((attempt.began_at for attempt in request.attempts), default=now)
                 rows.append((began, _request_row(name, request, now)))
         rows.sort(key=lambda began_and_row: began_and_row[0])
         return [row for _, row in rows[:MAX_REQUEST_ROWS]]
@@ -186,7 +186,7 @@
 def _request_row(pool: str, request: OpenRequest, now: float) -> RequestRow:
     line = bytes(request.head.partition(b"\r\n")[0]).decode("latin-1").rpartition(" ")[0]
     attempts: list[AttemptRow] = [
-        {"member": attempt.server, "age_s": round(now - attempt.began, 3), "ended": attempt.ended}
+        {"member": attempt.endpoint, "age_s": round(now - attempt.began_at, 3), "ended": attempt.ended}
         for attempt in request.attempts
     ]
     return {
--- a/loadbalancer/daemon/admin_rows.py
+++ b/loadbalancer/daemon/admin_rows.py
@@ -136,17 +136,17 @@
 def pool_row(name: str, pool: RunningPool) -> PoolRow:
     """What can be read of a pool."""
     proxy = pool.proxy
-    served, refused, failed = (sum(counts) for counts in zip(*proxy.figures.ended, strict=True))
+    served, refused, failed = (sum(counts) for counts in zip(*proxy.metrics.ended, strict=True))
     return {
         "pool": name,
         "members": len(proxy.listed),
-        "skipped": proxy.skipped(),
+        "skipped": proxy.avoided_count(),
         "open": len(proxy.open),
         "served": served,
         "refused": refused,
         "failed": failed,
-        "attempts": sum(proxy.tries()),
-        "connections": proxy.backends.open,
+        "attempts": sum(proxy.attempt_counts()),
+        "connections": proxy.upstreams.open,
         "tunnels": len(proxy.tunnels.open),
         "frozen": pool.overlay.frozen,
         "refusing": round(proxy.balancer.shed_level, 3),
--- a/loadbalancer/daemon/pool_set.py
+++ b/loadbalancer/daemon/pool_set.py
@@ -104,8 +104,8 @@
         self.turns = WeightedTurns(weights) if len(weights) > 1 else None
         for name, pool in self.running.items():
             pool.resize(allocations[name], self.turns)
-            pool.proxy.backends.free_descriptor = self._spares.take
-            pool.proxy.backends.tls = tls_keys.pools.get(name) if tls_keys is not None else None
+            pool.proxy.upstreams.free_descriptor = self._spares.take
+            pool.proxy.upstreams.tls = tls_keys.pools.get(name) if tls_keys is not None else None
 
     def resize(self, allocations: Mapping[str, PoolAllocation]) -> None:
         """Give each pool another part of the process."""
--- a/loadbalancer/daemon/pools.py
+++ b/loadbalancer/daemon/pools.py
@@ -197,14 +197,14 @@
 
     def resize(self, share: PoolAllocation, turns: WeightedTurns | None) -> None:
         """Give the pool another part of the process; what it holds above that is kept until it ends."""
-        self.proxy.turns = turns
+        self.proxy.fair_share = turns
         self.proxy.resize(share)
 
     def hand_on(self) -> bytes:
         """The list for another instance, as bytes; empty where the source is not polled, or has not answered lately."""
         if (
             not isinstance(self.source, DiscoveryClient)
-            or not self.proxy.fresh
+            or not self.proxy.has_fresh_list
             or self.source.age() > AGE_MOST
         ):
             return b""
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -128,7 +128,7 @@
                 case ConnectionPace():
                     self._set_pace(action)
         for pool in self._daemon.pools.values():
-            pool.proxy.return_s = return_after(self._random.random(), len(seen.recovering))
+            pool.proxy.retry_after_s = return_after(self._random.random(), len(seen.recovering))
         self._adjust_pace()
         self._learning.apply()
 
@@ -178,7 +178,7 @@
         heard = [peer for peer in living if peer.phase != NOT_HEARD]
         served = ended = 0
         for pool in self._daemon.pools.values():
-            for counts in pool.proxy.figures.ended:
+            for counts in pool.proxy.metrics.ended:
                 served += counts[0]
                 ended += sum(counts)
         return RecoveryObservation(
@@ -197,7 +197,7 @@
     def _set_pace(self, pace: ConnectionPace) -> None:
         per_s = pace.per_member_s
         for pool in self._daemon.pools.values():
-            pool.proxy.backends.set_pace(None if per_s is None else Pacer(per_s, time.monotonic()))
+            pool.proxy.upstreams.set_pace(None if per_s is None else Pacer(per_s, time.monotonic()))
         self._connections_per_endpoint_s = per_s or 0.0
 
     def _adjust_pace(self) -> None:
@@ -207,16 +207,16 @@
         each request opens a connection in usual times too, and would only wait. The first requests show it.
         """
         for pool in self._daemon.pools.values():
-            pacer = pool.proxy.backends.pacer
+            pacer = pool.proxy.upstreams.pacer
             endpoints = len(pool.proxy.listed)
             if pacer is None:
                 continue
             pacer.per_s = self._connections_per_endpoint_s * max(1, endpoints)
-            requests = sum(map(sum, pool.proxy.figures.ended)) + len(pool.proxy.open)
+            requests = sum(map(sum, pool.proxy.metrics.ended)) + len(pool.proxy.open)
             rate = requests / max(MIN_RATE_PERIOD_S, time.monotonic() - self.coordinator.since)
             sparse_rate = MIN_RATE_PER_CONNECTION * pool.proxy.balancer.settings.instance_count * endpoints
             if requests >= MIN_REQUESTS_FOR_RATE and rate < sparse_rate:
-                pool.proxy.backends.set_pace(None)
+                pool.proxy.upstreams.set_pace(None)
 
     # What others and operators are told.
 
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -267,7 +267,7 @@
 
     def _count_requests(self) -> RequestCounts:
         ended = [
-            counts for pool in self._context.daemon.pools.values() for counts in pool.proxy.figures.ended
+            counts for pool in self._context.daemon.pools.values() for counts in pool.proxy.metrics.ended
         ]
         served = sum(counts[0] for counts in ended)
         failed = sum(counts[1] + counts[2] for counts in ended)
--- a/loadbalancer/discovery/watch.py
+++ b/loadbalancer/discovery/watch.py
@@ -18,9 +18,9 @@
 
 With the policy's wait before the next call, a list is known within 6 s of when it can be had (docs/standing-test.md).
 """
-AGAIN_S = 0.1
+REOPEN_DELAY_S = 0.1
 """Seconds, times a random factor up to 1, after which a failed watch is opened anew where lists are pushed."""
-MOVE_SPREAD_S = 1.8
+ADDRESS_CHANGE_SPREAD_S = 1.8
 """Seconds over which all proxies call another service that they are told of at the same time.
 
 What they wait in line there comes on top, and the list has to be known 4 s after the move.
@@ -119,7 +119,7 @@
         if self.pushed:
             self.watch(True)
         else:
-            wait = MOVE_SPREAD_S * self.deployment.settings.other_instances_share * random.random()
+            wait = ADDRESS_CHANGE_SPREAD_S * self.deployment.settings.other_instances_share * random.random()
             self._loop.call_later(wait, self._reopen)
 
     def close(self) -> None:
@@ -163,7 +163,7 @@
         self.logger("watch failed", reason)
         self.close()
         if self.pushed:
-            self._loop.call_later(AGAIN_S * random.random(), self._reopen)
+            self._loop.call_later(REOPEN_DELAY_S * random.random(), self._reopen)
         else:
             self.proxy.list_failed(busy)
 
--- a/loadbalancer/fleet/replication/lease.py
+++ b/loadbalancer/fleet/replication/lease.py
@@ -56,7 +56,7 @@
 
 
 @dataclass
-class PendingRequest:
+class PendingLeaseRequest:
     """A request for the lease.
 
     Attributes:
@@ -89,7 +89,7 @@
         #: Granted as a voter: until when each instance may act, by this instance's clock.
         self.leaseholders: dict[str, float] = {}
         self._last_number = 0
-        self._requests: dict[int, PendingRequest] = {}
+        self._requests: dict[int, PendingLeaseRequest] = {}
         self._request_at = -math.inf
         self._first_readings: dict[str, ClockReading] = {}
         self._started_at = math.inf
@@ -121,7 +121,7 @@
         self._request_at = now + (
             self.duration / REQUESTS_PER_DURATION if is_open else EXPIRED_REQUEST_INTERVAL_S
         )
-        self._requests[self._last_number] = PendingRequest(now)
+        self._requests[self._last_number] = PendingLeaseRequest(now)
         self._requests = {
             number: request
             for number, request in self._requests.items()
--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -230,7 +230,7 @@
             request.open = item.request
             item.begin()
             return
-        proxy.turned_away(item.request, item.cls, status)
+        proxy.count_rejected(item.request, item.cls, status)
         self._reject(request, status, why)
 
     def _reject(self, request: FcgiRequest, status: int, why: str) -> None:
@@ -244,7 +244,7 @@
         taken, request.open = request.open, None
         if taken is not None:
             self.request_over(False)
-            taken.owner.withdraw(taken)
+            taken.owner.cancel_by_client(taken)
         request.release_body()
         self._end(request, b"")
 
@@ -353,7 +353,7 @@
             taken, request.open = request.open, None
             request.ended, request.stream = True, None
             if taken is not None:
-                taken.owner.withdraw(taken)
+                taken.owner.cancel_by_client(taken)
             request.release_body()
         self.requests.clear()
 
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -354,7 +354,7 @@
             elif item.proxy.is_known(item.request):
                 self._turn_away(item, 409, b"this X-Txn has been used\n")
             elif item.proxy.is_shut_out():
-                lines = (b"Retry-After: %d\r\n" % item.proxy.return_s,)
+                lines = (b"Retry-After: %d\r\n" % item.proxy.retry_after_s,)
                 self._turn_away(item, 503, b"this proxy is not of its fleet now\n", False, lines)
             elif not item.proxy.has_room():
                 self._turn_away(item, 503, b"this pool has all it can hold\n", False)
@@ -375,7 +375,7 @@
         self, item: RoutedRequest, status: int, why: bytes, close: bool = True, lines: Sequence[bytes] = ()
     ) -> None:
         """Answered before it was taken: it has not run."""
-        item.proxy.turned_away(item.request, item.cls, status)
+        item.proxy.count_rejected(item.request, item.cls, status)
         self.close_after = self.close_after or close or self.upload is not None
         if self.upload is not None:
             self.upload.close()
@@ -566,7 +566,7 @@
         request, self.request = self.request, None
         self.stream = self.upload = None
         if request is not None:
-            request.owner.withdraw(request)
+            request.owner.cancel_by_client(request)
         while self.waiting:
             self._drop(self.waiting.popleft())
         self._release_body()
--- a/loadbalancer/platform/node.py
+++ b/loadbalancer/platform/node.py
@@ -84,7 +84,7 @@
     def used(self) -> int:
         """Descriptors in use."""
         connections = self.listener.taken + self.listener.overflowing
-        return connections + self.proxy.backends.open + RESERVED_DESCRIPTORS
+        return connections + self.proxy.upstreams.open + RESERVED_DESCRIPTORS
 
     def resize(self, limits: ResourceLimits) -> None:
         """Hold to other limits from now on.
@@ -94,7 +94,7 @@
         finds a connection to an endpoint, since it was accepted.
         """
         self.proxy.resize(limits)
-        self.proxy.backends.sockets = max(
-            limits.backend_sockets, self.proxy.figures.open + RESERVED_DESCRIPTORS
+        self.proxy.upstreams.sockets = max(
+            limits.backend_sockets, self.proxy.metrics.open + RESERVED_DESCRIPTORS
         )
         self.listener.resize(max(limits.client_sockets, self.listener.taken), limits.overflow_sockets)
--- a/loadbalancer/platform/operations.py
+++ b/loadbalancer/platform/operations.py
@@ -39,7 +39,7 @@
 
 def counts_of(proxy: Proxy, classes: Mapping[str, int]) -> Counts:
     """All counts of a proxy, with its request classes by name and number."""
-    ended = proxy.figures.ended
+    ended = proxy.metrics.ended
     handled: dict[str, HandledRequests] = {
         name: {
             "passed": ended[number][RequestResult.PASSED],
@@ -50,10 +50,10 @@
     }
     return {
         "handled": handled,
-        "upstream_tries": sum(proxy.tries()),
-        "in_progress": proxy.figures.open,
+        "upstream_tries": sum(proxy.attempt_counts()),
+        "in_progress": proxy.metrics.open,
         "known_backends": len(proxy.listed),
-        "skipped_backends": proxy.skipped(),
+        "skipped_backends": proxy.avoided_count(),
     }
 
 
--- a/loadbalancer/platform/upgrade.py
+++ b/loadbalancer/platform/upgrade.py
@@ -69,7 +69,7 @@
         if file is not None:
             self._writer = OverrideWriter(file.save)
         overrides = PlatformOverrides(self._node.proxy, self._writer, time.time, self._logger)
-        self._node.proxy.marks = overrides
+        self._node.proxy.overrides = overrides
         if file is not None:
             overrides.follow(file.read() or {})
         return overrides
@@ -140,7 +140,7 @@
         observation = Observation(
             age=time.monotonic() - self._began,
             listed=bool(proxy.listed),
-            fresh=proxy.fresh,
+            fresh=proxy.has_fresh_list,
             elders=bool(self._elders),
             others=list(others.values()),
             ending=self._node.stopping.is_set(),
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -15,7 +15,7 @@
 )
 from loadbalancer.policy.settings import DeduplicationScope
 
-FAILING_AFTER = 2  # consecutive failures, not counting slow answers, after which an endpoint is ejected
+EJECT_AFTER = 2  # consecutive failures, not counting slow answers, after which an endpoint is ejected
 
 AttemptKey = tuple[int, int]
 """Request and number of the attempt."""
@@ -127,7 +127,7 @@
             self.consecutive_failures = 0
         elif result == AttemptResult.NO_CONNECTION:
             # Nothing listens there: the next request need not find it out again.
-            self.consecutive_failures = max(self.consecutive_failures + 1, FAILING_AFTER)
+            self.consecutive_failures = max(self.consecutive_failures + 1, EJECT_AFTER)
         elif result != AttemptResult.FULL:
             self.consecutive_failures += slowness >= 1.0 or result != AttemptResult.TIMEOUT
 
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -5,7 +5,7 @@
 import math
 from typing import Mapping
 
-from loadbalancer.policy.endpoints import FAILING_AFTER, Endpoint, EndpointRegistry
+from loadbalancer.policy.endpoints import EJECT_AFTER, Endpoint, EndpointRegistry
 from loadbalancer.policy.estimators import DECAY_S, RATE_MEMORY_S, SendRate, linear_decay
 from loadbalancer.policy.events import AttemptResult, Outcome
 from loadbalancer.policy.pending_requests import Attempt, PendingRequest
@@ -65,7 +65,7 @@
         in_flight = endpoint.in_flight
         if in_flight and now - next(iter(in_flight.values())) > self.response_timeout:
             return False
-        if endpoint.consecutive_failures < FAILING_AFTER:
+        if endpoint.consecutive_failures < EJECT_AFTER:
             return True
         return not in_flight and now >= endpoint.error_rate_at + self._ejection_time(endpoint, now)
 
@@ -77,7 +77,7 @@
             # would keep nothing away.
             own_rate = max(self._send_rate.per_second(now), 1 / RATE_MEMORY_S)
             interval = max(interval, min(len(self._registry.ready) / own_rate, DECAY_S / 4))
-        doublings = min(endpoint.consecutive_failures - FAILING_AFTER, MAX_BACKOFF_DOUBLINGS)
+        doublings = min(endpoint.consecutive_failures - EJECT_AFTER, MAX_BACKOFF_DOUBLINGS)
         return min(DECAY_S, interval * 2.0**doublings)
 
     def error_rate(self, endpoint: Endpoint, class_index: int, now: float) -> float:
--- a/loadbalancer/proxy/answer_writer.py
+++ b/loadbalancer/proxy/answer_writer.py
@@ -66,7 +66,7 @@
             self._write(request, FinalAnswer(response), [])
 
     def _is_retryable(self, request: OpenRequest, response: UpstreamResponse) -> bool:
-        if response.again:
+        if response.asks_for_retry:
             return True
         if request.retry_statuses is not None:
             return response.status in request.retry_statuses
--- a/loadbalancer/proxy/attempt_runner.py
+++ b/loadbalancer/proxy/attempt_runner.py
@@ -72,7 +72,7 @@
         """Count the time of its open attempts from now on: the request's last byte has come."""
         for attempt in request.attempts:
             if not attempt.ended:
-                attempt.began = self._clock.now()
+                attempt.began_at = self._clock.now()
                 self._start_timer(attempt)
 
     def _start_timer(self, attempt: Attempt) -> None:
@@ -163,15 +163,15 @@
         result: AttemptResult,
         report: Mapping[str, float] | None,
     ) -> None:
-        elapsed = self._clock.now() - attempt.began
+        elapsed = self._clock.now() - attempt.began_at
         time_to_first_byte = None
         if attempt.answered_at:
-            time_to_first_byte = self._clock.epoch + attempt.answered_at - attempt.began
+            time_to_first_byte = self._clock.epoch + attempt.answered_at - attempt.began_at
         self._post(
             Outcome(
                 request.id,
                 attempt.number,
-                attempt.server,
+                attempt.endpoint,
                 result,
                 elapsed,
                 request.done,
--- a/loadbalancer/proxy/idempotent_requests.py
+++ b/loadbalancer/proxy/idempotent_requests.py
@@ -190,7 +190,7 @@
         assert answer.body is not None
         self._release()
         self._proxy.drop(self._request)
-        self._proxy.figures.count(self._terms.cls, RequestResult.PASSED)
+        self._proxy.metrics.count(self._terms.cls, RequestResult.PASSED)
         lines = [*answer.lines, REPLAYED]
         client.answer(answer.status, lines, answer.body, False, None, answer.reason)
 
@@ -198,7 +198,7 @@
         """Answer before any attempt has left."""
         client = self.client
         self._release()
-        self._proxy.turned_away(self._request, self._terms.cls, status)
+        self._proxy.count_rejected(self._request, self._terms.cls, status)
         if client is not None:
             client.answer(status, lines, body)
 
@@ -283,11 +283,11 @@
 
     # Called by the front end, for which this is the owner.
 
-    def withdraw(self, request: OpenRequest) -> None:
+    def cancel_by_client(self, request: OpenRequest) -> None:
         """The client has gone. What a pool has may have run; the key stands as begun until its answer comes."""
         self.client = None
         if self._pool is not None:
-            self._pool.withdraw(request)
+            self._pool.cancel_by_client(request)
             if self._answer_timer is None:
                 self._release()
 
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -64,7 +64,7 @@
 class RequestOwner(Protocol):
     """Who has a request, as the connection knows it on which it came."""
 
-    def withdraw(self, request: OpenRequest) -> None:
+    def cancel_by_client(self, request: OpenRequest) -> None:
         """The client has gone."""
 
     def uploaded(self, request: OpenRequest) -> None:
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -69,7 +69,7 @@
 BAD_GATEWAY = 502
 
 
-class PluginGate(Protocol):
+class ProcessorShare(Protocol):
     """Who says whether a pool may take one more request now, where several share the process."""
 
     def admit(self, pool: str) -> bool:
@@ -116,21 +116,21 @@
         """
         self.logger = logger
         self.name = ""  # by which pools that share a process know this one
-        self.turns: PluginGate | None = None  # where several pools share the processor
+        self.fair_share: ProcessorShare | None = None  # where several pools share the processor
         self.trace: DecisionTrace | None = None  # of the latest requests, where operators may ask why
-        self.fence: Callable[[], bool] | None = None  # whether this instance holds a lease, in a fleet
-        self.return_s = DEFAULT_RETRY_AFTER_S
+        self.may_act: Callable[[], bool] | None = None  # whether this instance holds a lease, in a fleet
+        self.retry_after_s = DEFAULT_RETRY_AFTER_S
         self.closed = False
         self.source: EndpointSource | None = None
         self.takes_uploads: bool = getattr(connect, "takes_uploads", False)
         self.max_open_requests = limits.max_open_requests
         self.balancer = Balancer(deployment.settings, seed)
         self.budget = BufferBudget(limits.buffered)
-        self.figures = PoolMetrics(len(deployment.settings.classes))
+        self.metrics = PoolMetrics(len(deployment.settings.classes))
         self.tunnels = Tunnels(tunnels or TunnelLimits(), time.monotonic)
         self.ids = ids or TransactionIds()
         self.dialect = dialect or _platform_dialect(deployment)
-        self.backends = self._make_upstreams(deployment, limits, connect)
+        self.upstreams = self._make_upstreams(deployment, limits, connect)
         self._compose(timeout_status)
         self._events: deque[Event] = deque()
         self._is_handling = False
@@ -153,20 +153,20 @@
 
     def _compose(self, timeout_status: int) -> None:
         self._clock = PolicyClock()
-        self._table = RequestTable(self.figures, self.budget, self.ids, self._on_overdue)
+        self._table = RequestTable(self.metrics, self.budget, self.ids, self._on_overdue)
         self._answers = AnswerWriter(self._table, self.budget, self.dialect, timeout_status)
         self._streams = ResponseStreams(self._table)
         self._attempts = AttemptRunner(
             self._table,
-            self.backends,
+            self.upstreams,
             self._answers,
             self._streams,
             self.ids,
-            self.figures,
+            self.metrics,
             self._clock,
             self.post,
         )
-        self._directory = EndpointDirectory(self.backends, self.tunnels, self.post)
+        self._directory = EndpointDirectory(self.upstreams, self.tunnels, self.post)
         self._carry_out: dict[type, Callable[[Any], None]] = {
             Send: self._attempts.send,
             SetTimer: self._set_timer,
@@ -201,26 +201,26 @@
         return self._directory.listed
 
     @property
-    def fresh(self) -> bool:
+    def has_fresh_list(self) -> bool:
         """Whether a list, or a change to it, has come since the start."""
         return self._directory.fresh
 
     @property
-    def marks(self) -> PlatformOverrides | None:
+    def overrides(self) -> PlatformOverrides | None:
         """The platform's overrides, where operators can cordon endpoints."""
         return self._directory.overrides
 
-    @marks.setter
-    def marks(self, overrides: PlatformOverrides | None) -> None:
+    @overrides.setter
+    def overrides(self, overrides: PlatformOverrides | None) -> None:
         self._directory.overrides = overrides
 
     def now(self) -> float:
         """The policy's time, in seconds."""
         return self._clock.now()
 
-    def tries(self) -> list[int]:
+    def attempt_counts(self) -> list[int]:
         """Attempts that were written whole, for each class: those that have ended, and those still out."""
-        tries = list(self.figures.tries)
+        tries = list(self.metrics.tries)
         for request in self.open.values():
             if not request.open_attempts:
                 continue
@@ -228,13 +228,13 @@
                 tries[request.class_index] += not attempt.ended and attempt.is_written()
         return tries
 
-    def skipped(self) -> int:
+    def avoided_count(self) -> int:
         """Listed endpoints that get nothing now, by the policy's choice, by hand or by their state."""
         return sum(self.balancer.avoids(endpoint) for endpoint in self.listed)
 
     def is_shut_out(self) -> bool:
         """Whether this instance has lost its lease: clients are told to return."""
-        return self.fence is not None and not self.fence()
+        return self.may_act is not None and not self.may_act()
 
     def has_room(self) -> bool:
         """Whether one more request may be open.
@@ -244,11 +244,11 @@
         """
         if self.closed or len(self.open) >= self.max_open_requests:
             return False
-        return self.turns is None or self.turns.admit(self.name)
+        return self.fair_share is None or self.fair_share.admit(self.name)
 
     def may_upload(self) -> bool:
         """Whether one more body may be sent on as it comes; each holds a connection as long as its client takes."""
-        return self.uploads < max(1, int(self.backends.sockets * UPLOAD_SHARE))
+        return self.uploads < max(1, int(self.upstreams.sockets * UPLOAD_SHARE))
 
     def is_known(self, request: OpenRequest) -> bool:
         """Whether a request of its transaction id is open, or was unusable."""
@@ -314,7 +314,7 @@
             self.source.watch(action.enabled)
 
     def _close_idle(self, action: CloseIdleConnections) -> None:
-        self.backends.close_idle(action.endpoint)
+        self.upstreams.close_idle(action.endpoint)
 
     def _log(self, action: LogMessage) -> None:
         self.logger("module", action.text)
@@ -369,12 +369,12 @@
         """Release a request that ends before it was taken."""
         self._table.discard_body(request)
 
-    def turned_away(self, request: OpenRequest, cls: int, status: int) -> None:
+    def count_rejected(self, request: OpenRequest, cls: int, status: int) -> None:
         """Count a whole request that the front end answers with an error; it was not taken, and has not run."""
         self.drop(request)
-        self.figures.count(cls, result_of_status(status))
+        self.metrics.count(cls, result_of_status(status))
 
-    def withdraw(self, request: OpenRequest) -> None:
+    def cancel_by_client(self, request: OpenRequest) -> None:
         """The client has gone."""
         if request.done:
             return
@@ -430,7 +430,7 @@
 
     # Called by upstream connections.
 
-    def bars(self, attempt: Attempt, late: bool) -> bool:
+    def must_not_leave(self, attempt: Attempt, late: bool) -> bool:
         """Whether an attempt may not leave any more; see `AttemptOwner`."""
         request = cast(OpenRequest, attempt.request)
         if request.done or request.client.has_left():
@@ -457,8 +457,8 @@
             self._attempts.finish(attempt, AttemptResult.CANCELLED)
             return None
         stream = self._streams.begin(request, attempt, answer, giver)
-        elapsed = self.now() - attempt.began
-        self.post(FirstByte(request.id, attempt.number, attempt.server, elapsed))
+        elapsed = self.now() - attempt.began_at
+        self.post(FirstByte(request.id, attempt.number, attempt.endpoint, elapsed))
         return stream
 
     def begin_tunnel(self, attempt: Attempt, answer: UpstreamResponse, member: TunnelEnd) -> Tunnel | None:
@@ -467,7 +467,7 @@
         if request.done or not self.tunnels.has_room():
             return None
         client = cast(TunnelClient, request.client)
-        tunnel = self.tunnels.open_tunnel(attempt.server, client, member)
+        tunnel = self.tunnels.open_tunnel(attempt.endpoint, client, member)
         request.answered_by_endpoint = True
         self._table.finish(request, RequestResult.PASSED)
         client.begin_tunnel(answer.lines, answer.reason, tunnel)
@@ -493,12 +493,12 @@
     def resize(self, limits: PoolLimits) -> None:
         """Take other limits; idle connections past them are closed."""
         self.budget.resize(limits.buffered)
-        self.backends.resize(limits.backend_sockets)
+        self.upstreams.resize(limits.backend_sockets)
         self.max_open_requests = limits.max_open_requests
 
     def _sweep(self) -> None:
         now = time.monotonic()
-        self.backends.sweep(now)
+        self.upstreams.sweep(now)
         self._cut_stalled_streams(now)
         if self.tunnels.open:
             self.tunnels.sweep()
@@ -515,8 +515,8 @@
 
     def retire(self) -> None:
         """Keep no connection; what is open, or on its way, is still served."""
-        for endpoint in list(self.backends.table):
-            self.backends.retire(endpoint)
+        for endpoint in list(self.upstreams.endpoints):
+            self.upstreams.retire(endpoint)
         self.tunnels.retire()
 
     def end_all(self) -> None:
@@ -533,8 +533,8 @@
         if self.source is not None:
             self.source.close()
             self.source = None
-        for endpoint in list(self.backends.table):
-            self.backends.gone(endpoint)
+        for endpoint in list(self.upstreams.endpoints):
+            self.upstreams.gone(endpoint)
 
 
 def _platform_dialect(deployment: Deployment) -> Dialect:
--- a/loadbalancer/upstreams/base.py
+++ b/loadbalancer/upstreams/base.py
@@ -17,13 +17,13 @@
     """A connection that carries one attempt at a time. The protocol's file reads and writes on it."""
 
     def __init__(self, backend: UpstreamEndpoint, pool: UpstreamPools, sock: socket.socket) -> None:
-        self.backend, self.pool, self.sock = backend, pool, sock
-        self.life = backend.life
+        self.endpoint, self.pool, self.sock = backend, pool, sock
+        self.identity = backend.identity
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
         self.unsent = False  # part of the request is still in our buffers
         self.closed = False
-        self.handed = False
+        self.is_handed_over = False
         self.idle_since = 0.0
         pool.open += 1
         backend.open += 1
@@ -77,7 +77,7 @@
 
     def note_heard(self) -> None:
         """Something has come from the backend."""
-        self.backend.heard = time.monotonic()
+        self.endpoint.last_heard_at = time.monotonic()
 
     def is_unsent(self) -> bool:
         """Whether so much of the request is still here that it can't have run."""
@@ -116,7 +116,7 @@
     def drop(self) -> None:
         """Close at once; nothing further is heard of it."""
         if self.attempt is not None:
-            self.attempt.part()
+            self.attempt.detach()
             self.attempt = None
         if not self.closed:
             self.closed = True
@@ -130,7 +130,7 @@
     def close_socket(self) -> None:
         """Where no transport came of it. One that failed half-way has closed the descriptor itself; closing
         its number again would end whatever connection has got it since."""
-        if self.handed:
+        if self.is_handed_over:
             self.sock.detach()
         else:
             self.sock.close()
--- a/loadbalancer/upstreams/connections.py
+++ b/loadbalancer/upstreams/connections.py
@@ -60,7 +60,7 @@
 class AttemptOwner(Protocol):
     """Who is told how an attempt ended."""
 
-    def bars(self, attempt: Attempt, late: bool) -> bool:
+    def must_not_leave(self, attempt: Attempt, late: bool) -> bool:
         """Asked right before anything of an attempt leaves: whether it may not. `late`: some time has passed since it
         was decided."""
 
@@ -89,10 +89,10 @@
 class Upstream(asyncio.Protocol):
     """What a pool needs of a connection, whatever protocol it speaks."""
 
-    backend: UpstreamEndpoint
+    endpoint: UpstreamEndpoint
     sock: socket.socket
-    life: Life
-    handed: bool  # the transport owns the socket
+    identity: Life
+    is_handed_over: bool  # the transport owns the socket
     secure: bool = False  # over TLS: what is written is not what leaves
     closed: bool
     idle_since: float  # monotonic
@@ -146,8 +146,8 @@
     __slots__ = (
         "request",
         "number",
-        "server",
-        "began",
+        "endpoint",
+        "began_at",
         "timeout",
         "timer",
         "connection",
@@ -159,8 +159,8 @@
     )
 
     def __init__(self, request: Job, number: int, server: str, began: float, timeout: float) -> None:
-        self.request, self.number, self.server = request, number, server
-        self.began, self.timeout = began, timeout
+        self.request, self.number, self.endpoint = request, number, server
+        self.began_at, self.timeout = began, timeout
         self.timer: asyncio.TimerHandle | None = None
         self.connection: Upstream | None = None
         self.opening: asyncio.Task[None] | None = None
@@ -173,7 +173,7 @@
         """Whether the last byte of the request has left, so that it may have run."""
         return self._written if self.connection is None else not self.connection.is_unsent()
 
-    def part(self) -> None:
+    def detach(self) -> None:
         """The connection carries it no further."""
         self._written = self.is_written()
         self.connection = None
@@ -195,24 +195,35 @@
     status: int = 200
     reason: bytes = b""
     length: int | None = None  # stated without a body: to HEAD, or by a 304
-    again: bool = False  # the member asks that the request goes again
+    asks_for_retry: bool = False  # the member asks that the request goes again
 
 
 class UpstreamEndpoint:
     """One backend's address and connections."""
 
-    __slots__ = ("life", "name", "idle", "shared", "wanted", "gone", "open", "heard", "waiting", "due")
+    __slots__ = (
+        "identity",
+        "idle",
+        "is_gone",
+        "is_serving",
+        "last_heard_at",
+        "name",
+        "open",
+        "opening_is_due",
+        "shared",
+        "waiting_attempts",
+    )
 
     def __init__(self, life: Life, name: str = "") -> None:
-        self.life, self.name = life, name
+        self.identity, self.name = life, name
         self.idle: list[Upstream] = []  # the newest last
         self.shared: list[Upstream] = []  # those that carry several attempts, in use or idle
-        self.wanted = True  # listed as serving
-        self.gone = False
+        self.is_serving = True  # listed as serving
+        self.is_gone = False
         self.open = 0
-        self.heard = 0.0  # when any of its connections last had something to read
-        self.waiting: deque[Attempt] = deque()  # for a connection, while these are opened at a pace
-        self.due = False  # one of them is to open one
+        self.last_heard_at = 0.0  # when any of its connections last had something to read
+        self.waiting_attempts: deque[Attempt] = deque()  # for a connection, while these are opened at a pace
+        self.opening_is_due = False  # one of them is to open one
 
 
 class UpstreamPools:
@@ -234,16 +245,16 @@
         self.owner, self.budget, self.logger = owner, budget, logger
         self.sockets, self._make = sockets, make
         self.connect_timeout = connect_timeout
-        self.idle_most = IDLE_MOST if idle_most is None else idle_most
+        self.max_idle_connections = IDLE_MOST if idle_most is None else idle_most
         self.idle_s = idle_close * IDLE_SHARE
-        self.table: dict[str, UpstreamEndpoint] = {}
+        self.endpoints: dict[str, UpstreamEndpoint] = {}
         self.tls: TlsConnector | None = None  # what members are spoken to in
         self.open = 0
         self.free_descriptor: Callable[[], bool] = lambda: (
             False
         )  # frees one on the spot where the system has none
         self.pacer: Pacer | None = None  # while many proxies come back at once
-        self.barred: Callable[[str], AttemptResult | None] | None = (
+        self.send_guard: Callable[[str], AttemptResult | None] | None = (
             None  # how an attempt ends that may not leave now
         )
 
@@ -255,42 +266,42 @@
 
     def listed(self, server: str, life: Life, serving: bool) -> None:
         """Another address or start means that the old connections are of no use."""
-        backend = self.table.get(server)
+        backend = self.endpoints.get(server)
         if backend is None:
-            backend = self.table[server] = UpstreamEndpoint(life, server)
-        if backend.life != life or not serving:
-            backend.life = life
+            backend = self.endpoints[server] = UpstreamEndpoint(life, server)
+        if backend.identity != life or not serving:
+            backend.identity = life
             self.close_idle(server)
-        backend.wanted = serving
-        backend.gone = False
+        backend.is_serving = serving
+        backend.is_gone = False
 
     def gone(self, server: str) -> None:
-        backend = self.table.get(server)
+        backend = self.endpoints.get(server)
         if backend is not None:
-            backend.wanted, backend.gone = False, True
+            backend.is_serving, backend.is_gone = False, True
             self.close_idle(server)
 
     def retire(self, server: str) -> None:
         """Keep no connection to it: those in use close once they have been used."""
-        self.table[server].wanted = False
+        self.endpoints[server].is_serving = False
         self.close_idle(server)
 
-    def _bars(self, attempt: Attempt, late: bool) -> bool:
+    def _is_stopped(self, attempt: Attempt, late: bool) -> bool:
         """Asked right before anything leaves, on every way. Guards against attempts that were right when they were
         decided and are not once their connection is up: the request has its answer, its client has left, its member
         drains or has gone, the deduplication window is over. Also what a fleet has agreed on, against a process that
         was stopped between its decision and its send. Harm: none, the request has not run."""
-        result = self.barred(attempt.server) if self.barred is not None else None
-        if result is None and self.owner.bars(attempt, late):
+        result = self.send_guard(attempt.endpoint) if self.send_guard is not None else None
+        if result is None and self.owner.must_not_leave(attempt, late):
             result = AttemptResult.NOT_SENT
         if result is not None:
             self.owner.finish_attempt(attempt, result)
         return result is not None
 
     def send(self, attempt: Attempt) -> None:
-        if self._bars(attempt, False):
+        if self._is_stopped(attempt, False):
             return
-        backend = self.table.get(attempt.server)
+        backend = self.endpoints.get(attempt.endpoint)
         if backend is None:  # it went between the decision and now
             self.owner.finish_attempt(attempt, AttemptResult.NO_CONNECTION)
             return
@@ -298,7 +309,7 @@
             kept.start(attempt)
             return
         if self.pacer is not None:
-            backend.waiting.append(attempt)
+            backend.waiting_attempts.append(attempt)
             self._next(backend)
             return
         self._open(backend, attempt)
@@ -308,31 +319,31 @@
 
         Guards members against all proxies that open theirs in the same moment, after most have restarted. Harm: a
         request waits for its turn, inside its time, while its member has no connection of ours."""
-        while backend.waiting and not backend.due:
-            attempt = backend.waiting.popleft()
+        while backend.waiting_attempts and not backend.opening_is_due:
+            attempt = backend.waiting_attempts.popleft()
             if attempt.ended:
                 continue
             wait = self.pacer.take(time.monotonic()) if self.pacer is not None else 0.0
             if wait > 0:
-                backend.waiting.appendleft(attempt)
-                backend.due = True
+                backend.waiting_attempts.appendleft(attempt)
+                backend.opening_is_due = True
                 asyncio.get_running_loop().call_later(wait, self._due, backend)
             else:
                 self._open(backend, attempt)
 
     def _due(self, backend: UpstreamEndpoint) -> None:
-        backend.due = False
+        backend.opening_is_due = False
         self._next(backend)
 
     def set_pace(self, pacer: Pacer | None) -> None:
         """None ends it: all that wait open theirs."""
         self.pacer = pacer
-        for backend in list(self.table.values()) if pacer is None else ():
+        for backend in list(self.endpoints.values()) if pacer is None else ():
             self._next(backend)  # what a timer is set for comes with it, and finds no pace
 
     def _open(self, backend: UpstreamEndpoint, attempt: Attempt) -> None:
         if self.open >= self.sockets and not self._close_one_idle():
-            self.logger("no descriptor left for a backend", attempt.server)
+            self.logger("no descriptor left for a backend", attempt.endpoint)
             self.owner.finish_attempt(attempt, AttemptResult.NO_CONNECTION)
             return
         sock = self._socket(backend)
@@ -347,7 +358,7 @@
         """Guards requests in flight against a system that has no descriptor left: a spare one is theirs."""
         for last in (False, True):
             try:
-                return socket.socket(family(backend.life[0]), socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+                return socket.socket(family(backend.identity[0]), socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             except OSError as problem:
                 if last or problem.errno not in (errno.EMFILE, errno.ENFILE) or not self.free_descriptor():
                     self.logger("no socket for a backend", problem)
@@ -379,14 +390,14 @@
 
     async def _connect(self, connection: Upstream) -> None:
         loop, sock = asyncio.get_running_loop(), connection.sock
-        where: tuple[str, int] | str = connection.life[0]
+        where: tuple[str, int] | str = connection.identity[0]
         if sock.family == socket.AF_UNIX:
-            where = connection.life[0][0].removeprefix(UNIX)
+            where = connection.identity[0][0].removeprefix(UNIX)
         else:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         async with asyncio.timeout(self.connect_timeout):
             await loop.sock_connect(sock, where)
-        connection.handed = True
+        connection.is_handed_over = True
         try:
             if self.tls is None:
                 await loop.create_connection(lambda: connection, sock=sock)
@@ -398,12 +409,12 @@
 
     async def _shake(self, tls: TlsConnector, connection: Upstream) -> None:
         connection.secure = True
-        backend = connection.backend
+        backend = connection.endpoint
         await asyncio.get_running_loop().create_connection(
             lambda: connection,
             sock=connection.sock,
             ssl=tls.context(backend.name),
-            server_hostname=tls.name_of(backend.name, connection.life[0]),
+            server_hostname=tls.name_of(backend.name, connection.identity[0]),
             ssl_handshake_timeout=tls.handshake_s,
             ssl_shutdown_timeout=SHUTDOWN_S,
         )
@@ -413,7 +424,7 @@
         """What it means that a connection did not come up: in any case the request never ran."""
         if self.tls is None or not connection.secure or task.cancelled():
             return AttemptResult.NO_CONNECTION
-        return self.tls.failed(connection.backend.name, task.exception(), time.monotonic())
+        return self.tls.failed(connection.endpoint.name, task.exception(), time.monotonic())
 
     def _opened(self, connection: Upstream, attempt: Attempt, task: asyncio.Task[None]) -> None:
         """The one place where opening ends: opened, failed, or cancelled, also before it began.
@@ -425,33 +436,35 @@
             result = self._unopened(connection, task)
             connection.drop()
             self.owner.finish_attempt(attempt, result)
-        elif attempt.ended or self._bars(attempt, True):  # while this waited for its turn
-            self.park(connection)
-        elif connection.life != connection.backend.life:  # somebody else may listen where it leads by now
+        elif attempt.ended or self._is_stopped(attempt, True):  # while this waited for its turn
+            self.keep_idle(connection)
+        elif (
+            connection.identity != connection.endpoint.identity
+        ):  # somebody else may listen where it leads by now
             connection.drop()
             self.owner.finish_attempt(attempt, AttemptResult.NOT_SENT)
         else:
             connection.start(attempt)
 
-    def park(self, connection: Upstream) -> None:
-        backend = connection.backend
+    def keep_idle(self, connection: Upstream) -> None:
+        backend = connection.endpoint
         if self.tls is not None:
             self.tls.used(backend.name, connection)
-        if not backend.wanted or connection.life != backend.life:
+        if not backend.is_serving or connection.identity != backend.identity:
             connection.drop()
             return
-        while backend.waiting:
-            attempt = backend.waiting.popleft()
-            if not attempt.ended and not self._bars(attempt, True):
+        while backend.waiting_attempts:
+            attempt = backend.waiting_attempts.popleft()
+            if not attempt.ended and not self._is_stopped(attempt, True):
                 connection.start(attempt)
                 return
-        if len(backend.idle) >= self.idle_most:
+        if len(backend.idle) >= self.max_idle_connections:
             backend.idle[0].drop()
         connection.idle_since = time.monotonic()
         backend.idle.append(connection)
 
     def forget(self, connection: Upstream) -> None:
-        backend = connection.backend
+        backend = connection.endpoint
         self.open -= 1
         backend.open -= 1
         for those in (backend.idle, backend.shared):
@@ -459,7 +472,7 @@
                 those.remove(connection)
 
     def close_idle(self, server: str) -> None:
-        backend = self.table.get(server)
+        backend = self.endpoints.get(server)
         while backend is not None and backend.idle:
             backend.idle[-1].drop()
 
@@ -469,20 +482,20 @@
         Guards against connections that stay open while nobody is at their other end any more (a machine that
         vanished, a path that forgot them): each would cost one more request its time. It should also catch a
         backend that hangs and comes back. Harm: new connections to one that was merely slow for that long."""
-        backend = self.table.get(attempt.server)
-        if backend is not None and backend.heard < attempt.written_at:
-            self.close_idle(attempt.server)
+        backend = self.endpoints.get(attempt.endpoint)
+        if backend is not None and backend.last_heard_at < attempt.written_at:
+            self.close_idle(attempt.endpoint)
 
     def _close_one_idle(self) -> bool:
-        idle = [b.idle[0] for b in self.table.values() if b.idle]
+        idle = [b.idle[0] for b in self.endpoints.values() if b.idle]
         if idle:
             min(idle, key=lambda c: c.idle_since).drop()
         return bool(idle)
 
     def sweep(self, now: float) -> None:
         """Retire what has stood idle, forget what is gone."""
-        for server, backend in list(self.table.items()):
+        for server, backend in list(self.endpoints.items()):
             while backend.idle and now - backend.idle[0].idle_since > self.idle_s:
                 backend.idle[0].drop()
-            if backend.gone and not backend.open:
-                del self.table[server]
+            if backend.is_gone and not backend.open:
+                del self.endpoints[server]
--- a/loadbalancer/upstreams/fastcgi.py
+++ b/loadbalancer/upstreams/fastcgi.py
@@ -196,10 +196,10 @@
         attempt = self.attempt
         assert attempt is not None
         self.attempt = None
-        attempt.part()
+        attempt.detach()
         if self.application.keep and not self.side.stray and not self.unsent and not self.closed:
             self.release()
-            self.pool.park(self)
+            self.pool.keep_idle(self)
         else:
             self.drop()
         self.pool.owner.finish_attempt(attempt, result, report, answer)
@@ -212,7 +212,7 @@
 
 def note_stderr(pool: UpstreamPools, attempt: Attempt, text: bytes | bytearray) -> None:
     if text:
-        pool.logger(f"stderr of {attempt.server}", bytes(text))
+        pool.logger(f"stderr of {attempt.endpoint}", bytes(text))
 
 
 Verdict = tuple[AttemptResult, Union[Mapping[str, float], None], Union[UpstreamResponse, None]]
--- a/loadbalancer/upstreams/http1.py
+++ b/loadbalancer/upstreams/http1.py
@@ -335,12 +335,12 @@
             stated = self.length if self.length_only or self.status in BODILESS else None
             answer = self._answer(b"".join(self.body), stated)
         self.attempt = None
-        attempt.part()
+        attempt.detach()
         if self.keep and not self.surplus and not self.is_unsent() and not self.closed:
             if self.stale:
                 self.parser = httptools.HttpResponseParser(self)
             self._expect()
-            self.pool.park(self)
+            self.pool.keep_idle(self)
         else:
             self.drop()
         self.pool.owner.finish_attempt(attempt, result, report, answer)
@@ -375,7 +375,7 @@
         self.lines.append(b"Connection: Upgrade\r\nUpgrade: %b\r\n" % wanted)
         answer = self._answer(b"", None)
         self.attempt = None
-        attempt.part()
+        attempt.detach()
         owner = cast(TunnelOwner, self.pool.owner)
         self.tunnel = owner.begin_tunnel(attempt, answer, self)
         if self.tunnel is None:
--- a/loadbalancer/upstreams/multiplex.py
+++ b/loadbalancer/upstreams/multiplex.py
@@ -58,7 +58,7 @@
     def release(self) -> None:
         self.trunk.pool.budget.release(self.held)
         self.held = 0
-        self.attempt.part()
+        self.attempt.detach()
 
     def drop(self) -> None:
         """Give this attempt up: the application hears so, and the others on the trunk go on."""
@@ -90,7 +90,7 @@
 
     def has_room(self) -> bool:
         """Whether it takes one more attempt now."""
-        if self.spent or self.closed or self.transport is None or self.life != self.backend.life:
+        if self.spent or self.closed or self.transport is None or self.identity != self.endpoint.identity:
             return False
         if not self.streams and not self.aborted:
             return True
@@ -145,8 +145,8 @@
             if record.type == Type.GET_VALUES_RESULT:
                 values = dict(read_pairs(record.content, VALUES_MOST))
                 self.several = values.get(b"FCGI_MPXS_CONNS") == b"1"
-                if self.several and self not in self.backend.shared:
-                    self.backend.shared.append(self)
+                if self.several and self not in self.endpoint.shared:
+                    self.endpoint.shared.append(self)
             elif record.type != Type.UNKNOWN_TYPE:
                 raise ProtocolError(f"a record of type {record.type} with request id 0")
             return
@@ -233,8 +233,8 @@
             return
         if self.spent or not self.application.keep:
             self.drop()
-        elif not self.aborted and self not in self.backend.idle:
-            self.pool.park(self)
+        elif not self.aborted and self not in self.endpoint.idle:
+            self.pool.keep_idle(self)
 
     def fail(self, result: AttemptResult) -> None:
         """The connection is of no further use: each stream ends by what of its own request had left."""
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -60,7 +60,7 @@
             assert gone.proxy.open and not gone.proxy.closed
             held.go.set()
             assert (await client.read())[0] == 200 and len(old.calls) == 1
-            assert not gone.proxy.open and gone.proxy.backends.open == 0  # no connection to it is kept
+            assert not gone.proxy.open and gone.proxy.upstreams.open == 0  # no connection to it is kept
             assert (await client.ask(requests_to("/", "POST", b"z")))[0] == 200 and len(new.calls) == 2
             assert first
 
--- a/tests/daemon/test_hot_restart.py
+++ b/tests/daemon/test_hot_restart.py
@@ -24,7 +24,7 @@
 from loadbalancer.daemon.hot_restart.protocol import HotRestartError, offer_path
 from loadbalancer.daemon.hot_restart.takeover import take_over
 from loadbalancer.daemon.unix_socket_files import remove_own
-from loadbalancer.policy.endpoints import FAILING_AFTER
+from loadbalancer.policy.endpoints import EJECT_AFTER
 from loadbalancer.policy.outlier_detection import ERROR_RATE_LIMIT
 from loadbalancer.store.engine import Engine, StoreBounds
 from loadbalancer.store.files import DiskFiles
@@ -339,7 +339,7 @@
         taken.close()
         found = [
             note.error_rate > ERROR_RATE_LIMIT
-            and note.consecutive_failures >= FAILING_AFTER
+            and note.consecutive_failures >= EJECT_AFTER
             and note.error_rate_age >= 0
             for note in notes
         ]
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -82,14 +82,14 @@
             await here.discovery.until_watched()
             await here.discovery.line(2, a.entry(state=state))
             await until_lists(here, 2)
-            backend = here.proxy.backends.table["a"]
+            backend = here.proxy.upstreams.endpoints["a"]
             assert not backend.idle
             before = len(a.calls)
             for _ in range(20):
                 assert (await client.ask(request()))[0] == 200
             assert len(a.calls) == before
-            here.proxy.backends.sweep(0.0)
-            assert ("a" in here.proxy.backends.table) == (state == "DRAINING")
+            here.proxy.upstreams.sweep(0.0)
+            assert ("a" in here.proxy.upstreams.endpoints) == (state == "DRAINING")
 
     play(scene)
 
@@ -311,8 +311,8 @@
             assert len(event.entries) == 5000
             await here.discovery.line(3, full=True)
             await until_lists(here, 3)
-            here.proxy.backends.sweep(0.0)
-            assert not here.proxy.backends.table and not here.proxy.listed
+            here.proxy.upstreams.sweep(0.0)
+            assert not here.proxy.upstreams.endpoints and not here.proxy.listed
 
     play(scene)
 
@@ -335,7 +335,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """In both orders: while the new watch opens, and once it stands."""
-    monkeypatch.setattr(discovery_module, "MOVE_SPREAD_S", 0.0)
+    monkeypatch.setattr(discovery_module, "ADDRESS_CHANGE_SPREAD_S", 0.0)
 
     async def scene() -> None:
         async with world(settings=SETTINGS if how == "silent" else ASKED) as here:
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -56,7 +56,7 @@
         attempt.ended = True
         self.results.append(result)
 
-    def bars(self, attempt: Attempt, late: bool) -> bool:
+    def must_not_leave(self, attempt: Attempt, late: bool) -> bool:
         return False
 
     def begin_answer(self, attempt: Attempt, answer: Any, giver: Any) -> None:
@@ -79,7 +79,7 @@
             pool.set_pace(Pacer(2.0 if ends_early else 200.0, time.monotonic()))
             for number in range(6):
                 pool.send(Attempt(job, number, "m1", 0.0, 1.0))
-            assert len(ends.results) == 0 and len(pool.table["m1"].waiting) >= 4
+            assert len(ends.results) == 0 and len(pool.endpoints["m1"].waiting_attempts) >= 4
             if ends_early:
                 pool.set_pace(None)
 
@@ -87,7 +87,10 @@
                 return len(ends.results) == 6
 
             await until(all_ended, "all attempts have ended")
-            assert set(ends.results) == {AttemptResult.NO_CONNECTION} and not pool.table["m1"].waiting
+            assert (
+                set(ends.results) == {AttemptResult.NO_CONNECTION}
+                and not pool.endpoints["m1"].waiting_attempts
+            )
 
     run(scene)
 
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -62,7 +62,7 @@
 async def desk(*backends: ScriptedBackend) -> AsyncIterator[Desked]:
     async with world(*backends) as here:
         marks = PlatformOverrides(here.proxy, None, time.time)
-        here.proxy.marks = marks
+        here.proxy.overrides = marks
         marks.listed(here.proxy.listed)
         classes = read_deployment(SETTINGS).classes
         operations = PlatformOperations(here.proxy, classes, marks, lambda: True)
@@ -161,10 +161,10 @@
             for client in clients:
                 await client.send(request("unsafe"))
             await backend.until_called(5)
-            await here.here.proxy.until(lambda: here.here.proxy.figures.open == 5)
+            await here.here.proxy.until(lambda: here.here.proxy.metrics.open == 5)
             box = await here.figures()
             assert box["in_progress"] == 5
-            assert box["upstream_tries"] == sum(here.here.proxy.tries()) == 5
+            assert box["upstream_tries"] == sum(here.here.proxy.attempt_counts()) == 5
 
     play(scene)
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -350,7 +350,7 @@
     )
     server = Listener(PlatformReader(proxy, deployment), slots, logger, serve)
     if upstream == "https":
-        proxy.backends.tls = certs.member_keys()
+        proxy.upstreams.tls = certs.member_keys()
     if front == "https":
         server.tls = TlsAcceptor(certs.server_keys(), logger)
     discovery_of_proxy.start({"version": 1, "full": True, "servers": [b.entry() for b in backends]})
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -381,7 +381,7 @@
             assert await client.reader.read() == b""
             await here.until(lambda: not tunnels(here).open)
             assert tunnels(here).passed_bytes == [5 + len(big), 10 + len(big)]
-            assert here.daemon.pools["p"].proxy.backends.open == 0
+            assert here.daemon.pools["p"].proxy.upstreams.open == 0
 
     run(scene)
 
@@ -648,7 +648,7 @@
         async with ground(tmp_path, [member], lambda: text([member], more)) as here:
             status, head, body = await here.ask(requests_to())
             assert status in (502, 503, 504) and error_in(head) and not body  # nothing of it went out
-            assert here.daemon.pools["p"].proxy.backends.open == 0
+            assert here.daemon.pools["p"].proxy.upstreams.open == 0
 
     run(scene)
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -148,7 +148,7 @@
         backend = ScriptedBackend("s", silent)
         async with world(backend) as here:
             host, port = server.sockets[0].getsockname()
-            here.proxy.backends.listed("s", ((host, port), 0.0), True)
+            here.proxy.upstreams.listed("s", ((host, port), 0.0), True)
             client = await here.connect()
             status, _ = await client.ask(request("unsafe", bytes(64_000)))
             assert {o.result for o in await here.proxy.until_outcomes(1)} == {AttemptResult.NO_CONNECTION}
@@ -214,10 +214,10 @@
             hold.set()
             await first.read()
             await second.read()
-            newest = here.proxy.backends.table["s"].idle[-1]
+            newest = here.proxy.upstreams.endpoints["s"].idle[-1]
             await first.ask(request())
             assert backend.connections == 2
-            assert here.proxy.backends.table["s"].idle[-1] is newest
+            assert here.proxy.upstreams.endpoints["s"].idle[-1] is newest
 
     play(scene)
 
@@ -233,7 +233,7 @@
         async with world(backend) as here:
             client = await here.connect()
             assert await client.ask(request()) == (200, b"hi")
-            assert not here.proxy.backends.table["s"].idle
+            assert not here.proxy.upstreams.endpoints["s"].idle
             assert await client.ask(request()) == (200, b"hi")
             assert backend.connections == 2
 
@@ -278,12 +278,12 @@
             hold.set()
             for client in clients:
                 await client.read()
-            pool = here.proxy.backends
-            (idle,) = pool.table["s"].idle
+            pool = here.proxy.upstreams
+            (idle,) = pool.endpoints["s"].idle
             pool.sweep(idle.idle_since + 0.3 * 30.0 - 0.1)
-            assert pool.table["s"].idle == [idle]
+            assert pool.endpoints["s"].idle == [idle]
             pool.sweep(idle.idle_since + 0.3 * 30.0 + 0.1)
-            assert not pool.table["s"].idle and pool.open == 0
+            assert not pool.endpoints["s"].idle and pool.open == 0
 
     play(scene)
 
@@ -297,7 +297,7 @@
             client = await here.connect()
             await client.send(request("safe", None, "400m"))
             await here.proxy.until(lambda: here.proxy.open)
-            first = next(iter(here.proxy.open.values())).attempts[0].server
+            first = next(iter(here.proxy.open.values())).attempts[0].endpoint
             other = quick if first == "a" else slow
             other.scripts = [answering(OK)]
             status, _, body = await client.read()
@@ -419,7 +419,7 @@
             client = await here.connect()
             assert await client.ask(request()) == (200, b"1")
             assert await client.ask(request()) == (200, b"2")
-            (kept,) = here.proxy.backends.table["a"].idle
+            (kept,) = here.proxy.upstreams.endpoints["a"].idle
             split.set()
             while not kept.closed:
                 await asyncio.sleep(0)
@@ -439,7 +439,7 @@
             for _ in range(2):
                 assert (await client.ask(request()))[0] == 200
             assert [call.connection for call in backend.calls] == [1, 2]
-            for connection in here.proxy.backends.table["a"].idle:
+            for connection in here.proxy.upstreams.endpoints["a"].idle:
                 connection.idle_since -= 60.0
             assert (await client.ask(request()))[0] == 200
             assert backend.calls[2].connection == 2
@@ -452,7 +452,7 @@
 
     async def scene() -> None:
         async with world(ScriptedBackend("a", silent)) as here:
-            backends = here.proxy.backends
+            backends = here.proxy.upstreams
             backends.listed("odd", (("127.0.0.1", 70_000), 0.0), True)
             client = await here.connect()
             assert (await client.ask(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 200
@@ -464,11 +464,11 @@
                 for _ in range(rounds):
                     await asyncio.sleep(0)
                 attempt.drop()
-            while any(c.idle_since == 0.0 for c in backends.table["a"].idle) or backends.open > len(
-                backends.table["a"].idle
+            while any(c.idle_since == 0.0 for c in backends.endpoints["a"].idle) or backends.open > len(
+                backends.endpoints["a"].idle
             ):
                 await asyncio.sleep(0)
-            assert backends.table["odd"].open == 0
+            assert backends.endpoints["odd"].open == 0
 
     play(scene)
 
@@ -486,7 +486,7 @@
             filler.setblocking(False)
             filler.connect_ex(address)
         async with world(ScriptedBackend("s", silent)) as here:
-            here.proxy.backends.listed("s", (address, 0.0), True)
+            here.proxy.upstreams.listed("s", (address, 0.0), True)
             client = await here.connect()
             assert (await client.ask(request("unsafe", None, "60m")))[0] == 503
             assert {o.result for o in await here.proxy.until_outcomes(1)} == {AttemptResult.NO_CONNECTION}
@@ -507,9 +507,9 @@
             await first.send(request("unsafe", None, "400m"))
             await backend.until_called(2)
             assert (await second.ask(request()))[0] == 200
-            state = here.proxy.backends.table["s"]
+            state = here.proxy.upstreams.endpoints["s"]
             if not heard:
-                state.heard -= 60.0
+                state.last_heard_at -= 60.0
             assert len(state.idle) == 1
             assert (await first.read())[0] == 502
             assert len(state.idle) == heard
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -447,7 +447,7 @@
 
             statuses = await asyncio.gather(*[one() for _ in range(300)])
             assert statuses.count(200) == 300
-            assert here.proxy.backends.open <= here.proxy.backends.sockets
+            assert here.proxy.upstreams.open <= here.proxy.upstreams.sockets
 
     play(scene)
 
@@ -548,10 +548,10 @@
                     client.writer.close()
 
             await asyncio.gather(*[busy(number) for number in range(20)])
-            pool = here.proxy.backends
+            pool = here.proxy.upstreams
             while here.server.connections or here.proxy.open:
                 await asyncio.sleep(0)
-            while pool.open != (idle := sum(len(b.idle) for b in pool.table.values())):
+            while pool.open != (idle := sum(len(b.idle) for b in pool.endpoints.values())):
                 await asyncio.sleep(0)  # one that was being opened is still to be given up
             assert idle <= 6 * backend_module.IDLE_MOST
             assert here.proxy.budget.held_bytes == 0 and not here.server.idle
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -47,12 +47,12 @@
 
 async def drains(here: World, client: Client, a: ScriptedBackend) -> None:
     await here.discovery.line(2, a.entry(state="DRAINING"))
-    await here.proxy.until(lambda: not here.proxy.backends.table["a"].wanted)
+    await here.proxy.until(lambda: not here.proxy.upstreams.endpoints["a"].is_serving)
 
 
 async def ends(here: World, client: Client, a: ScriptedBackend) -> None:
     await here.discovery.line(2, a.entry(state="DELETED"))
-    await here.proxy.until(lambda: here.proxy.backends.table["a"].gone)
+    await here.proxy.until(lambda: here.proxy.upstreams.endpoints["a"].is_gone)
 
 
 async def moves(here: World, client: Client, a: ScriptedBackend) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -77,7 +77,7 @@
             proxy = here.daemon.pools["web"].proxy
             await here.until(lambda: not proxy.open)
             assert proxy.budget.held_bytes == 0
-            assert sum(map(sum, proxy.figures.ended)) == 1
+            assert sum(map(sum, proxy.metrics.ended)) == 1
 
     play(scene)
 
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -71,7 +71,7 @@
                 gate.let(b"%d" % number)
                 assert (await clients[number].read())[2] == b"%d" % number
             proxy = here.daemon.pools["p"].proxy
-            assert proxy.budget.held_bytes == 0 and proxy.backends.open == app.connections
+            assert proxy.budget.held_bytes == 0 and proxy.upstreams.open == app.connections
 
     play(scene)
 
@@ -89,7 +89,7 @@
                 assert (await clients[number].read())[0] == 502
             assert len(app.calls) == 5  # none went again
             proxy = here.daemon.pools["p"].proxy
-            assert proxy.backends.open == 0 and proxy.budget.held_bytes == 0 and not proxy.open
+            assert proxy.upstreams.open == 0 and proxy.budget.held_bytes == 0 and not proxy.open
             assert not well.calls
 
     play(scene)
@@ -108,7 +108,9 @@
                 gate.let(b"%d" % number)
                 assert (await clients[number].read())[0] == 200
             assert app.connections == 1
-            await here.until(lambda: len(proxy.backends.table["a"].idle) == 1)  # its END_REQUEST has come
+            await here.until(
+                lambda: len(proxy.upstreams.endpoints["a"].idle) == 1
+            )  # its END_REQUEST has come
 
     play(scene)
 
@@ -163,7 +165,7 @@
             await here.until(lambda: len(proxy.open) == 1)
             gate.calls[b"0"].raw(encode(Type.STDOUT, number, bytes(60_000)) * 3)
             assert (await clients[1].read())[0] == 502
-            await here.until(lambda: proxy.backends.open == 0)
+            await here.until(lambda: proxy.upstreams.open == 0)
 
     play(scene)
 
--- a/tests/test_fastcgi_random.py
+++ b/tests/test_fastcgi_random.py
@@ -69,7 +69,7 @@
             assert not here.heard.count("defect") and not here.heard.count("overdue")
             proxy = here.daemon.pools["p"].proxy
             assert not proxy.open and proxy.budget.held_bytes == 0 and not proxy.balancer.requests
-            assert proxy.backends.open == sum(len(b.idle) for b in proxy.backends.table.values())
+            assert proxy.upstreams.open == sum(len(b.idle) for b in proxy.upstreams.endpoints.values())
 
     play(scene)
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -77,11 +77,11 @@
             await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
             await asyncio.wait_for(reader.readexactly(90_000), PATIENCE)  # while the member waits
             assert any(isinstance(event, FirstByte) for event in here.proxy.told)
-            assert here.proxy.figures.open == 1
+            assert here.proxy.metrics.open == 1
             go_on.set()
             (outcome,) = await here.proxy.until_outcomes(1)
             assert outcome.result == AttemptResult.SERVED and outcome.request_ended
-            assert here.proxy.figures.ended[2] == [1, 0, 0] and not here.proxy.streams
+            assert here.proxy.metrics.ended[2] == [1, 0, 0] and not here.proxy.streams
 
     play(scene)
 
@@ -99,7 +99,7 @@
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await client.read()
             assert len(a.calls) + len(b.calls) == 1
-            assert here.proxy.figures.ended[0] == [0, 0, 1]
+            assert here.proxy.metrics.ended[0] == [0, 0, 1]
 
     play(scene)
 
@@ -124,7 +124,7 @@
                 begun.set()
                 status, _, got = await client.read()
                 assert status == 200 and got == body
-                assert here.proxy.figures.ended[2] == [number + 1, 0, 0]
+                assert here.proxy.metrics.ended[2] == [number + 1, 0, 0]
                 await asyncio.sleep(2 * REST_S)  # a connection rests before it is used again
             assert backend.connections == (2 if behind else 1)
 
@@ -149,7 +149,7 @@
                 await client.read()
             (outcome,) = await here.proxy.until_outcomes(1)
             assert outcome.result == AttemptResult.RESET
-            assert here.proxy.figures.ended[2] == [0, 0, 1]
+            assert here.proxy.metrics.ended[2] == [0, 0, 1]
 
     play(scene)
 
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -373,7 +373,7 @@
                     0
                 ] == 200  # it never ran: it may go on
             assert not sick.calls and sum(len(m.calls) for m in well) == 40
-            assert here.daemon.pools["p"].proxy.skipped() == 1
+            assert here.daemon.pools["p"].proxy.avoided_count() == 1
             assert here.heard.count("of sick") or here.heard.count("with sick")
 
     run(scene)
@@ -396,7 +396,7 @@
                 keys.pools["p"].look()
             for _ in range(40):
                 assert (await here.ask(requests_to()))[0] == 200
-            await here.until(lambda: proxy.skipped() <= 1)
+            await here.until(lambda: proxy.avoided_count() <= 1)
             assert here.heard.count("are accepted again")
             assert sum(bool(m.calls) for m in those) >= 3 and not sum(not m.calls for m in those) > 1
 
@@ -443,7 +443,7 @@
         async with ground(tmp_path, [backend], lambda: over_tls([backend])) as here:
             for _ in range(3):
                 assert (await here.ask(requests_to()))[0] == 200
-                here.daemon.pools["p"].proxy.backends.close_idle("m")
+                here.daemon.pools["p"].proxy.upstreams.close_idle("m")
         assert reused == [False, True, True]
 
     run(scene)
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -95,7 +95,7 @@
 async def settled(here: World) -> None:
     """Everything that was held for requests has been given back."""
     await here.proxy.until(lambda: not here.proxy.open)
-    assert here.proxy.uploads == 0 and here.proxy.budget.held_bytes == 0 and here.proxy.figures.open == 0
+    assert here.proxy.uploads == 0 and here.proxy.budget.held_bytes == 0 and here.proxy.metrics.open == 0
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
@@ -120,7 +120,7 @@
             assert asked.body_pending
             told = [event for event in here.proxy.told if isinstance(event, BodyProgress)]
             assert [(event.complete, event.replayable) for event in told] == [(False, False), (True, False)]
-            assert here.proxy.figures.ended[asked.class_index] == [1, 0, 0]
+            assert here.proxy.metrics.ended[asked.class_index] == [1, 0, 0]
             assert await client.ask(request()) == (200, b"hi")  # the connection goes on
             await settled(here)
 
@@ -144,12 +144,14 @@
                 pending.body_pending and not member.in_flight and len(member.responding) == 1
             )  # it can't have begun
             (attempt,) = next(iter(here.proxy.open.values())).attempts
-            assert attempt.timer is None and here.proxy.figures.open == 0
-            began = attempt.began = attempt.began - 60.0  # as if the upload had taken a minute
+            assert attempt.timer is None and here.proxy.metrics.open == 0
+            began = attempt.began_at = attempt.began_at - 60.0  # as if the upload had taken a minute
             await client.send(bytes(LONG - len(PART)))
             assert (await client.read())[0] == 200
             (outcome,) = await here.proxy.until_outcomes(1)
-            assert outcome.result == AttemptResult.SERVED and outcome.elapsed < 60.0 and attempt.began > began
+            assert (
+                outcome.result == AttemptResult.SERVED and outcome.elapsed < 60.0 and attempt.began_at > began
+            )
             await settled(here)
 
     play(scene)
@@ -196,7 +198,7 @@
             assert outcome.result == result
             assert sum(len(member.heads) for member in members) == 1
             await settled(here)
-            assert here.proxy.figures.ended[2] == ([0, 1, 0] if status == 503 else [0, 0, 0])
+            assert here.proxy.metrics.ended[2] == ([0, 1, 0] if status == 503 else [0, 0, 0])
 
     play(scene)
 
@@ -233,7 +235,7 @@
             (outcome,) = await here.proxy.until_outcomes(1)
             assert outcome.result == AttemptResult.CANCELLED
             await settled(here)
-            assert here.proxy.figures.ended[2] == [0, 0, 0] and here.proxy.figures.tries[2] == 0
+            assert here.proxy.metrics.ended[2] == [0, 0, 0] and here.proxy.metrics.tries[2] == 0
 
     play(scene)
 
@@ -395,7 +397,7 @@
         async with world(*members, settings={**SETTINGS, "classes": patient}, memory_mb=64) as here:
             watched = Watched(here)
             await asyncio.gather(*[asks(await here.connect()) for _ in range(count)])
-            assert here.proxy.figures.ended[2] == [count, 0, 0]
+            assert here.proxy.metrics.ended[2] == [count, 0, 0]
             assert 0 < watched.peak < (32 << 20) - LOOK
             await settled(here)
 
