--- /dev/null
+++ b/loadbalancer/proxy/policy_driver.py
@@ -0,0 +1,152 @@
+"""Drives the policy: hands it events, one after the other, and carries its actions out in order."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from typing import TYPE_CHECKING, Any, Callable
+
+from loadbalancer.discovery.endpoint_source import EndpointSource
+from loadbalancer.policy.actions import (
+    Action,
+    Cancel,
+    CloseIdleConnections,
+    Fail,
+    LogMessage,
+    Reject,
+    Send,
+    SetTimer,
+    WatchEndpoints,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.events import Event, Request, TimerFired
+from loadbalancer.proxy.answer_writer import AnswerWriter
+from loadbalancer.proxy.attempt_runner import AttemptRunner, PolicyClock
+from loadbalancer.proxy.open_requests import OpenRequest
+from loadbalancer.proxy.request_table import RequestTable
+from loadbalancer.resource_limits import RateLimitedLogger, describe_exception
+from loadbalancer.upstreams.connections import UpstreamPools
+
+if TYPE_CHECKING:  # loaded where operators may ask why
+    from loadbalancer.proxy.decision_trace import DecisionTrace
+
+NO_REQUEST = 0
+"""Number of no request."""
+
+
+class PolicyDriver:
+    """The only caller of `Balancer.handle`."""
+
+    def __init__(
+        self,
+        balancer: Balancer,
+        clock: PolicyClock,
+        table: RequestTable,
+        answers: AnswerWriter,
+        attempts: AttemptRunner,
+        upstreams: UpstreamPools,
+        logger: RateLimitedLogger,
+        post: Callable[[Event], None],
+        abandon: Callable[[OpenRequest], None],
+    ) -> None:
+        """Begin without events.
+
+        Args:
+            balancer: The policy.
+            clock: Its time.
+            table: The open requests.
+            answers: Writes final answers.
+            attempts: Runs attempts.
+            upstreams: Connections to endpoints.
+            logger: Gets events for people.
+            post: Posts an event, also one that comes later.
+            abandon: Fails a request that a defect has met.
+        """
+        self.trace: DecisionTrace | None = None  # of the latest requests, where operators may ask why
+        self.source: EndpointSource | None = None  # of the endpoint list
+        self._balancer = balancer
+        self._clock = clock
+        self._table = table
+        self._answers = answers
+        self._attempts = attempts
+        self._upstreams = upstreams
+        self._logger = logger
+        self._post = post
+        self._abandon = abandon
+        self._loop = asyncio.get_running_loop()
+        self._events: deque[Event] = deque()
+        self._is_handling = False
+        self._carry_out: dict[type, Callable[[Any], None]] = {
+            Send: attempts.send,
+            SetTimer: self._set_timer,
+            Reject: self._reject,
+            Fail: self._fail,
+            Cancel: self._cancel,
+            WatchEndpoints: self._watch,
+            CloseIdleConnections: self._close_idle,
+            LogMessage: self._log,
+        }
+
+    def post(self, event: Event) -> None:
+        """Hand an event to the policy, and carry out its actions; events that these lead to wait for their turn."""
+        self._events.append(event)
+        if self._is_handling:
+            return
+        self._is_handling = True
+        try:
+            while self._events:
+                self._handle(self._events.popleft())
+            self._table.forget_released()
+        finally:
+            self._is_handling = False
+
+    def _handle(self, event: Event) -> None:
+        try:
+            now = self._clock.now()
+            actions = self._balancer.handle(now, (event,))
+            if self.trace is not None:
+                self._note(self.trace, now, event, actions)
+            for action in actions:
+                self._carry_out[type(action)](action)
+        except Exception as problem:  # whatever it is, it may not reach the other requests
+            self._contain(event, problem)
+
+    def _note(self, trace: DecisionTrace, now: float, event: Event, actions: list[Action]) -> None:
+        request = self._table.open.get(event.request) if isinstance(event, Request) else None
+        head = request.head if request is not None else b""
+        trace.note(now, event, actions, self._balancer, head)
+
+    def _contain(self, event: Event, problem: Exception) -> None:
+        """Log a defect, and fail the request that it met; others go on, and a list stands as far as it was taken."""
+        self._logger("defect", f"{describe_exception(problem)} on {type(event).__name__}")
+        request = self._table.open.get(getattr(event, "request", NO_REQUEST))
+        if request is not None:
+            self._abandon(request)
+
+    def _set_timer(self, action: SetTimer) -> None:
+        self._loop.call_later(action.delay, self._post, TimerFired(action.token))
+
+    def _reject(self, action: Reject) -> None:
+        request = self._table.open[action.request]
+        if not request.done:
+            self._answers.reject(request, action.retry_after)
+
+    def _fail(self, action: Fail) -> None:
+        request = self._table.open[action.request]
+        if not request.done:
+            self._answers.fail(request)
+
+    def _cancel(self, action: Cancel) -> None:
+        request = self._table.open.get(action.request)
+        if request is not None:  # else all its attempts have ended
+            self._attempts.cancel(request.attempts[action.attempt])
+
+    def _watch(self, action: WatchEndpoints) -> None:
+        if self.source is not None:
+            self.source.watch(action.enabled)
+
+    def _close_idle(self, action: CloseIdleConnections) -> None:
+        self._upstreams.close_idle(action.endpoint)
+
+    def _log(self, action: LogMessage) -> None:
+        self._logger("module", action.text)
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -1,6 +1,6 @@
 """The proxy between its sockets and the policy: events go in, actions are carried out, in order.
 
-Only this file calls `Balancer.handle`. Front ends hand requests in, upstream connections tell how attempts go; each
+Front ends hand requests in, upstream connections tell how attempts go; each
 request gets one final answer, and each `Send` one `Outcome`.
 """
 
@@ -8,38 +8,26 @@
 
 import asyncio
 import time
-from collections import deque
 from functools import partial
-from typing import TYPE_CHECKING, Any, Callable, Mapping, Protocol, cast
+from typing import TYPE_CHECKING, Callable, Mapping, cast
 
 from loadbalancer.deployment import Deployment
 from loadbalancer.discovery.endpoint_source import EndpointSource, Entry
 from loadbalancer.metrics import PoolMetrics, RequestResult, result_of_status
-from loadbalancer.policy.actions import (
-    Action,
-    Cancel,
-    CloseIdleConnections,
-    Fail,
-    LogMessage,
-    Reject,
-    Send,
-    SetTimer,
-    WatchEndpoints,
-)
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import (
     AttemptResult,
-    BodyProgress,
-    ClientCancelled,
     Event,
     FirstByte,
     Request,
-    TimerFired,
 )
 from loadbalancer.proxy.answer_writer import AnswerWriter
 from loadbalancer.proxy.attempt_runner import AttemptRunner, PolicyClock
 from loadbalancer.proxy.endpoint_directory import EndpointDirectory
-from loadbalancer.proxy.open_requests import Client, OpenRequest, TransactionIds
+from loadbalancer.proxy.interfaces import ProcessorShare, TunnelClient
+from loadbalancer.proxy.open_requests import OpenRequest, TransactionIds
+from loadbalancer.proxy.policy_driver import PolicyDriver
+from loadbalancer.proxy.request_owner import BAD_GATEWAY, PoolRequestOwner
 from loadbalancer.proxy.request_table import RequestTable
 from loadbalancer.proxy.response_streams import ResponseStreams
 from loadbalancer.resource_limits import (
@@ -47,7 +35,6 @@
     BufferBudget,
     PoolLimits,
     RateLimitedLogger,
-    describe_exception,
 )
 from loadbalancer.streaming.streams import Stream, StreamProducer
 from loadbalancer.streaming.tunnels import Tunnel, TunnelEnd, TunnelLimits, Tunnels
@@ -66,21 +53,6 @@
 """Share of the descriptors for endpoints that may be held by bodies that are sent on as they come."""
 DEFAULT_RETRY_AFTER_S = 1
 """Seconds after which a client may come back that is told to return for the proxy's sake."""
-BAD_GATEWAY = 502
-
-
-class ProcessorShare(Protocol):
-    """Who says whether a pool may take one more request now, where several share the process."""
-
-    def admit(self, pool: str) -> bool:
-        """Whether the pool of this name may take one more."""
-
-
-class TunnelClient(Client, TunnelEnd, Protocol):
-    """A connection of a client that can go over to another protocol."""
-
-    def begin_tunnel(self, lines: list[bytes], reason: bytes, tunnel: Tunnel) -> None:
-        """Write the head of the answer, and pass bytes on from here on."""
 
 
 class Proxy:
@@ -117,11 +89,9 @@
         self.logger = logger
         self.name = ""  # by which pools that share a process know this one
         self.fair_share: ProcessorShare | None = None  # where several pools share the processor
-        self.trace: DecisionTrace | None = None  # of the latest requests, where operators may ask why
         self.may_act: Callable[[], bool] | None = None  # whether this instance holds a lease, in a fleet
         self.retry_after_s = DEFAULT_RETRY_AFTER_S
         self.closed = False
-        self.source: EndpointSource | None = None
         self.takes_uploads: bool = getattr(connect, "takes_uploads", False)
         self.max_open_requests = limits.max_open_requests
         self.balancer = Balancer(deployment.settings, seed)
@@ -132,8 +102,6 @@
         self.dialect = dialect or _platform_dialect(deployment)
         self.upstreams = self._make_upstreams(deployment, limits, connect)
         self._compose(timeout_status)
-        self._events: deque[Event] = deque()
-        self._is_handling = False
         self._loop = asyncio.get_running_loop()
         self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
 
@@ -167,18 +135,38 @@
             self.post,
         )
         self._directory = EndpointDirectory(self.upstreams, self.tunnels, self.post)
-        self._carry_out: dict[type, Callable[[Any], None]] = {
-            Send: self._attempts.send,
-            SetTimer: self._set_timer,
-            Reject: self._reject,
-            Fail: self._fail,
-            Cancel: self._cancel,
-            WatchEndpoints: self._watch,
-            CloseIdleConnections: self._close_idle,
-            LogMessage: self._log,
-        }
-
-    # What others read.
+        self._owner = PoolRequestOwner(self._table, self._attempts, self.post)
+        self._driver = PolicyDriver(
+            self.balancer,
+            self._clock,
+            self._table,
+            self._answers,
+            self._attempts,
+            self.upstreams,
+            self.logger,
+            self.post,
+            self._owner.abandon,
+        )
+
+    # What others read and set.
+
+    @property
+    def trace(self) -> DecisionTrace | None:
+        """Decisions on the latest requests, where operators may ask why."""
+        return self._driver.trace
+
+    @trace.setter
+    def trace(self, trace: DecisionTrace | None) -> None:
+        self._driver.trace = trace
+
+    @property
+    def source(self) -> EndpointSource | None:
+        """Where the endpoint list comes from; `close` closes it."""
+        return self._driver.source
+
+    @source.setter
+    def source(self, source: EndpointSource | None) -> None:
+        self._driver.source = source
 
     @property
     def open(self) -> dict[int, OpenRequest]:
@@ -257,67 +245,8 @@
     # The policy.
 
     def post(self, event: Event) -> None:
-        """Tell the policy of an event, and carry out its actions; events that these lead to wait for their turn."""
-        self._events.append(event)
-        if self._is_handling:
-            return
-        self._is_handling = True
-        try:
-            while self._events:
-                self._handle(self._events.popleft())
-            self._table.forget_released()
-        finally:
-            self._is_handling = False
-
-    def _handle(self, event: Event) -> None:
-        try:
-            now = self._clock.now()
-            actions = self.balancer.handle(now, (event,))
-            if self.trace is not None:
-                self._note(self.trace, now, event, actions)
-            for action in actions:
-                self._carry_out[type(action)](action)
-        except Exception as problem:  # whatever it is, it may not reach the other requests
-            self._contain(event, problem)
-
-    def _note(self, trace: DecisionTrace, now: float, event: Event, actions: list[Action]) -> None:
-        request = self.open.get(event.request) if isinstance(event, Request) else None
-        trace.note(now, event, actions, self.balancer, request.head if request is not None else b"")
-
-    def _contain(self, event: Event, problem: Exception) -> None:
-        """Log a defect, and fail the request that it met; others go on, and a list stands as far as it was taken."""
-        self.logger("defect", f"{describe_exception(problem)} on {type(event).__name__}")
-        request = self.open.get(getattr(event, "request", 0))
-        if request is not None:
-            self._abandon(request)
-
-    def _set_timer(self, action: SetTimer) -> None:
-        self._loop.call_later(action.delay, self.post, TimerFired(action.token))
-
-    def _reject(self, action: Reject) -> None:
-        request = self.open[action.request]
-        if not request.done:
-            self._answers.reject(request, action.retry_after)
-
-    def _fail(self, action: Fail) -> None:
-        request = self.open[action.request]
-        if not request.done:
-            self._answers.fail(request)
-
-    def _cancel(self, action: Cancel) -> None:
-        request = self.open.get(action.request)
-        if request is not None:  # else all its attempts have ended
-            self._attempts.cancel(request.attempts[action.attempt])
-
-    def _watch(self, action: WatchEndpoints) -> None:
-        if self.source is not None:
-            self.source.watch(action.enabled)
-
-    def _close_idle(self, action: CloseIdleConnections) -> None:
-        self.upstreams.close_idle(action.endpoint)
-
-    def _log(self, action: LogMessage) -> None:
-        self.logger("module", action.text)
+        """Tell the policy of an event; see `PolicyDriver`."""
+        self._driver.post(event)
 
     # Called by front ends.
 
@@ -346,7 +275,7 @@
             member: The endpoint, or the domain of endpoints, that its sticky session wants.
             bound: Whether its session may not go anywhere else.
         """
-        self._table.add(request, self, cls, left)
+        self._table.add(request, self._owner, cls, left)
         self.post(
             Request(
                 request.id,
@@ -374,59 +303,10 @@
         self.drop(request)
         self.metrics.count(cls, result_of_status(status))
 
-    def cancel_by_client(self, request: OpenRequest) -> None:
-        """The client has gone."""
-        if request.done:
-            return
-        self._table.finish(request, RequestResult.FAILED)
-        if request.stream is not None:
-            request.stream.leave()
-        self.post(ClientCancelled(request.id))
-        if not request.is_complete:
-            self._attempts.cancel_all(request)
-
-    def uploaded(self, request: OpenRequest) -> None:
-        """The last byte of a body has come that is sent on as it comes."""
-        if request.done or request.is_complete:
-            return
-        request.is_complete = True
-        self._table.start_clock(request)
-        self._attempts.restart_clocks(request)
-        self._post_body_progress(request)
-
-    def upload_lost(self, request: OpenRequest) -> None:
-        """A byte of such a body has left and is not kept."""
-        if not request.done:
-            self._post_body_progress(request)
-
-    def _post_body_progress(self, request: OpenRequest) -> None:
-        assert request.upload is not None
-        self.post(BodyProgress(request.id, request.is_complete, request.upload.kept_bytes is not None))
-
-    def upload_failed(self, request: OpenRequest, status: int) -> None:
-        """The client sends no more of such a body: it never became a request, and has not run."""
-        if request.done:
-            return
-        self._table.finish(request, result_of_status(status))
-        request.client.answer(status, [], b"", close=True)
-        self.post(ClientCancelled(request.id))
-        self._attempts.cancel_all(request)
-
-    def _abandon(self, request: OpenRequest) -> None:
-        """Fail a request without the policy's word; the policy is told, and cancels what is still out."""
-        if request.done:
-            return
-        self._table.finish(request, RequestResult.FAILED)
-        if request.stream is not None:
-            request.stream.cut()
-        else:
-            request.client.answer(BAD_GATEWAY, [], b"")
-        self.post(ClientCancelled(request.id))
-
     def _on_overdue(self, request: OpenRequest) -> None:
         """Fail a request that the policy has not answered in time; the policy's own times end earlier."""
         self.logger("overdue request failed", request.id)
-        self._abandon(request)
+        self._owner.abandon(request)
 
     # Called by upstream connections.
 
@@ -523,7 +403,7 @@
         """Fail what is still open, and take nothing more: the process ends."""
         self.closed = True
         for request in list(self.open.values()):
-            self._abandon(request)
+            self._owner.abandon(request)
 
     def close(self) -> None:
         """Fail what is still open, and release connections, timers and the source of endpoints."""
