--- a/loadbalancer/daemon/applied_state.py
+++ b/loadbalancer/daemon/applied_state.py
@@ -11,11 +11,10 @@
 from loadbalancer.daemon.components import ReplicatedOverrideTarget
 from loadbalancer.daemon.fleet_interfaces import Clock
 from loadbalancer.daemon.persisted_state import Touched
+from loadbalancer.fleet.replication.actions import CommandApplied
+from loadbalancer.fleet.replication.commands import MarkBody, MoveBody
 from loadbalancer.fleet.replication.epochs import AS_KEPT, WHOLE, Epoch, describe
-from loadbalancer.fleet.replication.replica import CommandApplied
 from loadbalancer.fleet.replication.replicated_state import (
-    MarkBody,
-    MoveBody,
     ReplicatedState,
     VersionedMigration,
     VersionedOverride,
--- a/loadbalancer/daemon/command_factory.py
+++ b/loadbalancer/daemon/command_factory.py
@@ -12,16 +12,16 @@
 from loadbalancer.daemon.components import ReplicatedOverrideTarget
 from loadbalancer.daemon.rollout import RolloutService
 from loadbalancer.fleet.orchestration.rollout import PlanBody, RolloutPlan, StageBody
-from loadbalancer.fleet.replication.replicated_state import (
+from loadbalancer.fleet.replication.commands import (
     Command,
     FreezeBody,
     MarkBody,
     MoveBody,
     RecoverBody,
-    ReplicatedState,
     RosterBody,
     write_body,
 )
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 
 #: Seconds that each step of a rollout serves before the next, unless the operator says otherwise.
 DEFAULT_SOAK_S = 10.0
--- a/loadbalancer/daemon/persisted_state.py
+++ b/loadbalancer/daemon/persisted_state.py
@@ -13,15 +13,16 @@
 from msgspec.msgpack import Decoder
 
 from loadbalancer.fleet.orchestration.rollout import RolloutPlan
+from loadbalancer.fleet.replication.commands import Command
+from loadbalancer.fleet.replication.learner import RETAINED_COMMANDS
 from loadbalancer.fleet.replication.messages import AcceptorState, ObservedStore
-from loadbalancer.fleet.replication.replica import GENERATION_NONCE_BITS, RETAINED_COMMANDS
 from loadbalancer.fleet.replication.replicated_state import (
-    Command,
     ReplicatedState,
     Snapshot,
     VersionedMigration,
     VersionedOverride,
 )
+from loadbalancer.fleet.replication.voter_registration import GENERATION_NONCE_BITS
 from loadbalancer.store.keeper import StoreView
 
 # Keys of records, and prefixes of keys.
--- a/loadbalancer/daemon/replica_storage.py
+++ b/loadbalancer/daemon/replica_storage.py
@@ -18,7 +18,7 @@
     write_identity,
     write_snapshot,
 )
-from loadbalancer.fleet.replication.replica import CommandApplied, Persist
+from loadbalancer.fleet.replication.actions import CommandApplied, Persist
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 from loadbalancer.resource_limits import RateLimitedLogger
 from loadbalancer.store.errors import StoreError
--- a/loadbalancer/daemon/replicated_commands.py
+++ b/loadbalancer/daemon/replicated_commands.py
@@ -16,10 +16,12 @@
 from loadbalancer.daemon.components import ReplicatedOverrideTarget
 from loadbalancer.daemon.fleet_interfaces import AnswerCallback, Clock, JsonObject
 from loadbalancer.daemon.fleet_peers import FleetPeers
+from loadbalancer.fleet.replication.actions import CommandCompleted
+from loadbalancer.fleet.replication.commands import Command
 from loadbalancer.fleet.replication.commit_tracking import CommitStatus, CommitTracker
+from loadbalancer.fleet.replication.errors import StateError
 from loadbalancer.fleet.replication.lease import Lease
-from loadbalancer.fleet.replication.replica import CommandCompleted, PaxosReplica
-from loadbalancer.fleet.replication.replicated_state import Command, StateError
+from loadbalancer.fleet.replication.replica import PaxosReplica
 from loadbalancer.resource_limits import RateLimitedLogger
 
 #: Changes that an operator may make at one instance alone.
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -33,31 +33,34 @@
 from loadbalancer.daemon.state_transfer import StateTransferDriver
 from loadbalancer.daemon.version_report import VERSIONS_QUERY, VersionReport
 from loadbalancer.fleet.orchestration.rollout import OPEN
-from loadbalancer.fleet.replication.lease import Lease
-from loadbalancer.fleet.replication.messages import (
-    LeaseGrant,
-    LeaseRequest,
-    QueryRequest,
-    ReplicationMessage,
-    StateRequest,
-)
-from loadbalancer.fleet.replication.replica import (
+from loadbalancer.fleet.replication.actions import (
     Action,
     CommandApplied,
     CommandCompleted,
-    CommandsReceived,
-    Event,
-    MessageReceived,
-    PaxosReplica,
     Persist,
-    Propose,
     RequestStateTransfer,
     SendMessage,
     SnapshotInstalled,
+)
+from loadbalancer.fleet.replication.commands import Command
+from loadbalancer.fleet.replication.events import (
+    CommandsReceived,
+    Event,
+    MessageReceived,
+    Propose,
     SnapshotReceived,
     TimerExpired,
 )
-from loadbalancer.fleet.replication.replicated_state import Command, ReplicatedState
+from loadbalancer.fleet.replication.lease import Lease
+from loadbalancer.fleet.replication.messages import (
+    LeaseGrant,
+    LeaseRequest,
+    QueryRequest,
+    ReplicationMessage,
+    StateRequest,
+)
+from loadbalancer.fleet.replication.replica import PaxosReplica
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 from loadbalancer.fleet.transport import FleetTransport
 from loadbalancer.fleet.wire import Message
 from loadbalancer.store.keeper import Store
--- a/loadbalancer/daemon/state_transfer.py
+++ b/loadbalancer/daemon/state_transfer.py
@@ -8,8 +8,9 @@
 from loadbalancer.daemon.fleet_interfaces import StreamedAnswer, StreamedMessage
 from loadbalancer.daemon.fleet_peers import FleetPeers
 from loadbalancer.fleet.member_state import MemberState
+from loadbalancer.fleet.replication.events import CommandsReceived, SnapshotReceived
 from loadbalancer.fleet.replication.messages import LogEntries, SnapshotChunk, StateRequest
-from loadbalancer.fleet.replication.replica import CommandsReceived, PaxosReplica, SnapshotReceived
+from loadbalancer.fleet.replication.replica import PaxosReplica
 from loadbalancer.fleet.replication.state_transfer import StateReceiver, StateSender
 
 #: Bytes a second of a snapshot that each receiver gets.
--- a/loadbalancer/fleet/replication/replica.py
+++ b/loadbalancer/fleet/replication/replica.py
@@ -33,10 +33,6 @@
 from loadbalancer.fleet.replication.actions import (
     Action,
     CommandApplied,
-    CommandCompleted,
-    Persist,
-    RequestStateTransfer,
-    SendMessage,
     SnapshotInstalled,
 )
 from loadbalancer.fleet.replication.commands import Command
@@ -49,31 +45,14 @@
     SnapshotReceived,
     TimerExpired,
 )
-from loadbalancer.fleet.replication.learner import RETAINED_COMMANDS, Learner
+from loadbalancer.fleet.replication.learner import Learner
 from loadbalancer.fleet.replication.lease import ActiveLeaseholders
 from loadbalancer.fleet.replication.messages import AcceptorState, Decided, ObservedStore, ReplicationMessage
 from loadbalancer.fleet.replication.proposer import Decision, Proposer
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState, TouchedVoter
-from loadbalancer.fleet.replication.voter_registration import GENERATION_NONCE_BITS, VoterRegistration
-
-__all__ = [
-    "GENERATION_NONCE_BITS",
-    "RETAINED_COMMANDS",
-    "Action",
-    "CommandApplied",
-    "CommandCompleted",
-    "CommandsReceived",
-    "Event",
-    "MessageReceived",
-    "PaxosReplica",
-    "Persist",
-    "Propose",
-    "RequestStateTransfer",
-    "SendMessage",
-    "SnapshotInstalled",
-    "SnapshotReceived",
-    "TimerExpired",
-]
+from loadbalancer.fleet.replication.voter_registration import VoterRegistration
+
+__all__ = ["PaxosReplica"]
 
 
 def no_leaseholders(_now: float) -> ActiveLeaseholders:
--- a/loadbalancer/fleet/replication/replicated_state.py
+++ b/loadbalancer/fleet/replication/replicated_state.py
@@ -23,7 +23,6 @@
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.orchestration.rollout import OPEN, PlanBody, RolloutPlan, StageBody
 from loadbalancer.fleet.replication.commands import (
-    NO_OPERATION,
     Command,
     CommandBody,
     FreezeBody,
@@ -32,7 +31,6 @@
     RecoverBody,
     RosterBody,
     read_body,
-    write_body,
 )
 from loadbalancer.fleet.replication.errors import StateError
 from loadbalancer.routing.traffic_migration import Migration
@@ -40,17 +38,9 @@
 __all__ = [
     "MAX_OVERRIDES",
     "MAX_VOTERS",
-    "NO_OPERATION",
-    "Command",
-    "FreezeBody",
     "ItemKind",
-    "MarkBody",
-    "MoveBody",
-    "RecoverBody",
     "ReplicatedState",
-    "RosterBody",
     "Snapshot",
-    "StateError",
     "TouchedFreeze",
     "TouchedItem",
     "TouchedMigration",
@@ -59,7 +49,6 @@
     "TouchedVoter",
     "VersionedMigration",
     "VersionedOverride",
-    "write_body",
 ]
 
 #: Overrides and voters that a state holds at most; a command for more is rejected.
--- a/tests/daemon/test_applied_state.py
+++ b/tests/daemon/test_applied_state.py
@@ -7,9 +7,10 @@
 from loadbalancer.daemon.applied_state import EXPIRY_RETRY_INTERVAL_S, AppliedState
 from loadbalancer.daemon.command_factory import CommandContent
 from loadbalancer.discovery.overrides import AdminOverride
+from loadbalancer.fleet.replication.actions import CommandApplied
+from loadbalancer.fleet.replication.commands import Command, MarkBody, write_body
 from loadbalancer.fleet.replication.epochs import WHOLE
-from loadbalancer.fleet.replication.replica import CommandApplied
-from loadbalancer.fleet.replication.replicated_state import Command, MarkBody, ReplicatedState, write_body
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 
 NOW = 100.0
 DRAIN = AdminOverride("drain")
--- a/tests/daemon/test_command_factory.py
+++ b/tests/daemon/test_command_factory.py
@@ -20,14 +20,8 @@
 from loadbalancer.daemon.rollout import RequestCounts, RolloutService
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.orchestration.rollout import PlanBody, RolloutPlan, StageBody
-from loadbalancer.fleet.replication.replicated_state import (
-    FreezeBody,
-    MarkBody,
-    MoveBody,
-    RecoverBody,
-    ReplicatedState,
-    RosterBody,
-)
+from loadbalancer.fleet.replication.commands import FreezeBody, MarkBody, MoveBody, RecoverBody, RosterBody
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 from loadbalancer.fleet.wire import Message
 
 
--- a/tests/daemon/test_persisted_state.py
+++ b/tests/daemon/test_persisted_state.py
@@ -9,15 +9,10 @@
 
 from loadbalancer.daemon import persisted_state
 from loadbalancer.discovery.overrides import AdminOverride
+from loadbalancer.fleet.replication.commands import Command, FreezeBody, MarkBody, write_body
+from loadbalancer.fleet.replication.learner import RETAINED_COMMANDS
 from loadbalancer.fleet.replication.messages import AcceptorState, ObservedStore
-from loadbalancer.fleet.replication.replica import RETAINED_COMMANDS
-from loadbalancer.fleet.replication.replicated_state import (
-    Command,
-    FreezeBody,
-    MarkBody,
-    ReplicatedState,
-    write_body,
-)
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 from loadbalancer.store.engine import Engine
 from loadbalancer.store.files import DiskFiles
 from loadbalancer.store.keeper import StoreView
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,8 +22,9 @@
 from loadbalancer.fleet import wire
 from loadbalancer.fleet.member_state import MemberState, MemberStatus
 from loadbalancer.fleet.replication import messages
+from loadbalancer.fleet.replication.commands import Command
 from loadbalancer.fleet.replication.messages import AcceptorState, ObservedStore
-from loadbalancer.fleet.replication.replicated_state import Command, ReplicatedState
+from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.events import EndpointEntry, EndpointList
 from loadbalancer.policy.settings import PolicySettings, RequestClass
