--- a/benchmarks/scene.py
+++ b/benchmarks/scene.py
@@ -17,6 +17,9 @@
 
 ROOT = Path(__file__).parent.parent
 
+#: Names of the proxy's package, the present one first: a revision to compare with may have the earlier one.
+PACKAGE_NAMES = ("loadbalancer", "spokemast")
+
 #: Settings of a platform's configuration, enough for `run`.
 PLATFORM: dict[str, Any] = {
     "me": 0, "n-instances": 2, "zones": ["a", "b"], "kinds": ["std"], "locality": 0, "registry-mode": "automatic",
@@ -124,7 +127,7 @@
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(box))
         env = dict(os.environ, GW_CONFIG=str(path), PYTHONPATH=str(tree), GW_MANAGEMENT=management)
-        with process(core, "-m", "loadbalancer", cwd=tree, env=env, stderr=subprocess.PIPE) as child:
+        with process(core, "-m", package_name(tree), cwd=tree, env=env, stderr=subprocess.PIPE) as child:
             assert child.stderr is not None
             while "listening" not in (line := child.stderr.readline()):
                 if not line:
@@ -207,12 +210,17 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
+def package_name(tree: Path) -> str:
+    """Return the name of the proxy's package in a tree of files."""
+    return next(name for name in PACKAGE_NAMES if (tree / name).is_dir())
+
+
 @contextmanager
 def checkout(revision: str) -> Iterator[Path]:
-    """The files of a revision in a folder of their own."""
+    """Yield a folder with the files of a revision."""
     with tempfile.TemporaryDirectory() as folder, ExitStack():
         archive = subprocess.run(
-            ["git", "archive", revision, "loadbalancer"], cwd=ROOT, capture_output=True, check=True
+            ["git", "archive", revision, ":!journal"], cwd=ROOT, capture_output=True, check=True
         )
         subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
         yield Path(folder)
