--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 import pytest
-from scenes import acting, agreeing, fleet, run
+from scenes import fleet, replicated_fleet, run, until_acting
 
 from emulator.herd import Herd, Measures
 from loadbalancer.admin.snapshot import EndpointSnapshot, PoolSnapshot, Snapshot
-from loadbalancer.admin.snapshot_merge import combine
+from loadbalancer.admin.snapshot_merge import merge_snapshots
 from loadbalancer.discovery.list_handoff import read, write
 from loadbalancer.policy.events import (
     AttemptResult,
@@ -56,7 +56,7 @@
         attempt.ended = True
         self.results.append(result)
 
-    def bars(self, attempt: Attempt, late: bool) -> bool:
+    def must_not_leave(self, attempt: Attempt, late: bool) -> bool:
         return False
 
     def begin_answer(self, attempt: Attempt, answer: Any, giver: Any) -> None:
@@ -79,7 +79,7 @@
             pool.set_pace(Pacer(2.0 if ends_early else 200.0, time.monotonic()))
             for number in range(6):
                 pool.send(Attempt(job, number, "m1", 0.0, 1.0))
-            assert len(ends.results) == 0 and len(pool.table["m1"].waiting) >= 4
+            assert len(ends.results) == 0 and len(pool.endpoints["m1"].waiting_attempts) >= 4
             if ends_early:
                 pool.set_pace(None)
 
@@ -87,7 +87,10 @@
                 return len(ends.results) == 6
 
             await until(all_ended, "all attempts have ended")
-            assert set(ends.results) == {AttemptResult.NO_CONNECTION} and not pool.table["m1"].waiting
+            assert (
+                set(ends.results) == {AttemptResult.NO_CONNECTION}
+                and not pool.endpoints["m1"].waiting_attempts
+            )
 
     run(scene)
 
@@ -101,7 +104,7 @@
 
 
 def test_one_of_several_that_is_wrong_decides_nothing() -> None:
-    found = combine(
+    found = merge_snapshots(
         [
             snapshot(10, note(0.9), level=0.2),
             snapshot(10, note(0.8), level=0.3),
@@ -109,19 +112,25 @@
         ],
         11.0,
     )
-    assert found is not None and found.pools[0].members[0].errors == 0.8 and found.pools[0].shed_level == 0.3
-    found = combine([snapshot(10, note(0.0)), snapshot(10, note(0.7))], 11.0)
-    assert found is not None and found.pools[0].members[0].errors == 0.7  # of two the worse
+    assert (
+        found is not None
+        and found.pools[0].endpoints[0].error_rate == 0.8
+        and found.pools[0].shed_level == 0.3
+    )
+    found = merge_snapshots([snapshot(10, note(0.0)), snapshot(10, note(0.7))], 11.0)
+    assert found is not None and found.pools[0].endpoints[0].error_rate == 0.7  # of two the worse
 
 
 def test_what_is_old_of_another_life_or_known_to_few_is_unknown() -> None:
-    assert combine([snapshot(10, note(0.5))], 60.0) is None and combine([], 1.0) is None
-    found = combine(
+    assert merge_snapshots([snapshot(10, note(0.5))], 60.0) is None and merge_snapshots([], 1.0) is None
+    found = merge_snapshots(
         [snapshot(10, note(0.9, started=5.0)), snapshot(10, note(0.1, started=9.0)), snapshot(10)], 11.0
     )
-    assert found is not None and found.pools[0].members == []
-    found = combine([snapshot(10, note(0.9, started=5.0)), snapshot(10, note(0.1, started=9.0))], 11.0)
-    assert found is not None and [one.errors for one in found.pools[0].members] == [0.1]
+    assert found is not None and found.pools[0].endpoints == []
+    found = merge_snapshots(
+        [snapshot(10, note(0.9, started=5.0)), snapshot(10, note(0.1, started=9.0))], 11.0
+    )
+    assert found is not None and [one.error_rate for one in found.pools[0].endpoints] == [0.1]
 
 
 def test_a_list_goes_by_names_and_an_old_one_goes_nowhere() -> None:
@@ -210,7 +219,7 @@
                     return await ask(port) == "200"
 
                 await until(serves, f"i{number} serves")
-                assert "a list was handed on" in made.all[number].log
+                assert "endpoint list received" in made.all[number].log
             await source.start()
             await until(lambda: heard(source, 4), "all have called the source again")
             assert await ask(made.all[2].port) == "200"
@@ -220,7 +229,7 @@
             await made.start(0, 1, 2, 3)
             await whole(made, [0, 1, 2, 3])
             assert [await ask(one.port) for one in made.all] == ["200"] * 4
-            assert any("a list was handed on" in one.log for one in made.all)
+            assert any("endpoint list received" in one.log for one in made.all)
         source.down()
         await members.stop()
 
@@ -229,7 +238,7 @@
 
 def test_a_fleet_that_is_restarted_on_purpose_loses_no_request(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with agreeing(tmp_path, 3, voters=3) as made:
+        async with replicated_fleet(tmp_path, 3, voters=3) as made:
             await whole(made, [0, 1, 2])
             before = [(await one.read("status"))["pid"] for one in made.all]
             askers = Askers([one.port for one in made.all])
@@ -272,7 +281,7 @@
     async def scene() -> None:
         members = Members(6)
         members.members[0] = sick = Member("m1", Behaviour(status=500))
-        async with agreeing(tmp_path, 8, members=members) as made:
+        async with replicated_fleet(tmp_path, 8, members=members) as made:
             askers = Askers([made.all[0].port])
             askers.start()
             _, said = await made.all[1].say("cordon", pool="p", member="m2", wait="20s")
@@ -343,20 +352,20 @@
 def test_all_of_them_twice_in_a_row_and_the_last_survivor_dies_while_it_tells(tmp_path: Path) -> None:
     async def scene() -> None:
         members = Members(3)
-        async with agreeing(tmp_path, 5, members=members) as made:
+        async with replicated_fleet(tmp_path, 5, members=members) as made:
             _, said = await made.all[1].say("cordon", pool="p", member="m1", wait="20s")
             assert said["holds"]
             before = members.members[0].counts.requests
             for _ in range(2):
                 await asyncio.gather(*(one.kill() for one in made.all))
                 await made.start(*range(5))
-            await acting(made.all, said["version"])
+            await until_acting(made.all, said["version"])
             await asyncio.gather(*(made.all[n].kill() for n in range(1, 5)))
             starting = asyncio.ensure_future(made.start(1, 2, 3, 4))
             await made.all[0].kill()
             await starting
             await made.start(0)
-            await acting(made.all, said["version"])
+            await until_acting(made.all, said["version"])
             found = await whole(made, list(range(5)))
             assert all(one["full_after_s"] is not None for one in found)
             for one in made.all:
@@ -386,7 +395,7 @@
 
     async def scene() -> None:
         members = Members(3)
-        async with agreeing(tmp_path, 4, voters=3, members=members) as made:
+        async with replicated_fleet(tmp_path, 4, voters=3, members=members) as made:
             one = made.all[3]
             for phase in ("state", "learning", "warming"):
                 await one.kill()
@@ -394,7 +403,7 @@
                 await one.start()
 
                 async def told(word: str = phase) -> bool:
-                    return f"coming back: {word}" in one.log
+                    return f"recovery: {word}" in one.log
 
                 await until(told, f"it is in {phase}")
                 one.send(signal.SIGSTOP)
@@ -403,7 +412,7 @@
                 assert said["holds"]
                 before = members.members[0].counts.requests
                 one.send(signal.SIGCONT)
-                await acting(made.all, said["version"])
+                await until_acting(made.all, said["version"])
                 found = await whole(made, [3])
                 assert [row["phase"] for row in found[0]["phases"]] == [
                     "finding",
@@ -423,8 +432,8 @@
     """It neither tells nor asks; who comes back beside it gets on without."""
     old = (
         "from loadbalancer.daemon.recovery import RecoveryService\n"
-        "RecoveryService.start = lambda self, upgraded: setattr(self.view, 'phase', 0)\n"
-        "RecoveryService.look = lambda self: None\n"
+        "RecoveryService.start = lambda self, replaces_process: setattr(self.view, 'phase', 0)\n"
+        "RecoveryService.step = lambda self: None\n"
         "RecoveryService.answer = lambda self, message: None\n"
     )
 
--- a/tests/test_management.py
+++ b/tests/management/test_management.py
@@ -28,7 +28,7 @@
 from loadbalancer.deployment import read_deployment
 from loadbalancer.discovery.platform_overrides import PlatformOverrides
 from loadbalancer.management.calls import ManagementSession
-from loadbalancer.management.server import CALLERS_MOST, ManagementServer
+from loadbalancer.management.server import MAX_CALLERS, ManagementServer
 from loadbalancer.platform.operations import PATHS, PlatformOperations
 from loadbalancer.resource_limits import RateLimitedLogger
 
@@ -62,7 +62,7 @@
 async def desk(*backends: ScriptedBackend) -> AsyncIterator[Desked]:
     async with world(*backends) as here:
         marks = PlatformOverrides(here.proxy, None, time.time)
-        here.proxy.marks = marks
+        here.proxy.overrides = marks
         marks.listed(here.proxy.listed)
         classes = read_deployment(SETTINGS).classes
         operations = PlatformOperations(here.proxy, classes, marks, lambda: True)
@@ -100,7 +100,7 @@
     async def scene() -> None:
         async with desk(ScriptedBackend("a", answering(OK))) as here:
             held = []
-            for _ in range(3 * CALLERS_MOST):
+            for _ in range(3 * MAX_CALLERS):
                 reader, writer = await asyncio.open_connection(*here.address)
                 writer.write(b"GET /admin/health HTTP/1.1\r\nHo")
                 held.append((reader, writer))
@@ -161,10 +161,10 @@
             for client in clients:
                 await client.send(request("unsafe"))
             await backend.until_called(5)
-            await here.here.proxy.until(lambda: here.here.proxy.figures.open == 5)
+            await here.here.proxy.until(lambda: here.here.proxy.metrics.open == 5)
             box = await here.figures()
             assert box["in_progress"] == 5
-            assert box["upstream_tries"] == sum(here.here.proxy.tries()) == 5
+            assert box["upstream_tries"] == sum(here.here.proxy.attempt_counts()) == 5
 
     play(scene)
 
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -86,8 +86,8 @@
             assert b";proto=https" in backend.calls[0].head
             with pytest.raises(ssl.SSLCertVerificationError, match="not valid for 'else.test'|mismatch"):
                 await connect(here, "else.test")  # the default's is shown, and the client judges
-            assert here.daemon.keys is not None
-            assert [row["names"] for row in here.daemon.keys.summary()] == [["a.test"], ["*.b.test"]]
+            assert here.daemon.tls_keys is not None
+            assert [row["names"] for row in here.daemon.tls_keys.summary()] == [["a.test"], ["*.b.test"]]
 
     run(scene)
 
@@ -291,7 +291,7 @@
                 return served >= count
 
             tasks = [asyncio.ensure_future(client(kept)) for kept in (1, 1, 20, 20)]
-            keys = here.daemon.keys
+            keys = here.daemon.tls_keys
             assert keys is not None
             seen = set()
             for _ in range(40):
@@ -373,7 +373,7 @@
                     0
                 ] == 200  # it never ran: it may go on
             assert not sick.calls and sum(len(m.calls) for m in well) == 40
-            assert here.daemon.pools["p"].proxy.skipped() == 1
+            assert here.daemon.pools["p"].proxy.avoided_count() == 1
             assert here.heard.count("of sick") or here.heard.count("with sick")
 
     run(scene)
@@ -389,14 +389,14 @@
             for _ in range(20):
                 assert (await here.ask(requests_to()))[0] == 503
             assert here.heard.count("our trust roots or our clock")
-            keys, proxy = here.daemon.keys, here.daemon.pools["p"].proxy
+            keys, proxy = here.daemon.tls_keys, here.daemon.pools["p"].proxy
             assert keys is not None and keys.pools["p"].verdicts.ours is not None
             write_private(tmp_path / "roots.pem", certs.stranger().pem + certs.authority().pem)
             for _ in range(2):
                 keys.pools["p"].look()
             for _ in range(40):
                 assert (await here.ask(requests_to()))[0] == 200
-            await here.until(lambda: proxy.skipped() <= 1)
+            await here.until(lambda: proxy.avoided_count() <= 1)
             assert here.heard.count("are accepted again")
             assert sum(bool(m.calls) for m in those) >= 3 and not sum(not m.calls for m in those) > 1
 
@@ -443,7 +443,7 @@
         async with ground(tmp_path, [backend], lambda: over_tls([backend])) as here:
             for _ in range(3):
                 assert (await here.ask(requests_to()))[0] == 200
-                here.daemon.pools["p"].proxy.backends.close_idle("m")
+                here.daemon.pools["p"].proxy.upstreams.close_idle("m")
         assert reused == [False, True, True]
 
     run(scene)
