--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -499,7 +499,7 @@
             finish = proxy.finish_attempt
 
             def note(attempt: Any, result: AttemptResult, *more: Any) -> None:
-                told.append((attempt.server, result))
+                told.append((attempt.endpoint, result))
                 finish(attempt, result, *more)
 
             proxy.finish_attempt = note  # type: ignore[method-assign, assignment]
