--- a/benchmarks/scene.py
+++ b/benchmarks/scene.py
@@ -95,11 +95,8 @@
         return port
 
 
-@contextmanager
-def platform_proxy(
-    core: int, addresses: dict[str, str], tree: Path = ROOT, management: str = ""
-) -> Iterator[tuple[str, int]]:
-    """`run` of a checkout: its address and process id; `management`: where operators call, if they do."""
+def platform_configuration(listen: str, addresses: dict[str, str], sockets: int) -> dict[str, Any]:
+    """Return a configuration of the platform's form: `addresses` of the endpoints by name, `sockets` at most."""
     entries = [
         {
             "id": name,
@@ -113,16 +110,24 @@
         }
         for name, address in addresses.items()
     ]
-    address = f"127.0.0.1:{free_port()}"
-    box = {
+    return {
         "name": "n0",
-        "listen": address,
+        "listen": listen,
         "discovery": f"127.0.0.1:{free_port()}",
         "seed": "ff",
-        "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
+        "limits": {"cores": 1.0, "memory_mb": 128, "sockets": sockets},
         "settings": PLATFORM,
         "known": {"version": 1, "full": True, "servers": entries},
     }
+
+
+@contextmanager
+def platform_proxy(
+    core: int, addresses: dict[str, str], tree: Path = ROOT, management: str = ""
+) -> Iterator[tuple[str, int]]:
+    """`run` of a checkout: its address and process id; `management`: where operators call, if they do."""
+    address = f"127.0.0.1:{free_port()}"
+    box = platform_configuration(address, addresses, sockets=1024)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(box))
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from statistics import median, quantiles
 
-from benchmarks.scene import PLATFORM, ROOT, free_port, members
+from benchmarks.scene import ROOT, free_port, members, platform_configuration
 
 CLIENTS = 16
 #: Requests on a connection before the client opens a new one.
@@ -103,28 +103,7 @@
         socket.create_server(("127.0.0.1", 0), backlog=1024) as sock,
     ):
         host, port = sock.getsockname()
-        entries = [
-            {
-                "id": name,
-                "addr": address,
-                "zone": "a",
-                "kind": "std",
-                "cell": 0,
-                "state": "SERVING",
-                "weight": 1.0,
-                "started_ms": 0,
-            }
-            for name, address in addresses.items()
-        ]
-        box: dict[str, object] = {
-            "name": "n0",
-            "listen": f"{host}:{port}",
-            "discovery": f"127.0.0.1:{free_port()}",
-            "seed": "ff",
-            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 512},
-            "settings": PLATFORM,
-            "known": {"version": 1, "full": True, "servers": entries},
-        }
+        box = platform_configuration(f"{host}:{port}", addresses, sockets=512)
         running = start(folder, sock, box)
         clients = [Client(number, (host, port)) for number in range(CLIENTS)]
         for client in clients:
