--- a/loadbalancer/frontends/dialect.py
+++ b/loadbalancer/frontends/dialect.py
@@ -18,6 +18,23 @@
     from loadbalancer.proxy.idempotent_requests import IdempotencyLedger, KeyTerms
 
 
+#: Headers that speak of one connection alone, or of how a body is framed on it: they are not passed on as they came.
+CONNECTION_HEADERS = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+    )
+)
+
+
 class RejectError(Exception):
     """A request that is answered by the front, and after which its connection is closed."""
 
--- a/loadbalancer/frontends/platform_http.py
+++ b/loadbalancer/frontends/platform_http.py
@@ -10,7 +10,14 @@
 from typing import Iterable
 
 from loadbalancer.deployment import Deployment
-from loadbalancer.frontends.dialect import ClientSide, Head, RejectError, Reply, RoutedRequest
+from loadbalancer.frontends.dialect import (
+    CONNECTION_HEADERS,
+    ClientSide,
+    Head,
+    RejectError,
+    Reply,
+    RoutedRequest,
+)
 from loadbalancer.policy.settings import (
     Effect,
 )
@@ -45,21 +52,7 @@
     """One pool, and all that a request says of itself in the platform's headers."""
 
     #: Headers that are not passed on as they came: of this connection alone, or written anew.
-    not_passed = frozenset(
-        (
-            b"connection",
-            b"keep-alive",
-            b"proxy-authorization",
-            b"proxy-connection",
-            b"te",
-            b"trailer",
-            b"transfer-encoding",
-            b"upgrade",
-            b"content-length",
-            b"expect",
-            b"x-remaining",
-        )
-    )
+    not_passed = CONNECTION_HEADERS | {b"x-remaining"}
     noted = frozenset(
         (
             b"connection",
--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -14,6 +14,7 @@
 from loadbalancer.config.plan import ByMethod, ListenerPlan
 from loadbalancer.config.types import StickyTable
 from loadbalancer.frontends.dialect import (
+    CONNECTION_HEADERS,
     ClientSide,
     Destination,
     Head,
@@ -154,21 +155,7 @@
 class RoutedReader:
     """All routes of one listener."""
 
-    not_passed = frozenset(
-        (
-            b"connection",
-            b"keep-alive",
-            b"proxy-authorization",
-            b"proxy-connection",
-            b"te",
-            b"trailer",
-            b"transfer-encoding",
-            b"upgrade",
-            b"content-length",
-            b"expect",
-            b"host",
-        )
-    )
+    not_passed = CONNECTION_HEADERS | {b"host"}
     single = frozenset((b"content-length", b"host", b"transfer-encoding", b"expect"))
     ignores_upgrade = names_itself = True
 
