--- a/loadbalancer/daemon/applied_state.py
+++ b/loadbalancer/daemon/applied_state.py
@@ -10,12 +10,16 @@
 from loadbalancer.daemon.command_factory import CommandContent
 from loadbalancer.daemon.components import ReplicatedOverrideTarget
 from loadbalancer.daemon.fleet_interfaces import Clock
-from loadbalancer.daemon.persisted_state import Touched
 from loadbalancer.fleet.replication.actions import CommandApplied
-from loadbalancer.fleet.replication.commands import MarkBody, MoveBody
+from loadbalancer.fleet.replication.commands import CommandKind, MarkBody, MoveBody
 from loadbalancer.fleet.replication.epochs import AS_KEPT, WHOLE, Epoch, describe
 from loadbalancer.fleet.replication.replicated_state import (
+    ItemKind,
     ReplicatedState,
+    TouchedFreeze,
+    TouchedItem,
+    TouchedMigration,
+    TouchedOverride,
     VersionedMigration,
     VersionedOverride,
 )
@@ -47,17 +51,17 @@
         self._clock = clock
         first = Epoch(state.version, AS_KEPT, "", time.time())
         self.history: deque[Epoch] = deque([first], maxlen=MAX_HISTORY)
-        self._expiries: dict[Touched, Expiry] = {}
+        self._expiries: dict[TouchedItem, Expiry] = {}
 
     def apply_all(self) -> None:
         """Bring all that stands into force."""
         for pool, overrides in self._state.overrides.items():
             for endpoint in overrides:
-                self._apply(("mark", pool, endpoint))
+                self._apply(TouchedOverride(ItemKind.OVERRIDE, pool, endpoint))
         for pool in self._state.migrations:
-            self._apply(("move", pool))
+            self._apply(TouchedMigration(ItemKind.MIGRATION, pool))
         for pool in self._state.frozen:
-            self._apply(("freeze", pool))
+            self._apply(TouchedFreeze(ItemKind.FREEZE, pool))
 
     def apply_command(self, action: CommandApplied) -> None:
         """Bring into force what a command has touched."""
@@ -87,27 +91,27 @@
             if now < expiry.at:
                 continue
             self._expiries[touched] = Expiry(expiry.version, now + EXPIRY_RETRY_INTERVAL_S)
-            kind, pool, *names = touched
-            if kind == "mark":
-                yield CommandContent(kind, MarkBody(pool, {names[0]: None}, 0.0, expiry.version))
-            else:
-                yield CommandContent(kind, MoveBody(pool, None, 0.0, expiry.version))
-
-    def _apply(self, touched: Touched) -> None:
-        kind, *names = touched
+            match touched:
+                case TouchedOverride(pool=pool, endpoint=endpoint):
+                    lifted = MarkBody(pool, {endpoint: None}, 0.0, expiry.version)
+                    yield CommandContent(CommandKind.MARK, lifted)
+                case TouchedMigration(pool=pool):
+                    yield CommandContent(CommandKind.MOVE, MoveBody(pool, None, 0.0, expiry.version))
+
+    def _apply(self, touched: TouchedItem) -> None:
         item: VersionedOverride | VersionedMigration | None = None
-        if kind == "mark":
-            pool, endpoint = names
-            override = self._state.overrides.get(pool, {}).get(endpoint)
-            self._overrides.set_override(pool, endpoint, override[0] if override is not None else None)
-            item = override
-        elif kind == "move":
-            migration = self._state.migrations.get(names[0])
-            self._overrides.set_migration(names[0], migration[0] if migration is not None else None)
-            item = migration
-        elif kind == "freeze":
-            self._overrides.set_frozen(names[0], names[0] in self._state.frozen)
-        if item is not None and item[1]:
-            self._expiries[touched] = Expiry(item[2], self._clock() + item[1])
+        match touched:
+            case TouchedOverride(pool=pool, endpoint=endpoint):
+                override = self._state.overrides.get(pool, {}).get(endpoint)
+                self._overrides.set_override(pool, endpoint, override.override if override else None)
+                item = override
+            case TouchedMigration(pool=pool):
+                migration = self._state.migrations.get(pool)
+                self._overrides.set_migration(pool, migration.migration if migration else None)
+                item = migration
+            case TouchedFreeze(pool=pool):
+                self._overrides.set_frozen(pool, pool in self._state.frozen)
+        if item is not None and item.duration:
+            self._expiries[touched] = Expiry(item.version, self._clock() + item.duration)
         else:
             self._expiries.pop(touched, None)
--- a/loadbalancer/daemon/command_factory.py
+++ b/loadbalancer/daemon/command_factory.py
@@ -11,9 +11,10 @@
 from loadbalancer.admin.calls import CallError, Change
 from loadbalancer.daemon.components import ReplicatedOverrideTarget
 from loadbalancer.daemon.rollout import RolloutService
-from loadbalancer.fleet.orchestration.rollout import PlanBody, RolloutPlan, StageBody
+from loadbalancer.fleet.orchestration.rollout import PlanBody, RolloutPlan, RolloutStage, StageBody
 from loadbalancer.fleet.replication.commands import (
     Command,
+    CommandKind,
     FreezeBody,
     MarkBody,
     MoveBody,
@@ -93,14 +94,14 @@
         pool = change.request.pool or ""
         if change.verb in OVERRIDE_VERBS:
             return CommandContent(
-                "mark", MarkBody(pool, self._overrides.planned_overrides(change), change.until)
+                CommandKind.MARK, MarkBody(pool, self._overrides.planned_overrides(change), change.until)
             )
         if change.verb == MIGRATION_VERB:
             return CommandContent(
-                "move", MoveBody(pool, self._overrides.planned_migration(change), change.until)
+                CommandKind.MOVE, MoveBody(pool, self._overrides.planned_migration(change), change.until)
             )
         if change.verb in FREEZE_VERBS:
-            return CommandContent("freeze", FreezeBody(pool, change.verb == "freeze"))
+            return CommandContent(CommandKind.FREEZE, FreezeBody(pool, change.verb == "freeze"))
         return None
 
     def _translate_fleet(self, change: Change) -> CommandContent | None:
@@ -108,27 +109,27 @@
         name = request.name or ""
         match change.verb:
             case "fleet/enrol":
-                return CommandContent("roster", RosterBody(name, self._require_store(name)))
+                return CommandContent(CommandKind.ROSTER, RosterBody(name, self._require_store(name)))
             case "fleet/expel":
-                return CommandContent("roster", RosterBody(name, ""))
+                return CommandContent(CommandKind.ROSTER, RosterBody(name, ""))
             case "fleet/rollout":
-                return CommandContent("plan", self._rollout_plan(change))
+                return CommandContent(CommandKind.PLAN, self._rollout_plan(change))
             case "fleet/halt":
-                return CommandContent("stage", self._next_stage("halted", request.by))
+                return CommandContent(CommandKind.STAGE, self._next_stage(RolloutStage.HALTED, request.by))
             case "fleet/back":
-                return CommandContent("stage", self._next_stage("back", request.by))
+                return CommandContent(CommandKind.STAGE, self._next_stage(RolloutStage.BACK, request.by))
             case "fleet/recover":
                 voters = {voter: self._state.voters.get(voter, "") for voter in request.roster}
-                return CommandContent("recover", RecoverBody(voters))
+                return CommandContent(CommandKind.RECOVER, RecoverBody(voters))
         return None
 
-    def _next_stage(self, stage: str, by: str) -> StageBody:
+    def _next_stage(self, stage: RolloutStage, by: str) -> StageBody:
         plan = self._open_plan()
         return StageBody(plan.id, plan.stage, stage, f"by {by}"[:200], plan.old_bad)
 
     def _open_plan(self) -> RolloutPlan:
         plan = self._state.rollout_plan
-        if plan is None or plan.stage in ("done", "ended"):
+        if plan is None or plan.stage in (RolloutStage.DONE, RolloutStage.ENDED):
             raise CallError(409, "no roll-out is under way")
         return plan
 
--- a/loadbalancer/daemon/persisted_state.py
+++ b/loadbalancer/daemon/persisted_state.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import random
-from typing import NamedTuple, Sequence, TypeVar
+from typing import Iterable, NamedTuple, Sequence, TypeVar
 
 import msgspec
 from msgspec.msgpack import Decoder
@@ -17,8 +17,12 @@
 from loadbalancer.fleet.replication.learner import RETAINED_COMMANDS
 from loadbalancer.fleet.replication.messages import AcceptorState, ObservedStore
 from loadbalancer.fleet.replication.replicated_state import (
+    ItemKind,
     ReplicatedState,
     Snapshot,
+    TouchedItem,
+    TouchedMigration,
+    TouchedOverride,
     VersionedMigration,
     VersionedOverride,
 )
@@ -34,9 +38,6 @@
 OVERRIDE_PREFIX = b"fleet/mark/"
 MIGRATION_PREFIX = b"fleet/move/"
 
-#: What a command has touched: a kind and names, such as ("mark", pool, endpoint) or ("move", pool).
-Touched = tuple[str, ...]
-
 RecordT = TypeVar("RecordT")
 _override_decoder: Decoder[VersionedOverride] = Decoder(VersionedOverride)
 _migration_decoder: Decoder[VersionedMigration] = Decoder(VersionedMigration)
@@ -156,19 +157,19 @@
         view.put(OBSERVED_STORE_PREFIX + name.encode(), msgspec.msgpack.encode(store))
 
 
-def encode_touched(state: ReplicatedState, touched: Sequence[Touched]) -> list[RecordChange]:
+def encode_touched(state: ReplicatedState, touched: Iterable[TouchedItem]) -> list[RecordChange]:
     """Encode the items that a command has touched, and the head, as they stand now; they may be written later."""
     changes: list[RecordChange] = []
-    for kind, *names in touched:
-        if kind == "mark":
-            pool, endpoint = names
-            override = state.overrides.get(pool, {}).get(endpoint)
-            key = OVERRIDE_PREFIX + msgspec.msgpack.encode((pool, endpoint))
-            changes.append(RecordChange(key, msgspec.msgpack.encode(override) if override else None))
-        elif kind == "move":
-            migration = state.migrations.get(names[0])
-            key = MIGRATION_PREFIX + names[0].encode()
-            changes.append(RecordChange(key, msgspec.msgpack.encode(migration) if migration else None))
+    for item in touched:
+        match item:
+            case TouchedOverride(pool=pool, endpoint=endpoint):
+                override = state.overrides.get(pool, {}).get(endpoint)
+                key = OVERRIDE_PREFIX + msgspec.msgpack.encode((pool, endpoint))
+                changes.append(RecordChange(key, msgspec.msgpack.encode(override) if override else None))
+            case TouchedMigration(pool=pool):
+                migration = state.migrations.get(pool)
+                key = MIGRATION_PREFIX + pool.encode()
+                changes.append(RecordChange(key, msgspec.msgpack.encode(migration) if migration else None))
     head = StoredHead(state.version, dict(state.voters), sorted(state.frozen), state.rollout_plan)
     changes.append(RecordChange(HEAD_KEY, msgspec.msgpack.encode(head)))
     return changes
@@ -176,8 +177,13 @@
 
 def encode_all(state: ReplicatedState) -> list[RecordChange]:
     """Encode all items of the state, and the head."""
-    overrides = [("mark", pool, endpoint) for pool, found in state.overrides.items() for endpoint in found]
-    return encode_touched(state, (*overrides, *(("move", pool) for pool in state.migrations)))
+    items: list[TouchedItem] = [
+        TouchedOverride(ItemKind.OVERRIDE, pool, endpoint)
+        for pool, overrides in state.overrides.items()
+        for endpoint in overrides
+    ]
+    items.extend(TouchedMigration(ItemKind.MIGRATION, pool) for pool in state.migrations)
+    return encode_touched(state, items)
 
 
 def write_command(view: StoreView, changes: Sequence[RecordChange], version: int, command: Command) -> None:
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -23,6 +23,7 @@
     RecoveryCoordinator,
     RecoveryObservation,
     RecoveryPhase,
+    StartKind,
     is_full,
     return_after,
     turn,
@@ -152,7 +153,7 @@
         has one, the first by name calls, and the others ask it until their turn.
         """
         name = self.coordinator.name
-        is_mass_restart = self.coordinator.kind == "mass"
+        is_mass_restart = self.coordinator.kind == StartKind.MASS
         delay_s = turn(name, seen.recovering, DISCOVERY_TURN_S, MAX_DISCOVERY_SPREAD_S)
         lacking = [pool for pool in self._daemon.pools.values() if not pool.proxy.listed]
         for pool in self._daemon.pools.values():
--- a/loadbalancer/daemon/replica_storage.py
+++ b/loadbalancer/daemon/replica_storage.py
@@ -22,7 +22,7 @@
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 from loadbalancer.resource_limits import RateLimitedLogger
 from loadbalancer.store.errors import StoreError
-from loadbalancer.store.keeper import Store, StoreView
+from loadbalancer.store.keeper import Job, Store, StoreView
 
 
 class ReplicaStorage:
@@ -56,51 +56,43 @@
 
     def save_identity(self, on_saved: Callable[[], None]) -> None:
         """Write that the store was opened again; a voter votes only once this is on disk."""
-        if self._store is None:
-            return
-
-        def completed(_: None, problem: StoreError | None) -> None:
-            if problem is None:
-                on_saved()
-            else:
-                self._logger("fleet: this instance does not vote", problem)
-
-        self._store.submit(partial(write_identity, identity=self.identity), completed)
+        write = partial(write_identity, identity=self.identity)
+        self._submit(write, on_saved, "fleet: this instance does not vote")
 
     def save_acceptor_state(self, action: Persist, on_saved: Callable[[], None]) -> None:
         """Write an acceptor's answer before it is sent.
 
         `on_saved` is not called for one that can't be kept: the proposer asks again, or goes on without this voter.
         """
-        if self._store is None:
-            return
-
-        def completed(_: None, problem: StoreError | None) -> None:
-            if problem is None:
-                on_saved()
-            else:
-                self._logger("fleet: acceptor state not persisted", problem)
-
-        self._store.submit(
-            lambda view: write_acceptor_state(view, action.acceptor_state, action.observed_store), completed
+        write = partial(
+            write_acceptor_state, acceptor_state=action.acceptor_state, observed=action.observed_store
         )
+        self._submit(write, on_saved, "fleet: acceptor state not persisted")
 
     def save_command(self, action: CommandApplied) -> None:
         """Write a command that was applied, and what it has touched."""
         if self._store is None:
             return
         changes = encode_touched(self._state, action.touched)
-        self._store.submit(
-            lambda view: write_command(view, changes, action.version, action.command), self._command_saved
-        )
+        write = partial(write_command, changes=changes, version=action.version, command=action.command)
+        self._submit(write, None, "fleet: applied command not persisted")
 
     def save_snapshot(self) -> None:
         """Write all of the state, after a snapshot was installed."""
         if self._store is None:
             return
         changes = encode_all(self._state)
-        self._store.submit(lambda view: write_snapshot(view, changes), self._command_saved)
+        self._submit(partial(write_snapshot, changes=changes), None, "fleet: applied command not persisted")
+
+    def _submit(self, write: Job[None], on_saved: Callable[[], None] | None, failure_event: str) -> None:
+        """Queue a write; then call `on_saved`, or log a failure, on the loop. Without a store nothing is called."""
+        if self._store is None:
+            return
+
+        def completed(_: None, problem: StoreError | None) -> None:
+            if problem is not None:
+                self._logger(failure_event, problem)
+            elif on_saved is not None:
+                on_saved()
 
-    def _command_saved(self, _: None, problem: StoreError | None) -> None:
-        if problem is not None:
-            self._logger("fleet: applied command not persisted", problem)
+        self._store.submit(write, completed)
--- a/loadbalancer/daemon/replicated_commands.py
+++ b/loadbalancer/daemon/replicated_commands.py
@@ -17,7 +17,7 @@
 from loadbalancer.daemon.fleet_interfaces import AnswerCallback, Clock, JsonObject
 from loadbalancer.daemon.fleet_peers import FleetPeers
 from loadbalancer.fleet.replication.actions import CommandCompleted
-from loadbalancer.fleet.replication.commands import Command
+from loadbalancer.fleet.replication.commands import Command, CommandKind
 from loadbalancer.fleet.replication.commit_tracking import CommitStatus, CommitTracker
 from loadbalancer.fleet.replication.errors import StateError
 from loadbalancer.fleet.replication.lease import Lease
@@ -126,7 +126,7 @@
             self._replica.state.check(command)
         except StateError as problem:
             raise CallError(409, str(problem)) from None
-        if content.kind == "recover":
+        if content.kind == CommandKind.RECOVER:
             self._submit_recovery(command, change, answer)
             return True
         expected = change.request.if_version
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -42,7 +42,7 @@
     SendMessage,
     SnapshotInstalled,
 )
-from loadbalancer.fleet.replication.commands import Command
+from loadbalancer.fleet.replication.commands import Command, CommandKind
 from loadbalancer.fleet.replication.events import (
     CommandsReceived,
     Event,
@@ -266,7 +266,7 @@
         self._perform(self.replica.announce_to_voters())
         body = self._coordinator.next_stage(plan, now)
         if body is not None:
-            self._propose_own(CommandContent("stage", body), body.why)
+            self._propose_own(CommandContent(CommandKind.STAGE, body), body.why)
 
     def _count_requests(self) -> RequestCounts:
         ended = [
--- a/loadbalancer/daemon/rollout.py
+++ b/loadbalancer/daemon/rollout.py
@@ -20,7 +20,13 @@
 from loadbalancer.config.reader import ConfigError
 from loadbalancer.daemon.components import DaemonContext
 from loadbalancer.daemon.fleet_interfaces import JsonObject, PrepareConfiguration
-from loadbalancer.fleet.orchestration.rollout import RolloutPlan, StageReport, wants_new
+from loadbalancer.fleet.orchestration.rollout import (
+    RolloutPlan,
+    RolloutStage,
+    RunningFile,
+    StageReport,
+    wants_new,
+)
 from loadbalancer.fleet.replication.messages import QueryRequest, QueryResponse
 from loadbalancer.fleet.wire import Message
 
@@ -147,11 +153,11 @@
         yield QueryResponse(b"")
 
     @property
-    def runs(self) -> str:
-        """Return which file is in force, "new" or "old"; "" while it changes."""
+    def runs(self) -> RunningFile:
+        """Return which file is in force."""
         if self._is_working and self._has_file:
-            return ""
-        return "new" if self._plan_id and self._previous_path.exists() else "old"
+            return RunningFile.CHANGING
+        return RunningFile.NEW if self._plan_id and self._previous_path.exists() else RunningFile.OLD
 
     @property
     def _is_working(self) -> bool:
@@ -189,11 +195,15 @@
             self._counts_at_stage = self._count_requests()
         if self._is_working:
             return
-        if plan.stage == "checking" and not self._has_file and not self._refusal:
+        if plan.stage == RolloutStage.CHECKING and not self._has_file and not self._refusal:
             self._begin(self._fetch(plan))
-        elif not self._refusal and wants_new(plan, self._name, names, self.runs) and self.runs == "old":
+        elif (
+            not self._refusal
+            and wants_new(plan, self._name, names, self.runs)
+            and self.runs == RunningFile.OLD
+        ):
             self._begin(self._load(plan))
-        elif self.runs == "new" and not wants_new(plan, self._name, names, self.runs):
+        elif self.runs == RunningFile.NEW and not wants_new(plan, self._name, names, self.runs):
             self._begin(self._take_back())
 
     def _begin(self, work: Coroutine[None, None, None]) -> None:
--- a/loadbalancer/fleet/replication/replicated_state.py
+++ b/loadbalancer/fleet/replication/replicated_state.py
@@ -21,7 +21,7 @@
 from msgspec import Struct
 
 from loadbalancer.discovery.overrides import AdminOverride
-from loadbalancer.fleet.orchestration.rollout import OPEN, PlanBody, RolloutPlan, StageBody
+from loadbalancer.fleet.orchestration.rollout import OPEN, PlanBody, RolloutPlan, RolloutStage, StageBody
 from loadbalancer.fleet.replication.commands import (
     Command,
     CommandBody,
@@ -270,7 +270,7 @@
 
     def _check_plan(self) -> None:
         plan = self.rollout_plan
-        if plan is not None and plan.stage in (*OPEN, "halted"):
+        if plan is not None and plan.stage in (*OPEN, RolloutStage.HALTED):
             raise StateError(f"roll-out {plan.id} is under way ({plan.stage}); take it back first")
 
     def _check_voter(self, body: RosterBody) -> None:
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -76,8 +76,12 @@
         self._loop = asyncio.get_running_loop()
         self._events: deque[Event] = deque()
         self._is_handling = False
-        self._carry_out: dict[type, Callable[[Any], None]] = {
-            Send: attempts.send,
+        self._carry_out = self._make_handlers()
+
+    def _make_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """Return what carries out an action, by the action's type."""
+        return {
+            Send: self._attempts.send,
             SetTimer: self._set_timer,
             Reject: self._reject,
             Fail: self._fail,
