--- a/loadbalancer/frontends/dialect.py
+++ b/loadbalancer/frontends/dialect.py
@@ -8,10 +8,9 @@
 import time
 from typing import TYPE_CHECKING, Iterable, NamedTuple, Protocol, Union
 
-from loadbalancer.proxy.open_requests import OpenRequest
+from loadbalancer.proxy.open_requests import Client, OpenRequest
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.resource_limits import BufferBudget
-from loadbalancer.streaming.streams import Stream, StreamConsumer
 from loadbalancer.streaming.uploads import Upload
 
 if TYPE_CHECKING:  # loaded where keys are remembered
@@ -170,28 +169,8 @@
     def place(self, head: Head) -> Destination:
         """Called when the head is whole, before any of the body is kept."""
 
-    def read(self, head: Head, body: bytearray | None, client: ClientSide) -> Union[RoutedRequest, Reply]:
+    def read(self, head: Head, body: bytearray | None, client: Client) -> Union[RoutedRequest, Reply]:
         """Called when the body is whole, or when it turns out to be one that is sent on as it comes."""
 
     def proxies(self) -> Iterable[Proxy]:
         """All pools that a request can reach."""
-
-
-class ClientSide(StreamConsumer, Protocol):
-    """The connection, as an open request knows it (proxy/proxy.py: Client)."""
-
-    def answer(
-        self,
-        status: int,
-        lines: list[bytes],
-        body: bytes,
-        close: bool = False,
-        length: int | None = None,
-        reason: bytes = b"",
-    ) -> None: ...
-
-    def has_left(self) -> bool: ...
-
-    def begin_answer(
-        self, status: int, lines: list[bytes], length: int | None, reason: bytes, stream: Stream
-    ) -> None: ...
--- a/loadbalancer/frontends/platform_http.py
+++ b/loadbalancer/frontends/platform_http.py
@@ -12,7 +12,6 @@
 from loadbalancer.deployment import Deployment
 from loadbalancer.frontends.dialect import (
     CONNECTION_HEADERS,
-    ClientSide,
     Head,
     RejectError,
     Reply,
@@ -21,7 +20,7 @@
 from loadbalancer.policy.settings import (
     Effect,
 )
-from loadbalancer.proxy.open_requests import OpenRequest
+from loadbalancer.proxy.open_requests import Client, OpenRequest
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.resource_limits import MAX_HELD_BODY_BYTES, MAX_STREAMED_BODY_BYTES
 
@@ -96,7 +95,7 @@
     def place(self, head: Head) -> PlatformReader:
         return self
 
-    def read(self, head: Head, body: bytearray | None, client: ClientSide) -> RoutedRequest | Reply:
+    def read(self, head: Head, body: bytearray | None, client: Client) -> RoutedRequest | Reply:
         method, url, noted = head.method, head.url, head.noted
         if url == b"/ready" and method == b"GET":
             ready = self.ready()
@@ -107,7 +106,7 @@
             raise RejectError(400, "no path or no host")
         return self.read_platform(head, body, client)
 
-    def read_platform(self, head: Head, body: bytearray | None, client: ClientSide) -> RoutedRequest:
+    def read_platform(self, head: Head, body: bytearray | None, client: Client) -> RoutedRequest:
         """The platform's headers, once the request line is known to be good."""
         noted, deployment = head.noted, self.deployment
         if not noted.get(b"x-txn"):
--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -15,7 +15,6 @@
 from loadbalancer.config.types import StickyTable
 from loadbalancer.frontends.dialect import (
     CONNECTION_HEADERS,
-    ClientSide,
     Destination,
     Head,
     IdempotencyTerms,
@@ -28,7 +27,7 @@
 from loadbalancer.policy.events import (
     AttemptResult,
 )
-from loadbalancer.proxy.open_requests import OpenRequest
+from loadbalancer.proxy.open_requests import Client, OpenRequest
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.resource_limits import BufferBudget
 from loadbalancer.routing.rewrites import Rewrites
@@ -257,7 +256,7 @@
 
     # The whole request.
 
-    def read(self, head: Head, body: bytearray | None, client: ClientSide) -> RoutedRequest | Reply:
+    def read(self, head: Head, body: bytearray | None, client: Client) -> RoutedRequest | Reply:
         assert isinstance(head, PlainHead)
         if head.reply is not None:
             return Reply(*head.reply, head.close)
@@ -277,7 +276,7 @@
         return classes.choose(head.method.decode("latin-1"), has_key)
 
     def _hooked(
-        self, head: PlainHead, to: RouteTarget, hooks: PluginHooks, body: bytearray | None, client: ClientSide
+        self, head: PlainHead, to: RouteTarget, hooks: PluginHooks, body: bytearray | None, client: Client
     ) -> RoutedRequest | Reply:
         """The request as its plug-ins leave it. They may choose class and tenant, and headers that are neither framing
         nor ours; the deadline is never longer than it was."""
@@ -300,7 +299,7 @@
         head: PlainHead,
         to: RouteTarget,
         body: bytearray | None,
-        client: ClientSide,
+        client: Client,
         cls: int,
         left: float,
     ) -> RoutedRequest:
