--- a/loadbalancer/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The policy: every decision of a proxy, without I/O. `Balancer` in balancer.py is what is called."""
+"""Policy: takes every decision of a proxy, without I/O. `Balancer` in balancer.py is its entry point."""
--- a/loadbalancer/policy/actions.py
+++ b/loadbalancer/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the policy asks of its proxy, carried out in the order in which they are returned."""
+"""Actions that the policy returns and the proxy carries out, in the order in which they are returned."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Send(NamedTuple):
-    """Start an attempt; attempts of a request are numbered from 0 in this order."""
+    """Start an attempt. Attempts of a request are numbered from 0 in the order of their `Send` actions."""
 
     request: int
     endpoint: str
@@ -15,21 +15,21 @@
 
 
 class Fail(NamedTuple):
-    """Answer a request that nobody served, with no promise of whether it ran."""
+    """Answer a request that no endpoint served, without saying whether it ran."""
 
     request: int
 
 
 class Reject(NamedTuple):
-    """Answer a request that nobody served, with the promise that sending it again is harmless."""
+    """Answer a request that no endpoint served, and promise that sending it again is harmless."""
 
     request: int
     retry_after: float = 0.0
-    """Seconds after which the client may return; 0 says nothing."""
+    """Seconds after which the client may retry; 0 leaves the time unspecified."""
 
 
 class Cancel(NamedTuple):
-    """End an attempt that is still out; its `Outcome` follows as for any other."""
+    """Cancel an open attempt; its `Outcome` follows as for any other attempt."""
 
     request: int
     attempt: int
@@ -37,16 +37,16 @@
 
 
 class SetTimer(NamedTuple):
-    """Report `TimerFired` once, later."""
+    """Report `TimerFired` once, after a delay."""
 
     token: int
-    """Names the timer in the event."""
+    """Identifies the timer in `TimerFired`."""
     delay: float
     """Seconds."""
 
 
 class WatchEndpoints(NamedTuple):
-    """Follow the endpoint list, or fetch it where it is not pushed."""
+    """Watch the endpoint list, or poll it if updates are not pushed."""
 
     enabled: bool = True
     """False ends the watch."""
@@ -57,7 +57,7 @@
 
 
 class ProbeEndpoint(NamedTuple):
-    """Send an endpoint a health check; a `ProbeResult` follows."""
+    """Send a health check to an endpoint; a `ProbeResult` follows."""
 
     endpoint: str
 
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,18 +1,18 @@
-"""All decisions of a proxy: where a request is sent, whether it is retried, hedged or rejected.
+"""Takes all decisions of a proxy: where a request is sent, and whether it is retried, hedged or rejected.
 
-`Balancer.handle` takes what happened and returns what to do. It does no I/O and reads no clock;
-`proxy/proxy.py` carries its actions out. This file holds the order of the decisions; each rule stands in the
-file of its part:
+`Balancer.handle` takes events and returns actions. It does no I/O and reads no clock; `proxy/proxy.py`
+carries the actions out. This file defines the order of the decisions; the rules themselves are in these
+files:
 
-| question | part |
+| question | files |
 | --- | --- |
 | Which endpoints are there? | `endpoint_list.py`, `endpoints.py` |
-| Is it a retry of its client? | `client_retries.py` |
+| Is a request a retry by its client? | `client_retries.py` |
 | Is a new request rejected? | `load_shedding.py`, `concurrency_limit.py`, `tenant_quota.py` |
-| May there be an attempt, and to which endpoints? | `retry_policy.py`, `idempotency.py` |
+| May a request have another attempt, and at which endpoints? | `retry_policy.py`, `idempotency.py` |
 | Which endpoint gets it? | `selection.py`, `slow_start.py`, `outlier_detection.py` |
-| When is a second attempt considered? | `hedging.py` |
-| What is learnt from its end? | `outlier_detection.py`, and the parts above |
+| When is a hedged request considered? | `hedging.py` |
+| What is learned from the end of an attempt? | `outlier_detection.py`, and the files above |
 """
 
 from __future__ import annotations
@@ -59,17 +59,18 @@
 
 
 class Balancer:
-    """The decisions of one proxy.
+    """Takes the decisions of one proxy.
 
-    The same settings, seed and events give the same actions. Random numbers come from two sources: `random`
-    for selection, shedding, the gaps of a pace and polls; `jitter` for the start of a pace, `Retry-After` and
-    what passes the concurrency limit, none of which then moves a selection.
+    The same settings, seed and events give the same actions. There are two random number generators: `random`
+    for selection, shedding, the gaps of slow-start pacing and polls; `jitter` for the start of pacing,
+    `Retry-After` and the requests admitted over the concurrency limit, so that these three do not change
+    which endpoint is selected.
     """
 
     load_shedding_type: ClassVar[type[LoadShedding]] = LoadShedding
-    """What it is built with; a variant of the policy may have another one, as those of the emulator do."""
+    """Class of `load_shedding`; variants of the policy, as in the emulator, override it."""
     concurrency_limit_type: ClassVar[type[ConcurrencyLimit]] = ConcurrencyLimit
-    """As above."""
+    """Class of `concurrency_limit`; variants of the policy override it too."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         self.settings = settings
@@ -104,18 +105,18 @@
             ClientCancelled: self._on_client_cancelled,
             TimerFired: self._on_timer,
             ProbeResult: self._on_probe_result,
-            PeerMessage: self._ignore,
+            PeerMessage: self._on_peer_message,
         }
 
     def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
-        """Take note of events and return what is to be done, in this order.
+        """Process events and return the actions to carry out, in order.
 
         Args:
-            now: Seconds on any clock that only advances.
-            events: What happened by then, in order.
+            now: Seconds on any monotonic clock.
+            events: Events up to `now`, in order.
 
         Raises:
-            UnknownAttemptError: An outcome is of an attempt that was never sent.
+            UnknownAttemptError: An outcome names an attempt that was never sent.
         """
         if self.send_rate.started_at < 0:
             self.send_rate.start(now)
@@ -125,7 +126,7 @@
             self._handlers[type(event)](event, now)
         return self._actions
 
-    # What its users ask.
+    # State that callers read.
 
     @property
     def endpoints(self) -> dict[str, Endpoint]:
@@ -134,17 +135,17 @@
 
     @property
     def ready(self) -> list[Endpoint]:
-        """Endpoints that may be selected by state."""
+        """Endpoints that are ready and not cordoned."""
         return self.registry.ready
 
     @property
     def typical_latency(self) -> list[float]:
-        """Seconds that an answer of each class takes; 0: unknown. May be changed in place."""
+        """Typical seconds to an answer of each class; 0 means unknown. May be changed in place."""
         return self.outliers.typical_latency
 
     @property
     def shed_level(self) -> float:
-        """Level of load shedding; 0: nothing is shed."""
+        """Level of load shedding; 0 means that nothing is shed."""
         return self.load_shedding.level
 
     @shed_level.setter
@@ -162,20 +163,20 @@
         return self.concurrency_limit.in_flight
 
     def avoids(self, name: str) -> bool:
-        """Return whether an endpoint would be passed over now, for another reason than its load."""
+        """Return whether selection would skip an endpoint now for a reason other than its load."""
         return self.selector.avoids(self.registry.by_id.get(name), self.now)
 
     def may_leave(self, now: float, request: int, attempt_number: int) -> bool:
-        """Return whether the rules still let an attempt go whose connection has just come up.
+        """Return whether an attempt may still be sent now that its connection is established.
 
-        Meanwhile its endpoint may have begun to drain or ended, the request may have been answered, and the
-        deduplication window may have passed.
+        During the connect its endpoint may have started to drain or gone away, the request may have been
+        answered, and the deduplication window may have passed.
         """
         pending = self.requests.get(request)
         if pending is None or pending.streaming:
             return False
         endpoint = pending.attempts[attempt_number].endpoint
-        if not self.selector.still_takes_attempt(endpoint):
+        if not self.selector.still_accepts_attempt(endpoint):
             return False
         return self.retry_policy.may_still_be_sent(pending, attempt_number, now)
 
@@ -190,16 +191,16 @@
     def _on_probe_result(self, event: ProbeResult, now: float) -> None:
         self.outliers.record_result(self.registry.by_id[event.endpoint], event.result, event.report, now)
 
-    def _ignore(self, event: PeerMessage, now: float) -> None:
-        """Proxies do not talk to each other."""
+    def _on_peer_message(self, event: PeerMessage, now: float) -> None:
+        """Ignore the message: this policy exchanges nothing with other proxies."""
 
-    # The way of a request.
+    # Handlers of request events.
 
     def _on_request(self, event: Request, now: float) -> None:
-        """Reject a new request, or send its first attempt and say when to look at it again."""
+        """Reject a new request, or send its first attempt and set the timer of the hedge check."""
         class_index = event.class_index
         request_class = self.settings.classes[class_index]
-        waited = self.client_retries[class_index].time_waited(
+        time_waited = self.client_retries[class_index].time_waited(
             event.time_remaining, request_class.client_timeout, now
         )
         pending = PendingRequest(
@@ -207,7 +208,7 @@
             request_class,
             self.settings.limits,
             now,
-            waited,
+            time_waited,
             typical_latency=self.outliers.typical_latency[class_index],
             answer_slack=self.settings.rules.answer_slack,
             overloaded=self.load_shedding.level > 0,
@@ -220,10 +221,10 @@
             self._set_hedge_check(pending, now)
 
     def _on_body_progress(self, event: BodyProgress, now: float) -> None:
-        """Let the times of a request count once its body is whole.
+        """Start the timeouts of a request once its body is complete.
 
-        Until then it costs its endpoint nothing but a connection and can't have run, so that it is not in
-        flight. From then on it is like any other request just sent.
+        Until then it costs its endpoint only a connection and can't have run, so it does not count as in
+        flight. From then on it is treated like a request that was just sent.
         """
         pending = self.requests.get(event.request)
         if pending is None:
@@ -243,9 +244,10 @@
             self._check_hedge(pending, now)
 
     def _check_hedge(self, pending: PendingRequest, now: float) -> None:
-        """Send a hedged request, or cancel the attempt for another, where no first byte has come.
+        """Send a hedged request, or cancel the attempt so that another follows, if no first byte has arrived.
 
-        That is for a lone unresponsive endpoint; where the typical attempt is slow it would add to the cause.
+        This helps against a single unresponsive endpoint. Where the typical attempt is slow it would add to
+        the cause, so it is not done while load is shed.
         """
         if pending.streaming or len(pending.attempts) != 1 or not pending.replayable:
             return
@@ -255,21 +257,22 @@
         if limits.hedging:
             self._retry(pending, now)
         elif limits.cancellation and self._would_follow_cancel(pending, now):
-            self._actions.append(Cancel(pending.id, 0))  # its outcome starts the second attempt
+            self._actions.append(Cancel(pending.id, 0))  # its outcome triggers the second attempt
 
     def _would_follow_cancel(self, pending: PendingRequest, now: float) -> bool:
-        """Return whether another attempt would be sent once the one that is out has been cancelled."""
+        """Return whether another attempt would be sent once the open one has been cancelled."""
         policy = self.retry_policy
-        if not policy.is_wanted(pending, AttemptResult.CANCELLED) or not policy.has_time(pending, now):
+        if not policy.is_retryable(pending, AttemptResult.CANCELLED) or not policy.has_time(pending, now):
             return False
         pool = policy.next_pool(pending, now, after_cancel=True)
-        return pool is not None and self.selector.has_other(pool, pending, now)
+        return pool is not None and self.selector.has_untried_endpoint(pool, pending, now)
 
     def _on_first_byte(self, event: FirstByte, now: float) -> None:
-        """Let one of the attempts answer the request and cancel the others.
+        """Let the attempt that sent the first byte answer the request, and cancel the others.
 
-        Once an answer has begun its work is done, and the attempt is no longer in flight: how long the client
-        takes over the rest says nothing of the endpoint, and slow readers would decide where requests go.
+        Once an answer has begun, the endpoint's work is done and the attempt is no longer in flight: the time
+        that the client takes to read the rest says nothing of the endpoint, and slow readers must not
+        influence selection.
         """
         endpoint = self.registry.by_id[event.endpoint]
         endpoint.answered = True
@@ -302,8 +305,8 @@
         if event.request_ended:
             self._end(pending, now)
         elif event.result == AttemptResult.UNUSABLE:
-            # What one endpoint can't use no other can: a retry would cost attempts, and a rejection would ask
-            # for one. A wrong verdict fails a good request.
+            # A request that one endpoint finds invalid is invalid for all: a retry would waste attempts, and
+            # a rejection would invite one. If the endpoint is wrong, a valid request fails.
             self._fail(pending, now)
         elif not pending.has_open_attempt():
             self._retry_or_end(pending, attempt, event.result, now)
@@ -313,23 +316,23 @@
         if pending is not None:
             self._end(pending, now)
 
-    # The steps of a request.
+    # Steps of request handling.
 
     def _try_to_send(self, pending: PendingRequest, now: float) -> bool:
-        """Send another attempt, where the rules permit it and an endpoint may take it."""
+        """Send another attempt if the rules permit it and an endpoint can be selected."""
         pool = self.retry_policy.next_pool(pending, now)
         if pool is None:
             return False
         endpoint = self.selector.select(pool, pending, now)
         if endpoint is None:
-            message = self.selector.take_log()
+            message = self.selector.pop_log_message()
             self._actions += [message] if message is not None else []
             return False
         self._send(pending, endpoint, now)
         return True
 
     def _send(self, pending: PendingRequest, endpoint: Endpoint, now: float) -> None:
-        """Send an attempt; the one place that does. No attempt outlives the use of its answer."""
+        """Send an attempt. Every attempt is sent here, and none outlives the use of its answer."""
         key = (pending.id, len(pending.attempts))
         if pending.body_pending:
             endpoint.responding.add(key)
@@ -339,8 +342,8 @@
         pending.attempts.append(Attempt(endpoint, now, len(endpoint.in_flight)))
         self.send_rate.record(now)
         self.slow_start.record_send(endpoint, now)
-        time_from = pending.began_at if pending.body_pending else now
-        timeout = min(pending.useful_until - time_from, self.settings.limits.attempt_timeout)
+        timeout_start = pending.began_at if pending.body_pending else now
+        timeout = min(pending.useful_until - timeout_start, self.settings.limits.attempt_timeout)
         self._actions.append(Send(pending.id, endpoint.id, max(MIN_ATTEMPT_TIMEOUT_S, timeout)))
 
     def _set_hedge_check(self, pending: PendingRequest, now: float) -> None:
@@ -348,30 +351,30 @@
         if delay is not None:
             self._actions.append(SetTimer(pending.id + 1, delay))
 
-    def _retry(self, pending: PendingRequest, now: float, is_free: bool = False) -> bool:
-        """Send one more attempt, where class, limits, time and budget allow it."""
+    def _retry(self, pending: PendingRequest, now: float, is_budget_exempt: bool = False) -> bool:
+        """Send one more attempt if its class, limits, time and budget allow it."""
         policy = self.retry_policy
-        if not policy.has_time(pending, now) or not (is_free or policy.has_budget()):
+        if not policy.has_time(pending, now) or not (is_budget_exempt or policy.has_budget()):
             return False
         if not self._try_to_send(pending, now):
             return False
-        if not is_free:
+        if not is_budget_exempt:
             policy.record_retry()
         return True
 
     def _retry_or_end(
         self, pending: PendingRequest, attempt: Attempt, result: AttemptResult, now: float
     ) -> None:
-        """Decide about a request whose last open attempt has ended unserved."""
-        wanted = self.retry_policy.is_wanted(pending, result)
+        """Retry or end a request whose last open attempt has ended without an answer."""
+        retryable = self.retry_policy.is_retryable(pending, result)
         if result == AttemptResult.NOT_SENT:
-            self.retry_policy.allow_unsent(pending, attempt)
-            wanted = True
-        if not wanted or not self._retry(pending, now, self.retry_policy.is_free(result)):
+            self.retry_policy.restore_unsent_attempt(pending, attempt)
+            retryable = True
+        if not retryable or not self._retry(pending, now, self.retry_policy.is_budget_exempt(result)):
             self._reject_or_fail(pending, now)
 
     def _reject_or_fail(self, pending: PendingRequest, now: float) -> None:
-        """End a request that no endpoint answers: rejected if sending it again is known to be harmless."""
+        """Reject an unserved request if sending it again is known to be harmless; otherwise fail it."""
         self.client_retries[pending.class_index].record_unserved(pending.is_late)
         if not idempotency.may_reject(pending.request_class, pending.attempts):
             self._fail(pending, now)
@@ -396,7 +399,10 @@
                 self._actions.append(Cancel(pending.id, number))
 
     def _record_outcome(self, pending: PendingRequest, attempt: Attempt, event: Outcome, now: float) -> None:
-        """Let the parts learn from the time that an attempt took; one whose body still came says nothing."""
+        """Pass an outcome to the components that learn from response times.
+
+        It is not called while the request body is incomplete: that time does not measure the endpoint.
+        """
         message = self.load_shedding.record_outcome(pending, event, now)
         if message is not None:
             self._actions.append(message)
--- a/loadbalancer/policy/client_retries.py
+++ b/loadbalancer/policy/client_retries.py
@@ -1,6 +1,6 @@
-"""Recognizes requests that clients send again after an earlier one went unserved.
+"""Detects requests that clients retry after an earlier one went unserved.
 
-The protocol does not say it, but the time that a client has left does: it comes with less than at first.
+The protocol does not mark them, but a retry has less time remaining than a first request.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 
 from loadbalancer.policy.estimators import RATE_MEMORY_S
 
-SAME_GROUP_TOLERANCE = 0.03  # times remaining that differ by less than this share are of one group
-MAX_GROUPS = 8  # first requests, second ones after a rejection, after a timeout, the last
-GROUP_DECAY = 0.995  # a request: some two hundred tell which group is the most common
+SAME_GROUP_TOLERANCE = 0.03  # times remaining that differ by less than this share are in one group
+MAX_GROUPS = 8  # e.g. first requests, second ones after a rejection or after a timeout, last ones
+GROUP_DECAY = 0.995  # for each request: about two hundred decide which group is the most common
 GROUP_CENTRE_STEP = 1 / 16
-MIN_GROUP_WEIGHT = 20.0  # requests of the most common group before anything is said
-REPEATED_AGAIN_SHARE = 0.5  # of those whose retry was in vain, so many try once more
+MIN_GROUP_WEIGHT = 20.0  # of the most common group, below which no request is taken for a retry
+REPEATED_AGAIN_SHARE = 0.5  # share of the clients with an unserved late retry that retry once more
 
 
 class TimeRemainingGroup:
-    """Requests that came with about the same time remaining."""
+    """Counts requests that arrived with about the same time remaining."""
 
     __slots__ = ("time_remaining", "weight")
 
@@ -28,10 +28,11 @@
 
 
 class ClientRetryDetector:
-    """Tells first requests of a class from those that clients repeat, by their time remaining.
+    """Distinguishes first requests of a class from client retries by their time remaining.
 
     Every retry follows an earlier request, so no group of retries is as common as that of first requests. The
-    longest time remaining would not do: where clients end a try early, their last one may have the most left.
+    group with the longest time remaining need not be that of first requests: if clients end their tries
+    early, the last try may have the most time left.
     """
 
     __slots__ = ("_groups", "_updated_at", "unserved")
@@ -40,18 +41,18 @@
         self._groups: list[TimeRemainingGroup] = []
         self._updated_at = 0.0
         self.unserved = 0.0
-        """Fading count of requests that were left unserved, which their clients may repeat."""
+        """Exponentially decaying count of unserved requests, which their clients may retry."""
 
     def record_unserved(self, was_late: bool) -> None:
-        """Take note of a request that got no answer from an endpoint."""
+        """Count a request that got no answer from an endpoint."""
         self.unserved += REPEATED_AGAIN_SHARE if was_late else 1.0
 
     def time_waited(self, time_remaining: float, client_timeout: float, now: float) -> float:
-        """Return how long the client of a new request has waited through earlier ones; 0 for a first one.
+        """Return how long the client of a new request has waited in earlier tries; 0 for a first request.
 
-        Work for an answer that comes too late to be of worth makes others late as well, so that such requests
-        are the first to be rejected. A client that is just less patient than others of its class looks alike;
-        therefore no more requests count as retries than were lately left unserved.
+        Work on an answer that comes too late to be of value delays other requests as well, so load shedding
+        rejects such requests first. A client with a shorter timeout than others of its class looks like a
+        retry; therefore no more requests count as retries than were recently left unserved.
 
         Args:
             time_remaining: Seconds until the client gives up.
@@ -65,7 +66,7 @@
         return client_timeout - remaining
 
     def _is_first_request(self, time_remaining: float, now: float) -> bool:
-        """Take note of a request; whether it looks like a first one, or nothing can be said yet."""
+        """Record a request; return True if it looks like a first request or there are too few to tell."""
         self.unserved *= math.exp((self._updated_at - now) / RATE_MEMORY_S)
         self._updated_at = now
         group = self._group_of(time_remaining)
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -1,7 +1,7 @@
-"""How many attempts this proxy may have in flight at all, learnt from how long they take.
+"""Limits the attempts that this proxy has in flight at all endpoints, adapting to their response times.
 
-Load shedding acts once attempts take too long, and by then their queue stands; the limit holds it back
-before. Under `MIN_LIMIT` in flight it says nothing, and load shedding alone decides.
+Load shedding reacts once attempts take too long, when a queue has already built up; the limit keeps it from
+building up. With fewer than `MIN_LIMIT` in flight the limit does not apply, and load shedding alone decides.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from loadbalancer.policy.request_value import RequestValue
 
 INITIAL_LIMIT = 64.0
-MIN_LIMIT = 32.0  # what one of many proxies has in flight below this says nothing of the fleet
+MIN_LIMIT = 32.0  # fewer in flight at one of many proxies say nothing about the load of the fleet
 MAX_LIMIT = 10_000.0
-LIMIT_SHARE_BY_RANK = 0.8  # each class may fill this part of what the class that is worth more may
+LIMIT_SHARE_BY_RANK = 0.8  # each class may use this share of the limit of the next more valuable class
 LATE_OBJECTIVE_SHARE = 0.7  # an attempt that takes more of its objective than this counts as late
-CANCELLED_OBJECTIVE_SHARE = 0.4  # and so does one that was cancelled without a first byte after this part
-# Share of late attempts at which the limit stands still: the queue is short, and few sick endpoints don't
-# close it.
+CANCELLED_OBJECTIVE_SHARE = 0.4  # so does one cancelled without a first byte after this share
+# Share of late attempts at which the limit does not change: there the queue is short, and a few unhealthy
+# endpoints do not shrink the limit.
 TARGET_LATE_SHARE = 0.1
-MIN_LATE_SHARE = 0.02  # share of late attempts of late under which there is no limit: a burst meets none
-LATE_SHARE_STEP = 0.01  # some hundred attempts tell that share
-PASSED_SHARE = 0.01  # of what is over the limit passes all the same: without it nothing would tell of room
+MIN_LATE_SHARE = 0.02  # recent share of late attempts below which no limit applies, so that bursts pass
+LATE_SHARE_STEP = 0.01  # averages that share over about a hundred attempts
+ADMITTED_OVER_LIMIT_SHARE = 0.01  # of requests over the limit; only they show that capacity is back
 
 _COUNTED = frozenset((AttemptResult.SERVED, AttemptResult.TIMEOUT, AttemptResult.FULL))
 
 
 class ConcurrencyLimit:
-    """The limit, which classes meet it first, and the attempts that count for it."""
+    """Adapts the limit, and decides which classes reach it first."""
 
     def __init__(self, value: RequestValue, jitter: Random) -> None:
         self._value = value
@@ -38,18 +38,19 @@
         """Attempts without a first byte, at all endpoints."""
         self.limit = INITIAL_LIMIT
         self.late_share = 0.0
-        """Of the latest attempts."""
+        """Share of recent attempts that were late."""
 
     def is_full(self, class_index: int, gives_way: bool) -> bool:
-        """Return whether a request has no room under the limit.
+        """Return whether the limit leaves no room for a request.
 
-        Queues at all endpoints at once can't be avoided by selection, cost each request time, and are seen by
-        load shedding only when they stand. A burst of more than the proxy has had in flight, right behind
-        late attempts, is rejected in part until answers have shown that there is room.
+        Selection can't avoid queues that exist at all endpoints at once. They cost each request time, and
+        load shedding sees them only once they have built up. A burst of more attempts than the proxy has had
+        in flight, right after late attempts, is rejected in part until answers have shown that there is
+        capacity.
 
         Args:
-            class_index: The class of the request; those worth less for their work have less room.
-            gives_way: Whether it ranks below its class: it can only be late, or its tenant is over quota.
+            class_index: The class of the request; classes of less value for their work have a lower limit.
+            gives_way: Whether it ranks below its class, as it can only be late or its tenant is over quota.
         """
         if self.late_share < MIN_LATE_SHARE:
             return False
@@ -57,19 +58,19 @@
         rank = sum(value > values[class_index] for value in values) + gives_way
         if self.in_flight < max(MIN_LIMIT, self.limit * LIMIT_SHARE_BY_RANK**rank):
             return False
-        return self._jitter.random() >= PASSED_SHARE
+        return self._jitter.random() >= ADMITTED_OVER_LIMIT_SHARE
 
     def record_outcome(self, pending: PendingRequest, event: Outcome) -> None:
         """Adapt the limit to the end of an attempt.
 
-        It grows by one for each limit's worth of answers in time, while half of it is used, and shrinks by so
-        much for late ones that it stands still at `TARGET_LATE_SHARE`. While next to none is late each answer
-        adds one, so that what a fleet carries well is known when it is needed.
+        While more than half of it is used, the limit grows by one for each `limit` answers in time; for late
+        ones it shrinks by so much that it does not change at `TARGET_LATE_SHARE`. While almost none is late,
+        each answer adds one, so that the limit has reached what the fleet can carry before it is needed.
         """
         response_time = event.response_time
         objective = pending.request_class.latency_objective
         if event.result == AttemptResult.CANCELLED:
-            # Cancelled for want of a first byte, so that another endpoint could answer in its place.
+            # Without a first byte it was cancelled so that another endpoint could answer in its place.
             if pending.streaming or response_time < CANCELLED_OBJECTIVE_SHARE * objective:
                 return
         elif event.result not in _COUNTED:
--- a/loadbalancer/policy/endpoint_list.py
+++ b/loadbalancer/policy/endpoint_list.py
@@ -1,7 +1,7 @@
-"""Follows the endpoint list and operators' cordons, and says when a list is polled again.
+"""Applies endpoint lists and operators' cordons, and schedules polls of the list.
 
-Changes come as `EndpointList` events, from a watch or as the answers of polls. Polls that failed are repeated
-with exponential backoff and jitter, so that many proxies that have started together do not come together.
+Changes arrive as `EndpointList` events, from a watch or in response to polls. Failed polls are retried with
+exponential backoff and jitter, so that many proxies that started together do not poll together.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from loadbalancer.policy.settings import PolicySettings
 from loadbalancer.policy.slow_start import SlowStart
 
-#: Timer that polls the list. A request's hedge check has the request's number + 1.
+#: Token of the timer that polls the list. The timer of a hedge check has the request's number + 1.
 LIST_TOKEN = 0
-# First polls of proxies that have started together are spread over this. One service answers them in turn,
-# also those whose callers have given up: polls that come faster than it answers would all be in vain, and for
-# good.
+# First polls of proxies that started together are spread over this time. One service answers them in turn,
+# even those whose callers have given up: if polls arrived faster than it answers, all would be in vain, and
+# would remain so.
 FIRST_POLL_SPREAD_S = 3.5
-POLL_RETRY_INTERVAL_S = 1.1  # after the first failed poll; it doubles from then on
+POLL_RETRY_INTERVAL_S = 1.1  # after the first failed poll; doubles with each further one
 MAX_BACKOFF_DOUBLINGS = 8
 MIN_JITTER_FACTOR = 0.25
 MAX_JITTER_FACTOR = 1.25
-# Where the service can't be reached, the list has to be known in time from when it can: a poll that hangs may
-# have begun just before (discovery/watch.py gives it up), then comes the interval, then a poll that waits in
-# line.
+# Once the service is reachable again, the list has to arrive within this time. A poll that hangs may have
+# begun just before (discovery/watch.py aborts it); then follow the retry interval and a poll that waits in
+# the queue.
 NOTIFIED_WITHIN_S = 6.0
 MAX_QUEUE_TIME_S = 2.1
-MAX_BUSY_INTERVAL_S = 6.0  # where polls have waited in line in vain: only fewer of them empty it
+MAX_BUSY_INTERVAL_S = 6.0  # after polls that waited in the queue in vain: only fewer polls shorten it
 
 
 class EndpointListFollower:
@@ -38,22 +38,22 @@
     def __init__(
         self, settings: PolicySettings, random: Random, registry: EndpointRegistry, slow_start: SlowStart
     ) -> None:
-        self._polls = settings.list_on_request
+        self._polling_enabled = settings.list_on_request
         self._other_instances_share = settings.other_instances_share
         self._random = random
         self._registry = registry
         self._slow_start = slow_start
-        self._failed_polls = 0  # since the list last came, without those that waited in line
+        self._failed_polls = 0  # since the list was last received, without those that waited in the queue
         self._busy_polls = 0
         self._polled_at = 0.0
 
     def poll(self, now: float) -> WatchEndpoints:
-        """Return the call for the list; its timer has fired."""
+        """Return the action that polls the list; called when the poll timer fires."""
         self._polled_at = now
         return WatchEndpoints(True)
 
     def apply_list(self, event: EndpointList, now: float) -> list[Action]:
-        """Take over a list or a change to it; return the timer of the next poll, if one is due."""
+        """Apply a list or a change to it; return the timer of the next poll, if one is due."""
         if event.failed:
             return [SetTimer(LIST_TOKEN, self._retry_interval(event.busy, now))]
         if event.complete:
@@ -61,9 +61,9 @@
         for entry in event.entries:
             restarted = self._registry.apply_entry(entry)
             if restarted is not None:
-                self._slow_start.begin(restarted, now)
+                self._slow_start.start_pacing(restarted, now)
         self._rebuild_pools(now)
-        if event.stale and self._polls:
+        if event.stale and self._polling_enabled:
             spread_s = FIRST_POLL_SPREAD_S * self._other_instances_share
             return [SetTimer(LIST_TOKEN, spread_s * self._random.random())]
         if not event.stale:
@@ -72,7 +72,7 @@
         return []
 
     def apply_cordon(self, event: Cordon, now: float) -> list[Action]:
-        """Take an endpoint out for an operator, or put it back; return what follows for its connections."""
+        """Cordon or uncordon an endpoint; return the actions that follow for its connections."""
         actions: list[Action] = []
         if event.cordoned:
             self._registry.cordon(event.endpoint, now)
@@ -87,13 +87,13 @@
 
     def _rebuild_pools(self, now: float) -> None:
         self._registry.rebuild_pools()
-        self._slow_start.pools_rebuilt(now)
+        self._slow_start.on_pools_rebuilt(now)
 
     def _retry_interval(self, busy: bool, now: float) -> float:
-        """Return the seconds until the next poll, after one that failed.
+        """Return the seconds until the next poll after a failed one.
 
         Args:
-            busy: Whether it had waited in line with those of others.
+            busy: Whether the failed poll had waited in the queue of the service.
             now: The time, in seconds.
         """
         elapsed = now - self._polled_at if self._failed_polls else 0.0
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""What one proxy knows of each endpoint, the registry of all of them, and the pools to select from."""
+"""Keeps the state of each endpoint as this proxy knows it, their registry, and the pools to select from."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 EJECT_AFTER = 2  # consecutive failures, not counting slow answers, after which an endpoint is ejected
 
-TIME_PER_ATTEMPT_STEP = 0.1  # some dozen answers, a fraction of a second under load
-MIN_TIMED_ANSWERS = (
-    5  # the time per attempt is their mean; fewer say nothing: something may have been held up
-)
+TIME_PER_ATTEMPT_STEP = 0.1  # averages over about a dozen answers, a fraction of a second under load
+# Until there are this many answers, the time per attempt is their plain mean and is not used: with fewer, one
+# delayed answer could dominate it.
+MIN_TIMED_ANSWERS = 5
 
 AttemptKey = tuple[int, int]
-"""Request and number of the attempt."""
+"""Number of the request, and number of the attempt among its attempts."""
 
 
 class Endpoint:
-    """What this proxy knows of one endpoint."""
+    """Holds the listed attributes of one endpoint, and this proxy's observations of it."""
 
     __slots__ = (
         "answered",
@@ -63,24 +63,24 @@
     def __init__(self, entry: EndpointEntry, cordoned: bool = False) -> None:
         self.id = entry.endpoint
         self.cordoned = cordoned
-        """An operator has taken it out."""
+        """Whether an operator has cordoned it."""
         self.in_flight: dict[AttemptKey, float] = {}
-        """Attempts without a first byte, oldest first, and when each was sent."""
+        """Time at which each attempt without a first byte was sent, oldest first."""
         self.responding: set[AttemptKey] = set()
-        """Attempts that cost it only a connection: answers that have begun, bodies that still come."""
+        """Attempts that occupy only a connection: the answer has begun, or the request body is incomplete."""
         self.size = 1.0
         """Weight relative to the mean of the endpoints that are ready."""
         self.started = -math.inf
-        """Start of its process as the list says it; 0 is long ago."""
+        """Start of its process according to the endpoint list; 0 means long ago."""
         self.last_used = -math.inf
         self.warm_started_at = -math.inf
-        """When it began to warm up for another reason: put back by an operator, or standby until then."""
+        """When it began to warm up without a new start: it was uncordoned, or served as a standby again."""
         self.apply_entry(entry)
 
     def apply_entry(self, entry: EndpointEntry) -> None:
-        """Take over what a list says; under a new start it is another process, of which nothing is known."""
+        """Apply a list entry; a new start time means a new process, so all observations are reset."""
         if entry.started != self.started:
-            self._forget()
+            self._reset_observations()
         self.zone = entry.zone
         self.cell = entry.cell
         self.started = entry.started
@@ -91,33 +91,34 @@
         self.redirect = entry.redirect
         self.weight = entry.weight if 0 < entry.weight < math.inf else 1.0
 
-    def _forget(self) -> None:
+    def _reset_observations(self) -> None:
         self.utilization = 0.0
         self.utilization_at = 0.0
         self.error_rate = 0.0
         self.error_rate_at = 0.0
         self.error_rate_by_class: dict[int, tuple[float, float]] = {}
-        """Error rate of each class that it has served, and when it was last updated."""
+        """Error rate of each class with a recorded result, and the time of its last update."""
         self.answered = False
-        """It has answered since its start; until then it is on probation."""
+        """Whether it has answered since its start; until then it is on probation."""
         self.consecutive_failures = 0
         self.time_per_attempt = 0.0
-        """Seconds that an answer takes for each attempt of this proxy that is in flight there."""
+        """Seconds to an answer divided by the number of attempts that this proxy has in flight there."""
         self.time_per_attempt_at = -math.inf
         self.timed_answers = 0
-        """Answers that this time was learnt from."""
+        """Number of answers that `time_per_attempt` was averaged from."""
         self.pacing_debt = 0.0
-        """Requests of its slow-start pace that must pass until the next one; see slow_start.py."""
+        """Requests that its slow-start pace must accrue before the next one is sent; see slow_start.py."""
         self.pacing_updated_at = 0.0
 
     def warming_since(self) -> float:
-        """Return when it began to warm up, the later of its start and of a warm start."""
+        """Return when it began to warm up: the later of `started` and `warm_started_at`."""
         return max(self.started or -math.inf, self.warm_started_at)
 
     def record_time_per_attempt(self, seconds: float, now: float) -> None:
-        """Take note of an answer that took so long for each attempt of this proxy that was there.
+        """Record the time of an answer, divided by the attempts that this proxy had in flight there.
 
-        The first answers count alike: else one that was held up would stand for the next dozen.
+        The first answers have equal weight; otherwise a delayed first answer would dominate the average of
+        the next dozen.
         """
         self.timed_answers += 1
         step = TIME_PER_ATTEMPT_STEP
@@ -127,19 +128,19 @@
         self.time_per_attempt_at = now
 
     def restore_time_per_attempt(self, seconds: float, at: float) -> None:
-        """Take over what another process has learnt by then."""
+        """Restore the time per attempt that another process had recorded at time `at`."""
         self.timed_answers = MIN_TIMED_ANSWERS
         self.time_per_attempt = seconds
         self.time_per_attempt_at = at
 
     def end_attempt(self, key: AttemptKey) -> bool:
-        """Take an attempt that has ended off the endpoint.
+        """Remove an attempt that has ended.
 
         Returns:
-            Whether it was in flight, as opposed to one whose answer had begun or whose body still came.
+            Whether it was in flight; False if its answer had begun or its request body was incomplete.
 
         Raises:
-            UnknownAttemptError: No such attempt is here.
+            UnknownAttemptError: The endpoint has no such attempt.
         """
         was_in_flight = self.in_flight.pop(key, None) is not None
         if not was_in_flight and key not in self.responding:
@@ -148,18 +149,18 @@
         return was_in_flight
 
     def record_consecutive_failures(self, result: AttemptResult, slowness: float) -> None:
-        """Count failures in a row; an endpoint that turns a request away as full is up."""
+        """Count consecutive failures; FULL does not count, since an endpoint that rejects requests is up."""
         if result == AttemptResult.SERVED:
             self.consecutive_failures = 0
         elif result == AttemptResult.NO_CONNECTION:
-            # Nothing listens there: the next request need not find it out again.
+            # Nothing accepts connections there: eject it at once, so that no further request has to fail.
             self.consecutive_failures = max(self.consecutive_failures + 1, EJECT_AFTER)
         elif result != AttemptResult.FULL:
             self.consecutive_failures += slowness >= 1.0 or result != AttemptResult.TIMEOUT
 
 
 class KindGroup:
-    """Endpoints of one kind of machine in a pool."""
+    """Groups the endpoints of one kind of machine in a pool."""
 
     __slots__ = ("cumulative_sizes", "endpoints", "kind", "size")
 
@@ -171,10 +172,10 @@
 
 
 class EndpointPool:
-    """Endpoints to sample from, each with the chance that its size and the speed of its kind give it.
+    """Samples endpoints with a probability proportional to their size and to the speed of their kind.
 
-    Sampling by size matters where a proxy has next to nothing in flight at an endpoint: then the score says
-    little, and an even sample would load a slow machine like a fast one.
+    Weighted sampling matters while a proxy has almost nothing in flight at each endpoint: then scores hardly
+    differ, and uniform sampling would load a slow machine as much as a fast one.
     """
 
     __slots__ = ("by_priority", "endpoints", "kinds")
@@ -182,7 +183,7 @@
     def __init__(self, endpoints: list[Endpoint]) -> None:
         self.endpoints = endpoints
         self.by_priority: list[EndpointPool] = []
-        """Where there are several priorities, a pool of each, the one that serves first in front."""
+        """A pool for each priority, lowest number first; empty if there is only one priority."""
         priorities = sorted({endpoint.priority for endpoint in endpoints})
         if len(priorities) > 1:
             self.by_priority = [
@@ -195,45 +196,45 @@
         self.kinds = [KindGroup(kind, members) for kind, members in by_kind.items()]
 
     def total_size(self, speed_by_kind: dict[int, float]) -> float:
-        """Return the sum of all sizes, each by the speed of its kind."""
+        """Return the sum of all sizes, each multiplied by the speed of its kind."""
         return sum(group.size * speed_by_kind[group.kind] for group in self.kinds)
 
-    def sample(self, chance: float, speed_by_kind: dict[int, float]) -> Endpoint:
-        """Return the endpoint at a place, `chance` from 0 to 1, of the total size of the pool."""
-        remaining = chance * self.total_size(speed_by_kind)
+    def sample(self, position: float, speed_by_kind: dict[int, float]) -> Endpoint:
+        """Return the endpoint at the fraction `position`, from 0 to 1, of the cumulative size of the pool."""
+        remaining = position * self.total_size(speed_by_kind)
         for group in self.kinds:  # noqa: B007
             group_size = group.size * speed_by_kind[group.kind]
             if remaining < group_size:
                 break
             remaining -= group_size
-        place = bisect(group.cumulative_sizes, max(0.0, remaining) / speed_by_kind[group.kind])
-        return group.endpoints[min(place, len(group.endpoints) - 1)]
+        index = bisect(group.cumulative_sizes, max(0.0, remaining) / speed_by_kind[group.kind])
+        return group.endpoints[min(index, len(group.endpoints) - 1)]
 
 
 class EndpointRegistry:
-    """All endpoints that are listed or still have attempts, and the pools that are made of them.
+    """Holds all endpoints that are listed or still have attempts, and the pools built from them.
 
-    Only endpoint lists and operators change the pools.
+    Only endpoint lists and cordons change the pools.
     """
 
     def __init__(self) -> None:
         self.by_id: dict[str, Endpoint] = {}
         self.ready: list[Endpoint] = []
-        """Endpoints that may be selected by state; neither draining nor cordoned."""
+        """Endpoints whose state is READY and that are not cordoned."""
         self.pool = EndpointPool([])
-        """All that are ready."""
+        """Pool of all ready endpoints."""
         self.deduplication_groups: dict[tuple[DeduplicationScope, int], EndpointPool] = {}
-        """Those that share the memory of keyed requests, by scope and zone or cell."""
+        """Pools of endpoints that deduplicate keyed requests together, by scope and zone or cell."""
         self.domains: dict[str, list[Endpoint]] = {}
-        """Those that share their sticky sessions."""
+        """Endpoints that share their sticky sessions, by domain."""
         self.speed_by_kind: dict[int, float] = {}
-        """Speed of a kind of machine relative to the others, as their reported utilization tells."""
+        """Speed of each kind of machine relative to the others, estimated from reported utilization."""
         self.cordoned_since: dict[str, float] = {}
         self.uncordoned_due: dict[str, float] = {}
-        """Put back by an operator and unanswered so far, and when each is due a request."""
+        """For each uncordoned endpoint that has not served a request since, when it is due one."""
 
     def apply_entry(self, entry: EndpointEntry) -> Endpoint | None:
-        """Add or change an endpoint; return it where its process is a new one."""
+        """Add or update an endpoint; return it if its process is new, else None."""
         endpoint = self.by_id.get(entry.endpoint)
         if endpoint is None:
             endpoint = Endpoint(entry, entry.endpoint in self.cordoned_since)
@@ -244,21 +245,21 @@
         return endpoint if endpoint.started != started_before else None
 
     def mark_others_gone(self, listed: Collection[str]) -> None:
-        """Mark the endpoints that a complete list does not name as gone."""
+        """Mark the endpoints that are missing from a complete list as gone."""
         for endpoint in self.by_id.values():
             if endpoint.id not in listed:
                 endpoint.state = EndpointState.GONE
 
     def cordon(self, name: str, now: float) -> None:
-        """Take an endpoint out, whatever lists say of it, also of one that is not listed yet."""
+        """Cordon an endpoint, whatever the endpoint list says; it need not be listed yet."""
         self.cordoned_since.setdefault(name, now)
         self.uncordoned_due.pop(name, None)
 
     def uncordon(self, name: str, now: float) -> None:
-        """Put an endpoint back.
+        """Uncordon an endpoint.
 
-        It counts as warming up, since it may have been restarted meanwhile and the list be late to say so;
-        where the list has said so already, that start counts.
+        It counts as warming up, since it may have been restarted while it was cordoned and the list may lag
+        behind; if the list already has a start time after the cordon, that one applies.
         """
         if name not in self.cordoned_since:
             return
@@ -272,7 +273,7 @@
             endpoint.warm_started_at = now
 
     def rebuild_pools(self) -> None:
-        """Drop endpoints that are gone and idle, and make the pools anew."""
+        """Drop endpoints that are gone and have no attempts, and rebuild the pools."""
         self._drop_gone()
         self.ready = [
             endpoint
--- a/loadbalancer/policy/estimators.py
+++ b/loadbalancer/policy/estimators.py
@@ -1,22 +1,22 @@
-"""Estimators that follow a stream of observations in constant memory: decay, rates and quantiles."""
+"""Estimators of a stream of observations in constant memory: decay, rates and quantiles."""
 
 from __future__ import annotations
 
 import math
 
-DECAY_S = 30.0  # error rates and utilization fade to zero over this
+DECAY_S = 30.0  # error rates and utilization decay linearly to zero over this time
 RATE_MEMORY_S = 5.0  # time constant of the rates of events
 QUANTILE_STEP = 0.05  # an observation moves a quantile by at most this share of itself
-MIN_QUANTILE_COUNT = 50  # observations before a quantile says anything
+MIN_QUANTILE_COUNT = 50  # observations after which a quantile is used
 
 
 def linear_decay(value: float, updated_at: float, now: float) -> float:
-    """Return what a value still counts: it falls in a straight line to zero over `DECAY_S`."""
+    """Return a value after linear decay, which reaches zero at `DECAY_S` after its last update."""
     return value * max(0.0, 1 - (now - updated_at) / DECAY_S) if value else 0.0
 
 
 class SendRate:
-    """Attempts that this proxy sends in a second, as an exponentially fading count."""
+    """Estimates the attempts that this proxy sends a second, from an exponentially decaying count."""
 
     __slots__ = ("count", "started_at", "updated_at")
 
@@ -26,7 +26,7 @@
         self.updated_at = 0.0
 
     def start(self, now: float) -> None:
-        """Begin the life of the proxy, over which a young rate is averaged."""
+        """Record the start of the proxy; until its rate memory is filled, the rate is averaged since then."""
         self.started_at = now
         self.updated_at = now
 
@@ -36,11 +36,11 @@
         self.updated_at = now
 
     def per_second(self, now: float, min_lifetime: float = 1.0) -> float:
-        """Return attempts a second of late.
+        """Return the recent rate of attempts a second.
 
         Args:
             now: The time, in seconds.
-            min_lifetime: Seconds over which a proxy that is younger than the memory is averaged at least.
+            min_lifetime: Minimum of the seconds over which a proxy that has just started is averaged.
         """
         lifetime = max(min_lifetime, now - self.started_at)
         return self._count_at(now) / (RATE_MEMORY_S * (1 - math.exp(-lifetime / RATE_MEMORY_S)))
@@ -50,7 +50,7 @@
 
 
 class StreamingQuantile:
-    """The value that a share of observations stays under, followed by steps that balance there."""
+    """Estimates a quantile, moving it with each observation by steps that balance at its share."""
 
     __slots__ = ("count", "share", "value")
 
@@ -61,14 +61,14 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether there were enough observations for the value to mean something."""
+        """Whether there were enough observations for the value to be meaningful."""
         return self.count > MIN_QUANTILE_COUNT
 
     def record(self, observation: float) -> None:
-        """Take note of an observation over 0.
+        """Record an observation, which must be over 0.
 
-        The estimate begins at the longest of the first ones: a hedged request too late is cheaper than many
-        too early.
+        The estimate starts at the maximum of the first observations: a hedged request that is sent too late
+        costs less than many that are sent too early.
         """
         self.count += 1
         if self.count <= MIN_QUANTILE_COUNT:
--- a/loadbalancer/policy/events.py
+++ b/loadbalancer/policy/events.py
@@ -1,6 +1,6 @@
-"""Events: what a proxy tells its policy (`Balancer.handle`).
+"""Events that a proxy passes to its policy (`Balancer.handle`).
 
-Durations are in seconds, moments in seconds on any clock that only advances.
+Durations are in seconds; points in time are in seconds on any monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
     SERVED = 0
     """The endpoint answered."""
     ERROR = 1
-    """The endpoint answered that it failed."""
+    """The endpoint answered with an error."""
     FULL = 2
-    """The endpoint turned the attempt away for want of room, before it ran."""
+    """The endpoint rejected the attempt before running it because it had no capacity."""
     TIMEOUT = 3
-    """No answer within the attempt's time."""
+    """No answer came within the attempt's timeout."""
     NO_CONNECTION = 4
     """The connection could not be made."""
     RESET = 5
-    """The connection ended before the answer did."""
+    """The connection closed before the answer was complete."""
     CANCELLED = 6
-    """Ended at the policy's or the client's wish."""
+    """The policy or the client cancelled the attempt."""
     NOT_SENT = 7
-    """Ended before any of its bytes left."""
+    """The attempt ended before any of its bytes was sent."""
     UNUSABLE = 8
-    """The endpoint is well and finds the request itself wrong; on sockets only."""
+    """The endpoint is healthy and rejects the request itself as invalid; reported on sockets only."""
 
 
 #: Results that prove that the attempt never ran on its endpoint.
@@ -37,25 +37,25 @@
 
 
 class EndpointState(IntEnum):
-    """What the endpoint list says of an endpoint."""
+    """State of an endpoint in the endpoint list."""
 
     READY = 0
-    """It takes requests."""
+    """The endpoint accepts requests."""
     DRAINING = 1
-    """It ends what it has and takes no new requests."""
+    """The endpoint completes the requests it has and accepts no new ones."""
     GONE = 2
-    """It is no longer there."""
+    """The endpoint no longer exists."""
 
 
-#: A sticky session that is with any endpoint of a domain names the domain after this prefix.
+#: A sticky session that any endpoint of a domain can serve names the domain after this prefix.
 STICKY_DOMAIN_PREFIX = "@"
 
 
 class EndpointEntry(NamedTuple):
-    """One endpoint, as a list says it."""
+    """One endpoint in an endpoint list."""
 
     endpoint: str
-    """Its name."""
+    """Name of the endpoint."""
     zone: int = 0
     cell: int = 0
     """A part of a zone."""
@@ -65,13 +65,13 @@
     weight: float = 1.0
     """Size relative to the others."""
     started: float = 0.0
-    """When its process started; 0: long ago."""
+    """When its process started; 0 means long ago."""
     priority: int = 0
-    """Endpoints of one priority serve while none of a lower number is available."""
+    """Endpoints of a priority get requests only while no endpoint with a lower number is available."""
     domain: str = ""
     """Endpoints of one domain share their sticky sessions."""
     redirect: str = ""
-    """Where its sessions go while it is not available: an endpoint, or the prefix and a domain."""
+    """Target of its sessions while it is unavailable: an endpoint, or `STICKY_DOMAIN_PREFIX` and a domain."""
 
 
 class EndpointList(NamedTuple):
@@ -79,56 +79,56 @@
 
     entries: tuple[EndpointEntry, ...] = ()
     complete: bool = True
-    """Endpoints that it does not name are gone."""
+    """Whether endpoints that are missing from `entries` are gone."""
     failed: bool = False
-    """The poll failed, and the list before stands."""
+    """The poll failed; the previous list stays in force."""
     stale: bool = False
-    """It was held before a restart."""
+    """The list dates from before a restart."""
     busy: bool = False
-    """The poll failed after it had waited in line with those of others."""
+    """The poll failed after it had waited in the server's queue behind the polls of other proxies."""
 
 
 class Cordon(NamedTuple):
-    """An operator takes an endpoint out, whatever lists say of it, or puts it back."""
+    """An operator cordons an endpoint, whatever the endpoint list says, or uncordons it."""
 
     endpoint: str
     cordoned: bool
-    """False puts it back."""
+    """False uncordons the endpoint."""
 
 
 class Request(NamedTuple):
-    """A client's request, which is owed exactly one final answer."""
+    """A client's request, which must get exactly one final answer."""
 
     request: int
-    """Number that names it in further events and actions."""
+    """Number that identifies the request in later events and actions."""
     class_index: int
-    """Its place in `PolicySettings.classes`."""
+    """Index of its class in `PolicySettings.classes`."""
     time_remaining: float
     """Seconds until the client gives up."""
     tenant: int = 0
-    """Its place in `PolicySettings.tenants`."""
+    """Index of its tenant in `PolicySettings.tenants`."""
     key: str | None = None
     """Idempotency key."""
     work_hint: float | None = None
     """Expected work, in seconds of a standard core."""
     retry: bool = False
-    """The client says that it has sent it before."""
+    """The client marks the request as a retry."""
     write: bool = False
-    """It changes something."""
+    """The request modifies state."""
     sticky_endpoint: str | None = None
-    """Endpoint that its session wants, or the prefix and a domain."""
+    """Endpoint of its sticky session, or `STICKY_DOMAIN_PREFIX` and a domain."""
     body_pending: bool = False
-    """Its body still comes: no endpoint can begin, and no time counts, before `BodyProgress` says so."""
+    """The body is incomplete: until `BodyProgress` completes it no endpoint can start and no timeout runs."""
     sticky_required: bool = False
-    """Its session may not move: where `sticky_endpoint` is listed and not available, the request ends."""
+    """The session may not move: if `sticky_endpoint` is listed but unavailable, the request ends."""
     max_attempts: int = 0
-    """Attempts that its route allows, within the settings' limit; 0: as many as that."""
+    """Attempts that its route allows, within the settings' limit; 0 means that limit."""
     retry_on: frozenset[AttemptResult] | None = None
-    """Results after which its route lets another attempt follow; None: as the settings have it."""
+    """Results that its route allows to be retried; None means those of the settings."""
 
 
 class Outcome(NamedTuple):
-    """The end of an attempt."""
+    """An attempt has ended."""
 
     request: int
     attempt: int
@@ -136,46 +136,46 @@
     endpoint: str
     result: AttemptResult
     elapsed: float
-    """Seconds that the attempt has taken."""
+    """Duration of the attempt in seconds."""
     request_ended: bool = False
     """The request has its final answer."""
     report: Mapping[str, float] | None = None
-    """What the endpoint says of itself, such as `utilization` from 0 to 1."""
+    """Metrics that the endpoint reports of itself, such as `utilization` from 0 to 1."""
     time_to_first_byte: float | None = None
-    """Seconds to the head of the answer, where one came."""
+    """Seconds to the head of the answer; None if none came."""
     lag: float = 0.0
-    """Seconds of that time, or of `elapsed` where no answer came, in which this process did not run."""
+    """Seconds of `time_to_first_byte`, or of `elapsed` if it is None, in which this process did not run."""
 
     @property
     def response_time(self) -> float:
-        """Seconds that the endpoint took to the first byte, or to the end of the attempt where none came."""
+        """Seconds that the endpoint took to the first byte, or to the end of the attempt if none came."""
         measured = self.elapsed if self.time_to_first_byte is None else self.time_to_first_byte
         return max(0.0, measured - self.lag) if self.lag else measured
 
 
 class FirstByte(NamedTuple):
-    """An attempt's answer has begun, and goes to the client."""
+    """The answer of an attempt has begun and is being forwarded to the client."""
 
     request: int
     attempt: int
     """Its number among the request's attempts."""
     endpoint: str
     elapsed: float
-    """Seconds since it was sent."""
+    """Seconds since the attempt was sent."""
 
 
 class BodyProgress(NamedTuple):
-    """More has come of the body of a request that came with `body_pending`."""
+    """More of the body of a request with `body_pending` has arrived."""
 
     request: int
     complete: bool
-    """The last byte has come; now the request's times count."""
+    """The last byte has arrived; the request's timeouts run from now on."""
     replayable: bool
-    """All that has come is still held, so it could be sent again."""
+    """All of the body that has arrived is still buffered, so it can be sent again."""
 
 
 class ClientCancelled(NamedTuple):
-    """The client has left."""
+    """The client no longer waits for an answer."""
 
     request: int
 
@@ -187,14 +187,14 @@
 
 
 class ProbeResult(NamedTuple):
-    """The end of a health check."""
+    """A health check has ended."""
 
     endpoint: str
     result: AttemptResult
     elapsed: float
-    """Seconds that it has taken."""
+    """Duration of the health check in seconds."""
     report: Mapping[str, float] | None = None
-    """As of an `Outcome`."""
+    """Metrics that the endpoint reports of itself, as in `Outcome`."""
 
 
 class PeerMessage(NamedTuple):
--- a/loadbalancer/policy/hedging.py
+++ b/loadbalancer/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: how long an attempt may be without a first byte before a second one is sent."""
+"""Determines how long an attempt may go without a first byte before a hedged request is considered."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from loadbalancer.policy.pending_requests import Attempt, PendingRequest
 from loadbalancer.policy.settings import Effect, PolicyLimits
 
-DEFAULT_USEFUL_TIME_SHARE = 0.5  # of the useful time, where the deployment sets neither time nor quantile
+DEFAULT_USEFUL_TIME_SHARE = 0.5  # of the useful time, if the deployment sets neither delay nor quantile
 
 
 class Hedging:
-    """The delay of the hedge check: a fixed time, a quantile of the answers, or a share of the time left."""
+    """Computes the delay of the hedge check: a fixed time, a latency quantile, or a share of time left."""
 
     def __init__(self, limits: PolicyLimits, class_count: int, idle_connections: IdleConnections) -> None:
         self._limits = limits
@@ -21,12 +21,11 @@
         self._latency_quantiles: list[StreamingQuantile] = []
 
     def check_delay(self, pending: PendingRequest, response_timeout: float, now: float) -> float | None:
-        """Return the seconds after which the request's first attempt is looked at again; None for never.
+        """Return the seconds after which the request's first attempt is checked; None for never.
 
-        Where no two attempts may be out, the first is cancelled for the next. A proxy that sends little knows
-        little of queues: near full load it would cancel answers that take what they take, while the endpoint
-        may go on with the work. So it waits until the endpoint counts as unresponsive, which then holds the
-        request.
+        If hedging is off, the check cancels the first attempt before the next is sent. A proxy that sends
+        little knows little about queues: near full load it would cancel attempts that are merely slow, while
+        the endpoint may go on with the work. So such a proxy waits until the endpoint counts as unresponsive.
 
         Args:
             pending: The request.
@@ -43,10 +42,10 @@
         return delay if delay < useful_time else None
 
     def _configured_delay(self, class_index: int) -> float:
-        """Return seconds; 0 where neither a time nor a quantile is set, or nothing can be said yet.
+        """Return the quantile once it is ready, else the fixed delay, in seconds; 0 if neither is available.
 
-        Where all endpoints are slow at once, as many hedged requests as the quantile leaves over go out; the
-        retry budget and load shedding bound them.
+        If all endpoints become slow at once, more attempts than the quantile's share exceed it; the retry
+        budget and load shedding limit the hedged requests.
         """
         if self._latency_quantiles:
             quantile = self._latency_quantiles[class_index]
@@ -55,10 +54,11 @@
         return self._limits.hedge_delay
 
     def record_outcome(self, pending: PendingRequest, event: Outcome) -> None:
-        """Learn from the end of an attempt.
+        """Update the latency quantile from the end of an attempt.
 
-        One that was cancelled, or ran out of time, took longer than is seen: it counts where that is over the
-        quantile already. Left out, those that hedged requests cut short would pull the quantile down.
+        An attempt that was cancelled or timed out would have taken longer than measured, so it counts only if
+        the measured time already reaches the quantile. Without those that hedged requests cut short, the
+        quantile would be too low.
         """
         if not self._limits.hedge_quantile:
             return
@@ -74,7 +74,7 @@
             quantile.record(response_time)
 
     def record_cancelled(self, pending: PendingRequest, attempt: Attempt, now: float) -> None:
-        """Learn from an attempt that is cancelled because another answered; its outcome finds no request."""
+        """Update the quantile from an attempt that is cancelled as another answers or the request ends."""
         if not self._latency_quantiles or pending.body_pending:
             return
         quantile = self._latency_quantiles[pending.class_index]
--- a/loadbalancer/policy/idempotency.py
+++ b/loadbalancer/policy/idempotency.py
@@ -1,7 +1,7 @@
-"""No effect twice: when a request may run again, where, and when its client may be told to send it again.
+"""Prevents duplicate effects: when and where a request may run again, and when its client may resend it.
 
-`Effect` says what running a request twice would do; an attempt "may have run" unless its result proves
-otherwise (`events.NEVER_RAN`). Where an earlier attempt may have run:
+`Effect` defines what running a request twice would do; an attempt "may have run" unless its result proves
+otherwise (`events.NEVER_RAN`). If an earlier attempt may have run:
 
 | effect | another attempt | where | reject (a promise that nothing ran) |
 | --- | --- | --- | --- |
@@ -10,8 +10,9 @@
 | keyed, scope zone or cell | within the deduplication window | zone or cell of the first | never |
 | unsafe | never | | never |
 
-The window begins when the first attempt that may have run was sent. Where none may have run, a request may go
-anywhere and may be rejected, whatever its effect. A fleet of proxies keeps these rules because each one does.
+The window begins when the first attempt that may have run was sent. If none may have run, a request may go
+anywhere and may be rejected, whatever its effect. The rules hold for a fleet of proxies because each proxy
+follows them.
 """
 
 from __future__ import annotations
@@ -45,12 +46,12 @@
 def allowed_pool(
     request_class: RequestClass, first: Attempt | None, registry: EndpointRegistry
 ) -> EndpointPool | None:
-    """Return the endpoints that a further attempt may go to; None where there are none.
+    """Return the pool that a further attempt may go to, or None.
 
     Args:
         request_class: The class of the request.
         first: The earliest attempt that may have run, if any.
-        registry: The endpoints.
+        registry: All endpoints and their pools.
     """
     if first is None or request_class.effect == Effect.SAFE:
         return registry.pool
@@ -62,7 +63,7 @@
 
 
 def may_reject(request_class: RequestClass, attempts: Sequence[Attempt]) -> bool:
-    """Return whether the client may be told that sending the request again is harmless."""
+    """Return whether a rejection may promise the client that sending the request again is harmless."""
     if request_class.effect == Effect.SAFE:
         return True
     keyed_everywhere = request_class.deduplication_scope == DeduplicationScope.ALL
--- a/loadbalancer/policy/load_shedding.py
+++ b/loadbalancer/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: which requests are rejected under overload, the least value for its work first."""
+"""Load shedding: rejects requests under overload, those of least value for their work first."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from loadbalancer.policy.settings import PolicySettings
 from loadbalancer.policy.tenant_quota import TenantQuota
 
-LATE_OBJECTIVE_SHARE = 0.6  # an attempt that takes more of its objective than this speaks for overload
-TOLERATED_LATE_SHARE = 0.2  # share of such attempts that is put up with while nothing is shed
-TIME_PER_LEVEL_S = 1.0  # in which a proxy whose attempts are all late comes to shed one class
-# The level fades, so that it stands for the late share of the last seconds. Summed up for good, it would
-# drift apart among many proxies: chance late attempts would stay in it, and a proxy's own rejections are too
-# small a part of the fleet's traffic to bring it back.
+LATE_OBJECTIVE_SHARE = 0.6  # an attempt that takes more of its objective than this indicates overload
+TOLERATED_LATE_SHARE = 0.2  # share of such attempts at which the level does not rise
+TIME_PER_LEVEL_S = 1.0  # time in which a proxy whose attempts are all late comes to shed one class
+# The level decays, so that it reflects the late share of the last seconds. Without decay the levels of many
+# proxies would drift apart: random late attempts would accumulate, and a proxy's own rejections are too small
+# a part of the fleet's traffic to bring its level back.
 LEVEL_DECAY_S = 5.0
-# Levels between shedding a class whole and beginning with the next: where some proxies stand above the common
-# level and some below, the first would otherwise shed what is worth most while the others serve what is worth
-# least.
+# Levels between shedding one class completely and starting with the next. Proxies are above and below the
+# mean level; without a gap those above would shed the most valuable class while those below serve the least
+# valuable.
 LEVELS_BETWEEN_CLASSES = 1.0
-MAX_SHED_SHARE = 0.95  # a class is never shed whole: without its traffic nothing would tell of room
-MIN_RATE_LIFETIME_S = 0.1  # of a proxy, before which its rate says little
-MIN_RETRY_AFTER_SHARE = 0.5  # of the longest `Retry-After` that is permitted
+MAX_SHED_SHARE = 0.95  # of a class; without any of its traffic nothing would show that capacity is back
+MIN_RATE_LIFETIME_S = 0.1  # minimum time since its start over which a proxy's send rate is averaged
+MIN_RETRY_AFTER_SHARE = 0.5  # of the maximum `Retry-After`
 LOGGED_LEVEL = 0.5
 LOG_INTERVAL_S = 10
 
@@ -42,7 +42,7 @@
 
 
 class LoadShedding:
-    """The level of load shedding, the classes that it rejects, and when their clients may return."""
+    """Adapts the level of load shedding, decides what it rejects, and chooses the `Retry-After`."""
 
     def __init__(
         self,
@@ -65,14 +65,14 @@
         self._logged_at = -math.inf
         self.quota = TenantQuota(settings)
         self.level = 0.0
-        """0: nothing is shed; each class takes one level to be shed whole, and a gap follows."""
+        """0 sheds nothing; each class is shed over one level, and `LEVELS_BETWEEN_CLASSES` follow."""
 
     def rejects(self, event: Request, is_late: bool, now: float) -> bool:
-        """Return whether a new request is rejected: what is worth least for its work first.
+        """Return whether to reject a new request; those of least value for their work go first.
 
         Args:
             event: The request.
-            is_late: Whether its answer can only be late and then earns nothing; such requests go first.
+            is_late: Whether its answer can only be late and of no value; such requests are rejected first.
             now: The time, in seconds.
         """
         class_index = event.class_index
@@ -87,36 +87,38 @@
         return False
 
     def _shed_share(self, class_index: int, is_late: bool, over_quota: bool) -> float:
-        """Return the share of requests like this one that is shed at the present level."""
+        """Return the share of such requests that is shed at the current level."""
         values = self._value.by_class()
         own_value = values[class_index] * (self._over_quota_weight if over_quota else 1.0)
         rank = -1 if is_late else sum(value < own_value for value in values)
         return min(MAX_SHED_SHARE, self.level - (1 + LEVELS_BETWEEN_CLASSES) * (rank - over_quota))
 
     def retry_after(self) -> float:
-        """Return the seconds after which a rejected client may return; 0 says nothing.
+        """Return the seconds after which a rejected client may retry; 0 leaves the time unspecified.
 
-        Clients that return at once are each a further rejection. The times are spread, so that those rejected
-        together do not return together. Nothing is said while no load is shed: what is rejected for want of
-        an endpoint or of time now may find one at once. A client may return later than there is room.
+        A client that retries at once only causes another rejection. The times are jittered, so that clients
+        rejected together do not retry together. While no load is shed no time is given: a request that was
+        rejected because no endpoint was available or could answer in time may succeed at once. The drawback
+        is that a client may retry later than capacity is back.
         """
         if not self._limits.retry_after or self.level <= 0:
             return 0.0
         return self._limits.max_retry_after * self._jitter.uniform(MIN_RETRY_AFTER_SHARE, 1.0)
 
     def record_outcome(self, pending: PendingRequest, event: Outcome, now: float) -> LogMessage | None:
-        """Adapt the level to the end of an attempt; return what is to be logged.
+        """Adapt the level to the end of an attempt; return a message to log, if any.
 
-        Overload is that even the typical attempt takes long, not that some fail: shedding load where only
-        some endpoints are sick would call up clients' retries. The level takes additive steps that fade, and
-        none where `TOLERATED_LATE_SHARE` of the attempts are late.
+        The sign of overload is that even the typical attempt is slow, not that some fail: shedding load when
+        only some endpoints are unhealthy would cause client retries. The level moves by additive steps, which
+        decay, and the steps balance when `TOLERATED_LATE_SHARE` of the attempts are late.
         """
         if event.result in _NOT_COUNTED:
             return None
-        # The time to the first byte: the rest is up to the client, not the load.
+        # The time to the first byte counts: the rest depends on the client, not on the load.
         max_time = LATE_OBJECTIVE_SHARE * pending.request_class.latency_objective
         is_late = event.result == AttemptResult.FULL or event.response_time > max_time
-        # Over the true life of a young proxy: a start at which all connections are new is no overload.
+        # The rate is averaged over the real lifetime of a proxy that has just started: late attempts at a
+        # start, when all connections are new, are no sign of overload.
         rate = max(1.0, self._send_rate.per_second(now, MIN_RATE_LIFETIME_S))
         step = (1 - TOLERATED_LATE_SHARE if is_late else -TOLERATED_LATE_SHARE) / (rate * TIME_PER_LEVEL_S)
         step -= self.level / (rate * LEVEL_DECAY_S)
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: what is learnt of endpoints from the ends of attempts, and which of them are failing."""
+"""Outlier detection: learns from the ends of attempts which endpoints fail or are slow."""
 
 from __future__ import annotations
 
@@ -11,55 +11,57 @@
 from loadbalancer.policy.pending_requests import Attempt, PendingRequest
 from loadbalancer.policy.settings import PolicySettings
 
-MIN_ERROR_RATE = 0.01  # less is none: the trace of one slow answer would decide ties for as long as it fades
+MIN_ERROR_RATE = 0.01  # lower rates count as 0, or one slow answer would decide ties until its decay ends
 ERROR_STEP = 0.3  # two failures in a row pass the limit, one does not
-ERROR_RATE_LIMIT = 0.5  # more failures than answers lately
-ERROR_RATE_MARGIN = 0.3  # and only where they stand out from the fleet by this
-MAX_MEAN_ERROR_RATE = 0.4  # of the mean over attempts, where the median endpoint fails less
-FAILING_ERROR_RATE = 0.9  # an endpoint over this has served next to nothing lately
-OTHER_CLASSES_SHARE = 0.5  # of an endpoint's error rate, for a class that has one of its own there
-MEDIAN_INTERVAL_S = 0.1  # for so long the median error rate stands
-PROBE_INTERVAL_S = 1.0  # between requests to an ejected endpoint at first; each failure more doubles it
+ERROR_RATE_LIMIT = 0.5  # more failures than answers recently
+ERROR_RATE_MARGIN = 0.3  # and only if its rate exceeds that of the fleet by this
+MAX_MEAN_ERROR_RATE = 0.4  # cap of the mean over attempts, unless the median endpoint fails more
+FAILING_ERROR_RATE = 0.9  # an endpoint over this has served almost nothing recently
+OTHER_CLASSES_SHARE = (
+    0.5  # of the endpoint's overall error rate, the minimum for a class with a rate of its own
+)
+MEDIAN_INTERVAL_S = 0.1  # time for which a computed median error rate is used
+PROBE_INTERVAL_S = 1.0  # first interval between requests to an ejected endpoint; doubles with each failure
 MAX_BACKOFF_DOUBLINGS = 8
-SLOW_FROM = 2.5  # an answer that took this multiple of the typical latency starts to count as a failure
-SLOW_FULL = 8.0  # and at this one it counts in full
+SLOW_MIN_MULTIPLE = 2.5  # multiple of the typical latency over which an answer counts as a partial failure
+SLOW_FULL_MULTIPLE = 8.0  # multiple at which it counts as a full failure
 MIN_SLOW_OBJECTIVE_SHARE = 0.02  # an answer within this share of its objective never counts as slow
-RESPONSE_TIMEOUT_FACTOR = 6.0  # of the typical latency, without a first byte
-TYPICAL_LATENCY_STEP = 0.05  # the typical latency follows the median of the answers by such steps
-MEAN_STEP = 0.02  # of the means over attempts and reports, and of the speeds of kinds: some dozens move them
-MAX_SPEED = 4.0  # machines of one fleet differ by less, either way
+RESPONSE_TIMEOUT_FACTOR = 6.0  # multiple of the typical latency without a first byte
+TYPICAL_LATENCY_STEP = 0.05  # relative step by which the typical latency follows the median of the answers
+MEAN_STEP = 0.02  # of the means over attempts and reports and of the speeds of kinds: averages several dozens
+MAX_SPEED = 4.0  # relative to the mean, and its inverse the minimum: machines of one fleet differ by less
 
-_SAYS_NOTHING = frozenset((AttemptResult.CANCELLED, AttemptResult.NOT_SENT))
+_UNINFORMATIVE = frozenset((AttemptResult.CANCELLED, AttemptResult.NOT_SENT))
 _ANSWERED = frozenset((AttemptResult.SERVED, AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.UNUSABLE))
 
 
 class OutlierDetector:
-    """Error rates, consecutive failures, slowness and utilization, against what is usual in the fleet."""
+    """Compares error rates, consecutive failures, slowness and utilization with those usual in the fleet."""
 
     def __init__(self, settings: PolicySettings, registry: EndpointRegistry, send_rate: SendRate) -> None:
         self._instance_count = settings.instance_count
         self._registry = registry
         self._send_rate = send_rate
         self.typical_latency = [0.0] * len(settings.classes)
-        """Seconds that an answer of a class takes, the median of late; 0: unknown."""
+        """Recent median of the seconds to an answer of each class; 0 means unknown."""
         self.mean_utilization = 0.0
-        """Over reports."""
+        """Mean of the reported utilizations."""
         self.mean_error_rate = 0.0
-        """Over attempts."""
+        """Mean over attempts, of all endpoints."""
         self.response_timeout = math.inf
         """Seconds without a first byte after which an endpoint is unresponsive."""
         self._median_error_rate = 0.0
         self._median_due = -math.inf
 
-    # Questions.
+    # Queries.
 
     def is_responsive(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether an endpoint neither keeps an attempt waiting for too long nor is ejected.
+        """Return whether an endpoint is neither ejected nor past the response timeout with an attempt.
 
         An ejected endpoint gets one request at a time, at growing intervals, until one is served. Consecutive
-        failures also find the endpoints of a lost zone: half of a fleet raises the usual error rate, and
-        where a proxy has few answers from each, a failure fades before the next. An endpoint that recovers
-        without a new start is tried late.
+        failures also detect the endpoints of a lost zone, which error rates miss: if half of a fleet fails,
+        the usual error rate rises, and if a proxy has few answers from each endpoint, a failure decays before
+        the next. The drawback is that an endpoint that recovers without a restart is retried late.
         """
         in_flight = endpoint.in_flight
         if in_flight and now - next(iter(in_flight.values())) > self.response_timeout:
@@ -69,21 +71,21 @@
         return not in_flight and now >= endpoint.error_rate_at + self._ejection_time(endpoint, now)
 
     def _ejection_time(self, endpoint: Endpoint, now: float) -> float:
-        """Return the seconds after its last failure in which an endpoint gets nothing."""
+        """Return the seconds after its last failure during which an ejected endpoint gets no request."""
         interval = PROBE_INTERVAL_S
         if self._instance_count > 1:
-            # Selection comes by an endpoint only so often: where many proxies send little each, a second
-            # would keep nothing away.
+            # Selection considers an endpoint only so often: if many proxies send little each, an ejection of
+            # one second would keep no request away.
             own_rate = max(self._send_rate.per_second(now), 1 / RATE_MEMORY_S)
             interval = max(interval, min(len(self._registry.ready) / own_rate, DECAY_S / 4))
         doublings = min(endpoint.consecutive_failures - EJECT_AFTER, MAX_BACKOFF_DOUBLINGS)
         return min(DECAY_S, interval * 2.0**doublings)
 
     def error_rate(self, endpoint: Endpoint, class_index: int, now: float) -> float:
-        """Return the error rate that counts for a class: its own, or part of the endpoint's if that is more.
+        """Return the error rate that applies to a class: its own, or part of the overall one if that is more.
 
-        An endpoint may serve one class badly and the others well. Counted together the good answers would
-        hide the bad ones, whose attempts then fill the endpoint until it turns all classes away.
+        An endpoint may fail one class and serve the others well. In a common rate the good answers would hide
+        the bad ones, and attempts of the failing class would fill the endpoint until it rejects all classes.
         """
         overall = linear_decay(endpoint.error_rate, endpoint.error_rate_at, now)
         if class_index not in endpoint.error_rate_by_class:
@@ -92,14 +94,15 @@
         return max(OTHER_CLASSES_SHARE * overall, linear_decay(rate, updated_at, now))
 
     def is_failing(self, endpoint: Endpoint, class_index: int, now: float) -> bool:
-        """Return whether nearly all attempts of a class fail there."""
+        """Return whether almost all attempts of a class fail at an endpoint."""
         return self.error_rate(endpoint, class_index, now) > FAILING_ERROR_RATE
 
     def error_rate_limit(self, now: float) -> float:
-        """Return the error rate over which an endpoint is no candidate.
+        """Return the error rate above which an endpoint is no candidate.
 
-        It stands out from the usual, which is the mean over attempts but not much more than the rate of the
-        median endpoint: the mean follows whoever fails fastest, and gets most attempts for it.
+        The limit is a margin above the usual rate: the mean over attempts, capped by the larger of
+        `MAX_MEAN_ERROR_RATE` and the rate of the median endpoint. Uncapped, the mean would follow the
+        endpoint that fails fastest and therefore gets most attempts.
         """
         if now >= self._median_due:
             self._median_due = now + MEDIAN_INTERVAL_S
@@ -122,24 +125,24 @@
         slowness: float = 0.0,
         class_index: int | None = None,
     ) -> None:
-        """Learn from the end of an attempt or probe. A cancelled or unsent one says nothing of its endpoint.
+        """Record the end of an attempt or probe; a cancelled or unsent one says nothing about its endpoint.
 
         Args:
-            endpoint: Where it went.
+            endpoint: The endpoint that it was sent to.
             result: How it ended.
-            report: What the endpoint says of itself, if anything.
+            report: Metrics that the endpoint reports of itself, if any.
             now: The time, in seconds.
-            slowness: From 0, as usual, to 1, as bad as a failure; counts for answers and timeouts.
-            class_index: The class of the request, where it is known.
+            slowness: From 0 (usual) to 1 (as bad as a failure); used for answers and timeouts.
+            class_index: The class of the request, if known.
         """
         if report:
             self._record_utilization(endpoint, report.get("utilization"), now)
-        if result in _SAYS_NOTHING:
+        if result in _UNINFORMATIVE:
             return
         if result in _ANSWERED:
             endpoint.answered = True
         if result == AttemptResult.UNUSABLE:
-            return  # says something of the client; counted, bad clients would eject all endpoints
+            return  # the client's fault; if it counted, bad clients would eject all endpoints
         served = result == AttemptResult.SERVED
         endpoint.record_consecutive_failures(result, slowness)
         if served and self._registry.uncordoned_due:
@@ -164,9 +167,9 @@
         endpoint.error_rate_by_class[class_index] = (class_rate if class_rate > MIN_ERROR_RATE else 0.0, now)
 
     def _record_utilization(self, endpoint: Endpoint, utilization: object, now: float) -> None:
-        """Note a report; kinds that report more than the mean are selected less, until all report alike."""
+        """Record a report; kinds that report more than the mean are selected less until all report alike."""
         if not isinstance(utilization, (int, float)) or not 0 <= utilization < math.inf:
-            return  # nan, too
+            return  # rejects nan too
         endpoint.utilization = min(1.0, utilization)
         endpoint.utilization_at = now
         self.mean_utilization += MEAN_STEP * (endpoint.utilization - self.mean_utilization)
@@ -176,19 +179,20 @@
         speeds[endpoint.kind] = min(MAX_SPEED, max(1 / MAX_SPEED, speed))
 
     def record_time_per_attempt(self, attempt: Attempt, event: Outcome, now: float) -> None:
-        """Learn how long an endpoint's answers take, for each attempt of this proxy that was there.
+        """Record how long an answer took for each attempt that this proxy had in flight at the endpoint.
 
-        An attempt that ran out of time took that at the least.
+        An attempt that timed out would have taken at least as long.
         """
         if event.result in (AttemptResult.SERVED, AttemptResult.TIMEOUT):
             seconds = event.response_time / attempt.queue_length
             attempt.endpoint.record_time_per_attempt(seconds, now)
 
     def record_slowness(self, pending: PendingRequest | None, event: Outcome) -> float:
-        """Return the slowness of an attempt, 0 to 1, and learn the typical latency from it.
+        """Return the slowness of an attempt, 0 to 1, and update the typical latency from it.
 
-        Near full load all endpoints report high utilization, and only their answers tell slow ones apart.
-        They are held against the typical latency of the whole fleet, so that a shared cause ejects none.
+        Near full load all endpoints report high utilization, and only response times distinguish slow ones.
+        They are compared with the typical latency of the whole fleet, so that a shared cause ejects no
+        endpoint.
         """
         if pending is None or pending.body_pending:
             return float(event.result == AttemptResult.TIMEOUT)
@@ -196,8 +200,9 @@
         response_time = event.response_time
         typical = self.typical_latency[class_index] or response_time
         if event.result == AttemptResult.TIMEOUT:
-            # An answer that has not come by now takes about as long again, as tails go. Counted in full, an
-            # attempt that had less time than answers take, as a retry may, would tell against its endpoint.
+            # In a long tail, an answer that has not come yet takes about as long again. If every timeout
+            # counted in full, an attempt with a timeout shorter than the usual answer, as a retry may have,
+            # would count against its endpoint.
             return _slowness(2 * response_time, typical) if self.typical_latency[class_index] else 1.0
         if event.result != AttemptResult.SERVED:
             return 0.0
@@ -206,7 +211,7 @@
             1 + TYPICAL_LATENCY_STEP if is_longer else 1 - TYPICAL_LATENCY_STEP
         )
         self.response_timeout = RESPONSE_TIMEOUT_FACTOR * max(self.typical_latency)
-        # Where answers take next to nothing, thrice a tenth of a millisecond is noise of the machine.
+        # For very fast answers, three times a tenth of a millisecond is noise of the machine.
         noise_s = MIN_SLOW_OBJECTIVE_SHARE * pending.request_class.latency_objective
         return _slowness(response_time, typical) if response_time > noise_s else 0.0
 
@@ -214,4 +219,7 @@
 def _slowness(response_time: float, typical: float) -> float:
     if not typical:
         return 0.0
-    return min(1.0, max(0.0, (response_time / typical - SLOW_FROM) / (SLOW_FULL - SLOW_FROM)))
+    return min(
+        1.0,
+        max(0.0, (response_time / typical - SLOW_MIN_MULTIPLE) / (SLOW_FULL_MULTIPLE - SLOW_MIN_MULTIPLE)),
+    )
--- a/loadbalancer/policy/pending_requests.py
+++ b/loadbalancer/policy/pending_requests.py
@@ -1,4 +1,4 @@
-"""A request that has not got its final answer, and its attempts."""
+"""Defines requests that are waiting for their final answer, and their attempts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Attempt:
-    """A request sent once to one endpoint."""
+    """Tracks one attempt of a request at one endpoint."""
 
     __slots__ = ("endpoint", "is_open", "may_have_run", "queue_length", "sent_at", "was_not_sent")
 
@@ -16,15 +16,15 @@
         self.endpoint = endpoint
         self.sent_at = sent_at
         self.queue_length = queue_length
-        """Attempts of this proxy in flight at the endpoint when it was sent, itself among them."""
+        """Attempts that this proxy had in flight at the endpoint when it was sent, including this one."""
         self.is_open = True
         self.may_have_run = True
         self.was_not_sent = False
-        """It has ended before any of its bytes left."""
+        """Whether it ended before any of its bytes was sent."""
 
 
 class PendingRequest:
-    """A request that is owed its final answer. Times are moments on the clock of the events."""
+    """Tracks a request until its final answer. Points in time are on the clock of the events."""
 
     __slots__ = (
         "attempts",
@@ -51,22 +51,22 @@
         request_class: RequestClass,
         limits: PolicyLimits,
         now: float,
-        waited: float,
+        time_waited: float,
         typical_latency: float,
         answer_slack: float,
         overloaded: bool,
     ) -> None:
-        """Work out the deadlines of a request.
+        """Compute the deadlines of a request.
 
         Args:
-            event: The request as it came.
+            event: The event that announced the request.
             request_class: Its class.
-            limits: What the deployment permits; a request may narrow its attempts further.
+            limits: The limits of the deployment; a request may lower its number of attempts further.
             now: The time, in seconds.
-            waited: Seconds that its client has waited through earlier requests.
-            typical_latency: Seconds that an answer of its class takes.
+            time_waited: Seconds that its client has waited in earlier tries.
+            typical_latency: Typical seconds to an answer of its class.
             answer_slack: Seconds before the objective after which an answer can't reach the client in time.
-            overloaded: Whether work waits for room.
+            overloaded: Whether load is being shed.
         """
         self.id = event.request
         self.request_class = request_class
@@ -77,31 +77,33 @@
             event.work_hint or 0.0
         )
         self.objective_at = min(now + objective, self.deadline)
-        self.is_late = waited > 0 and waited + typical_latency > objective and request_class.late_value == 0
-        """Its objective passes before an answer comes, and then it earns nothing."""
-        # An answer that earns nothing past its objective is not waited for. Nor, while work waits, is one
-        # that earns little: queues of late answers would make all others late.
+        self.is_late = (
+            time_waited > 0 and time_waited + typical_latency > objective and request_class.late_value == 0
+        )
+        """Whether an answer is expected only after the objective, when it has no value."""
+        # An answer that has no value past its objective is not waited for. Under overload, neither is one
+        # that has little value then: queues of late answers would make all others late.
         late_answer_pays = request_class.late_value > 0 and not overloaded
         self.useful_until = self.deadline if late_answer_pays else max(now, self.objective_at - answer_slack)
-        """No attempt outlives this moment."""
+        """Time at which every attempt ends at the latest."""
         self.attempts: list[Attempt] = []
         self.streaming = False
-        """Its answer has begun."""
+        """Whether its answer has begun."""
         self.sticky_endpoint = event.sticky_endpoint
         self.sticky_required = event.sticky_required
         self.max_attempts = min(event.max_attempts or limits.max_attempts, limits.max_attempts)
         self.retry_on = limits.retry_on if event.retry_on is None else event.retry_on
-        """Results after which another attempt may follow; None: any."""
+        """Results after which another attempt may follow; None means any."""
         self.body_pending = event.body_pending
-        """Its body still comes: no endpoint can begin, and no time counts."""
+        """Whether its body is incomplete: no endpoint can start work, and no timeout runs."""
         self.replayable = True
-        """All of its body that has come is still held, so it could be sent again."""
+        """Whether all of its body that has arrived is still buffered, so that it can be sent again."""
 
     def complete_body(self, now: float) -> int:
-        """Let its times count from here, as the last byte of its body has come.
+        """Start the timeouts now that the last byte of the body has arrived.
 
         Returns:
-            The number of its attempts that are in flight from now on.
+            The number of attempts that count as in flight from now on.
         """
         delay = now - self.began_at
         self.body_pending = False
@@ -121,5 +123,5 @@
         return open_attempts
 
     def has_open_attempt(self) -> bool:
-        """Return whether an attempt has not ended yet."""
+        """Return whether any attempt has not ended yet."""
         return any(attempt.is_open for attempt in self.attempts)
--- a/loadbalancer/policy/request_value.py
+++ b/loadbalancer/policy/request_value.py
@@ -1,4 +1,4 @@
-"""What requests of a class are worth for the work that they take, by which load is shed."""
+"""Computes the value of requests for the work they take, which decides what load shedding rejects first."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class RequestValue:
-    """Ranks the classes: the least value for its work is shed first."""
+    """Computes the value of each class for a unit of work; the least is shed first."""
 
     __slots__ = ("_classes", "_typical_latency", "_weight_by_work")
 
     def __init__(self, settings: PolicySettings, typical_latency: list[float]) -> None:
-        """Follow the typical latency of each class, in seconds, as the list is updated in place."""
+        """Keep a reference to each class's typical latency in seconds; the list is updated in place."""
         self._classes = settings.classes
         self._weight_by_work = settings.weight_by_work
         self._typical_latency = typical_latency
@@ -19,7 +19,7 @@
     def by_class(self) -> list[float]:
         """Return the priority weight of each class for a second of work.
 
-        Where weights are given by work, they are that already.
+        With `weight_by_work`, the configured weights already have that unit.
         """
         if self._weight_by_work:
             return [request_class.priority_weight for request_class in self._classes]
--- a/loadbalancer/policy/retry_policy.py
+++ b/loadbalancer/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retry policy: whether and where another attempt of a request may be made, and the retry budget."""
+"""Decides whether and where a request may have another attempt, and keeps the retry budget."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from loadbalancer.policy.pending_requests import Attempt, PendingRequest
 from loadbalancer.policy.settings import PolicyLimits
 
-MAX_RETRY_TOKENS = 10.0  # retries that may be saved up
+MAX_RETRY_TOKENS = 10.0  # maximum of the retry budget
 
-#: An attempt that reached nobody costs no endpoint anything: its retry adds no load, so no budget limits it.
-_FREE_TO_RETRY = frozenset((AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT))
+#: Results of attempts that reached no endpoint: a retry after them adds no load, so it needs no budget.
+_BUDGET_EXEMPT = frozenset((AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT))
 
 
 class RetryPolicy:
-    """The limits of attempts, and the budget of retries that each first attempt adds to."""
+    """Applies the limits on attempts, and keeps the retry budget, to which each request adds a share."""
 
     def __init__(self, limits: PolicyLimits, registry: EndpointRegistry) -> None:
         self._limits = limits
@@ -27,27 +27,27 @@
         self.tokens = min(MAX_RETRY_TOKENS, self.tokens + self._limits.retry_budget_ratio)
 
     def record_retry(self) -> None:
-        """Take a retry out of the budget."""
+        """Subtract a retry from the budget."""
         self.tokens -= 1
 
     def has_budget(self) -> bool:
-        """Return whether a retry that adds load is permitted."""
+        """Return whether the budget permits a retry that adds load."""
         return self.tokens >= 1
 
-    def is_free(self, result: AttemptResult) -> bool:
-        """Return whether a retry after this result needs no budget."""
-        return result in _FREE_TO_RETRY
+    def is_budget_exempt(self, result: AttemptResult) -> bool:
+        """Return whether a retry after this result does not count against the budget."""
+        return result in _BUDGET_EXEMPT
 
-    def is_wanted(self, pending: PendingRequest, result: AttemptResult) -> bool:
-        """Return whether the route's or deployment's settings let another attempt follow this result.
+    def is_retryable(self, pending: PendingRequest, result: AttemptResult) -> bool:
+        """Return whether the settings of the route or deployment allow a retry after this result.
 
-        An attempt that is cancelled for another has taken too long, as one that timed out has.
+        A cancelled attempt counts as timed out: it was cancelled because it took too long.
         """
         cause = AttemptResult.TIMEOUT if result == AttemptResult.CANCELLED else result
         return pending.retry_on is None or cause in pending.retry_on
 
-    def allow_unsent(self, pending: PendingRequest, attempt: Attempt) -> None:
-        """Let an attempt that never left cost the request none of its attempts, within bounds."""
+    def restore_unsent_attempt(self, pending: PendingRequest, attempt: Attempt) -> None:
+        """Allow another attempt in place of one that was never sent, up to twice the limit."""
         attempt.was_not_sent = True
         pending.max_attempts = min(pending.max_attempts + 1, 2 * self._limits.max_attempts)
 
@@ -58,12 +58,12 @@
     def next_pool(
         self, pending: PendingRequest, now: float, after_cancel: bool = False
     ) -> EndpointPool | None:
-        """Return the endpoints that the next attempt may go to; None where there may be none.
+        """Return the pool that the next attempt may go to, or None if no attempt is allowed.
 
         Args:
             pending: The request, with or without earlier attempts.
             now: The time, in seconds.
-            after_cancel: Whether to answer as it will be when the attempts that are out have been cancelled.
+            after_cancel: Whether to assume that the open attempts have been cancelled.
         """
         attempts = pending.attempts
         if pending.streaming or len(attempts) >= pending.max_attempts:
@@ -79,7 +79,7 @@
         return idempotency.allowed_pool(pending.request_class, first, self._registry)
 
     def may_still_be_sent(self, pending: PendingRequest, attempt_number: int, now: float) -> bool:
-        """Return whether a request's other attempts still let one go whose connection has come up."""
+        """Return whether the other attempts of a request still permit one that has just connected."""
         others = [attempt for number, attempt in enumerate(pending.attempts) if number != attempt_number]
         if not self._limits.hedging and any(attempt.is_open for attempt in others):
             return False
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a request: sticky sessions, power of two choices, and the fallback."""
+"""Selects the endpoint of a request: sticky sessions, power of two choices, and the fallback."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from loadbalancer.policy.settings import PolicySettings
 from loadbalancer.policy.slow_start import SlowStart
 
-SAMPLES_PER_CANDIDATE = 3  # with more, all crowd the few that pass the filters where most do not
+SAMPLES_PER_CANDIDATE = 3  # more would crowd the few endpoints that pass the filters when most do not
 FALLBACK_SAMPLES = 2 * SAMPLES_PER_CANDIDATE
-UTILIZATION_LIMIT = 0.95  # conservative: only endpoints with no room left are passed over
-UTILIZATION_MARGIN = 0.25  # and only where they stand out from the fleet by this
-UTILIZATION_WEIGHT = 0.8  # a fully busy endpoint counts a little less than one own attempt more
-ERROR_RATE_WEIGHT = 2.0  # a failing endpoint must not win by being quick
-MAX_LATE_CHOICES = 3  # choices in a row that can't answer in time, after which a request is rejected
-TIME_PER_ATTEMPT_VALID_S = 1.0  # after so long without an answer an endpoint is tried whatever it took before
-UNCORDONED_INTERVAL_S = 1.0  # an endpoint that was put back gets a request this often until it answers
+UTILIZATION_LIMIT = 0.95  # conservative: only endpoints without spare capacity are skipped
+UTILIZATION_MARGIN = 0.25  # and only if they exceed the mean of the fleet by this
+UTILIZATION_WEIGHT = 0.8  # full utilization weighs a little less than one more attempt of this proxy
+ERROR_RATE_WEIGHT = 2.0  # an endpoint must not win because it fails fast
+MAX_LATE_CHOICES = 3  # consecutive choices that can't answer in time before a request is rejected
+TIME_PER_ATTEMPT_VALID_S = 1.0  # a time per attempt is ignored if the last answer is older than this
+UNCORDONED_INTERVAL_S = 1.0  # between requests to an uncordoned endpoint until it answers
 LOG_INTERVAL_S = 10.0
-ANY_CLASS = -1  # no class of its own: only what is known of the endpoint as a whole counts
+ANY_CLASS = -1  # no class in particular: only the overall error rate of the endpoint counts
 
 
 class EndpointSelector:
-    """Selects endpoints for attempts."""
+    """Selects the endpoint of each attempt, by sticky session or by load and health."""
 
     def __init__(
         self,
@@ -47,32 +47,33 @@
         self._logged_at = -math.inf
         self._log: LogMessage | None = None
 
-    def take_log(self) -> LogMessage | None:
-        """Return what is to be logged since the last call, if anything."""
+    def pop_log_message(self) -> LogMessage | None:
+        """Return and clear the pending log message, if any."""
         log, self._log = self._log, None
         return log
 
     def select(self, pool: EndpointPool, pending: PendingRequest, now: float) -> Endpoint | None:
-        """Return the endpoint of the next attempt: that of its sticky session, or a choice from the pool."""
+        """Return the endpoint of the next attempt, from its sticky session or from the pool, or None."""
         endpoint = self._select_sticky(pending, now)
-        if endpoint is None and pool.endpoints and not self._must_stay(pending):
+        if endpoint is None and pool.endpoints and not self._is_pinned(pending):
             endpoint = self._select_in_time(pool, pending, now)
         return endpoint
 
-    def has_other(self, pool: EndpointPool, pending: PendingRequest, now: float) -> bool:
-        """Return whether the pool has an endpoint for the next attempt that no earlier one was sent to."""
-        if self._must_stay(pending):
+    def has_untried_endpoint(self, pool: EndpointPool, pending: PendingRequest, now: float) -> bool:
+        """Return whether the pool has an endpoint for the next attempt that was not tried yet."""
+        if self._is_pinned(pending):
             return False
-        tried = _tried(pending)
+        tried = _tried_endpoints(pending)
         return any(
             endpoint not in tried and self._slow_start.accepts_requests(endpoint, now)
             for endpoint in pool.endpoints
         )
 
     def avoids(self, endpoint: Endpoint | None, now: float) -> bool:
-        """Return whether an endpoint would be passed over for what it is or how it fails.
+        """Return whether selection skips an endpoint because of its state or its failures.
 
-        Load, pacing and the ramp do not count: they put off a request, not the endpoint.
+        Load, pacing and the ramp do not count: they only delay requests to an endpoint that is otherwise
+        usable.
         """
         if endpoint is None or endpoint.cordoned or endpoint.state != EndpointState.READY:
             return True
@@ -82,7 +83,7 @@
         return error_rate > self._outliers.error_rate_limit(now)
 
     def is_available(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether an endpoint accepts requests and is responsive; load does not count."""
+        """Return whether an endpoint accepts requests and is responsive, whatever its load."""
         return self._slow_start.accepts_requests(endpoint, now) and self._outliers.is_responsive(
             endpoint, now
         )
@@ -91,12 +92,12 @@
         """Return whether an endpoint that accepts requests may be a candidate.
 
         The filters in order: probation, the ramp of slow start, responsiveness, utilization, error rate.
-        Where all are busy or failing the cause is shared, so the limits follow the mean: passing most
-        endpoints over would crowd the few that are left.
+        If all are busy or failing the cause is shared, so the limits follow the mean: skipping most endpoints
+        would overload the few that are left.
         """
         if not endpoint.answered and endpoint.in_flight:  # probation: one request until the first answer
             return False
-        if endpoint.started and self._slow_start.is_held_back(endpoint, now):
+        if endpoint.started and self._slow_start.is_skipped_by_ramp(endpoint, now):
             return False
         outliers = self._outliers
         if not outliers.is_responsive(endpoint, now):
@@ -109,15 +110,15 @@
         ) <= outliers.error_rate_limit(now)
 
     def score(self, endpoint: Endpoint, now: float, class_index: int = ANY_CLASS) -> float:
-        """Return the sum of attempts in flight for the size, utilization and error rate; less is better."""
+        """Return the sum of attempts in flight by size, utilization and error rate; lower is better."""
         return (
             len(endpoint.in_flight) / (endpoint.size * self._speed_by_kind[endpoint.kind])
             + UTILIZATION_WEIGHT * linear_decay(endpoint.utilization, endpoint.utilization_at, now)
             + ERROR_RATE_WEIGHT * self._outliers.error_rate(endpoint, class_index, now)
         )
 
-    def still_takes_attempt(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint that was selected may still get its attempt."""
+    def still_accepts_attempt(self, endpoint: Endpoint) -> bool:
+        """Return whether an endpoint that was selected earlier may still receive its attempt."""
         if endpoint.cordoned:
             return False
         if endpoint.state == EndpointState.DRAINING:
@@ -127,10 +128,11 @@
     # Sticky sessions.
 
     def _select_sticky(self, pending: PendingRequest, now: float) -> Endpoint | None:
-        """Return the endpoint of a request's session for its first attempt, if that can have it.
+        """Return the endpoint of a request's session for its first attempt, or None if it is unavailable.
 
-        A session is a wish: an endpoint that is unknown, gone, failing or unresponsive is passed over for the
-        one that it redirects to. Sessions crowd an endpoint that power of two choices would spare.
+        A session is only a preference: if its endpoint is unknown, gone, failing or unresponsive, the
+        endpoint that it redirects to is tried. Sessions can overload an endpoint that power of two choices
+        would spare.
         """
         name = pending.sticky_endpoint
         if name is None or pending.attempts:
@@ -138,29 +140,29 @@
         selected = self._endpoint_of_session(name, now)
         if selected is None:
             endpoint = self._registry.by_id.get(name)
-            if endpoint is not None and endpoint.redirect:  # one step: redirects may point at each other
+            if endpoint is not None and endpoint.redirect:  # one step only: redirects may be circular
                 selected = self._endpoint_of_session(endpoint.redirect, now)
         return selected
 
     def _endpoint_of_session(self, name: str, now: float) -> Endpoint | None:
-        """Return the named endpoint, or the better of two of a domain, if it keeps sessions."""
+        """Return the named endpoint, or the better of two from a domain, if it accepts sticky requests."""
         if name.startswith(STICKY_DOMAIN_PREFIX):
             domain = self._registry.domains.get(name[len(STICKY_DOMAIN_PREFIX) :], ())
-            candidates = [endpoint for endpoint in domain if self._keeps_sessions(endpoint, now)]
+            candidates = [endpoint for endpoint in domain if self._accepts_sticky_requests(endpoint, now)]
             sample = self._random.sample(candidates, min(2, len(candidates)))
             return min(sample, key=lambda endpoint: self.score(endpoint, now), default=None)
         endpoint = self._registry.by_id.get(name)
-        return endpoint if endpoint is not None and self._keeps_sessions(endpoint, now) else None
+        return endpoint if endpoint is not None and self._accepts_sticky_requests(endpoint, now) else None
 
-    def _keeps_sessions(self, endpoint: Endpoint, now: float) -> bool:
+    def _accepts_sticky_requests(self, endpoint: Endpoint, now: float) -> bool:
         if endpoint.cordoned:
             return False
         if endpoint.state == EndpointState.DRAINING:
             return self._sticky_while_draining and self._outliers.is_responsive(endpoint, now)
         return self.is_available(endpoint, now)
 
-    def _must_stay(self, pending: PendingRequest) -> bool:
-        """Return whether a session that may not move is with an endpoint or domain that is listed."""
+    def _is_pinned(self, pending: PendingRequest) -> bool:
+        """Return whether the request's session may not move and its endpoint or domain is listed."""
         name = pending.sticky_endpoint
         if not pending.sticky_required or name is None:
             return False
@@ -168,16 +170,16 @@
             name in self._registry.by_id or name.removeprefix(STICKY_DOMAIN_PREFIX) in self._registry.domains
         )
 
-    # Choices from a pool.
+    # Selection from a pool.
 
     def _select_in_time(self, pool: EndpointPool, pending: PendingRequest, now: float) -> Endpoint | None:
-        """Return a choice that can answer while that is of use; None where some choices in a row can't."""
+        """Return an endpoint that can answer while that is useful; None if several choices in a row can't."""
         for _ in range(MAX_LATE_CHOICES):
             endpoint = self._select_from_pool(pool, pending, now)
             if endpoint is None or _answers_in_time(endpoint, pending, now):
                 return endpoint
         if endpoint is None or not any(each.in_flight for each in pool.endpoints):
-            return endpoint  # without a queue of this proxy, rejecting would shorten nothing
+            return endpoint  # this proxy has no queue that a rejection would shorten
         self._slow_start.suspend_ramp(now)
         if now > self._logged_at + LOG_INTERVAL_S:
             self._logged_at = now
@@ -185,12 +187,12 @@
         return None
 
     def _select_from_pool(self, pool: EndpointPool, pending: PendingRequest, now: float) -> Endpoint | None:
-        """Return an endpoint of the first priority that has one available, else whichever the rules allow."""
+        """Return an endpoint of the first priority with an available one, else any that the rules allow."""
         if self._registry.uncordoned_due and not pending.attempts:
             uncordoned = self._select_uncordoned(now)
             if uncordoned is not None:
                 return uncordoned
-        tried = _tried(pending)
+        tried = _tried_endpoints(pending)
         class_index = pending.class_index
         for priority_pool in pool.by_priority:
             if any(
@@ -204,10 +206,10 @@
         return selected or self._select_fallback(pool, tried, class_index, now)
 
     def _select_uncordoned(self, now: float) -> Endpoint | None:
-        """Return an endpoint that operators have put back and that is due a request.
+        """Return an uncordoned endpoint that is due a request, if any.
 
-        Ramp and pace together could leave it without any for long. Where it does not run, that request finds
-        out and is retried.
+        Ramp and pace together could leave it without requests for a long time. If it is not running, this
+        request fails and is retried.
         """
         for name, due in self._registry.uncordoned_due.items():
             endpoint = self._registry.by_id.get(name)
@@ -219,7 +221,7 @@
     def _select_better_of_two(
         self, pool: EndpointPool, tried: list[Endpoint], class_index: int, now: float
     ) -> Endpoint | None:
-        """Power of two choices: of two random candidates the one with the better score."""
+        """Return the one with the better score of two random candidates (power of two choices)."""
         first = self._sample_candidate(pool, tried, class_index, now)
         if first is None:
             return None
@@ -247,7 +249,7 @@
     def _select_available(
         self, pool: EndpointPool, tried: list[Endpoint], class_index: int, now: float
     ) -> Endpoint:
-        """Return the better of two random endpoints that are available, where samples found no candidate."""
+        """Return the better of two random available endpoints, for when sampling found no candidate."""
         available = [
             endpoint
             for endpoint in pool.endpoints
@@ -259,10 +261,10 @@
     def _select_fallback(
         self, pool: EndpointPool, tried: list[Endpoint], class_index: int, now: float
     ) -> Endpoint | None:
-        """Return the better of two that accept requests, without the filters; a failing one only as the last.
+        """Return the better of two that accept requests, without filters; a failing one only as last resort.
 
-        Where the others are too busy to pass the filters, endpoints that fail fast have next to nothing in
-        flight: by score alone they would get most of the load just then.
+        When the others are too busy to pass the filters, endpoints that fail fast have almost nothing in
+        flight: by score alone they would get most of the load.
         """
         first: Endpoint | None = None
         failing: Endpoint | None = None
@@ -280,8 +282,8 @@
         return first or failing
 
 
-def _tried(pending: PendingRequest) -> list[Endpoint]:
-    """The endpoints that the request's attempts were sent to."""
+def _tried_endpoints(pending: PendingRequest) -> list[Endpoint]:
+    """Return the endpoints that the request's attempts were sent to."""
     return [attempt.endpoint for attempt in pending.attempts if not attempt.was_not_sent]
 
 
@@ -290,12 +292,12 @@
 
 
 def _answers_in_time(endpoint: Endpoint, pending: PendingRequest, now: float) -> bool:
-    """Return whether what this proxy has in flight at an endpoint leaves time for one more answer.
+    """Return whether an endpoint can answer one more request in time, given this proxy's attempts in flight.
 
-    The share of late attempts tells of a queue once it has done its harm; the attempts in flight tell at
-    once, also at an endpoint that has lost a part of its speed. Requests with less time give way first.
-    Queues of other proxies are seen only by their effect on answers; an endpoint without an answer for a
-    while is tried again.
+    The share of late attempts reveals a queue only after it has done harm; the attempts in flight reveal it
+    at once, also at an endpoint that has slowed down. Requests with less time left are the first to be
+    rejected. Queues of other proxies show only in the response times; an endpoint without a recent answer is
+    tried again.
     """
     is_outdated = now > endpoint.time_per_attempt_at + TIME_PER_ATTEMPT_VALID_S
     if is_outdated or endpoint.timed_answers < MIN_TIMED_ANSWERS or pending.body_pending:
--- a/loadbalancer/policy/settings.py
+++ b/loadbalancer/policy/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the policy: what a deployment says of its request classes, limits and rules.
+"""Settings of the policy: the request classes, limits and rules of a deployment.
 
-Built once per process; the platform's names of these settings are mapped in `loadbalancer/deployment.py`, and
-the texts of errors have those names. Durations are in seconds.
+They are built once per process. `loadbalancer/deployment.py` maps the platform's names of these settings, and
+error messages use those names. Durations are in seconds.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 
 class Effect(IntEnum):
-    """What running a request twice would do."""
+    """Effect of running a request twice."""
 
     SAFE = 0
-    """Nothing: it may run any number of times."""
+    """No additional effect: the request may run any number of times."""
     KEYED = 1
-    """Nothing, where both reach endpoints of one deduplication group within the deduplication window."""
+    """No additional effect if both reach one deduplication group within the deduplication window."""
     UNSAFE = 2
-    """A second effect: it must never run twice."""
+    """A second effect: the request must never run twice."""
 
 
 class DeduplicationScope(IntEnum):
-    """Which endpoints share the memory of a keyed request, and drop repeats of it."""
+    """Which endpoints deduplicate keyed requests together."""
 
     ALL = 0
     ZONE = 1
@@ -35,7 +35,7 @@
 
 
 def _check_number(key: str, value: object, low: float, high: float = math.inf) -> None:
-    """Raise SettingError unless a value is a finite number from `low` to `high`."""
+    """Raise SettingError unless `value` is a finite number from `low` to `high`."""
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
     if not is_number or not low <= float(value) <= high or math.isinf(float(value)):  # type: ignore[arg-type]
         raise SettingError(key, f"{value!r} is not a number from {low:g} to {high:g}")
@@ -43,17 +43,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Requests of one latency objective, weight and effect."""
+    """Describes requests with the same latency objective, weight and effect."""
 
     name: str
     latency_objective: float
     """An answer within this many seconds earns the full priority weight."""
     client_timeout: float
-    """Seconds that a client waits in all."""
+    """Total seconds that a client waits for an answer."""
     priority_weight: float = 1.0
-    """What an answer in time is worth, relative to other classes."""
+    """Value of an answer in time, relative to other classes."""
     late_value: float = 0.0
-    """Share of the weight that a late answer still earns."""
+    """Share of the weight that a late answer is still worth."""
     objective_per_work: float = 0.0
     """Seconds by which the objective grows for each second of a request's expected work."""
     effect: Effect = Effect.SAFE
@@ -63,10 +63,10 @@
     stream: bool = False
 
     def __post_init__(self) -> None:
-        """Check the figures.
+        """Validate the numbers.
 
         Raises:
-            SettingError: A figure makes no sense; the text names the setting.
+            SettingError: A number is out of range; the message names the setting.
         """
         _check_number("classes.aim", self.latency_objective, 1e-6)
         _check_number("classes.give_up", self.client_timeout, 1e-6)
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer with a quota of its own."""
+    """Describes a customer with its own quota."""
 
     name: str
     fraction: float
@@ -87,42 +87,42 @@
     """Requests a second that it has bought, across all proxies."""
 
     def __post_init__(self) -> None:
-        """Check the figures; SettingError names the setting that makes no sense."""
+        """Validate the numbers; raise SettingError naming the setting that is out of range."""
         _check_number("tenants.fraction", self.fraction, 0, 1)
         _check_number("tenants.quota_per_s", self.quota_per_s, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyLimits:
-    """What the deployment permits."""
+    """Limits that a deployment sets on what the policy may do."""
 
     max_attempts: int = 3
-    """Attempts of a request."""
+    """Maximum number of attempts of a request."""
     cancellation: bool = True
-    """Attempts that are out may be cancelled."""
+    """Whether open attempts may be cancelled."""
     probes: bool = False
     peer_messages: bool = False
     hedging: bool = True
-    """Two attempts of a request may be out at once."""
+    """Whether a request may have two open attempts at once."""
     retry_after: bool = False
-    """A rejection may say when the client should return."""
+    """Whether a rejection may tell the client when to retry."""
     max_retry_after: float = 0.0
-    """Seconds."""
+    """Maximum of that time, in seconds."""
     retry_on: frozenset[AttemptResult] | None = None
-    """Results after which another attempt may follow; None: any."""
+    """Results after which another attempt may follow; None means any."""
     retry_budget_ratio: float = 0.1
-    """Retries for each request, in the long run."""
+    """Long-term maximum of retries for each request."""
     attempt_timeout: float = math.inf
-    """Seconds of one attempt."""
+    """Maximum duration of one attempt in seconds."""
     hedge_delay: float = 0.0
-    """Seconds without a first byte after which a hedged request may follow; 0: half of the useful time."""
+    """Seconds without a first byte before a hedged request may follow; 0 means half of the useful time."""
     hedge_quantile: float = 0.0
-    """A hedged request may follow an attempt that takes longer than this share of answers; 0: not used."""
+    """Quantile of the answers' latencies after which a hedged request may follow; 0 means not used."""
     connect_timeout: float = 0.25
-    """Seconds until a connection that does not come up is given up."""
+    """Seconds after which an attempt to connect is aborted."""
 
     def __post_init__(self) -> None:
-        """Check the figures; SettingError names the setting that makes no sense."""
+        """Validate the numbers; raise SettingError naming the setting that is out of range."""
         _check_number("limits.max_attempts", self.max_attempts, 1)
         _check_number("limits.max_retry_after", self.max_retry_after, 0)
         _check_number("limits.connect_timeout", self.connect_timeout, 0)
@@ -131,25 +131,25 @@
 
 @dataclass(frozen=True, slots=True)
 class SafetyRules:
-    """Figures of the rules that no proxy may break."""
+    """Numbers of the safety rules that no proxy may break."""
 
     answer_slack: float = 0.02
     """Seconds before the objective after which an answer can't reach the client in time."""
     list_poll_interval: float = 10.0
-    """Seconds within which the endpoint list is polled."""
+    """Seconds within which the endpoint list must be polled."""
     drain_grace: float = 1.0
-    """Seconds after the notification of a drain by which no new request may reach the endpoint."""
+    """Seconds after the notification of a drain after which no new request may reach the endpoint."""
     slow_start_capacity: float = 0.3
-    """An endpoint starts at this share of its capacity or above,"""
+    """Minimum share of its capacity that an endpoint has when it starts."""
     slow_start_duration: float = 10.0
-    """and is warm after this many seconds."""
+    """Seconds after its start at which an endpoint has its full capacity."""
     overload_factor: float = 2.5
-    """Sent this multiple of its present capacity"""
+    """Multiple of its current capacity at which an endpoint is overloaded."""
     overload_duration: float = 2.0
-    """for this many seconds, it falls over."""
+    """Seconds of such load after which an endpoint fails."""
 
     def __post_init__(self) -> None:
-        """Check the figures; SettingError names the setting that makes no sense."""
+        """Validate the numbers; raise SettingError naming the setting that is out of range."""
         _check_number("rules.answer_slack", self.answer_slack, 0)
         _check_number("rules.ask_within", self.list_poll_interval, 0)
         _check_number("rules.drain_grace", self.drain_grace, 0)
@@ -161,38 +161,38 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicySettings:
-    """All that the policy of one proxy is told of its deployment."""
+    """Holds all settings of the policy of one proxy."""
 
     classes: tuple[RequestClass, ...]
     instance_index: int = 0
-    """Of this proxy in its fleet."""
+    """Index of this proxy in its fleet."""
     instance_count: int = 1
-    """Proxies in the fleet; limits and paces are divided by it."""
+    """Number of proxies in the fleet; limits and paces are divided by it."""
     zone: int = 0
-    """Of this proxy."""
+    """Zone of this proxy."""
     zone_count: int = 1
     tenants: tuple[Tenant, ...] = ()
     over_quota_weight: float = 1.0
     """Factor on the priority weight of requests whose tenant is over its quota."""
     list_on_request: bool = False
-    """The endpoint list must be watched or fetched; nobody pushes it."""
+    """Whether the proxy must watch or poll the endpoint list, since it is not pushed."""
     report_fields: tuple[str, ...] = ()
-    """What endpoints report of themselves."""
+    """Names of the metrics that endpoints report of themselves."""
     weight_by_work: bool = False
-    """Priority weights are for a second of work, not for a request."""
+    """Whether priority weights are for a second of work and not for a request."""
     warm_keys: bool = False
     propagates_deadline: bool = True
-    """Endpoints are told how long an answer is waited for."""
+    """Whether endpoints are told how long an answer is waited for."""
     sticky_while_draining: bool = False
-    """A draining endpoint keeps the requests of its sticky sessions."""
+    """Whether a draining endpoint still gets the requests of its sticky sessions."""
     standby_slow_start: bool = False
-    """An endpoint of a further priority that has not served for a while counts as just started."""
+    """Whether an endpoint of a later priority counts as just started after a while without requests."""
     prices: Mapping[str, float] = field(default_factory=dict)
     limits: PolicyLimits = PolicyLimits()
     rules: SafetyRules = SafetyRules()
 
     def __post_init__(self) -> None:
-        """Check the figures; SettingError names the setting that makes no sense."""
+        """Validate the numbers; raise SettingError naming the setting that is out of range."""
         if not self.classes:
             raise SettingError("classes", "() names no class of requests")
         _check_number("n_instances", self.instance_count, 1)
@@ -203,5 +203,5 @@
 
     @property
     def other_instances_share(self) -> float:
-        """Share of the proxies that are not this one; calls that all would make at once are spread by it."""
+        """Share of the proxies that are not this one; it scales the spread of simultaneous calls."""
         return 1 - 1 / self.instance_count
--- a/loadbalancer/policy/tenant_quota.py
+++ b/loadbalancer/policy/tenant_quota.py
@@ -1,4 +1,4 @@
-"""Tenants' quotas: which requests are over the rate that their tenant has bought."""
+"""Applies tenants' quotas: detects requests over the rate that their tenant has bought."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TenantQuota:
-    """This proxy's part of each quota, as a token bucket that holds a second of it and one request."""
+    """Holds a token bucket for this proxy's part of each quota, sized for one second and one request."""
 
     __slots__ = ("_rates", "_tokens", "_updated_at")
 
@@ -26,6 +26,6 @@
     def record_admitted(self, tenant: int) -> None:
         """Count an admitted request.
 
-        Rejected ones don't count, so that retries of clients push no tenant over its quota.
+        Rejected requests don't count, so that client retries push no tenant over its quota.
         """
         self._tokens[tenant] = max(0.0, self._tokens[tenant] - 1.0)
--- a/tests/policy/test_slow_start_of_a_fleet.py
+++ b/tests/policy/test_slow_start_of_a_fleet.py
@@ -33,6 +33,6 @@
 
 def test_a_first_request_of_every_proxy_at_once_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     """The seeded defect: without its random place in the gap each proxy sends one as soon as it hears of a start."""
-    monkeypatch.setattr(SlowStart, "begin", lambda self, endpoint, now: None)
+    monkeypatch.setattr(SlowStart, "start_pacing", lambda self, endpoint, now: None)
     new = replace_members(200, 2.5, 0.15, 0.6, 0.0, 1)
     assert max(member.over_budget() for member in new) > 0
