--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""The order of decisions, and the policy as a whole."""
+"""Tests of the order of decisions and of the policy as a whole."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 )
 
 
-def test_attempts_are_capped_by_the_time_remaining() -> None:
+def test_attempt_timeout_is_capped_by_the_time_remaining() -> None:
     balancer = make_balancer(*make_entries(3))
     send = next(a for a in send_request(balancer, 100.0, 1, time_remaining=0.3) if isinstance(a, Send))
     assert send.timeout <= 0.3
@@ -51,14 +51,16 @@
 def test_the_deploy_file_names_every_file_of_the_policy() -> None:
     root = Path(__file__).parent.parent.parent
     deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
-    held = {f"loadbalancer/policy/{path.name}" for path in (root / "loadbalancer" / "policy").glob("*.py")}
-    assert set(deploy["policy"]) == held
-    lines = [line for name in held for line in (root / name).read_text(encoding="utf-8").splitlines()]
+    policy_files = {
+        f"loadbalancer/policy/{path.name}" for path in (root / "loadbalancer" / "policy").glob("*.py")
+    }
+    assert set(deploy["policy"]) == policy_files
+    lines = [line for name in policy_files for line in (root / name).read_text(encoding="utf-8").splitlines()]
     assert max(map(len, lines)) <= 110
     assert isinstance(Endpoint.__slots__, tuple)
 
 
-def test_a_body_that_still_comes_costs_no_time_and_is_no_load() -> None:
+def test_incomplete_body_starts_no_timeout_and_is_not_in_flight() -> None:
     balancer = make_balancer(*make_entries(1), classes=(HASTY, PATIENT))
     (sent,) = [
         a for a in balancer.handle(100.0, [Request(1, 0, 0.5, body_pending=True)]) if isinstance(a, Send)
@@ -66,9 +68,9 @@
     assert sent.timeout == pytest.approx(0.15 - balancer.settings.rules.answer_slack)
     (endpoint,) = balancer.ready
     assert not endpoint.in_flight and endpoint.responding == {(1, 0)}
-    assert balancer.handle(160.0, [TimerFired(2)]) == []  # no second copy of what is not whole
+    assert balancer.handle(160.0, [TimerFired(2)]) == []  # no hedged request while the body is incomplete
     actions = balancer.handle(160.0, [BodyProgress(1, True, False)])
     assert list(endpoint.in_flight.items()) == [((1, 0), 160.0)] and not endpoint.responding
     assert [a.delay for a in actions if isinstance(a, SetTimer)] == [pytest.approx(sent.timeout / 2)]
     assert balancer.requests[1].deadline == pytest.approx(160.5)
-    assert balancer.handle(160.1, [TimerFired(2)]) == []  # nor of what is not held
+    assert balancer.handle(160.1, [TimerFired(2)]) == []  # nor if the body is not buffered
--- a/tests/policy/test_client_retries.py
+++ b/tests/policy/test_client_retries.py
@@ -1,4 +1,4 @@
-"""Requests that clients send again."""
+"""Tests of the detection of client retries."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 def test_a_client_retry_that_can_only_be_late_is_rejected_first(
     shed_level: float, unserved: float, served: bool
 ) -> None:
-    """The time remaining tells how long a client has waited, if others have been left unserved of late; one that is
-    just less patient is not rejected for it, nor is anybody while no load is shed."""
+    """The time remaining shows how long a client has waited, if requests were recently left unserved. A client with a
+    shorter timeout is not rejected for it, and no request is while no load is shed."""
     balancer = make_balancer(*make_entries(4))
     balancer.typical_latency[0] = 0.1
-    for n in range(40):  # what first tries come with; a last one may have more time left
+    for n in range(40):  # times remaining of first requests; a last try may have more time left
         send_request(balancer, 100.0, n, time_remaining=3.5 if n % 4 else 3.97)
 
-    def count(first: int, time_remaining: float) -> int:
+    def count_sent(first: int, time_remaining: float) -> int:
         sent = 0
         for n in range(first, first + 50):
             balancer.shed_level, balancer.client_retries[0].unserved = shed_level, unserved
@@ -36,6 +36,6 @@
             )
         return sent
 
-    assert count(100, 3.45) > 40
-    late = count(200, 3.05)  # an aim of 1 s, of which 0.95 s have passed
-    assert late > 40 if served else late < 10
+    assert count_sent(100, 3.45) > 40
+    sent_late = count_sent(200, 3.05)  # 0.95 s of the latency objective of 1 s have passed
+    assert sent_late > 40 if served else sent_late < 10
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The limit on attempts in flight."""
+"""Tests of the limit on attempts in flight."""
 
 from __future__ import annotations
 
@@ -35,27 +35,27 @@
 def send_unanswered(
     balancer: Balancer, count: int, class_index: int, first: int = 1000, now: float = 101.0
 ) -> list[tuple[int, str]]:
-    """Requests that are sent and not answered."""
-    found = []
+    """Send requests without answering them; return the number and endpoint of each that was sent."""
+    sent = []
     for n in range(first, first + count):
         endpoint = next(
             (a.endpoint for a in balancer.handle(now, [Request(n, class_index, 4.0)]) if isinstance(a, Send)),
             None,
         )
         if endpoint is not None:
-            found.append((n, endpoint))
-    return found
+            sent.append((n, endpoint))
+    return sent
 
 
 def count_in_flight(balancer: Balancer) -> int:
     return sum(len(endpoint.in_flight) for endpoint in balancer.endpoints.values())
 
 
-def test_attempts_in_flight_are_counted_through_every_way_that_they_end() -> None:
+def test_in_flight_count_is_correct_however_attempts_end() -> None:
     balancer = make_balancer(*make_entries(5))
     rng = random.Random(4)
-    sent: dict[int, int] = {}  # attempts of each request
-    out: list[tuple[int, int, str]] = []
+    attempt_counts: dict[int, int] = {}  # by request
+    open_attempts: list[tuple[int, int, str]] = []
     results = (
         AttemptResult.SERVED,
         AttemptResult.RESET,
@@ -66,31 +66,31 @@
     )
     for n in range(3000):
         now = 101.0 + n / 200
-        what = rng.random()
-        if what < 0.5 or not out:
+        draw = rng.random()
+        if draw < 0.5 or not open_attempts:
             actions = balancer.handle(now, [Request(n, n % 3, 4.0, body_pending=rng.random() < 0.2)])
         else:
-            number, attempt, endpoint = one = rng.choice(out)
-            if what < 0.55:
+            number, attempt, endpoint = chosen = rng.choice(open_attempts)
+            if draw < 0.55:
                 actions = balancer.handle(now, [BodyProgress(number, True, True)])
-            elif what < 0.6:
+            elif draw < 0.6:
                 actions = balancer.handle(now, [FirstByte(number, attempt, endpoint, 0.01)])
-            elif what < 0.65:
+            elif draw < 0.65:
                 actions = balancer.handle(now, [ClientCancelled(number)])
             else:
-                out.remove(one)
+                open_attempts.remove(chosen)
                 result = rng.choice(results)
                 ended = result == AttemptResult.SERVED and number in balancer.requests
                 actions = balancer.handle(now, [Outcome(number, attempt, endpoint, result, 0.01, ended)])
         for action in actions:
             if isinstance(action, Send):
-                out.append((action.request, sent.get(action.request, 0), action.endpoint))
-                sent[action.request] = sent.get(action.request, 0) + 1
+                open_attempts.append((action.request, attempt_counts.get(action.request, 0), action.endpoint))
+                attempt_counts[action.request] = attempt_counts.get(action.request, 0) + 1
         assert balancer.in_flight == count_in_flight(balancer)
-    assert len(out) > 20 and sum(sent.values()) > len(sent)
+    assert len(open_attempts) > 20 and sum(attempt_counts.values()) > len(attempt_counts)
 
 
-def test_under_the_minimum_nothing_is_rejected_for_attempts_in_flight() -> None:
+def test_nothing_is_rejected_below_the_minimum_limit() -> None:
     balancer = make_balancer(*make_entries(4))
     balancer.concurrency_limit.late_share, balancer.concurrency_limit.limit = 0.1, 1.0
     least = int(concurrency_limit.MIN_LIMIT)
@@ -100,7 +100,7 @@
     )
 
 
-def test_the_class_worth_least_meets_the_limit_first_and_is_never_rejected_whole() -> None:
+def test_least_valuable_class_reaches_the_limit_first_and_is_never_rejected_completely() -> None:
     cheap, dear = (
         RequestClass("cheap", 1.0, 4.0, priority_weight=1.0),
         RequestClass("dear", 1.0, 4.0, priority_weight=10.0),
@@ -127,7 +127,7 @@
     assert balancer.concurrency_limit.limit == concurrency_limit.MIN_LIMIT
 
 
-def test_few_slow_endpoints_do_not_close_the_limit_and_failures_say_nothing() -> None:
+def test_few_slow_endpoints_do_not_shrink_the_limit_and_failures_do_not_change_it() -> None:
     balancer = make_balancer(*make_entries(40))
     balancer.concurrency_limit.late_share, balancer.concurrency_limit.limit = 0.1, 60.0
     for round_ in range(20):
@@ -142,7 +142,7 @@
     assert balancer.concurrency_limit.limit == before
 
 
-def test_a_burst_meets_no_limit_while_next_to_nothing_is_late() -> None:
+def test_a_burst_is_not_limited_while_almost_nothing_is_late() -> None:
     balancer = make_balancer(*make_entries(4))
     assert len(send_unanswered(balancer, 300, 0)) == 300
     for n in range(1000, 1300):
@@ -150,13 +150,14 @@
         elapsed = 0.95 if n == 1001 else 0.1
         balancer.handle(101.1, [Outcome(n, 0, endpoint, AttemptResult.SERVED, elapsed, True)])
     assert len(send_unanswered(balancer, 300, 0, 2000)) == 300
-    assert balancer.concurrency_limit.limit > 100.0  # what was carried well is known
+    assert balancer.concurrency_limit.limit > 100.0  # it has grown with the load served in time
     balancer.concurrency_limit.late_share = 0.05
     assert len(send_unanswered(balancer, 300, 0, 3000)) < 10
 
 
 def test_an_attempt_that_is_cancelled_without_a_first_byte_counts_as_late() -> None:
-    """Else a fleet whose queues are full looks idle: its attempts are cancelled before they are late."""
+    """Guards against a fleet that looks idle although its queues are full: its attempts are cancelled before they are
+    late."""
     balancer = make_balancer(*make_entries(40), limits=PolicyLimits(hedging=False))
     balancer.concurrency_limit.late_share, balancer.concurrency_limit.limit = 0.1, 60.0
     timer = next(a for a in send_request(balancer, 101.0, 1) if isinstance(a, SetTimer))
--- a/tests/policy/test_estimators.py
+++ b/tests/policy/test_estimators.py
@@ -1,4 +1,4 @@
-"""Estimators of the policy."""
+"""Tests of the estimators of the policy."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert linear_decay(0.8, 100.0, balancer.now) == pytest.approx(share)
 
 
-def test_a_streaming_quantile_settles_where_its_share_of_observations_is_smaller() -> None:
+def test_streaming_quantile_converges_to_its_share() -> None:
     quantile = StreamingQuantile(0.9)
     rng = random.Random(1)
     for _ in range(5000):
@@ -29,7 +29,7 @@
     assert 0.75 < quantile.value < 1.0
 
 
-def test_the_rate_of_a_young_proxy_is_over_its_life() -> None:
+def test_send_rate_of_a_new_proxy_is_averaged_over_its_lifetime() -> None:
     rate = SendRate()
     rate.start(100.0)
     for number in range(20):
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -1,4 +1,4 @@
-"""No effect twice: single cases. `test_safety_rules.py` has all orders of events."""
+"""Tests of single cases of idempotency. `test_safety_rules.py` covers generated orders of events."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 def test_a_keyed_request_is_retried_in_its_zone_and_window_only() -> None:
     entries = [EndpointEntry(f"z{i % 2}-{i}", zone=i % 2) for i in range(8)]
-    for late, goes in ((0.2, True), (0.5, False)):
+    for elapsed, is_retried in ((0.2, True), (0.5, False)):
         balancer = make_balancer(*entries)
         endpoint = sent_to(balancer, 100.0, 1, class_index=1)
         assert endpoint is not None
-        again = end_attempt(balancer, 100.0 + late, 1, endpoint, AttemptResult.RESET)[0]
-        assert isinstance(again, Send) == goes
-        if goes:
-            assert again.endpoint[:2] == endpoint[:2] and again.endpoint != endpoint
+        action = end_attempt(balancer, 100.0 + elapsed, 1, endpoint, AttemptResult.RESET)[0]
+        assert isinstance(action, Send) == is_retried
+        if is_retried:
+            assert action.endpoint[:2] == endpoint[:2] and action.endpoint != endpoint
         else:
-            assert again == Fail(1)
+            assert action == Fail(1)
 
 
 ALL, ZONE = DeduplicationScope.ALL, DeduplicationScope.ZONE
@@ -59,7 +59,7 @@
         (Effect.UNSAFE, ALL, 0.0, False, False),
     ],
 )
-def test_the_table_of_what_may_follow_an_attempt_that_may_have_run(
+def test_what_may_follow_an_attempt_that_may_have_run(
     effect: Effect, scope: DeduplicationScope, elapsed: float, may_run_again: bool, may_reject: bool
 ) -> None:
     request_class = RequestClass(
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""When idle connections are closed."""
+"""Tests of when idle connections are closed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     for count, proxies, closes in ((100, 30, True), (10, 30, True), (2, 30, False), (10, 2, False)):
         balancer = make_balancer(*make_entries(count), instance_count=proxies)
         closed = 0
-        for n in range(100):  # ten a second
+        for n in range(100):  # ten requests a second
             endpoint = sent_to(balancer, 100.0 + n / 10, n)
             assert endpoint is not None
             closed += CloseIdleConnections(endpoint) in end_attempt(balancer, 100.05 + n / 10, n, endpoint)
--- a/tests/policy/test_lag.py
+++ b/tests/policy/test_lag.py
@@ -1,4 +1,4 @@
-"""What the policy learns from the end of an attempt in which this process itself was held up: nothing of that time."""
+"""Tests that the policy ignores the time of an attempt in which this process itself did not run."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from loadbalancer.policy.events import AttemptResult, Outcome
 from loadbalancer.policy.settings import PolicyLimits
 
-#: Sums of both have no rounding.
+#: The sum of both is exact in floating point.
 ORDINARY_S = 0.25
 LAG_S = 1.0
 CLASSES = (SAFE, KEYED, UNSAFE)
 
 
-def learn(result: AttemptResult, elapsed: float, lag: float, is_answered: bool) -> Balancer:
-    """A balancer that has had a hundred ordinary answers, and then attempts that ended so."""
+def balancer_after_outcomes(result: AttemptResult, elapsed: float, lag: float, is_answered: bool) -> Balancer:
+    """Return a balancer after a hundred ordinary answers and then 20 attempts with the given end."""
     balancer = make_balancer(*make_entries(1), classes=CLASSES, limits=PolicyLimits(hedge_quantile=0.95))
     now = 100.0
     for number in range(120):
@@ -39,8 +39,8 @@
     return balancer
 
 
-def learnt(balancer: Balancer) -> dict[str, object]:
-    """All that is learnt from durations."""
+def read_estimates(balancer: Balancer) -> dict[str, object]:
+    """Return every estimate that depends on the duration of attempts."""
     endpoint = balancer.endpoints["s0"]
     return {
         "level of load shedding": balancer.shed_level,
@@ -56,17 +56,17 @@
     }
 
 
-# Guards against a proxy that was held up and takes its endpoints for slow: each part learns the endpoint's time alone.
+# Guards against a stalled proxy that takes its endpoints for slow: every estimate must use the endpoint's time only.
 @pytest.mark.parametrize("is_answered", [True, False])
 @pytest.mark.parametrize("result", [AttemptResult.SERVED, AttemptResult.TIMEOUT, AttemptResult.CANCELLED])
-def test_a_hold_up_teaches_nothing(result: AttemptResult, is_answered: bool) -> None:
-    expected = learnt(learn(result, ORDINARY_S, 0.0, is_answered))
-    assert learnt(learn(result, ORDINARY_S + LAG_S, LAG_S, is_answered)) == expected
+def test_process_lag_does_not_change_estimates(result: AttemptResult, is_answered: bool) -> None:
+    expected = read_estimates(balancer_after_outcomes(result, ORDINARY_S, 0.0, is_answered))
+    assert read_estimates(balancer_after_outcomes(result, ORDINARY_S + LAG_S, LAG_S, is_answered)) == expected
 
 
-# Guards against a test above that compares what never changes.
-def test_the_same_time_without_a_hold_up_teaches_much() -> None:
-    ordinary = learnt(learn(AttemptResult.SERVED, ORDINARY_S, 0.0, True))
-    slow = learnt(learn(AttemptResult.SERVED, ORDINARY_S + LAG_S, 0.0, True))
+# Guards against a vacuous test above: without lag the same durations must change the estimates.
+def test_the_same_duration_without_lag_changes_estimates() -> None:
+    ordinary = read_estimates(balancer_after_outcomes(AttemptResult.SERVED, ORDINARY_S, 0.0, True))
+    slow = read_estimates(balancer_after_outcomes(AttemptResult.SERVED, ORDINARY_S + LAG_S, 0.0, True))
     unchanged = {name for name in ordinary if ordinary[name] == slow[name]}
     assert unchanged <= {"consecutive failures"}
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Which requests are rejected under overload."""
+"""Tests of which requests are rejected under overload."""
 
 from __future__ import annotations
 
@@ -39,22 +39,22 @@
 
 def test_late_answers_are_not_waited_for_while_load_is_shed() -> None:
     late = RequestClass("late", latency_objective=1.0, client_timeout=4.0, late_value=0.3)
-    for level, longest in ((0.0, 4.0), (0.1, 1.0)):
+    for level, max_timeout in ((0.0, 4.0), (0.1, 1.0)):
         balancer = make_balancer(*make_entries(3), classes=(late,))
         balancer.shed_level = level
         sends = [a for n in range(9) for a in send_request(balancer, 100.0, n) if isinstance(a, Send)]
-        assert max(s.timeout for s in sends) == pytest.approx(longest, abs=0.03)
+        assert max(s.timeout for s in sends) == pytest.approx(max_timeout, abs=0.03)
 
 
-def test_a_rejection_says_when_to_return_while_load_is_shed_and_within_the_limit() -> None:
-    def refused(after: bool, level: float) -> list[float]:
-        limits = PolicyLimits(retry_after=after, max_retry_after=2.0)
+def test_retry_after_is_given_only_while_load_is_shed_and_within_the_limit() -> None:
+    def retry_after_values(enabled: bool, level: float) -> list[float]:
+        limits = PolicyLimits(retry_after=enabled, max_retry_after=2.0)
         balancer = make_balancer(EndpointEntry("s0", state=EndpointState.DRAINING), limits=limits)
         balancer.shed_level = level
         actions = [balancer.handle(100.0 + n / 100, [Request(n, 0, 4.0)]) for n in range(50)]
         return [a.retry_after for those in actions for a in those if isinstance(a, Reject)]
 
-    told = refused(True, 1.0)
-    assert len(told) == 50 and min(told) >= 1.0 and max(told) <= 2.0
-    assert len(set(told)) > 40  # not all at once
-    assert set(refused(True, 0.0)) == set(refused(False, 1.0)) == {0.0}
+    values = retry_after_values(True, 1.0)
+    assert len(values) == 50 and min(values) >= 1.0 and max(values) <= 2.0
+    assert len(set(values)) > 40  # jittered, so that clients do not all return at once
+    assert set(retry_after_values(True, 0.0)) == set(retry_after_values(False, 1.0)) == {0.0}
--- a/tests/policy/test_odd_input.py
+++ b/tests/policy/test_odd_input.py
@@ -1,4 +1,4 @@
-"""What the policy does with settings, lists and reports that make no sense."""
+"""Tests of invalid or extreme settings, endpoint lists and reports."""
 
 from __future__ import annotations
 
@@ -26,75 +26,77 @@
 CLASS = RequestClass("track", latency_objective=0.6, client_timeout=1.5)
 
 
-def started(*entries: EndpointEntry, proxies: int = 40) -> Balancer:
-    balancer = Balancer(PolicySettings((CLASS,), instance_count=proxies), seed=1)
+def make_balancer(*entries: EndpointEntry, instance_count: int = 40) -> Balancer:
+    balancer = Balancer(PolicySettings((CLASS,), instance_count=instance_count), seed=1)
     balancer.handle(100.0, [EndpointList(entries)])
     return balancer
 
 
-def served(balancer: Balancer, begin: float, count: int, util: float = 0.5) -> dict[str, int]:
-    """Requests served by each endpoint, twenty a second from `begin` on."""
-    got: dict[str, int] = {}
+def count_served(balancer: Balancer, start: float, count: int, util: float = 0.5) -> dict[str, int]:
+    """Send `count` requests, twenty a second from `start` on; return how many each endpoint served."""
+    counts: dict[str, int] = {}
     for n in range(count):
-        now = begin + n / 20
+        now = start + n / 20
         request = int(now * 1000)
         for action in balancer.handle(now, [Request(request, 0, 1.5)]):
             if isinstance(action, Send):
-                got[action.endpoint] = got.get(action.endpoint, 0) + 1
+                counts[action.endpoint] = counts.get(action.endpoint, 0) + 1
                 report = {"utilization": util}
                 balancer.handle(
                     now + 0.01,
                     [Outcome(request, 0, action.endpoint, AttemptResult.SERVED, 0.01, True, report)],
                 )
-    return got
+    return counts
 
 
-@pytest.mark.parametrize("proxies", [0, -1])
-def test_no_proxies_is_an_error_that_names_the_setting(proxies: int) -> None:
+@pytest.mark.parametrize("instance_count", [0, -1])
+def test_an_instance_count_below_one_is_an_error_that_names_the_setting(instance_count: int) -> None:
     with pytest.raises(ValueError, match="n_instances"):
-        PolicySettings((CLASS,), instance_count=proxies)
+        PolicySettings((CLASS,), instance_count=instance_count)
 
 
-def test_an_absurd_number_of_proxies_serves_like_any_other() -> None:
-    balancer = started(EndpointEntry("a"), EndpointEntry("b"), proxies=10**9)
-    assert sum(served(balancer, 101.0, 100).values()) == 100
+def test_all_requests_are_served_with_a_huge_instance_count() -> None:
+    balancer = make_balancer(EndpointEntry("a"), EndpointEntry("b"), instance_count=10**9)
+    assert sum(count_served(balancer, 101.0, 100).values()) == 100
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, math.nan, math.inf])
-def test_an_odd_weight_passes_no_server_over(weight: float) -> None:
-    got = served(started(EndpointEntry("a", weight=weight), EndpointEntry("b")), 101.0, 200)
-    assert sum(got.values()) == 200 and got["a"] > 40
+def test_an_endpoint_with_an_invalid_weight_is_still_selected(weight: float) -> None:
+    counts = count_served(make_balancer(EndpointEntry("a", weight=weight), EndpointEntry("b")), 101.0, 200)
+    assert sum(counts.values()) == 200 and counts["a"] > 40
 
 
 @pytest.mark.parametrize("util", [math.nan, math.inf, -1.0])
-def test_a_report_that_is_no_utilization_changes_nothing(util: float) -> None:
-    balancer = started(EndpointEntry("a"), EndpointEntry("b"))
-    assert min(served(balancer, 101.0, 200, util).values()) > 40
-    assert all(server.utilization == 0.0 for server in balancer.ready)
+def test_an_invalid_utilization_report_is_ignored(util: float) -> None:
+    balancer = make_balancer(EndpointEntry("a"), EndpointEntry("b"))
+    assert min(count_served(balancer, 101.0, 200, util).values()) > 40
+    assert all(endpoint.utilization == 0.0 for endpoint in balancer.ready)
 
 
-def test_a_server_that_starts_in_the_future_is_cold_and_still_gets_some() -> None:
-    got = served(started(EndpointEntry("a", started=1e6), EndpointEntry("b"), EndpointEntry("c")), 101.0, 400)
-    assert 0 < got["a"] < got["b"]
+def test_an_endpoint_that_starts_in_the_future_gets_fewer_requests_but_some() -> None:
+    counts = count_served(
+        make_balancer(EndpointEntry("a", started=1e6), EndpointEntry("b"), EndpointEntry("c")), 101.0, 400
+    )
+    assert 0 < counts["a"] < counts["b"]
 
 
-def test_a_list_that_names_a_server_twice_has_it_once_as_named_last() -> None:
-    balancer = started(EndpointEntry("a", weight=3.0), EndpointEntry("b"), EndpointEntry("a"))
-    assert [server.id for server in balancer.ready] == ["a", "b"]
+def test_the_last_entry_of_a_duplicate_endpoint_applies() -> None:
+    balancer = make_balancer(EndpointEntry("a", weight=3.0), EndpointEntry("b"), EndpointEntry("a"))
+    assert [endpoint.id for endpoint in balancer.ready] == ["a", "b"]
     assert balancer.endpoints["a"].size == 1.0
 
 
-def test_a_list_that_drops_all_refuses_at_once_and_the_next_one_serves() -> None:
-    balancer = started(EndpointEntry("a"))
+def test_requests_are_rejected_after_an_empty_list_until_the_next_list() -> None:
+    balancer = make_balancer(EndpointEntry("a"))
     balancer.handle(101.0, [EndpointList(())])
     assert any(isinstance(a, Reject) for a in balancer.handle(101.0, [Request(1, 0, 1.5)]))
     balancer.handle(102.0, [EndpointList((EndpointEntry("a"),))])
-    assert served(balancer, 102.0, 20) == {"a": 20}
+    assert count_served(balancer, 102.0, 20) == {"a": 20}
 
 
-def test_before_its_first_list_a_proxy_refuses_and_from_then_on_it_serves() -> None:
+def test_requests_are_rejected_until_the_first_list() -> None:
     balancer = Balancer(PolicySettings((CLASS,), instance_count=40), seed=1)
     for n in range(100):
         assert any(isinstance(a, Reject) for a in balancer.handle(100.0 + n / 20, [Request(n, 0, 1.5)]))
     balancer.handle(105.0, [EndpointList((EndpointEntry("a"), EndpointEntry("b")))])
-    assert sum(served(balancer, 105.0, 100).values()) == 100
+    assert sum(count_served(balancer, 105.0, 100).values()) == 100
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""What is learnt of endpoints from the ends of attempts, and which are ejected."""
+"""Tests of what is learned about endpoints from the ends of attempts, and of which are ejected."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 
-def test_an_endpoint_far_slower_than_typical_looks_failing_and_a_slow_fleet_does_not() -> None:
+def test_an_endpoint_far_slower_than_typical_counts_as_failing_and_a_slow_fleet_does_not() -> None:
     balancer = make_balancer(*make_entries(8))
     worst = 0.0
     for n in range(400):
@@ -48,14 +48,14 @@
     endpoint.answered = other.answered = True
     balancer.now = 100.0
     for n in range(12):  # one of three requests is of the class that it fails
-        bad = n % 3 == 0
+        fails = n % 3 == 0
         balancer.outliers.record_result(
             endpoint,
-            AttemptResult.TIMEOUT if bad else AttemptResult.SERVED,
+            AttemptResult.TIMEOUT if fails else AttemptResult.SERVED,
             None,
             balancer.now,
-            float(bad),
-            2 if bad else 0,
+            float(fails),
+            2 if fails else 0,
         )
     assert not balancer.selector.passes_filters(
         endpoint, balancer.now, 2
@@ -78,7 +78,7 @@
     assert balancer.selector.passes_filters(balancer.endpoints["s0"], balancer.now)
 
 
-def test_failures_count_and_own_cancels_do_not() -> None:
+def test_failures_raise_the_error_rate_and_cancelled_attempts_do_not() -> None:
     for result in (
         AttemptResult.ERROR,
         AttemptResult.FULL,
@@ -97,22 +97,22 @@
         assert balancer.endpoints["s0"].error_rate == 0.0
 
 
-def test_a_restart_forgets_the_old_process() -> None:
+def test_a_restart_resets_the_observations() -> None:
     balancer = make_balancer(EndpointEntry("a", started=1.0))
-    a = balancer.endpoints["a"]
-    a.answered, a.error_rate, a.error_rate_at = True, 1.0, 100.0
+    endpoint = balancer.endpoints["a"]
+    endpoint.answered, endpoint.error_rate, endpoint.error_rate_at = True, 1.0, 100.0
     balancer.handle(101.0, [EndpointList((EndpointEntry("a", started=100.5),), complete=False)])
-    assert balancer.endpoints["a"] is a and not a.answered and a.error_rate == 0.0
+    assert balancer.endpoints["a"] is endpoint and not endpoint.answered and endpoint.error_rate == 0.0
 
 
-def test_where_all_fail_the_error_rate_filters_none() -> None:
+def test_the_error_rate_filters_none_if_all_endpoints_fail() -> None:
     balancer = make_balancer(*make_entries(8))
     for n in range(400):
         endpoint = sent_to(balancer, 100.0 + n / 50, n, class_index=2)
         assert endpoint is not None
         end_attempt(balancer, 100.01 + n / 50, n, endpoint, AttemptResult.ERROR)
     assert all(s.error_rate <= balancer.outliers.error_rate_limit(balancer.now) for s in balancer.ready)
-    balancer.outliers.mean_error_rate = 0.0  # the same figures in a healthy fleet
+    balancer.outliers.mean_error_rate = 0.0  # the same error rates in a healthy fleet
     balancer.now = 108.0
     assert not any(balancer.selector.passes_filters(s, balancer.now) for s in balancer.ready)
 
@@ -129,7 +129,7 @@
     balancer.now = 112.0
     assert not balancer.selector.passes_filters(
         balancer.endpoints[endpoint], balancer.now
-    )  # the second request is met with silence
+    )  # the second request gets no first byte
     end_attempt(balancer, 112.0, 1, endpoint)
     end_attempt(balancer, 112.0, 2, endpoint)
     assert not balancer.endpoints[endpoint].in_flight and not balancer.endpoints[endpoint].responding
@@ -137,7 +137,7 @@
 
 def test_one_failing_endpoint_does_not_raise_its_own_error_rate_limit() -> None:
     balancer = make_balancer(*make_entries(10))
-    for _ in range(200):  # nearly all attempts are its own, as where all others are full
+    for _ in range(200):  # almost all attempts go to it, as if all others were full
         balancer.outliers.record_result(balancer.endpoints["s0"], AttemptResult.ERROR, None, balancer.now)
     assert balancer.outliers.mean_error_rate > 0.8
     assert not balancer.selector.passes_filters(balancer.endpoints["s0"], balancer.now) and balancer.avoids(
@@ -148,7 +148,7 @@
     )
 
 
-def test_a_lost_half_of_the_fleet_gets_next_to_nothing_after_its_first_failures() -> None:
+def test_a_lost_half_of_the_fleet_gets_almost_no_requests_after_its_first_failures() -> None:
     balancer = make_balancer(*make_entries(20))
     for endpoint in balancer.ready:
         endpoint.answered = True
@@ -162,16 +162,16 @@
             actions = end_attempt(balancer, now, n, to, AttemptResult.NO_CONNECTION, attempt)
             to = next((a.endpoint for a in actions if isinstance(a, Send)), None)
             attempt += 1
-        assert to is not None, f"request {n} given up"  # the other half is sound
+        assert to is not None, (
+            f"request {n} was not retried at a healthy endpoint"
+        )  # the other half is healthy
         end_attempt(balancer, now + 0.02, n, to, attempt=attempt)
     assert to_lost[0] <= 4 * len(lost) and to_lost[1] <= 4 * len(lost)
 
 
 def test_an_attempt_with_less_time_than_answers_take_raises_no_error_rate() -> None:
     balancer = make_balancer(*make_entries(3))
-    balancer.typical_latency[0] = (
-        0.1  # what `end_attempt` says that it took, also of an attempt that ran out of time
-    )
+    balancer.typical_latency[0] = 0.1  # the duration that `end_attempt` reports, also for a timeout
     endpoint = sent_to(balancer, 100.0, 1)
     assert endpoint is not None
     end_attempt(balancer, 100.0, 1, endpoint, AttemptResult.TIMEOUT)
--- a/tests/policy/test_policy_settings.py
+++ b/tests/policy/test_policy_settings.py
@@ -1,4 +1,4 @@
-"""Settings that make no sense."""
+"""Tests of invalid settings."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     [("latency_objective", "aim"), ("client_timeout", "give_up"), ("priority_weight", "worth")],
 )
 @pytest.mark.parametrize("value", [-1.0, math.nan, math.inf, "x", None])
-def test_bad_settings_are_named_by_the_policy(field: str, named: str, value: Any) -> None:
+def test_invalid_settings_are_named_in_the_error(field: str, named: str, value: Any) -> None:
     with pytest.raises(ValueError, match=f"classes.{named}: {value!r}"):
         RequestClass(
             **{
--- a/tests/policy/test_priorities.py
+++ b/tests/policy/test_priorities.py
@@ -1,4 +1,4 @@
-"""Endpoints of several priorities."""
+"""Tests of endpoints with several priorities."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 ]
 
 
-def test_a_further_priority_gets_nothing_while_the_first_has_an_available_endpoint() -> None:
+def test_a_later_priority_gets_no_requests_while_the_first_has_an_available_endpoint() -> None:
     balancer = make_warm_balancer(*PRIORITIES)
     assert count_sent(balancer, 101.0).keys() == {"a0", "a1"}
     drain(balancer, 106.0, "a0")
     assert count_sent(balancer, 107.0).keys() == {"a1"}
 
 
-def test_the_next_priority_serves_where_the_first_has_none_and_gives_back() -> None:
+def test_the_next_priority_serves_only_while_the_first_has_no_available_endpoint() -> None:
     balancer = make_warm_balancer(*PRIORITIES)
     drain(balancer, 101.0, "a0", "a1")
     assert count_sent(balancer, 102.0).keys() == {"b0"}
@@ -50,7 +50,7 @@
     assert count_sent(balancer, 114.0).keys() == {"a0"}
 
 
-def test_one_available_endpoint_of_many_still_keeps_the_next_priority_out() -> None:
+def test_the_next_priority_is_unused_while_one_of_many_endpoints_is_available() -> None:
     balancer = make_warm_balancer(
         *[EndpointEntry(f"a{n}") for n in range(60)], EndpointEntry("standby", priority=5)
     )
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.NO_CONNECTION, AttemptResult.RESET, AttemptResult.ERROR])
-def test_a_priority_whose_endpoints_all_fail_is_passed_over(result: AttemptResult) -> None:
+def test_a_priority_whose_endpoints_all_fail_is_skipped(result: AttemptResult) -> None:
     balancer = make_warm_balancer(EndpointEntry("a0"), EndpointEntry("standby", priority=1))
     for number in range(3):
         for _ in range(4):
@@ -69,7 +69,7 @@
         assert select_for(balancer, 101.0 + number / 10, number) == "standby"
 
 
-def test_a_slow_endpoint_is_no_reason_to_use_a_standby() -> None:
+def test_a_slow_endpoint_does_not_activate_a_standby() -> None:
     balancer = make_warm_balancer(EndpointEntry("a0"), EndpointEntry("standby", priority=1))
     for _ in range(9):
         balancer.outliers.record_result(
@@ -86,8 +86,8 @@
     assert [a.endpoint for a in actions if isinstance(a, Send)] == ["standby"]
 
 
-def test_a_standby_that_warms_up_is_not_pushed_over_when_it_has_to_serve() -> None:
-    """It gets less than its share of what it can do at the time, and refusals carry the rest."""
+def test_a_standby_is_paced_while_it_warms_up() -> None:
+    """It gets less than its current capacity, and the other requests are rejected."""
     rules = SafetyRules(slow_start_capacity=0.3, slow_start_duration=10.0)
     balancer = make_warm_balancer(
         EndpointEntry("a0"),
@@ -99,9 +99,9 @@
     usual = count_sent(balancer, 101.0)["a0"]  # in 4 s
     drain(balancer, 106.0, "a0")
     early = count_sent(balancer, 106.0)
-    assert early[None] > early["b0"] > 0  # most is refused
+    assert early[None] > early["b0"] > 0  # most requests are rejected
     assert early["b0"] < 0.6 * usual
-    late = count_sent(balancer, 117.0)  # and then it is warm
+    late = count_sent(balancer, 117.0)  # by then it is warm
     assert late == {"b0": len(REQUEST_NUMBERS)}
 
 
@@ -113,7 +113,7 @@
     assert count_sent(balancer, 106.0) == {"b0": len(REQUEST_NUMBERS)}
 
 
-def test_requests_are_rejected_where_all_endpoints_drain() -> None:
+def test_requests_are_rejected_if_all_endpoints_drain() -> None:
     balancer = make_warm_balancer(EndpointEntry("a0"))
     drain(balancer, 101.0, "a0")
     assert count_sent(balancer, 101.0) == {None: len(REQUEST_NUMBERS)}
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: which request may have another attempt."""
+"""Tests of which requests may have another attempt."""
 
 from __future__ import annotations
 
@@ -29,20 +29,22 @@
     balancer = make_balancer(*make_entries(3))
     endpoint = sent_to(balancer, 100.0, 1, class_index=2)
     assert endpoint is not None
-    again = end_attempt(balancer, 100.2, 1, endpoint, AttemptResult.NO_CONNECTION)
-    assert isinstance(again[0], Send) and again[0].endpoint != endpoint
+    actions = end_attempt(balancer, 100.2, 1, endpoint, AttemptResult.NO_CONNECTION)
+    assert isinstance(actions[0], Send) and actions[0].endpoint != endpoint
 
 
-@pytest.mark.parametrize("held", [True, False])
+@pytest.mark.parametrize("buffered", [True, False])
 @pytest.mark.parametrize(("result", "ran"), [(AttemptResult.FULL, False), (AttemptResult.RESET, True)])
-def test_only_a_body_that_is_still_held_is_retried(held: bool, result: AttemptResult, ran: bool) -> None:
+def test_a_request_is_retried_only_if_its_body_is_still_buffered(
+    buffered: bool, result: AttemptResult, ran: bool
+) -> None:
     balancer = make_balancer(*make_entries(2), classes=(KEYED, UNSAFE))
     balancer.handle(100.0, [Request(1, 1, 4.0, body_pending=True)])
     (endpoint,) = [s for s in balancer.ready if s.responding]
-    balancer.handle(101.0, [BodyProgress(1, True, held)])
+    balancer.handle(101.0, [BodyProgress(1, True, buffered)])
     actions = balancer.handle(101.1, [Outcome(1, 0, endpoint.id, result, 0.1)])
     (kind,) = {type(a) for a in actions if isinstance(a, (Send, Fail, Reject))}
-    assert kind is (Fail if ran else Send if held else Reject)
+    assert kind is (Fail if ran else Send if buffered else Reject)
 
 
 def test_a_retry_after_no_connection_needs_no_budget_and_one_after_an_error_does() -> None:
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over legal orders of events: a checker reads the actions, and models no endpoint."""
+"""Tests of the four safety rules over legal orders of events. A checker verifies the actions; it models no endpoint."""
 
 from __future__ import annotations
 
@@ -75,23 +75,23 @@
 
 
 @dataclass
-class Sent:
-    server: str
+class SentAttempt:
+    endpoint: str
     at: float
     open: bool = True
     may_have_run: bool = True
 
 
 @dataclass
-class Record:
-    cls: RequestClass
+class RequestRecord:
+    request_class: RequestClass
     deadline: float
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentAttempt] = field(default_factory=list)
     ended: bool = False
 
 
 class Checker:
-    """Plays legal events against a Balancer and reads what it does."""
+    """Feeds legal events to a Balancer and checks each of its actions."""
 
     def __init__(self, entries: list[EndpointEntry], limits: PolicyLimits, seed: int) -> None:
         self.limits = limits
@@ -100,109 +100,124 @@
             PolicySettings(CLASSES, zone_count=2, limits=limits, rules=SafetyRules()), seed
         )
         self.now = 50.0
-        self.records: dict[int, Record] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.timers: list[tuple[float, int]] = []
-        self.play([EndpointList(tuple(entries))])
+        self.handle([EndpointList(tuple(entries))])
 
-    def play(self, events: list[Any]) -> None:
+    def handle(self, events: list[Any]) -> None:
         for action in self.balancer.handle(self.now, events):
-            self.read(action)
+            self.check_action(action)
 
-    def read(self, action: Any) -> None:
+    def check_action(self, action: Any) -> None:
         if isinstance(action, Send):
-            self.read_send(action)
+            self.check_send(action)
         elif isinstance(action, Fail):
-            self.close(action.request)
+            self.record_final_answer(action.request)
         elif isinstance(action, Reject):
-            record = self.records[action.request]
-            cls = record.cls
-            harmless = cls.effect == Effect.SAFE or (
-                cls.effect == Effect.KEYED and cls.deduplication_scope == DeduplicationScope.ALL
+            record = self.requests[action.request]
+            request_class = record.request_class
+            harmless = request_class.effect == Effect.SAFE or (
+                request_class.effect == Effect.KEYED
+                and request_class.deduplication_scope == DeduplicationScope.ALL
             )
-            assert harmless or not any(s.may_have_run for s in record.sent), "refused what may have run"
-            self.close(action.request)
+            assert harmless or not any(s.may_have_run for s in record.sent), (
+                "a request was rejected that may have run"
+            )
+            self.record_final_answer(action.request)
         elif isinstance(action, Cancel):
             assert self.limits.cancellation
-            assert 0 <= action.attempt < len(self.records[action.request].sent)
+            assert 0 <= action.attempt < len(self.requests[action.request].sent)
         elif isinstance(action, SetTimer):
             assert action.delay >= 0
             self.timers.append((self.now + action.delay, action.token))
 
-    def read_send(self, action: Send) -> None:
-        record = self.records[action.request]
-        assert not record.ended, "sent after the final answer"
+    def check_send(self, action: Send) -> None:
+        record = self.requests[action.request]
+        assert not record.ended, "an attempt was sent after the final answer"
         assert len(record.sent) < self.limits.max_attempts
         entry = self.entries[action.endpoint]
-        assert entry.state == EndpointState.READY, "sent to a draining server"
+        assert entry.state == EndpointState.READY, "an attempt was sent to an endpoint that is not ready"
         assert action.timeout <= record.deadline - self.now + 0.0011
         assert self.limits.hedging or not any(s.open for s in record.sent)
-        ran = [s for s in record.sent if s.may_have_run]
-        if ran:
-            cls = record.cls
-            assert cls.effect != Effect.UNSAFE, "an unsafe request sent again"
-            if cls.effect == Effect.KEYED:
-                first = self.entries[ran[0].server]
-                assert self.now < ran[0].at + cls.deduplication_window, "sent again past the window"
-                assert cls.deduplication_scope != DeduplicationScope.ZONE or first.zone == entry.zone
-                assert cls.deduplication_scope != DeduplicationScope.CELL or first.cell == entry.cell
-        record.sent.append(Sent(action.endpoint, self.now))
-
-    def close(self, request: int) -> None:
-        assert not self.records[request].ended, "two final answers"
-        self.records[request].ended = True
-
-    def request(self, number: int, cls: int, left: float) -> None:
-        self.records[number] = Record(CLASSES[cls], self.now + left)
-        self.play([Request(number, cls, left)])
+        possibly_run = [s for s in record.sent if s.may_have_run]
+        if possibly_run:
+            request_class = record.request_class
+            assert request_class.effect != Effect.UNSAFE, "an unsafe request was sent again"
+            if request_class.effect == Effect.KEYED:
+                first = self.entries[possibly_run[0].endpoint]
+                assert self.now < possibly_run[0].at + request_class.deduplication_window, (
+                    "a keyed request was sent again after its deduplication window"
+                )
+                assert (
+                    request_class.deduplication_scope != DeduplicationScope.ZONE or first.zone == entry.zone
+                )
+                assert (
+                    request_class.deduplication_scope != DeduplicationScope.CELL or first.cell == entry.cell
+                )
+        record.sent.append(SentAttempt(action.endpoint, self.now))
+
+    def record_final_answer(self, request: int) -> None:
+        assert not self.requests[request].ended, "a request got a second final answer"
+        self.requests[request].ended = True
+
+    def request(self, number: int, class_index: int, time_remaining: float) -> None:
+        self.requests[number] = RequestRecord(CLASSES[class_index], self.now + time_remaining)
+        self.handle([Request(number, class_index, time_remaining)])
 
     def outcome(self, number: int, attempt: int, result: AttemptResult) -> None:
-        record, sent = self.records[number], self.records[number].sent[attempt]
+        record, sent = self.requests[number], self.requests[number].sent[attempt]
         if result == AttemptResult.SERVED and not record.ended:
             record.ended = True
         sent.open = False
         if result in NEVER_RAN:
             sent.may_have_run = False
-        took = self.now - sent.at
-        self.play([Outcome(number, attempt, sent.server, result, took, record.ended, {"utilization": 0.5})])
+        elapsed = self.now - sent.at
+        self.handle(
+            [Outcome(number, attempt, sent.endpoint, result, elapsed, record.ended, {"utilization": 0.5})]
+        )
 
     def open_attempts(self) -> list[tuple[int, int]]:
-        return [(n, i) for n, r in self.records.items() for i, s in enumerate(r.sent) if s.open]
+        return [(n, i) for n, r in self.requests.items() for i, s in enumerate(r.sent) if s.open]
 
-    def ask_again(self) -> None:
-        """Each attempt that is out may ask at any time whether it may still leave: yes where the rules let it."""
+    def check_may_leave(self) -> None:
+        """Check that `may_leave` allows each open attempt exactly if the rules do."""
         for number, attempt in self.open_attempts():
-            record = self.records[number]
+            record = self.requests[number]
             others = [s for n, s in enumerate(record.sent) if n != attempt]
-            ran = [s for s in others if s.may_have_run]
-            cls, entry = record.cls, self.entries[record.sent[attempt].server]
-            kept = (
+            possibly_run = [s for s in others if s.may_have_run]
+            request_class, entry = record.request_class, self.entries[record.sent[attempt].endpoint]
+            expected = (
                 not record.ended
                 and entry.state == EndpointState.READY
                 and (self.limits.hedging or not any(s.open for s in others))
                 and (
-                    not ran
-                    or cls.effect == Effect.SAFE
-                    or cls.effect == Effect.KEYED
-                    and self.now < ran[0].at + cls.deduplication_window
+                    not possibly_run
+                    or request_class.effect == Effect.SAFE
+                    or request_class.effect == Effect.KEYED
+                    and self.now < possibly_run[0].at + request_class.deduplication_window
                 )
             )
-            assert self.balancer.may_leave(self.now, number, attempt) == kept, (cls.name, record, entry)
+            assert self.balancer.may_leave(self.now, number, attempt) == expected, (
+                request_class.name,
+                record,
+                entry,
+            )
 
-    def due(self) -> None:
-        """What the world owes by now: timers, and time-outs at the deadline."""
-        self.ask_again()
+    def fire_due_events(self) -> None:
+        """Fire the timers that are due, and time out open attempts at the deadline."""
+        self.check_may_leave()
         ready = sorted(t for t in self.timers if t[0] <= self.now)
         self.timers = [t for t in self.timers if t[0] > self.now]
         for _, token in ready:
-            self.play([TimerFired(token)])
+            self.handle([TimerFired(token)])
         for number, attempt in self.open_attempts():
-            if self.now >= self.records[number].deadline:
+            if self.now >= self.requests[number].deadline:
                 self.outcome(number, attempt, AttemptResult.TIMEOUT)
 
     def finish(self) -> None:
         self.now += 5.0
-        self.due()
-        assert all(r.ended for r in self.records.values()), "a request without its final answer"
+        self.fire_due_events()
+        assert all(r.ended for r in self.requests.values()), "a request has no final answer"
 
 
 STEPS = st.lists(
@@ -217,31 +232,33 @@
 )
 
 
-def play_day(steps: list[tuple[str, Any, Any]], count: int, limits: PolicyLimits, seed: int) -> None:
-    entries = [EndpointEntry(f"s{i}", zone=i % 2, cell=i % 3) for i in range(count)]
-    day = Checker(entries, limits, seed)
-    for number, (what, a, b) in enumerate(steps):
-        if what == "ask":
-            day.request(number, a, b)
-        elif what == "end" and day.open_attempts():
-            open_now = day.open_attempts()
-            request, attempt = open_now[a % len(open_now)]
-            day.outcome(request, attempt, b)
-        elif what == "wait":
-            day.now += a
-            day.due()
-        elif what == "list" and count:
-            entry = day.entries[f"s{a % count}"]._replace(state=b)
-            day.entries[entry.endpoint] = entry
-            day.play([EndpointList((entry,), complete=False)])
-            day.ask_again()
-        elif what == "withdraw":
-            waiting = [n for n, r in day.records.items() if not r.ended]
+def run_steps(
+    steps: list[tuple[str, Any, Any]], endpoint_count: int, limits: PolicyLimits, seed: int
+) -> None:
+    entries = [EndpointEntry(f"s{i}", zone=i % 2, cell=i % 3) for i in range(endpoint_count)]
+    checker = Checker(entries, limits, seed)
+    for number, (step, value, detail) in enumerate(steps):
+        if step == "ask":
+            checker.request(number, value, detail)
+        elif step == "end" and checker.open_attempts():
+            open_attempts = checker.open_attempts()
+            request, attempt = open_attempts[value % len(open_attempts)]
+            checker.outcome(request, attempt, detail)
+        elif step == "wait":
+            checker.now += value
+            checker.fire_due_events()
+        elif step == "list" and endpoint_count:
+            entry = checker.entries[f"s{value % endpoint_count}"]._replace(state=detail)
+            checker.entries[entry.endpoint] = entry
+            checker.handle([EndpointList((entry,), complete=False)])
+            checker.check_may_leave()
+        elif step == "withdraw":
+            waiting = [n for n, r in checker.requests.items() if not r.ended]
             if waiting:
-                gone = waiting[a % len(waiting)]
-                day.records[gone].ended = True
-                day.play([ClientCancelled(gone)])
-    day.finish()
+                cancelled = waiting[value % len(waiting)]
+                checker.requests[cancelled].ended = True
+                checker.handle([ClientCancelled(cancelled)])
+    checker.finish()
 
 
 LIMITS = st.builds(
@@ -251,13 +268,13 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None, suppress_health_check=list(HealthCheck))
 @given(STEPS, st.integers(0, 7), LIMITS, st.integers(0, 2**63))
-def test_rules_hold_over_legal_orders_of_events(
-    steps: list[tuple[str, Any, Any]], count: int, limits: PolicyLimits, seed: int
+def test_the_rules_hold_for_legal_orders_of_events(
+    steps: list[tuple[str, Any, Any]], endpoint_count: int, limits: PolicyLimits, seed: int
 ) -> None:
-    play_day(steps, count, limits, seed)
+    run_steps(steps, endpoint_count, limits, seed)
 
 
-find_a_bad_day = settings(
+find_counterexample = settings(
     derandomize=True,
     max_examples=500,
     deadline=None,
@@ -265,16 +282,16 @@
     phases=(Phase.generate,),
     report_multiple_bugs=False,
     print_blob=False,
-)(given(STEPS, st.integers(0, 7), LIMITS, st.integers(0, 2**63))(play_day))
+)(given(STEPS, st.integers(0, 7), LIMITS, st.integers(0, 2**63))(run_steps))
 
 
-def _any_pool(self: RetryPolicy, pending: PendingRequest, now: float, after_cancel: bool = False) -> Any:
+def _full_pool(self: RetryPolicy, pending: PendingRequest, now: float, after_cancel: bool = False) -> Any:
     return self._registry.pool
 
 
-#: A defect by the name of the rule that it breaks: where the rule stands, its name there, what is put in its place.
-BROKEN: dict[str, tuple[object, str, Any]] = {
-    "next_pool": (RetryPolicy, "next_pool", _any_pool),
+#: Defects by the name of the rule that they break: the rule's owner, its attribute there, and the replacement.
+DEFECTS: dict[str, tuple[object, str, Any]] = {
+    "next_pool": (RetryPolicy, "next_pool", _full_pool),
     "may_reject": (idempotency, "may_reject", lambda request_class, attempts: True),
     "accepts_requests": (SlowStart, "accepts_requests", lambda self, endpoint, now: True),
     "reject_or_fail": (Balancer, "_reject_or_fail", lambda self, pending, now: None),
@@ -282,22 +299,22 @@
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_the_checker_sees_a_broken_rule(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(*BROKEN[name])
-    if name == "accepts_requests":  # list changes alone would still keep drained endpoints out of the pools
-        monkeypatch.setattr(EndpointRegistry, "rebuild_pools", _keep_all)
+@pytest.mark.parametrize("name", DEFECTS)
+def test_the_checker_detects_a_broken_rule(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(*DEFECTS[name])
+    if name == "accepts_requests":  # the pools alone would still leave out draining endpoints
+        monkeypatch.setattr(EndpointRegistry, "rebuild_pools", _rebuild_with_all_ready)
     with pytest.raises((AssertionError, LookupError, KeyError)):
-        find_a_bad_day()
+        find_counterexample()
 
 
-def _keep_all(self: EndpointRegistry) -> None:
-    real = {endpoint.id: endpoint.state for endpoint in self.by_id.values()}
+def _rebuild_with_all_ready(self: EndpointRegistry) -> None:
+    states = {endpoint.id: endpoint.state for endpoint in self.by_id.values()}
     for endpoint in self.by_id.values():
         endpoint.state = EndpointState.READY
     _REBUILD_POOLS(self)
     for endpoint in self.by_id.values():
-        endpoint.state = real[endpoint.id]
+        endpoint.state = states[endpoint.id]
 
 
 _REBUILD_POOLS = EndpointRegistry.rebuild_pools
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a request: power of two choices, filters, fallback, and time for an answer."""
+"""Tests of endpoint selection: power of two choices, filters, fallback, and time for an answer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     end_attempt,
     make_balancer,
     make_entries,
-    queue_attempts,
+    record_queued_answers,
     send_request,
     sent_to,
 )
@@ -31,7 +31,7 @@
 )
 
 
-def test_own_attempts_in_flight_decide_first() -> None:
+def test_attempts_in_flight_outweigh_utilization() -> None:
     balancer = make_balancer(EndpointEntry("idle"), EndpointEntry("busy"))
     for endpoint in balancer.ready:
         endpoint.answered = True
@@ -54,11 +54,11 @@
 
 def test_sampling_follows_the_listed_size() -> None:
     balancer = make_balancer(EndpointEntry("large", weight=3.0), EndpointEntry("small", weight=1.0))
-    drawn = [
+    sampled = [
         balancer.registry.pool.sample(balancer.random.random(), balancer.registry.speed_by_kind).id
         for _ in range(4000)
     ]
-    assert 2900 < drawn.count("large") < 3100
+    assert 2900 < sampled.count("large") < 3100
 
 
 def test_kinds_that_report_more_utilization_are_sampled_less() -> None:
@@ -69,14 +69,14 @@
         end_attempt(
             balancer, 100.01 + n / 50, n, endpoint, util=0.9 if balancer.endpoints[endpoint].kind else 0.5
         )
-    drawn = [
+    sampled = [
         balancer.registry.pool.sample(balancer.random.random(), balancer.registry.speed_by_kind).kind
         for _ in range(2000)
     ]
-    assert 20 < drawn.count(1) < 600
+    assert 20 < sampled.count(1) < 600
 
 
-def test_the_utilization_filter_and_the_fallback() -> None:
+def test_a_busy_endpoint_is_filtered_unless_all_are_busy() -> None:
     balancer = make_balancer(*make_entries(4))
     for endpoint in balancer.ready:
         endpoint.answered = True
@@ -89,18 +89,18 @@
         "s1",
         "s2",
         "s3",
-    }  # all over: unfiltered
+    }  # all exceed the limit: no filter applies
 
 
 def test_an_endpoint_on_probation_gets_one_request_until_its_first_answer() -> None:
     balancer = make_balancer(*make_entries(10))
     for endpoint in balancer.ready:
         endpoint.answered = endpoint.id != "s1"
-    seen = [sent_to(balancer, 100.0, n) for n in range(60)]
-    assert seen.count("s1") == 1
+    selected = [sent_to(balancer, 100.0, n) for n in range(60)]
+    assert selected.count("s1") == 1
 
 
-def test_where_all_are_busy_utilization_filters_none() -> None:
+def test_utilization_filters_none_if_the_whole_fleet_reports_being_busy() -> None:
     balancer = make_balancer(*make_entries(8))
     for n in range(400):
         endpoint = sent_to(balancer, 100.0 + n / 50, n)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("value", [None, -1.0, math.nan, math.inf, "busy", 7.0])
-def test_odd_reports_do_not_spoil_a_score(value: Any) -> None:
+def test_invalid_reports_keep_the_score_within_bounds(value: Any) -> None:
     balancer = make_balancer(*make_entries(1))
     balancer.outliers.record_result(
         balancer.endpoints["s0"],
@@ -124,7 +124,7 @@
     )
 
 
-def test_draining_and_gone_endpoints_get_nothing() -> None:
+def test_draining_and_gone_endpoints_get_no_requests() -> None:
     balancer = make_balancer(*make_entries(3))
     balancer.handle(
         100.0, [EndpointList((EndpointEntry("s0", state=EndpointState.DRAINING),), complete=False)]
@@ -133,7 +133,7 @@
     assert {sent_to(balancer, 100.0, n) for n in range(30)} == {"s2"}
 
 
-def test_every_request_is_rejected_where_no_endpoint_can_take_it() -> None:
+def test_requests_are_rejected_without_a_ready_endpoint() -> None:
     for entries in ([], make_entries(2, state=EndpointState.DRAINING)):
         balancer = make_balancer(*entries)
         assert send_request(balancer, 100.0, 1) == [Reject(1)]
@@ -141,7 +141,7 @@
 
 
 def test_an_answer_that_has_begun_does_not_count_as_in_flight() -> None:
-    """Slow readers must not decide where requests go."""
+    """Guards against slow readers that influence selection."""
     balancer = make_balancer(*make_entries(2))
     for endpoint in balancer.ready:
         endpoint.answered = True
@@ -154,15 +154,18 @@
     )
 
 
-def test_an_endpoint_that_fails_fast_gets_little_while_the_others_are_too_busy_for_the_filters() -> None:
-    """The filter may not follow the failing endpoint's own failures, nor the fallback its empty queue."""
+def test_an_endpoint_that_fails_fast_gets_few_requests_while_the_others_are_too_busy_for_the_filters() -> (
+    None
+):
+    """Guards against an error rate limit that rises with the failing endpoint's own failures, and against a fallback
+    that prefers its empty queue."""
     balancer = make_balancer(*make_entries(10))
     sent = 0
     for n in range(600):
         now = 100.0 + n / 100
         for endpoint in balancer.endpoints.values():
             endpoint.utilization, endpoint.utilization_at, endpoint.answered = 1.0, now, True
-            if endpoint.id != "s0":  # each has work of its own
+            if endpoint.id != "s0":  # the others have attempts in flight
                 endpoint.in_flight = {(10_000, k): now for k in range(6)}
         balancer.outliers.mean_utilization = 0.5
         endpoint_id = sent_to(balancer, now, n, class_index=2)
@@ -178,18 +181,18 @@
     assert sent < 60
 
 
-def test_an_own_queue_that_leaves_no_time_rejects_the_class_with_less_time_first() -> None:
+def test_a_queue_that_leaves_no_time_rejects_the_class_with_less_time_first() -> None:
     balancer = make_balancer(*make_entries(2), classes=(HASTY, PATIENT))
-    queue_attempts(balancer, pace=0.04, at=100.0)
-    taken = [sent_to(balancer, 100.0, n) is not None for n in range(12)]
-    assert taken == [True] * 6 + [False] * 6  # three each: a fourth would come after 160 ms
+    record_queued_answers(balancer, seconds_per_attempt=0.04, at=100.0)
+    accepted = [sent_to(balancer, 100.0, n) is not None for n in range(12)]
+    assert accepted == [True] * 6 + [False] * 6  # three each: a fourth would come after 160 ms
     assert all(sent_to(balancer, 100.0, n, class_index=1) is not None for n in range(12, 20))
     assert balancer.shed_level == 0.0
 
 
-def test_room_is_used_as_soon_as_a_queue_has_gone() -> None:
+def test_requests_are_accepted_again_once_the_queue_is_empty() -> None:
     balancer = make_balancer(*make_entries(2), classes=(HASTY, PATIENT))
-    queue_attempts(balancer, pace=0.04, at=100.0)
+    record_queued_answers(balancer, seconds_per_attempt=0.04, at=100.0)
     sent = {n: endpoint for n in range(12) if (endpoint := sent_to(balancer, 100.0, n))}
     assert sent_to(balancer, 100.01, 50) is None
     for number, endpoint in sent.items():
@@ -197,18 +200,18 @@
     assert sent_to(balancer, 100.05, 51) is not None
 
 
-def test_without_an_own_queue_nothing_is_rejected_for_a_slow_answer() -> None:
+def test_slow_answers_reject_nothing_without_a_queue() -> None:
     balancer = make_balancer(*make_entries(1), classes=(HASTY, PATIENT))
-    queue_attempts(balancer, pace=0.4, at=100.0)
+    record_queued_answers(balancer, seconds_per_attempt=0.4, at=100.0)
     assert sent_to(balancer, 100.0, 1) == "s0"
     assert sent_to(balancer, 100.0, 2) is None
     assert (
         sent_to(balancer, 100.0 + 2 * selection.TIME_PER_ATTEMPT_VALID_S, 3) == "s0"
-    )  # no news for long enough
+    )  # the last answer is too old to count
 
 
-def test_a_restart_forgets_the_time_per_attempt() -> None:
+def test_a_restart_resets_the_time_per_attempt() -> None:
     balancer = make_balancer(*make_entries(1), classes=(HASTY, PATIENT))
-    queue_attempts(balancer, pace=0.4, at=100.0)
+    record_queued_answers(balancer, seconds_per_attempt=0.4, at=100.0)
     balancer.handle(100.0, [EndpointList((EndpointEntry("s0", started=100.0),))])
     assert balancer.endpoints["s0"].time_per_attempt == 0.0
--- a/tests/policy/test_sticky_sessions.py
+++ b/tests/policy/test_sticky_sessions.py
@@ -1,4 +1,4 @@
-"""Sticky sessions."""
+"""Tests of sticky sessions."""
 
 from __future__ import annotations
 
@@ -39,18 +39,18 @@
 
 
 @pytest.mark.parametrize("session", ["unknown", "", "s9", "gone"])
-def test_a_session_of_no_endpoint_here_is_selected_for_like_any_other(session: str) -> None:
+def test_a_session_of_an_unlisted_endpoint_is_ignored(session: str) -> None:
     balancer = make_warm_balancer(EndpointEntry("s0"), EndpointEntry("s1"), EndpointEntry("gone"))
     drain(balancer, 101.0, "gone", state=EndpointState.GONE)
     assert count_sent(balancer, 101.0, session).keys() == {"s0", "s1"}
 
 
 @pytest.mark.parametrize("keeps", [True, False])
-def test_a_draining_endpoint_keeps_its_sessions_where_the_settings_say_so(keeps: bool) -> None:
+def test_a_draining_endpoint_keeps_its_sessions_only_if_configured(keeps: bool) -> None:
     balancer = make_warm_balancer(EndpointEntry("s0"), EndpointEntry("s1"), sticky_while_draining=keeps)
     drain(balancer, 101.0, "s0")
     assert count_sent(balancer, 102.0, "s0").keys() == ({"s0"} if keeps else {"s1"})
-    assert count_sent(balancer, 107.0).keys() == {"s1"}  # and gets nothing else in any case
+    assert count_sent(balancer, 107.0).keys() == {"s1"}  # it gets no other requests in either case
 
 
 def test_the_last_endpoint_keeps_its_sessions_when_it_drains() -> None:
@@ -60,7 +60,7 @@
     assert count_sent(balancer, 107.0) == {None: len(REQUEST_NUMBERS)}
 
 
-def test_a_session_moves_on_from_an_endpoint_that_fails() -> None:
+def test_a_session_moves_away_from_a_failing_endpoint() -> None:
     balancer = make_warm_balancer(EndpointEntry("s0"), EndpointEntry("s1"))
     for _ in range(2):
         balancer.outliers.record_result(balancer.endpoints["s0"], AttemptResult.RESET, None, balancer.now)
@@ -68,14 +68,14 @@
     assert select_for(balancer, 102.0, 2, "s0") == "s0"  # and is tried again after a while
 
 
-def test_a_retry_does_not_keep_to_the_session() -> None:
+def test_a_retry_ignores_the_session() -> None:
     balancer = make_warm_balancer(EndpointEntry("s0"), EndpointEntry("s1"))
     assert select_for(balancer, 101.0, 1, "s0") == "s0"
     actions = end_attempt(balancer, 101.1, 1, "s0", AttemptResult.RESET)
     assert [a.endpoint for a in actions if isinstance(a, Send)] == ["s1"]
 
 
-def test_a_keyed_session_that_may_have_run_stays_in_its_group() -> None:
+def test_a_keyed_request_that_may_have_run_is_not_retried_outside_its_group() -> None:
     entries = [EndpointEntry("s0", cell=1), EndpointEntry("s1", cell=2)]
     balancer = make_warm_balancer(*entries, classes=(KEYED_CELL,))
     assert select_for(balancer, 101.0, 1, "s0") == "s0"
@@ -83,7 +83,7 @@
     assert not [a for a in actions if isinstance(a, Send)]
 
 
-def test_a_session_does_not_push_over_an_endpoint_that_warms_up() -> None:
+def test_sessions_do_not_bypass_the_pace_of_an_endpoint_that_warms_up() -> None:
     balancer = make_warm_balancer(
         EndpointEntry("s0", started=100.5), EndpointEntry("s1"), rules=SafetyRules(slow_start_duration=10.0)
     )
--- a/tests/policy/test_tenant_quota.py
+++ b/tests/policy/test_tenant_quota.py
@@ -1,4 +1,4 @@
-"""Tenants' quotas."""
+"""Tests of tenants' quotas."""
 
 from __future__ import annotations
 
@@ -31,6 +31,6 @@
     while not quota.is_exceeded(0, 100.0):
         quota.record_admitted(0)
         admitted += 1
-    assert admitted == 3  # two a second of this proxy, and one
+    assert admitted == 3  # its share of two a second, and one request
     assert quota.is_exceeded(0, 100.4)
     assert not quota.is_exceeded(0, 100.5)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on small batches of the project's own making."""
+"""Tests of the simulator adapter on small batches of events."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return [{"backend": n, "mode": "ready", "weight": 1, "new": 1} for n in names]
 
 
-def start(proxy: int, *names: str) -> list[dict[str, Any]]:
+def start_events(proxy: int, *names: str) -> list[dict[str, Any]]:
     return [
         {"verb": "born", "proxy": proxy, "nonce64": 7, "boot-info": SETTINGS},
         {"verb": "register", "table": 0, "hosts": hosts(*names)},
@@ -35,35 +35,37 @@
     ]
 
 
-def ask(proxy: int, job: int) -> dict[str, Any]:
+def ingress(proxy: int, job: int) -> dict[str, Any]:
     return {"verb": "ingress", "proxy": proxy, "job": job, "left-s": 2.0, "type": 0}
 
 
-def reply(link: SimulatorSession, *events: dict[str, Any], now: float = 1.0) -> list[dict[str, Any]]:
+def reply_to(link: SimulatorSession, *events: dict[str, Any], now: float = 1.0) -> list[dict[str, Any]]:
     output: list[dict[str, Any]] = link.reply({"ts-s": now, "seq": 1, "inbox": list(events)})["output"]
     return output
 
 
-def routes(actions: list[dict[str, Any]]) -> dict[int, str]:
+def routed_backends(actions: list[dict[str, Any]]) -> dict[int, str]:
     return {a["proxy"]: a["backend"] for a in actions if a["verb"] == "route"}
 
 
-def test_a_table_number_used_again_in_a_batch_is_read_in_order() -> None:
-    out = reply(SimulatorSession(), *start(0, "x"), *start(1, "y"), ask(0, 1), ask(1, 2))
-    assert routes(out) == {0: "x", 1: "y"}
+def test_a_table_number_reused_in_a_batch_applies_in_order() -> None:
+    out = reply_to(
+        SimulatorSession(), *start_events(0, "x"), *start_events(1, "y"), ingress(0, 1), ingress(1, 2)
+    )
+    assert routed_backends(out) == {0: "x", 1: "y"}
 
 
-def test_killed_and_born_in_one_batch_starts_afresh() -> None:
+def test_a_proxy_killed_and_started_in_one_batch_keeps_no_state() -> None:
     link = SimulatorSession()
-    reply(link, *start(0, "x"))
-    out = reply(link, ask(0, 1), {"verb": "killed", "proxy": 0}, *start(0, "z"), ask(0, 2))
+    reply_to(link, *start_events(0, "x"))
+    out = reply_to(link, ingress(0, 1), {"verb": "killed", "proxy": 0}, *start_events(0, "z"), ingress(0, 2))
     assert [a["job"] for a in out if a["verb"] == "route"] == [2]
-    assert routes(out) == {0: "z"}
+    assert routed_backends(out) == {0: "z"}
 
 
 def test_unknown_events_fields_and_report_values_are_skipped() -> None:
     link = SimulatorSession()
-    reply(link, *start(0, "x"), {"verb": "unheard_of", "proxy": 0}, {**ask(0, 1), "odd": []})
+    reply_to(link, *start_events(0, "x"), {"verb": "unheard_of", "proxy": 0}, {**ingress(0, 1), "odd": []})
     done = {
         "verb": "response",
         "proxy": 0,
@@ -75,19 +77,19 @@
         "duration-s": 0.1,
         "metrics": {"x9": 3, "utilization": "much"},
     }
-    assert all(a["verb"] != "fault" for a in reply(link, done))
-    assert reply(link, {"verb": "withdrawn", "proxy": 0, "job": 1}) == []
+    assert all(a["verb"] != "fault" for a in reply_to(link, done))
+    assert reply_to(link, {"verb": "withdrawn", "proxy": 0, "job": 1}) == []
 
 
-def test_an_exception_in_the_decisions_is_a_fault_with_its_text() -> None:
+def test_an_exception_in_the_policy_is_reported_as_a_fault_with_its_text() -> None:
     link = SimulatorSession()
-    reply(link, *start(0, "x"))
+    reply_to(link, *start_events(0, "x"))
     bad = {"verb": "response", "proxy": 0, "job": 9, "shot": 0, "backend": "x", "reason": "served"}
-    (fault,) = reply(link, bad)
+    (fault,) = reply_to(link, bad)
     assert fault["verb"] == "fault" and "never sent" in fault["text"]
 
 
-def test_bad_settings_are_named() -> None:
+def test_invalid_settings_are_named_in_the_error() -> None:
     with pytest.raises(ValueError, match="policy-limits.max-attempts: missing"):
         read_settings({**SETTINGS, "policy-limits": {}})
     with pytest.raises(ValueError, match="classes.effect: 'odd'"):
@@ -95,7 +97,7 @@
 
 
 @pytest.mark.parametrize("line", [b"{", b"[1]", b'{"seq":1,"ts-s":1}', b'{"seq":1,"ts-s":1,"inbox":[3]}'])
-def test_a_broken_line_ends_it_with_one_plain_line(line: bytes) -> None:
+def test_a_malformed_line_ends_the_process_with_a_one_line_error(line: bytes) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "loadbalancer.platform.simulator"],
         input=line + b"\n",
@@ -106,8 +108,8 @@
     assert done.stderr.count(b"\n") == 1 and b"Traceback" not in done.stderr
 
 
-def test_the_same_in_processes_with_different_hash_seeds() -> None:
-    events = [*start(0, *[f"s{i}" for i in range(30)]), *[ask(0, n) for n in range(50)]]
+def test_the_output_does_not_depend_on_the_hash_seed() -> None:
+    events = [*start_events(0, *[f"s{i}" for i in range(30)]), *[ingress(0, n) for n in range(50)]]
     line = json.dumps({"ts-s": 1.0, "seq": 1, "inbox": events}).encode() + b"\n"
     outputs = []
     for seed in ("1", "2"):
--- a/tests/test_slow_attempts.py
+++ b/tests/test_slow_attempts.py
@@ -1,4 +1,4 @@
-"""What becomes of a request whose first attempt is not answered, where the time is still enough for another one."""
+"""Tests of requests whose first attempt is not answered while there is still time for another one."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 PATIENT = '[[class]]\nname = "c"\naim = "3s"\ndeadline = "6s"\n'
 
 
-class OnlyTheFirstIsSilent:
-    """A script of several members: whichever is called first does not answer, whoever comes after does."""
+class FirstCallIsSilent:
+    """Script shared by several members: the first call gets no answer, later calls do."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -30,11 +30,11 @@
             await call.left()
 
 
-# Guards against an attempt that is cancelled for another one, which then is not made.
+# Guards against an attempt that is cancelled so that another follows, which then is not sent.
 @pytest.mark.parametrize("repeats", ["", 'repeats = { on = ["timeout"] }'])
 def test_a_silent_first_attempt_is_followed_by_one_that_is_answered(tmp_path: Path, repeats: str) -> None:
     async def scene() -> None:
-        script = OnlyTheFirstIsSilent()
+        script = FirstCallIsSilent()
         members = [ScriptedBackend(name, script) for name in "abc"]
 
         def config() -> str:
@@ -47,8 +47,8 @@
     play(scene)
 
 
-class TheFirstResets:
-    """A script of several members: whichever is called first resets, whoever comes after answers."""
+class FirstCallResets:
+    """Script shared by several members: the first call is reset, later calls are answered."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -58,13 +58,13 @@
         await (resetting(call) if self.calls == 1 else call.say(OK))
 
 
-# Guards against a request that has fewer attempts since its first connection comes up late.
+# Guards against a request that loses an attempt because its first connection is established late.
 @pytest.mark.parametrize("cls", ["safe", "keyed"])
 def test_an_attempt_that_is_cancelled_before_its_connection_is_up_costs_no_attempt(
     cls: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        script = TheFirstResets()
+        script = FirstCallResets()
         members = [ScriptedBackend(name, script) for name in "abc"]
         connects = hold_connects(monkeypatch)
         limits = with_limits(**{"max-attempts": 2, "second-copies": False, "cancelling": True})
