--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -18,8 +18,8 @@
 EJECT_AFTER = 2  # consecutive failures, not counting slow answers, after which an endpoint is ejected
 
 TIME_PER_ATTEMPT_STEP = 0.1  # averages over about a dozen answers, a fraction of a second under load
-# Until there are this many answers, the time per attempt is their plain mean and is not used: with fewer, one
-# delayed answer could dominate it.
+# Up to this many answers the time per attempt is their plain mean. With fewer it is not used: one delayed
+# answer could dominate it.
 MIN_TIMED_ANSWERS = 5
 
 AttemptKey = tuple[int, int]
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -17,9 +17,7 @@
 ERROR_RATE_MARGIN = 0.3  # and only if its rate exceeds that of the fleet by this
 MAX_MEAN_ERROR_RATE = 0.4  # cap of the mean over attempts, unless the median endpoint fails more
 FAILING_ERROR_RATE = 0.9  # an endpoint over this has served almost nothing recently
-OTHER_CLASSES_SHARE = (
-    0.5  # of the endpoint's overall error rate, the minimum for a class with a rate of its own
-)
+OTHER_CLASSES_SHARE = 0.5  # of the overall error rate, the minimum for a class with its own rate
 MEDIAN_INTERVAL_S = 0.1  # time for which a computed median error rate is used
 PROBE_INTERVAL_S = 1.0  # first interval between requests to an ejected endpoint; doubles with each failure
 MAX_BACKOFF_DOUBLINGS = 8
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -48,6 +48,7 @@
 
 
 def count_in_flight(balancer: Balancer) -> int:
+    """Return the attempts in flight, counted at the endpoints."""
     return sum(len(endpoint.in_flight) for endpoint in balancer.endpoints.values())
 
 
--- a/tests/policy/test_odd_input.py
+++ b/tests/policy/test_odd_input.py
@@ -27,6 +27,7 @@
 
 
 def make_balancer(*entries: EndpointEntry, instance_count: int = 40) -> Balancer:
+    """Return a balancer at time 100 that has received a list of the endpoints."""
     balancer = Balancer(PolicySettings((CLASS,), instance_count=instance_count), seed=1)
     balancer.handle(100.0, [EndpointList(entries)])
     return balancer
