--- a/loadbalancer/policy/client_retries.py
+++ b/loadbalancer/policy/client_retries.py
@@ -69,13 +69,13 @@
         """Record a request; return True if it looks like a first request or there are too few to tell."""
         self.unserved *= math.exp((self._updated_at - now) / RATE_MEMORY_S)
         self._updated_at = now
-        group = self._group_of(time_remaining)
+        group = self._find_or_add_group(time_remaining)
         group.time_remaining += (time_remaining - group.time_remaining) * GROUP_CENTRE_STEP
         group.weight += 1.0
         most_common = max(self._groups, key=lambda group: group.weight)
         return group is most_common or most_common.weight < MIN_GROUP_WEIGHT
 
-    def _group_of(self, time_remaining: float) -> TimeRemainingGroup:
+    def _find_or_add_group(self, time_remaining: float) -> TimeRemainingGroup:
         found: TimeRemainingGroup | None = None
         for group in self._groups:
             group.weight *= GROUP_DECAY
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -55,7 +55,7 @@
         self._send_rate = send_rate
         self._usual_rate = 0.0  # attempts a second to an endpoint of size 1
         self._usual_rate_at = 0.0
-        self._usual_rate_held_until = -math.inf
+        self._usual_rate_frozen_until = -math.inf
         self._ramp_s = RAMP_S
         self._ramp_suspended_until = -math.inf
 
@@ -121,7 +121,7 @@
         self._ramp_s = 0.0 if recently_started > MAX_RAMPING_SHARE * len(ready) else RAMP_S
         warming = [endpoint.started for endpoint in ready if now - endpoint.started < self._duration]
         if len(warming) > MAX_WARMING_SHARE * len(ready):
-            self._usual_rate_held_until = max(warming) + self._duration
+            self._usual_rate_frozen_until = max(warming) + self._duration
 
     def pace(self, endpoint: Endpoint, age: float, now: float) -> float:
         """Return the requests a second that this proxy may send to an endpoint that warms up.
@@ -162,7 +162,7 @@
         """
         elapsed = now - self._usual_rate_at
         self._usual_rate_at = now
-        if now < self._usual_rate_held_until or not self._registry.pool.kinds:
+        if now < self._usual_rate_frozen_until or not self._registry.pool.kinds:
             return
         total_size = self._registry.pool.total_size(self._registry.speed_by_kind)
         memory_s = max(1e-3, min(USUAL_RATE_MEMORY_S, now - self._send_rate.started_at))
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -39,8 +39,8 @@
     return {"verb": "ingress", "proxy": proxy, "job": job, "left-s": 2.0, "type": 0}
 
 
-def reply_to(link: SimulatorSession, *events: dict[str, Any], now: float = 1.0) -> list[dict[str, Any]]:
-    output: list[dict[str, Any]] = link.reply({"ts-s": now, "seq": 1, "inbox": list(events)})["output"]
+def reply_to(session: SimulatorSession, *events: dict[str, Any], now: float = 1.0) -> list[dict[str, Any]]:
+    output: list[dict[str, Any]] = session.reply({"ts-s": now, "seq": 1, "inbox": list(events)})["output"]
     return output
 
 
@@ -56,16 +56,18 @@
 
 
 def test_a_proxy_killed_and_started_in_one_batch_keeps_no_state() -> None:
-    link = SimulatorSession()
-    reply_to(link, *start_events(0, "x"))
-    out = reply_to(link, ingress(0, 1), {"verb": "killed", "proxy": 0}, *start_events(0, "z"), ingress(0, 2))
+    session = SimulatorSession()
+    reply_to(session, *start_events(0, "x"))
+    out = reply_to(
+        session, ingress(0, 1), {"verb": "killed", "proxy": 0}, *start_events(0, "z"), ingress(0, 2)
+    )
     assert [a["job"] for a in out if a["verb"] == "route"] == [2]
     assert routed_backends(out) == {0: "z"}
 
 
 def test_unknown_events_fields_and_report_values_are_skipped() -> None:
-    link = SimulatorSession()
-    reply_to(link, *start_events(0, "x"), {"verb": "unheard_of", "proxy": 0}, {**ingress(0, 1), "odd": []})
+    session = SimulatorSession()
+    reply_to(session, *start_events(0, "x"), {"verb": "unheard_of", "proxy": 0}, {**ingress(0, 1), "odd": []})
     done = {
         "verb": "response",
         "proxy": 0,
@@ -77,15 +79,15 @@
         "duration-s": 0.1,
         "metrics": {"x9": 3, "utilization": "much"},
     }
-    assert all(a["verb"] != "fault" for a in reply_to(link, done))
-    assert reply_to(link, {"verb": "withdrawn", "proxy": 0, "job": 1}) == []
+    assert all(a["verb"] != "fault" for a in reply_to(session, done))
+    assert reply_to(session, {"verb": "withdrawn", "proxy": 0, "job": 1}) == []
 
 
 def test_an_exception_in_the_policy_is_reported_as_a_fault_with_its_text() -> None:
-    link = SimulatorSession()
-    reply_to(link, *start_events(0, "x"))
+    session = SimulatorSession()
+    reply_to(session, *start_events(0, "x"))
     bad = {"verb": "response", "proxy": 0, "job": 9, "shot": 0, "backend": "x", "reason": "served"}
-    (fault,) = reply_to(link, bad)
+    (fault,) = reply_to(session, bad)
     assert fault["verb"] == "fault" and "never sent" in fault["text"]
 
 
