--- a/emulator/rules.py
+++ b/emulator/rules.py
@@ -32,7 +32,7 @@
 class NoLimit(ConcurrencyLimit):
     """The program's own limit is not asked."""
 
-    def is_full(self, class_index: int, gives_way: bool) -> bool:
+    def is_full(self, class_index: int, ranks_below_class: bool) -> bool:
         return False
 
     def record_outcome(self, pending: PendingRequest, event: Outcome) -> None:
@@ -162,11 +162,11 @@
         super().__init__(*parts)
         self.limit, self.late, self.usual_flight = math.inf, 0.0, 0.0
 
-    def is_full(self, class_index: int, gives_way: bool) -> bool:
+    def is_full(self, class_index: int, ranks_below_class: bool) -> bool:
         self.late_share = float(
             self.limit < math.inf
         )  # which the program asks for before it holds to a limit
-        return super().is_full(class_index, gives_way)
+        return super().is_full(class_index, ranks_below_class)
 
     def record_outcome(self, pending: PendingRequest, event: Outcome) -> None:
         if event.result not in (AttemptResult.SERVED, AttemptResult.TIMEOUT, AttemptResult.FULL):
@@ -214,7 +214,7 @@
 class LevelLimit(ConcurrencyLimit):
     """Learns as the program's limit does, and rejects nothing."""
 
-    def is_full(self, class_index: int, gives_way: bool) -> bool:
+    def is_full(self, class_index: int, ranks_below_class: bool) -> bool:
         return False
 
 
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -166,7 +166,7 @@
         """Return whether selection would skip an endpoint now for a reason other than its load."""
         return self.selector.avoids(self.registry.by_id.get(name), self.now)
 
-    def may_leave(self, now: float, request: int, attempt_number: int) -> bool:
+    def may_send_attempt(self, now: float, request: int, attempt_number: int) -> bool:
         """Return whether an attempt may still be sent now that its connection is established.
 
         During the connect its endpoint may have started to drain or gone away, the request may have been
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -40,7 +40,7 @@
         self.late_share = 0.0
         """Share of recent attempts that were late."""
 
-    def is_full(self, class_index: int, gives_way: bool) -> bool:
+    def is_full(self, class_index: int, ranks_below_class: bool) -> bool:
         """Return whether the limit leaves no room for a request.
 
         Selection can't avoid queues that exist at all endpoints at once. They cost each request time, and
@@ -50,12 +50,12 @@
 
         Args:
             class_index: The class of the request; classes of less value for their work have a lower limit.
-            gives_way: Whether it ranks below its class, as it can only be late or its tenant is over quota.
+            ranks_below_class: Whether it can only be late or its tenant is over quota, which lowers its rank.
         """
         if self.late_share < MIN_LATE_SHARE:
             return False
         values = self._value.by_class()
-        rank = sum(value > values[class_index] for value in values) + gives_way
+        rank = sum(value > values[class_index] for value in values) + ranks_below_class
         if self.in_flight < max(MIN_LIMIT, self.limit * LIMIT_SHARE_BY_RANK**rank):
             return False
         return self._jitter.random() >= ADMITTED_OVER_LIMIT_SHARE
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -322,7 +322,7 @@
         request = cast(OpenRequest, attempt.request)
         if request.done or request.client.has_left():
             return True
-        return late and not self.balancer.may_leave(self.now(), request.id, attempt.number)
+        return late and not self.balancer.may_send_attempt(self.now(), request.id, attempt.number)
 
     def finish_attempt(
         self,
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -179,8 +179,8 @@
     def open_attempts(self) -> list[tuple[int, int]]:
         return [(n, i) for n, r in self.requests.items() for i, s in enumerate(r.sent) if s.open]
 
-    def check_may_leave(self) -> None:
-        """Check that `may_leave` allows each open attempt exactly if the rules do."""
+    def check_may_send_attempt(self) -> None:
+        """Check that `may_send_attempt` allows each open attempt exactly if the rules do."""
         for number, attempt in self.open_attempts():
             record = self.requests[number]
             others = [s for n, s in enumerate(record.sent) if n != attempt]
@@ -197,7 +197,7 @@
                     and self.now < possibly_run[0].at + request_class.deduplication_window
                 )
             )
-            assert self.balancer.may_leave(self.now, number, attempt) == expected, (
+            assert self.balancer.may_send_attempt(self.now, number, attempt) == expected, (
                 request_class.name,
                 record,
                 entry,
@@ -205,7 +205,7 @@
 
     def fire_due_events(self) -> None:
         """Fire the timers that are due, and time out open attempts at the deadline."""
-        self.check_may_leave()
+        self.check_may_send_attempt()
         ready = sorted(t for t in self.timers if t[0] <= self.now)
         self.timers = [t for t in self.timers if t[0] > self.now]
         for _, token in ready:
@@ -251,7 +251,7 @@
             entry = checker.entries[f"s{value % endpoint_count}"]._replace(state=detail)
             checker.entries[entry.endpoint] = entry
             checker.handle([EndpointList((entry,), complete=False)])
-            checker.check_may_leave()
+            checker.check_may_send_attempt()
         elif step == "withdraw":
             waiting = [n for n, r in checker.requests.items() if not r.ended]
             if waiting:
@@ -295,7 +295,7 @@
     "may_reject": (idempotency, "may_reject", lambda request_class, attempts: True),
     "accepts_requests": (SlowStart, "accepts_requests", lambda self, endpoint, now: True),
     "reject_or_fail": (Balancer, "_reject_or_fail", lambda self, pending, now: None),
-    "may_leave": (Balancer, "may_leave", lambda self, now, request, attempt_number: True),
+    "may_send_attempt": (Balancer, "may_send_attempt", lambda self, now, request, attempt_number: True),
 }
 
 
