--- a/loadbalancer/fleet/membership/__init__.py
+++ b/loadbalancer/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances of the fleet live: SWIM with Lifeguard's suspicion, gossip and anti-entropy. No I/O."""
+"""Group membership of the fleet: SWIM with Lifeguard's suspicion, gossip and anti-entropy. Does no I/O."""
--- a/loadbalancer/fleet/membership/context.py
+++ b/loadbalancer/fleet/membership/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one membership view have in common."""
+"""The state that all components of one membership view share."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(slots=True)
 class ViewContext:
-    """The subject of the view, its table, and where decisions go.
+    """Holds the local member, the member table, and the actions that the components have requested.
 
     Attributes:
-        local: This instance.
+        local: This instance as a member of the fleet.
         timers: The protocol's timers.
-        random: Source of all random draws; their order is part of the view's behaviour.
+        random: Source of all random numbers; the order of the draws is part of the view's behaviour.
         table: All other members.
-        counters: Events by name, for `fleet status`.
+        counters: Number of events by name, for `fleet status`.
     """
 
     local: LocalMember
@@ -32,15 +32,15 @@
     _actions: list[Action] = field(default_factory=list)
 
     def request(self, action: Action) -> None:
-        """Have an action carried out after the event that is being handled, in the order of requests."""
+        """Queue an action; actions run in the order of requests, after the current event has been handled."""
         self._actions.append(action)
 
     def notify(self, event: str, text: str) -> None:
-        """Have a line written to the log."""
+        """Request a log line."""
         self.request(MembershipNotice(event, text))
 
     def take_actions(self) -> list[Action]:
-        """Return the actions that were requested since the last call."""
+        """Return the actions that were requested since the last call, and clear the queue."""
         actions = self._actions
         self._actions = []
         return actions
--- a/loadbalancer/fleet/membership/dissemination.py
+++ b/loadbalancer/fleet/membership/dissemination.py
@@ -1,12 +1,13 @@
-"""Dissemination: each message carries member states, and what is new goes out at once (SWIM, section 4).
+"""Dissemination: member states are piggybacked on messages, and new ones are sent at once (SWIM, section 4).
 
 Rules:
 
-1. Each message but hello and name-conflict notices carries as many states of the gossip queue as fit. A notice that an
-   instance is alive carries that instance's own state alone.
-2. A member that is not held alive gets the state in which it is held with each message, so that it may refute it.
-3. States that wait are sent to some members at fixed intervals whatever the pace of probes: an instance of poor local
-   health probes rarely, and must not be the last to spread what it knows.
+1. Each message except hello and name-conflict notices carries as many states of the gossip queue as fit. An alive
+   notice carries only its sender's own state.
+2. Each message to a member that is not recorded as alive includes that member's recorded state, so that the member can
+   refute it.
+3. Queued states are sent to some members at a fixed interval that does not depend on the probe interval: an instance
+   of poor local health probes rarely, and must not be the last to spread what it knows.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 from loadbalancer.fleet.settings import Address
 from loadbalancer.fleet.wire import AliveNotice, GossipReply, Hello, Message, NameConflictNotice, Packet
 
-#: Members that get the queued states at each gossip interval.
+#: Number of members that receive the queued states at each gossip interval.
 GOSSIP_FANOUT = 2
 
 
 class Dissemination:
-    """Sends messages with gossip on them; owns the gossip queue and its timer.
+    """Sends messages with piggybacked member states; owns the gossip queue and its timer.
 
     Attributes:
-        queue: Member states that are to be passed on.
+        queue: Member states that are still to be disseminated.
     """
 
     def __init__(self, context: ViewContext) -> None:
@@ -40,13 +41,13 @@
 
     @property
     def next_timer(self) -> float:
-        """When queued states are sent without waiting for another message."""
+        """The time of the next gossip round; infinity while nothing is queued or no other member lives."""
         return self._gossip_at if len(self.queue) and self._context.table.living else math.inf
 
     def run_timers(self, now: float) -> None:
-        """Send queued states to some members if their time has come (rule 3)."""
+        """Send queued states to some members if the gossip interval has elapsed (rule 3)."""
         if now >= self._gossip_at and len(self.queue):
-            self._gossip_at = now + self._context.timers.gossip
+            self._gossip_at = now + self._context.timers.gossip_interval
             self.spread(GOSSIP_FANOUT)
 
     def spread(self, fanout: int) -> None:
@@ -61,7 +62,7 @@
         Args:
             peer: The receiver.
             message: What to send.
-            own_states: States that go along in any case, after the one of rule 2.
+            own_states: States that are always included, after the one of rule 2.
         """
         state = peer.state
         required = own_states if state.status == MemberStatus.ALIVE else (state, *own_states)
@@ -75,14 +76,14 @@
         required: Sequence[MemberState] = (),
         receiver_name: str = "",
     ) -> None:
-        """Send a message with member states by rule 1.
+        """Send a message with piggybacked member states according to rule 1.
 
         Args:
             address: The receiver's host and port.
-            receiver_boot: Boot id of the process that it is meant for, 0 for whichever is there.
+            receiver_boot: Boot id of the receiving process, 0 for any process at the address.
             message: What to send.
-            required: States that go along in any case.
-            receiver_name: The receiver's name, whose state is not gossiped to itself.
+            required: States that are always included.
+            receiver_name: The receiver's name; its own state is not gossiped to it.
         """
         states: tuple[MemberState, ...] = ()
         local = self._context.local
@@ -91,14 +92,14 @@
         elif not isinstance(message, (Hello, NameConflictNotice)):
             reserved_bytes = sum(map(encoded_size, required))
             fleet_size = self._context.table.fleet_size
-            states = (*required, *self.queue.take(fleet_size, reserved_bytes, receiver_name))
+            states = (*required, *self.queue.select_batch(fleet_size, reserved_bytes, receiver_name))
         self._context.request(SendPacket(address, receiver_boot, message, states))
 
     def correct_sender(self, now: float, packet: Packet) -> None:
-        """Tell the sender of a packet that it is not held alive here, so that it may refute that.
+        """Send the sender of a packet its recorded state if that is not alive, so that it can refute it.
 
-        At most once a probe timeout for each member: two that hold one another dead, and neither of which refutes it,
-        would otherwise answer each other without end.
+        Each member is corrected at most once per probe timeout: two members that record each other as dead, and of
+        which neither refutes it, would otherwise answer each other without end.
         """
         peer = self._context.table.get_process(packet.sender, packet.boot)
         if peer is None or peer.state.status == MemberStatus.ALIVE:
--- a/loadbalancer/fleet/membership/events.py
+++ b/loadbalancer/fleet/membership/events.py
@@ -1,4 +1,4 @@
-"""What happens to a membership view (events), and what it wants done (actions)."""
+"""The inputs of a membership view (events) and its outputs (actions)."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PacketReceived:
-    """A message has arrived.
+    """A packet was received.
 
     Attributes:
-        packet: Sealed with a key of the fleet, and not a replay of an earlier one.
+        packet: A packet that was sealed with a key of the fleet and is not a replay.
     """
 
     packet: Packet
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The time `next_timer` has come. All packets that had arrived by then were handed in before."""
+    """The time `next_timer` was reached. All packets received by then have been handled before this event."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """This process ends; the others are to be told."""
+    """This process is shutting down and has to announce that it leaves the fleet."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessReplaced:
-    """A successor has taken this process's place (hot restart), and announces itself."""
+    """A successor process has replaced this one (hot restart) and announces itself."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,9 +42,9 @@
 
     Attributes:
         address: The receiver's host and port.
-        receiver_boot: Boot id of the process that it is meant for, 0 for whichever is there.
+        receiver_boot: Boot id of the receiving process, 0 for any process at the address.
         message: What to send.
-        member_states: Member states that go along with it.
+        member_states: Member states that are piggybacked on the message.
     """
 
     address: Address
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SynchronizeState:
-    """Exchange the whole member tables with one peer over TCP.
+    """Exchange whole member tables with one peer over TCP.
 
     Attributes:
         name: The peer's name.
@@ -73,7 +73,7 @@
     """Write a line to the log.
 
     Attributes:
-        event: Stable name of what has happened.
+        event: Stable name of the event.
         text: Details.
     """
 
--- a/loadbalancer/fleet/membership/failure_detector.py
+++ b/loadbalancer/fleet/membership/failure_detector.py
@@ -1,13 +1,14 @@
-"""The failure detector: one member is probed at a time, directly and then through others (SWIM, section 3.1).
+"""The failure detector: probes one member at a time, directly and then through others (SWIM, section 3.1).
 
 Rules:
 
-1. In each probe interval the next member gets a ping. Without an ack in the probe timeout some others are asked to
-   probe it (ping-req), and it gets a second ping with this instance's own state, as it may not know this instance.
-2. Without any answer until the interval's end the member is suspected. The same silence counts against this instance's
-   local health: all helpers that sent neither ack nor nack, or one where nobody was asked.
-3. Interval and timeout are multiplied by the local health multiplier (local_health.py).
-4. Time in which this instance itself was stopped counts against nobody.
+1. In each probe interval the next member is sent a ping. Without an ack within the probe timeout some other members
+   are asked to probe it (ping-req), and it is sent a second ping with this instance's own state, as it may not know
+   this instance.
+2. A member that has not answered by the end of the interval is suspected. The local health score of this instance is
+   raised too: by the number of helpers that sent neither ack nor nack, or by one if no helper was asked.
+3. The interval and the timeout are multiplied by the local health multiplier (local_health.py).
+4. Time during which this instance itself was stopped is not counted against any member.
 """
 
 from __future__ import annotations
@@ -29,13 +30,13 @@
 
 @dataclass(slots=True)
 class _Probe:
-    """The probe that is under way.
+    """The probe in flight.
 
     Attributes:
         peer: The member that is probed.
-        number: Number of its pings.
-        helpers: How many others were asked to probe it.
-        nacks: How many of them have sent a nack.
+        number: Sequence number that its pings carry.
+        helpers: Number of other members that were asked to probe it.
+        nacks: Number of helpers that have sent a nack.
     """
 
     peer: Peer
@@ -59,7 +60,7 @@
         schedule: ProbeSchedule,
         synchronization: StateSynchronization,
     ) -> None:
-        self.health = LocalHealth(context.timers.health_most)
+        self.health = LocalHealth(context.timers.max_health_score)
         self._context = context
         self._dissemination = dissemination
         self._updates = updates
@@ -74,19 +75,19 @@
     # Time.
 
     def start(self, now: float) -> None:
-        """Begin to probe, at a random time of the first interval."""
-        self._interval_ends_at = now + self._context.timers.period * self._context.random.random()
+        """Start probing after a random part of the first interval."""
+        self._interval_ends_at = now + self._context.timers.probe_interval * self._context.random.random()
 
     @property
     def next_timer(self) -> float:
-        """When the probe under way, or one for another instance, needs attention."""
+        """The earliest deadline of the probe in flight, the probe interval and the probes for other instances."""
         return min(self._interval_ends_at, self._timeout_at, self._indirect_probes.next_timer)
 
     def run_timers(self, now: float) -> None:
-        """Do what is due: excuse a stall, send nacks, ask helpers, end an interval and begin the next."""
-        late = now - self._interval_ends_at
-        if late > self._context.timers.timeout:
-            self._excuse_stall(now, late)
+        """Handle expired deadlines: a stall, overdue nacks, the probe timeout and the end of the probe interval."""
+        stall_s = now - self._interval_ends_at
+        if stall_s > self._context.timers.timeout:
+            self._handle_stall(now, stall_s)
         self._indirect_probes.run_timers(now)
         if now >= self._timeout_at:
             self._request_indirect_probes()
@@ -94,21 +95,21 @@
             self._conclude_probe(now)
             self._begin_interval(now)
 
-    def _excuse_stall(self, now: float, late: float) -> None:
-        """Give up all open probes after this instance was stopped for `late` seconds (rule 4)."""
+    def _handle_stall(self, now: float, stall_s: float) -> None:
+        """Abandon all open probes after this instance was stopped for `stall_s` seconds (rule 4)."""
         self._context.counters["stalls"] += 1
         self.health.degrade()
         self._end_probe()
         self._interval_ends_at = now
         self._indirect_probes.clear()
-        self._updates.postpone_suspicions(now, late)
+        self._updates.postpone_suspicions(now, stall_s)
 
     def _begin_interval(self, now: float) -> None:
-        """Ping the next member (rules 1 and 3)."""
+        """Start the next probe interval and ping the next member (rules 1 and 3)."""
         timers = self._context.timers
         multiplier = self.health.multiplier
         jitter = 0.9 + 0.2 * self._context.random.random()
-        self._interval_ends_at = now + timers.period * multiplier * jitter
+        self._interval_ends_at = now + timers.probe_interval * multiplier * jitter
         self._end_probe()
         peer = self._schedule.next_target()
         if peer is not None:
@@ -120,7 +121,7 @@
         self._timeout_at = math.inf
 
     def _request_indirect_probes(self) -> None:
-        """Have others probe the member: the direct way alone may be lost (rule 1)."""
+        """Ask other members to probe the target, as only the direct path to it may have failed (rule 1)."""
         self._timeout_at = math.inf
         probe = self._probe
         if probe is None:
@@ -133,7 +134,7 @@
         self._messages.repeat_ping(probe.peer, probe.number, self._context.local.state)
 
     def _conclude_probe(self, now: float) -> None:
-        """Suspect the member whose probe is still open at the end of its interval (rule 2)."""
+        """Suspect the probed member if its probe is still open at the end of the interval (rule 2)."""
         probe = self._probe
         if probe is None:
             return
@@ -146,7 +147,7 @@
     # Messages.
 
     def on_ping(self, now: float, packet: Packet, message: Ping) -> None:
-        """Answer a member that is known in this process; another one's own state comes with the ping or soon."""
+        """Send an ack to a known process; the state of an unknown one comes with its ping or soon after."""
         peer = self._context.table.get_process(packet.sender, packet.boot)
         if peer is None:
             return
@@ -155,7 +156,7 @@
         self._synchronization.compare_digest(now, peer, message.digest)
 
     def on_ack(self, now: float, packet: Packet, message: Ack) -> None:
-        """End the probe that this answers, directly or through a helper."""
+        """End the probe that an ack answers, whether the ack came directly or through a helper."""
         peer = self._context.table.get_process(packet.sender, packet.boot)
         if peer is not None:
             peer.phase = message.phase
@@ -168,11 +169,11 @@
                 self.health.improve()
 
     def on_indirect_probe(self, now: float, packet: Packet, message: IndirectProbe) -> None:
-        """Probe a member for another instance."""
+        """Probe a member on behalf of another instance."""
         self._indirect_probes.on_request(now, packet, message)
 
     def on_nack(self, message: Nack) -> None:
-        """Count a helper that can be reached, and has no answer either."""
+        """Count a nack: the helper can be reached, but had no answer from the target."""
         probe = self._probe
         if probe is not None and message.number == probe.number:
             probe.nacks += 1
--- a/loadbalancer/fleet/membership/gossip.py
+++ b/loadbalancer/fleet/membership/gossip.py
@@ -1,8 +1,8 @@
-"""The gossip queue: member states that ride on other messages, each a bounded number of times (SWIM, section 4.1).
+"""The gossip queue: member states to piggyback on messages, each a bounded number of times (SWIM, section 4.1).
 
-For each name the queue holds one state, the latest that was added. States that were sent least often go first, so that
-a new one leaves with the next message. A state is dropped once it was sent as often as a multiple of the logarithm of
-the fleet's size; by then all members have received it with high probability.
+The queue holds one state per name, the latest that was added. States with the fewest transmissions are sent first, so
+that a new state goes out with the next message. A state is dropped after a number of transmissions that is a multiple
+of the logarithm of the fleet's size; by then all members have received it with high probability.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 #: Transmissions of a state, as a multiple of the binary logarithm of the fleet's size.
 RETRANSMIT_MULTIPLIER = 3
-#: States in the queue; past it those that were sent most often are dropped.
+#: Maximum number of queued states; above it the states with the most transmissions are dropped.
 MAX_QUEUED_STATES = 4_096
-#: Bytes of the shortest state.
+#: Encoded size of the shortest state.
 MIN_STATE_BYTES = 32
 
 
@@ -31,10 +31,10 @@
 
 
 class GossipQueue:
-    """Member states ordered by transmissions; of those sent equally often the latest added comes first."""
+    """Holds member states ordered by number of transmissions; among equals the latest added comes first."""
 
     def __init__(self) -> None:
-        #: By number of transmissions, and within that by name.
+        #: The index is the number of transmissions; each level maps names to their queued states.
         self._levels: list[dict[str, _QueuedState]] = [{}]
         self._level_of: dict[str, int] = {}
 
@@ -45,7 +45,7 @@
         return (queued.state for level in self._levels for queued in level.values())
 
     def add(self, state: MemberState) -> None:
-        """Queue a state in the place of the one that was queued for its name."""
+        """Queue a state; it replaces the one that was queued for its name."""
         self.discard(state.name)
         if len(self._level_of) >= MAX_QUEUED_STATES:
             most_sent = next(level for level in reversed(self._levels) if level)
@@ -59,23 +59,25 @@
         if level is not None:
             del self._levels[level][name]
 
-    def take(self, fleet_size: int, reserved_bytes: int = 0, except_name: str = "") -> list[MemberState]:
-        """Choose states for one message, and count them as sent.
+    def select_batch(
+        self, fleet_size: int, reserved_bytes: int = 0, except_name: str = ""
+    ) -> list[MemberState]:
+        """Select states for one message and count one transmission of each.
 
         Args:
-            fleet_size: How many members live; bounds the transmissions of each state.
-            reserved_bytes: Bytes that the message's other member states take.
-            except_name: A name whose state the receiver gets by other means.
+            fleet_size: Number of living members; determines the maximum number of transmissions.
+            reserved_bytes: Size of the message's other member states.
+            except_name: A name whose state is left out; the receiver gets it by other means.
         """
         limit = self.max_transmissions(fleet_size)
-        room = MAX_GOSSIP_BYTES - reserved_bytes
+        free_bytes = MAX_GOSSIP_BYTES - reserved_bytes
         chosen: list[_QueuedState] = []
         for level in self._levels:
             for queued in reversed(level.values()):
-                if room < MIN_STATE_BYTES:
+                if free_bytes < MIN_STATE_BYTES:
                     break
-                if queued.size <= room and queued.state.name != except_name:
-                    room -= queued.size
+                if queued.size <= free_bytes and queued.state.name != except_name:
+                    free_bytes -= queued.size
                     chosen.append(queued)
         for queued in chosen:
             self._count_transmission(queued, limit)
@@ -83,7 +85,7 @@
 
     @staticmethod
     def max_transmissions(fleet_size: int) -> int:
-        """Return how often a state is sent in a fleet of this size."""
+        """Return the maximum number of transmissions of a state in a fleet of this size."""
         if fleet_size <= 0:
             return RETRANSMIT_MULTIPLIER
         return RETRANSMIT_MULTIPLIER * math.ceil(math.log2(fleet_size + 1))
--- a/loadbalancer/fleet/membership/indirect_probes.py
+++ b/loadbalancer/fleet/membership/indirect_probes.py
@@ -1,7 +1,8 @@
-"""Probes that this instance makes for others (SWIM, ping-req; nacks are Lifeguard's).
+"""Probes on behalf of other instances (ping-req of SWIM; nacks are an addition of Lifeguard).
 
-An instance that gets no answer from a member asks this one to probe it. An answer is passed on as an ack; without one
-in time the asking instance gets a nack, which tells it that at least this instance can be reached.
+An instance that gets no answer from a member asks this instance to probe that member. An answer is forwarded to the
+requester as an ack. Without an answer in time the requester is sent a nack, which tells it that at least this instance
+can be reached.
 """
 
 from __future__ import annotations
@@ -15,22 +16,22 @@
 from loadbalancer.fleet.membership.probe_messages import ProbeMessages
 from loadbalancer.fleet.wire import IndirectProbe, Nack, Packet
 
-#: Probes for others that may be open at once; past it the oldest gives way.
+#: Maximum number of open probes for others; above it the oldest is dropped.
 MAX_INDIRECT_PROBES = 256
-#: A nack is sent after this share of the probe timeout, so that it arrives while the asking instance still waits.
+#: A nack is sent after this share of the probe timeout, so that it arrives while the requester still waits.
 NACK_AFTER_TIMEOUTS = 0.8
-#: Probe timeouts after the nack for which a late answer is still passed on.
+#: Time after the nack, in probe timeouts, during which a late answer is still forwarded.
 LATE_ACK_TIMEOUTS = 4.0
 
 
 @dataclass(slots=True)
 class _IndirectProbe:
-    """One probe for another instance.
+    """One probe on behalf of another instance.
 
     Attributes:
         requester: Name of the instance that asked.
-        number: Number of its probe, which the answer repeats.
-        due: When to send the nack; after that, when to forget the probe.
+        number: Sequence number of its probe, which the answer repeats.
+        due: Time at which the nack is sent; once it is sent, time at which the probe is dropped.
         nack_sent: Whether the nack has been sent.
     """
 
@@ -41,26 +42,26 @@
 
 
 class IndirectProbes:
-    """Probes for other instances; owns those that are open and their timer."""
+    """Probes members on behalf of other instances; owns the open probes and their timer."""
 
     def __init__(self, context: ViewContext, dissemination: Dissemination, messages: ProbeMessages) -> None:
         self._context = context
         self._dissemination = dissemination
         self._messages = messages
-        self._open: dict[int, _IndirectProbe] = {}  # by the number of our own ping
+        self._open: dict[int, _IndirectProbe] = {}  # by sequence number of our own ping
         self._next_due = math.inf
 
     @property
     def next_timer(self) -> float:
-        """When the next probe needs a nack, or is to be forgotten."""
+        """The earliest time at which a nack is due or a probe is to be dropped."""
         return self._next_due
 
     def clear(self) -> None:
-        """Forget all open probes."""
+        """Drop all open probes."""
         self._open.clear()
 
     def on_request(self, now: float, packet: Packet, message: IndirectProbe) -> None:
-        """Probe a member for the sender of a packet."""
+        """Probe a member on behalf of the sender of a packet."""
         target = self._context.table.get(message.target)
         if target is None or self._context.table.get(packet.sender) is None:
             return
@@ -72,7 +73,7 @@
         self._next_due = min(self._next_due, due)
 
     def on_ack(self, number: int) -> None:
-        """Pass an answer on if it is to a probe for another instance."""
+        """Forward an ack to the requester if it answers a probe on behalf of another instance."""
         probe = self._open.pop(number, None)
         requester = self._requester(probe) if probe is not None else None
         if probe is not None and requester is not None:
@@ -82,7 +83,7 @@
         return self._context.table.get(probe.requester)
 
     def run_timers(self, now: float) -> None:
-        """Send nacks for probes without an answer, and forget those whose answer would come too late."""
+        """Send nacks for probes without an answer, and drop those whose answer would come too late."""
         if now < self._next_due:
             return
         self._next_due = math.inf
--- a/loadbalancer/fleet/membership/joining.py
+++ b/loadbalancer/fleet/membership/joining.py
@@ -1,15 +1,15 @@
-"""Joining the fleet through seeds, and finding processes that are not in the table.
+"""Joining the fleet through seeds, and discovery of processes that are not in the member table.
 
 Rules:
 
-1. Seeds that are not known to live are called as long as this instance runs: often while it is young, rarely later. One
-   that is out calls all of them.
-2. An instance joins once it has received a whole member table, or has waited for the `joining` timer in vain. It does
-   neither while another process may have its name.
-3. An instance that is heard from, and does not live in the table, or lives there as another process, is asked for its
-   whole table.
-4. A packet that is meant for an earlier process at this address changes nothing here, as it may be an old one. Its
-   sender is told which process is here.
+1. Seeds that are not known to live are sent hellos as long as this instance runs: at the full rate soon after its
+   start, at a lower rate later. An instance that is not a member sends them to all seeds.
+2. An instance joins once it has received a whole member table, or once the `joining` timer has expired without one. It
+   does not join while another process may have its name.
+3. A process whose alive notice arrives, and which the table does not record as living with this boot id, is asked for
+   its whole table.
+4. A packet for an earlier process at this address changes nothing here, as it may be an old one. Its sender is told
+   which process is here.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 from loadbalancer.fleet.settings import Address
 from loadbalancer.fleet.wire import AliveNotice, Hello, Packet, Piece
 
-#: Seconds from the start in which seeds are called at the full rate.
-YOUNG_S = 30.0
-#: Factor of the pause between calls after that.
+#: Seconds from the start during which hellos are sent to seeds at the full rate.
+FULL_SEED_RATE_S = 30.0
+#: Factor by which the interval between hellos to seeds is longer after that.
 SEED_BACKOFF = 5.0
 
 
 class Joining:
-    """Calls seeds, answers calls, and decides when this instance joins; owns the timers of that.
+    """Sends hellos to seeds, answers hellos, and decides when this instance joins; owns the timers for it.
 
     Attributes:
-        seeds: Addresses to call.
+        seeds: Addresses of the seeds.
     """
 
     def __init__(
@@ -53,60 +53,60 @@
         self._lifecycle = lifecycle
         self._conflicts = conflicts
         self._started_at = -math.inf
-        self._call_seeds_at = -math.inf
+        self._next_hello_at = -math.inf
         self._join_alone_at = -math.inf
 
     # Time.
 
     def start(self, now: float) -> None:
-        """Begin to call seeds at once."""
+        """Start sending hellos to seeds at once, and start the `joining` timer."""
         self._started_at = now
-        self._call_seeds_at = now
+        self._next_hello_at = now
         self._join_alone_at = now + self._context.timers.joining
 
     @property
     def next_timer(self) -> float:
-        """When seeds are called, or this instance joins without having heard from anybody."""
+        """The time of the next hellos to seeds, or of joining alone if that is earlier."""
         if self._may_join:
-            return min(self._call_seeds_at, self._join_alone_at)
-        return self._call_seeds_at
+            return min(self._next_hello_at, self._join_alone_at)
+        return self._next_hello_at
 
     @property
     def _may_join(self) -> bool:
         local = self._context.local
-        return not (local.is_member or local.is_out or self._conflicts.is_undecided)
+        return not (local.is_member or local.has_yielded_name or self._conflicts.is_undecided)
 
     def run_timers(self, now: float) -> None:
-        """Join alone, and call seeds, if it is time."""
+        """Join alone and send hellos to seeds when each is due."""
         if self._may_join and now >= self._join_alone_at:
             self._join(now)
-        if now >= self._call_seeds_at:
-            self._call_seeds(now)
+        if now >= self._next_hello_at:
+            self._send_hellos_to_seeds(now)
 
     def _join(self, now: float) -> None:
         self._lifecycle.join(now, self._context.local.state.generation)
 
-    def _call_seeds(self, now: float) -> None:
-        """Say hello to seeds that are not known to live (rule 1)."""
+    def _send_hellos_to_seeds(self, now: float) -> None:
+        """Send hellos to the seeds that are not known to live (rule 1)."""
         context = self._context
         local = context.local
         known = {peer.state.address for peer in context.table.living} if local.is_member else set()
         for seed in self.seeds:
             if seed not in known and seed != local.identity.address:
                 self._dissemination.send(seed, 0, local.hello())
-        backoff = 1.0 if now - self._started_at < YOUNG_S else SEED_BACKOFF
+        backoff = 1.0 if now - self._started_at < FULL_SEED_RATE_S else SEED_BACKOFF
         jitter = 0.75 + 0.5 * context.random.random()
-        self._call_seeds_at = now + context.timers.hello * backoff * jitter
+        self._next_hello_at = now + context.timers.hello_interval * backoff * jitter
 
     # Messages.
 
     def on_hello(self, packet: Packet, message: Hello) -> None:
-        """Tell a caller which process is here."""
+        """Answer a hello with an alive notice of this process."""
         address = message.host, message.port
         self._dissemination.send(address, packet.boot, self._context.local.alive_notice())
 
     def on_packet_for_other_process(self, packet: Packet) -> None:
-        """Handle a packet whose receiver's boot id is not this process's (rule 4)."""
+        """Handle a packet whose receiver boot id is not that of this process (rule 4)."""
         if isinstance(packet.message, Hello):
             self.on_hello(packet, packet.message)
             return
@@ -116,7 +116,7 @@
             self._dissemination.send(peer.state.address, packet.boot, notice)
 
     def on_alive_notice(self, now: float, packet: Packet, message: AliveNotice) -> None:
-        """Ask a process for its whole table if it is new here (rule 3)."""
+        """Exchange tables with a process that is not recorded as living, or while not yet a member (rule 3)."""
         peer = self._context.table.get_process(packet.sender, packet.boot)
         if peer is not None:
             peer.phase = message.phase
@@ -126,7 +126,7 @@
         self._dissemination.correct_sender(now, packet)
 
     def on_table_piece(self, now: float, packet: Packet, message: Piece) -> None:
-        """Join after the last piece of a whole table; its member states have been applied before (rule 2)."""
+        """Join after the last piece of a whole table; its member states were applied before this call (rule 2)."""
         if message.last and self._may_join:
             self._join(now)
         self._dissemination.correct_sender(now, packet)
--- a/loadbalancer/fleet/membership/lifecycle.py
+++ b/loadbalancer/fleet/membership/lifecycle.py
@@ -1,4 +1,4 @@
-"""How this instance enters the fleet, changes its own state, and leaves."""
+"""Joining the fleet, changes of this instance's own state, and leaving."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from loadbalancer.fleet.membership.failure_detector import FailureDetector
 from loadbalancer.fleet.membership.state_synchronization import StateSynchronization
 
-#: Members that are told directly that this instance leaves; they pass it on.
+#: Number of members that are sent the leave directly; they disseminate it further.
 LEAVE_FANOUT = 16
 
 
 class Lifecycle:
-    """Changes this instance's own state, in the table's digest and towards the others at once."""
+    """Changes this instance's own state, updates the table's digest, and announces the change at once."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self._synchronization = synchronization
 
     def join(self, now: float, generation: int) -> None:
-        """Count as one of the fleet from here on, and tell some members at once."""
+        """Become a member of the fleet, start probing and anti-entropy, and announce it to some members at once."""
         local = self._context.local
         local.become_member(local.describe(max(1, generation), 0))
         self._context.table.replace_own_state(local.state, None, now)
@@ -37,7 +37,7 @@
         self._announce(local.state, self._context.timers.helpers)
 
     def change_state(self, now: float, generation: int, incarnation: int) -> None:
-        """Replace the own state of a member by one of greater rank, and tell some members at once."""
+        """Replace this member's own state by one of greater rank, and announce it to some members at once."""
         local = self._context.local
         previous = local.state
         local.become_member(local.describe(generation, incarnation))
@@ -45,7 +45,7 @@
         self._announce(local.state, self._context.timers.helpers)
 
     def leave(self, now: float) -> None:
-        """Count no more as one of the fleet, and tell many members at once."""
+        """Leave the fleet, and announce it to LEAVE_FANOUT members at once."""
         local = self._context.local
         previous = local.state
         left = local.describe(previous.generation, previous.incarnation, MemberStatus.LEFT)
--- a/loadbalancer/fleet/membership/local_member.py
+++ b/loadbalancer/fleet/membership/local_member.py
@@ -1,12 +1,12 @@
-"""This instance as a member of its own view: its status, its state, and the messages that introduce it.
+"""The local member: this instance's status, its member state, and the messages that introduce it.
 
-States of the instance, and what ends each:
+Transitions of the status:
 
-    joining -> member   a whole state synchronisation, or nobody was heard from within the `joining` timer
-    joining -> out      a living process goes by the same name
+    joining -> member   a whole table was received, or the `joining` timer expired without one
+    joining -> out      another living process has the same name
     out     -> member   that process is found dead, or has left
-    member  -> out      on the other side of a healed partition the name was there before
-    any     -> gone     it leaves, or has passed its place on to a successor
+    member  -> out      after a partition has healed, a member with an earlier generation of the name was found
+    any     -> gone     this process leaves, or a successor has replaced it
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class LocalStatus(enum.StrEnum):
-    """What this instance is in the fleet; the values are in the administrative API."""
+    """The status of this instance in the fleet; the values appear in the administrative API."""
 
     JOINING = "joining"
     MEMBER = "member"
@@ -28,13 +28,13 @@
 
 
 class LocalMember:
-    """This instance.
+    """Holds the identity, the status and the member state of this instance.
 
     Attributes:
         identity: Its name, boot id, address and zone.
-        state: Its own member state, which nobody else may raise.
-        recovery_phase: How far it has recovered from its start, as it tells others; 0 where it does not say.
-        has_left: Whether it has left, or was replaced by a successor.
+        state: Its own member state, whose incarnation only this instance may raise.
+        recovery_phase: Progress of its recovery after the start, as reported to others; 0 if not reported.
+        has_left: Whether it has left or was replaced by a successor.
     """
 
     def __init__(self, identity: Identity) -> None:
@@ -42,36 +42,36 @@
         self.state = self.describe(1, 0)
         self.recovery_phase = 0
         self.has_left = False
-        self._standing = LocalStatus.JOINING
+        self._membership_status = LocalStatus.JOINING
 
     @property
     def status(self) -> LocalStatus:
-        """What it is in the fleet."""
-        return LocalStatus.GONE if self.has_left else self._standing
+        """The status of this instance in the fleet."""
+        return LocalStatus.GONE if self.has_left else self._membership_status
 
     @property
     def is_member(self) -> bool:
-        """Whether it counts as one of the fleet. Stays so where a successor has replaced it."""
-        return self._standing is LocalStatus.MEMBER
+        """Whether it is a member of the fleet; stays true after a successor has replaced it."""
+        return self._membership_status is LocalStatus.MEMBER
 
     @property
-    def is_out(self) -> bool:
-        """Whether another living process has its name."""
-        return self._standing is LocalStatus.OUT
+    def has_yielded_name(self) -> bool:
+        """Whether it has yielded its name to another living process (status `out`)."""
+        return self._membership_status is LocalStatus.OUT
 
     def become_member(self, state: MemberState) -> None:
-        """Count as one of the fleet, in this state."""
+        """Become a member of the fleet with this state."""
         self.state = state
-        self._standing = LocalStatus.MEMBER
+        self._membership_status = LocalStatus.MEMBER
 
     def cease_membership(self, state: MemberState) -> None:
-        """Count no more as one of the fleet; `state` says so to the others."""
+        """End the membership; `state` announces that to the other members."""
         self.state = state
-        self._standing = LocalStatus.JOINING
+        self._membership_status = LocalStatus.JOINING
 
-    def stay_out(self) -> None:
-        """Leave the name to another process."""
-        self._standing = LocalStatus.OUT
+    def yield_name(self) -> None:
+        """Yield the name to another process."""
+        self._membership_status = LocalStatus.OUT
 
     def describe(
         self, generation: int, incarnation: int, status: MemberStatus = MemberStatus.ALIVE
@@ -89,7 +89,7 @@
         )
 
     def hello(self) -> Hello:
-        """Return the message that asks who is at an address."""
+        """Return the message that asks which process is at an address."""
         return Hello(*self.identity.address)
 
     def alive_notice(self) -> AliveNotice:
--- a/loadbalancer/fleet/membership/member_deadlines.py
+++ b/loadbalancer/fleet/membership/member_deadlines.py
@@ -1,4 +1,4 @@
-"""When a row of the member table needs attention because time has passed."""
+"""Deadlines of the rows of the member table."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MemberDeadlines:
-    """Keeps the earliest time at which any row may be due, so that rows are looked at only then."""
+    """Tracks a lower bound of all rows' deadlines, so that rows are examined only after it."""
 
     def __init__(self, context: ViewContext) -> None:
         self._context = context
@@ -19,14 +19,14 @@
 
     @property
     def earliest(self) -> float:
-        """No row is due before this time."""
+        """The time before which no row is due."""
         return self._earliest
 
     def deadline(self, peer: Peer) -> float:
-        """Return when a row is due.
+        """Return the deadline of a row.
 
-        A suspect is due when its suspicion expires, a dead member when it is to be called or forgotten, one that has
-        left when it is to be forgotten, one that is alive never.
+        A suspect is due when its suspicion expires, a dead member when it is to be contacted or forgotten, a member
+        that has left when it is to be forgotten, and a member that is alive never.
         """
         context = self._context
         match peer.state.status:
@@ -40,21 +40,21 @@
                 return math.inf
 
     def forget_at(self, peer: Peer) -> float:
-        """Return when a member that does not live is to be forgotten."""
-        return peer.status_since + self._context.timers.forget
+        """Return the time at which a member that does not live is to be forgotten."""
+        return peer.status_since + self._context.timers.forget_after
 
     def update(self, peer: Peer) -> None:
-        """Take a row into account that has changed."""
+        """Account for the deadline of a row that has changed."""
         self.check_by(self.deadline(peer))
 
     def check_by(self, at: float) -> None:
-        """Look at the rows at this time at the latest."""
+        """Examine the rows at this time at the latest."""
         self._earliest = min(self._earliest, at)
 
     def due(self, now: float) -> Iterator[Peer]:
         """Yield the rows that are due, in the table's order.
 
-        The caller handles each row before it takes the next: what it changes counts for the next look.
+        The caller handles each row before it requests the next one: the row's deadline is read again after that.
         """
         if now < self._earliest:
             return
--- a/loadbalancer/fleet/membership/member_table.py
+++ b/loadbalancer/fleet/membership/member_table.py
@@ -1,11 +1,11 @@
-"""The member table: what an instance holds of every other one, and a digest of those that live.
+"""The member table: the state that an instance records of each other one, and a digest of the living members.
 
 Rules:
 
 1. A row changes only to a state of greater rank (member_state.py, rule 3).
-2. A name that is not in the table gets a row only by a state that says that it lives. So what others remember of the
-   dead spreads no further, and all instances forget them in the end.
-3. The table holds at most MAX_NAMES names. A new one past that is refused, and counted.
+2. A name that is not in the table is added only by a state that is alive or suspect. So states of dead members that
+   other instances still record are not spread further, and all instances forget those members in the end.
+3. The table holds at most MAX_NAMES names. A further name is refused and counted.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from loadbalancer.fleet.membership.suspicion import Suspicion
 
 MAX_NAMES = 4_096
-#: The recovery phase of a generation that has just begun, until it reports one (RecoveryPhase.FINDING).
-COMING = 1
+#: Assumed recovery phase of a generation that has just started and reported none (RecoveryPhase.FINDING).
+INITIAL_PHASE = 1
 #: The recovery phase of a member that has not reported any.
 NOT_HEARD = -1
 #: The digest of a member that has not reported any.
@@ -26,20 +26,20 @@
 
 
 class Peer:
-    """One row: another member as this instance holds it. Times are seconds on the view's clock.
+    """Holds one row: another member as this instance records it. Times are seconds on the view's clock.
 
     Attributes:
         state: The state of greatest rank that was received.
-        status_since: Since when it has this status in this generation.
+        status_since: When it took its current status in this generation.
         last_heard_at: When its last message arrived, in this generation.
-        digest: The digest of its table, as it reported last; NO_DIGEST before.
-        digest_at: When it reported that.
-        phase: Its recovery phase, as it reported last; NOT_HEARD before.
-        corrected_at: When it was last told that it is not held alive here.
-        suspicion: Who suspects it since when; of meaning while its status is SUSPECT.
-        reconnect_at: While it is dead: when to call it next.
-        reconnect_interval: While it is dead: seconds from the last call to the next, before jitter.
-        live_index: Its place in the table's list of living members, -1 where it does not live.
+        digest: The digest of its table that it last reported; NO_DIGEST if none.
+        digest_at: When it reported that digest.
+        phase: The recovery phase that it last reported; NOT_HEARD if none.
+        corrected_at: When it was last sent its recorded state because that was not alive.
+        suspicion: Its reporters and its start; valid only while the status is SUSPECT.
+        reconnect_at: While it is dead: when to send it the next hello.
+        reconnect_interval: While it is dead: seconds between the last hello and the next, before jitter.
+        live_index: Its index in the table's list of living members, -1 if it does not live.
     """
 
     __slots__ = (
@@ -75,21 +75,21 @@
         return self.state.is_live
 
     def begin_generation(self) -> None:
-        """Drop what another process under this name has reported."""
+        """Reset what the previous process under this name has reported."""
         self.digest = NO_DIGEST
         self.digest_at = -math.inf
         self.last_heard_at = -math.inf
-        self.phase = COMING
+        self.phase = INITIAL_PHASE
 
 
 class MemberTable:
-    """Rows of all other members, by name, and the digest of the fleet's living members.
+    """Holds the rows of all other members by name, and the digest of all living members.
 
-    This instance has no row; `replace_own_state` counts it into the digest.
+    This instance has no row; `replace_own_state` includes it in the digest.
 
     Attributes:
         peers: The rows by name.
-        refused: How many states were refused by rule 3.
+        refused: Number of states that were refused by rule 3.
         changed_at: When the digest last changed, in seconds on the view's clock.
     """
 
@@ -104,46 +104,46 @@
         return iter(self.peers.values())
 
     def get(self, name: str) -> Peer | None:
-        """Return the row of a name, None for one that is not in the table."""
+        """Return the row of a name, or None if the name is not in the table."""
         return self.peers.get(name)
 
     def get_process(self, name: str, boot: int) -> Peer | None:
-        """Return the row of a name if it is of the process with this boot id."""
+        """Return the row of a name if its boot id matches, else None."""
         peer = self.peers.get(name)
         return peer if peer is not None and peer.state.boot == boot else None
 
     @property
     def living(self) -> list[Peer]:
-        """Members that live, in no order. The caller must not change the list."""
+        """The living members, in no particular order. The caller must not change the list."""
         return self._living
 
     @property
     def fleet_size(self) -> int:
-        """How many members live, this instance included."""
+        """Number of living members, including this instance."""
         return len(self._living) + 1
 
     @property
     def digest(self) -> int:
-        """Sum of the digests of all living members, this instance included while it is a member."""
+        """Sum of the digests of all living members, including this instance while it is a member."""
         return self._digest
 
     def replace_own_state(self, state: MemberState, previous: MemberState | None, now: float) -> None:
-        """Count this instance into the digest by `state`, in the place of `previous`."""
+        """Include this instance in the digest with `state` instead of `previous`."""
         if previous is not None:
-            self._count(previous, -1, now)
-        self._count(state, 1, now)
+            self._add_to_digest(previous, -1, now)
+        self._add_to_digest(state, 1, now)
 
-    def _count(self, state: MemberState, sign: int, now: float) -> None:
+    def _add_to_digest(self, state: MemberState, sign: int, now: float) -> None:
         if state.is_live:
             part = digest_of(state.name, state.boot, state.incarnation)
             self._digest = (self._digest + sign * part) % DIGEST_MODULUS
             self.changed_at = now
 
     def apply(self, state: MemberState, now: float) -> Peer | None:
-        """Take a state into the table by rules 1 to 3.
+        """Apply a state to the table according to rules 1 to 3.
 
         Returns:
-            The row that has changed, None where the state says nothing new.
+            The row that has changed, or None if the state changed nothing.
         """
         peer = self.peers.get(state.name)
         if peer is None:
@@ -159,16 +159,16 @@
         if state.status != MemberStatus.SUSPECT:
             peer.suspicion.reporters.clear()
         if state.is_live and not previous.is_live:
-            self._list_as_living(peer)
+            self._add_to_living(peer)
         elif previous.is_live and not state.is_live:
-            self._unlist(peer)
+            self._remove_from_living(peer)
         return peer
 
     def _update_digest(self, previous: MemberState, state: MemberState, now: float) -> None:
         same_process = (previous.boot, previous.incarnation) == (state.boot, state.incarnation)
         if not same_process or previous.is_live != state.is_live:
-            self._count(previous, -1, now)
-            self._count(state, 1, now)
+            self._add_to_digest(previous, -1, now)
+            self._add_to_digest(state, 1, now)
 
     def _add(self, state: MemberState, now: float) -> Peer | None:
         if not state.is_live:
@@ -177,8 +177,8 @@
             self.refused += 1
             return None
         peer = self.peers[state.name] = Peer(state, now)
-        self._count(state, 1, now)
-        self._list_as_living(peer)
+        self._add_to_digest(state, 1, now)
+        self._add_to_living(peer)
         return peer
 
     def forget(self, name: str) -> None:
@@ -187,12 +187,12 @@
         assert not peer.is_live
         del self.peers[name]
 
-    def _list_as_living(self, peer: Peer) -> None:
+    def _add_to_living(self, peer: Peer) -> None:
         peer.live_index = len(self._living)
         self._living.append(peer)
 
-    def _unlist(self, peer: Peer) -> None:
-        """Take it off the list in constant time: the last one takes its place."""
+    def _remove_from_living(self, peer: Peer) -> None:
+        """Remove a row from the list of living members in constant time by moving the last one to its index."""
         last = self._living.pop()
         if last is not peer:
             self._living[peer.live_index] = last
--- a/loadbalancer/fleet/membership/member_updates.py
+++ b/loadbalancer/fleet/membership/member_updates.py
@@ -1,12 +1,13 @@
-"""What becomes of each other member: it joins, is suspected, dies, leaves, returns, is forgotten.
+"""Status changes of the other members: joined, suspected, dead, left, returned, forgotten.
 
 Rules:
 
-1. What is stated of others holds by rank (member_state.py). A state that is new here is passed on.
-2. A failed probe makes a suspicion, never a death. A suspicion that expires makes a death.
-3. What the other side of a healed partition holds dead makes only a suspicion of a member that lives here.
-4. An instance that hears of a suspicion may probe the suspect at once, so that the suspicion is confirmed or refuted
-   within one probe interval. Of the whole fleet some CHECKERS do.
+1. Received states are applied by rank (member_state.py). A state that changes the table is disseminated further.
+2. A failed probe only makes the member suspect. It is declared dead when the suspicion expires.
+3. A member that lives here and that a received whole table records as dead becomes only suspect, as the other instance
+   may come from the other side of a healed partition.
+4. An instance that receives a suspicion may probe the suspect at once, so that the suspicion is confirmed or refuted
+   within one probe interval. On average MEAN_SUSPICION_CHECKERS instances of the whole fleet do so.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 from loadbalancer.fleet.membership.probe_schedule import ProbeSchedule
 from loadbalancer.fleet.membership.reconnection import Reconnection
 
-#: Mean number of living members that check a suspicion they hear of: enough to confirm it.
-CHECKERS = 6.0
+#: Mean number of living members that probe the suspect of a received suspicion: enough to confirm it.
+MEAN_SUSPICION_CHECKERS = 6.0
 
 
 class MemberUpdates:
-    """Applies member states to the table, and decides what follows from each change."""
+    """Applies member states to the table and acts on each change: gossip, log, suspicion, reconnection."""
 
     def __init__(
         self,
@@ -41,10 +42,10 @@
         self._probe_schedule = probe_schedule
         self._deadlines = MemberDeadlines(context)
 
-    # What other instances state.
+    # States received from other instances.
 
     def apply_synchronized(self, now: float, state: MemberState) -> None:
-        """Apply a state of another member that came with a whole table (rule 3)."""
+        """Apply a state of another member that was received in a whole table (rule 3)."""
         peer = self._context.table.get_process(state.name, state.boot)
         if (
             peer is not None
@@ -68,14 +69,14 @@
             self._on_change(now, peer, previous)
 
     def restore(self, now: float, state: MemberState) -> None:
-        """Take over a state that the process before has held, and has told others; a suspicion begins anew."""
+        """Restore a state from the previous process without disseminating it; a suspicion is restarted."""
         peer = self._context.table.apply(state, now)
         if peer is not None and state.status == MemberStatus.SUSPECT:
             peer.suspicion.restart(now, state.reported_by)
             self._deadlines.update(peer)
 
     def _confirm_suspicion(self, peer: Peer, state: MemberState) -> None:
-        """Count a further instance that suspects the member, and pass that on while confirmations still matter."""
+        """Record a further reporter of a suspicion, and disseminate it while more confirmations are needed."""
         reporters = peer.suspicion.reporters
         if state.reported_by in reporters or len(reporters) > self._context.timers.confirmations:
             return
@@ -84,7 +85,7 @@
         self._deadlines.update(peer)
 
     def _on_change(self, now: float, peer: Peer, previous: MemberStatus | None) -> None:
-        """React to a changed row; `previous` is None for a name that is new."""
+        """Act on a changed row; `previous` is its earlier status, None for a new name."""
         state = peer.state
         context = self._context
         match state.status:
@@ -103,17 +104,17 @@
         self._deadlines.update(peer)
 
     def _on_suspected(self, now: float, peer: Peer) -> None:
-        """Begin a suspicion, and check it by rule 4 where it is another instance's."""
+        """Start a suspicion; if another instance reported it, request a probe of the suspect by rule 4."""
         context = self._context
         peer.suspicion.restart(now, peer.state.reported_by)
         context.counters["suspected"] += 1
         if peer.state.reported_by != context.local.identity.name:
-            share = CHECKERS / context.table.fleet_size
+            share = MEAN_SUSPICION_CHECKERS / context.table.fleet_size
             if context.random.random() < share:
                 self._probe_schedule.request(peer)
 
     def _on_alive(self, now: float, peer: Peer, previous: MemberStatus | None) -> None:
-        """Log that a member has joined or returned; one that was held dead may bring others back."""
+        """Log that a member has joined or returned; after the return of a dead one, contact the other dead early."""
         state = peer.state
         context = self._context
         if previous is None:
@@ -122,23 +123,23 @@
             context.counters["returned"] += 1
             context.notify("an instance is back", state.name)
             if previous == MemberStatus.DEAD:
-                self._deadlines.check_by(self._reconnection.hurry(now))
+                self._deadlines.check_by(self._reconnection.schedule_early_hellos(now))
 
-    # What this instance finds out itself.
+    # Findings of this instance.
 
     def suspect(self, now: float, peer: Peer) -> None:
         """Suspect a member whose probe has failed (rule 2)."""
         self.apply(now, self._restate(peer.state, MemberStatus.SUSPECT))
 
     def postpone_suspicions(self, now: float, seconds: float) -> None:
-        """Do not count the last `seconds` against any suspect, as this instance could not have heard from it."""
+        """Extend all suspicions by the last `seconds`, during which this instance could not receive refutations."""
         for peer in self._context.table:
             if peer.state.status == MemberStatus.SUSPECT:
                 peer.suspicion.postpone(now, seconds)
         self._deadlines.check_by(now)
 
     def _restate(self, state: MemberState, status: MemberStatus) -> MemberState:
-        """Return the same member in another status, as this instance reports it."""
+        """Return a copy of a state with another status, reported by this instance."""
         return MemberState(
             state.name,
             state.boot,
@@ -154,14 +155,14 @@
     # Time.
 
     def next_timer(self, now: float) -> float:
-        """Return when a row is due. `now` is the time of the last event."""
+        """Return the time at which the next row is due. `now` is the time of the last event."""
         earliest = self._deadlines.earliest
-        if earliest < now:  # dead members are due, and wait for their turn
-            return max(earliest, self._reconnection.next_call_at)
+        if earliest < now:  # dead members are due and wait for the rate limit of reconnection
+            return max(earliest, self._reconnection.next_hello_at)
         return earliest
 
     def run_timers(self, now: float) -> None:
-        """Handle the rows that are due."""
+        """Handle all rows that are due."""
         for peer in self._deadlines.due(now):
             self._handle_due(now, peer)
 
@@ -170,6 +171,6 @@
             self.apply(now, self._restate(peer.state, MemberStatus.DEAD))
         elif now >= self._deadlines.forget_at(peer):
             self._context.table.forget(peer.state.name)
-            peer.status_since = math.inf  # so that its deadline does not count for the next look
+            peer.status_since = math.inf  # so that its deadline is not included in the next earliest one
         else:
-            self._reconnection.call_if_allowed(now, peer)
+            self._reconnection.send_hello_if_allowed(now, peer)
--- a/loadbalancer/fleet/membership/probe_messages.py
+++ b/loadbalancer/fleet/membership/probe_messages.py
@@ -1,4 +1,4 @@
-"""Pings and acks, which carry the sender's digest and recovery phase."""
+"""Sending of pings and acks, which carry the sender's digest and recovery phase."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ProbeMessages:
-    """Sends pings and acks; owns the numbers of this instance's pings, direct and for others."""
+    """Sends pings and acks; owns the sequence numbers of this instance's pings, direct and on behalf of others."""
 
     def __init__(self, context: ViewContext, dissemination: Dissemination) -> None:
         self._context = context
@@ -18,19 +18,19 @@
         self._last_number = 0
 
     def send_ping(self, peer: Peer) -> int:
-        """Ping a member and return the number of the ping, which its ack repeats."""
+        """Ping a member and return the sequence number of the ping, which its ack repeats."""
         self._last_number += 1
         self.repeat_ping(peer, self._last_number)
         return self._last_number
 
     def repeat_ping(self, peer: Peer, number: int, *own_states: MemberState) -> None:
-        """Ping a member under a number that was given before, with further states."""
+        """Ping a member with an existing sequence number and additional states."""
         context = self._context
         message = Ping(number, context.table.digest, context.local.recovery_phase)
         self._dissemination.send_to(peer, message, *own_states)
 
     def send_ack(self, peer: Peer, number: int) -> None:
-        """Answer a ping, or pass on the answer to an indirect one."""
+        """Answer a ping, or forward the answer of an indirect probe."""
         context = self._context
         message = Ack(number, context.table.digest, context.local.recovery_phase)
         self._dissemination.send_to(peer, message)
--- a/loadbalancer/fleet/membership/probe_schedule.py
+++ b/loadbalancer/fleet/membership/probe_schedule.py
@@ -1,4 +1,4 @@
-"""Whom to probe next: all living members in turn, each round in another order (SWIM, section 4.3)."""
+"""Order of the direct probes: all living members in turn, reshuffled in each round (SWIM, section 4.3)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ProbeSchedule:
-    """The order of direct probes."""
+    """Selects the target of each direct probe."""
 
     def __init__(self, table: MemberTable, source: random.Random) -> None:
         self._table = table
@@ -17,11 +17,11 @@
         self._requested: list[Peer] = []
 
     def request(self, peer: Peer) -> None:
-        """Have a member probed ahead of its turn."""
+        """Request that a member is probed ahead of its turn."""
         self._requested.append(peer)
 
     def next_target(self) -> Peer | None:
-        """Return the member to probe now, None where nobody else lives."""
+        """Return the member to probe next, or None if no other member lives."""
         while self._requested:
             peer = self._requested.pop()
             if peer.is_live:
--- a/loadbalancer/fleet/membership/state_synchronization.py
+++ b/loadbalancer/fleet/membership/state_synchronization.py
@@ -1,8 +1,8 @@
-"""Anti-entropy: two instances exchange their whole member tables over TCP.
+"""Anti-entropy: exchanges of whole member tables between two instances over TCP.
 
-An exchange begins when a peer that lives reports another digest than ours after both have had time to settle, when an
-instance is heard from that does not live in the table, and now and then with a random member. It finds what gossip has
-missed.
+An exchange starts when a living peer reports a digest that differs from ours while our own has not changed for a probe
+interval, when an alive notice arrives from a process that the table does not record as living, and periodically with a
+random member. It transfers what gossip has missed.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from loadbalancer.fleet.membership.member_table import Peer
 from loadbalancer.fleet.settings import Address
 
-#: Up to this many living members an exchange may follow another after the `mend` timer; in a larger fleet the pause
-#: grows in proportion, as each exchange is larger.
+#: Up to this many living members the minimum time between two exchanges is the `min_exchange_interval` timer; in a
+#: larger fleet it grows in proportion, as each exchange is larger.
 FULL_RATE_FLEET_SIZE = 40
 
 
 class StateSynchronization:
-    """Decides when to exchange tables, and with whom; owns the timers of that."""
+    """Decides when to exchange tables, and with which peer; owns the timers for it."""
 
     def __init__(self, context: ViewContext) -> None:
         self._context = context
@@ -33,15 +33,15 @@
         return self._periodic_at
 
     def start(self, now: float) -> None:
-        """Begin periodic exchanges, at a random time of the first interval."""
+        """Start periodic exchanges with a random delay."""
         self._schedule_periodic(now)
 
     def _schedule_periodic(self, now: float) -> None:
         context = self._context
-        self._periodic_at = now + context.timers.exchange * (0.5 + context.random.random())
+        self._periodic_at = now + context.timers.periodic_exchange_interval * (0.5 + context.random.random())
 
     def run_timers(self, now: float) -> None:
-        """Exchange with a random living member if it is time."""
+        """Exchange tables with a random living member if the periodic exchange is due."""
         if now < self._periodic_at:
             return
         self._schedule_periodic(now)
@@ -50,11 +50,11 @@
             self._request_with_peer(now, self._context.random.choice(living))
 
     def compare_digest(self, now: float, peer: Peer, digest: int) -> None:
-        """Note the digest that a peer has reported, and exchange tables where it differs from a settled own one."""
+        """Record the digest that a peer has reported; exchange tables if it differs from our own settled digest."""
         peer.digest = digest
         peer.digest_at = now
         table = self._context.table
-        settled = now - table.changed_at > self._context.timers.period
+        settled = now - table.changed_at > self._context.timers.probe_interval
         if digest != table.digest and settled and peer.is_live:
             self._request_with_peer(now, peer)
 
@@ -62,12 +62,14 @@
         self.request(now, peer.state.name, peer.state.boot, peer.state.address)
 
     def request(self, now: float, name: str, boot: int, address: Address) -> None:
-        """Exchange tables with one peer, not more often than the size of a table allows.
+        """Exchange tables with one peer, at a rate limited by the fleet size.
 
-        An instance that is joining may exchange with several at once.
+        The limit does not apply while this instance is not a member.
         """
         context = self._context
-        pause = context.timers.mend * max(1.0, context.table.fleet_size / FULL_RATE_FLEET_SIZE)
+        pause = context.timers.min_exchange_interval * max(
+            1.0, context.table.fleet_size / FULL_RATE_FLEET_SIZE
+        )
         if not context.local.is_member or now - self._last_started_at >= pause:
             self._last_started_at = now
             context.counters["exchanges"] += 1
--- a/loadbalancer/fleet/membership/suspicion.py
+++ b/loadbalancer/fleet/membership/suspicion.py
@@ -1,7 +1,7 @@
-"""How long a suspicion lasts (Lifeguard, section IV.B).
+"""The timeout of a suspicion (Lifeguard, section IV.B).
 
-A suspicion begins with the longest timeout, which each further instance that suspects the same member shortens. So an
-instance that is alone with its suspicion waits for others, and a crash that all of them see is decided soon.
+A suspicion starts with the longest timeout; each further instance that suspects the same member shortens it. So a
+suspicion that no other instance confirms lasts long, and a crash that many instances observe is decided soon.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class Suspicion:
-    """The suspicion of one member.
+    """Holds the start and the reporters of the suspicion of one member.
 
     Attributes:
-        started_at: When it began, in seconds on the view's clock.
-        reporters: Names of the instances that suspect the member, the first one included.
+        started_at: When it started, in seconds on the view's clock.
+        reporters: Names of the instances that suspect the member, including the first.
     """
 
     __slots__ = ("reporters", "started_at")
@@ -26,40 +26,40 @@
         self.reporters: set[str] = set()
 
     def restart(self, now: float, reporter: str) -> None:
-        """Begin a new suspicion, reported by one instance."""
+        """Start a new suspicion that was reported by one instance."""
         self.started_at = now
         self.reporters = {reporter}
 
     def postpone(self, now: float, seconds: float) -> None:
-        """Do not count `seconds` that have just passed; a suspicion can't begin in the future."""
+        """Move the start by `seconds` that have just passed, but not into the future."""
         self.started_at = min(now, self.started_at + seconds)
 
     def expires_at(self, timers: Timers, fleet_size: int) -> float:
-        """Return when the member is declared dead unless it refutes the suspicion."""
+        """Return the time at which the member is declared dead unless it refutes the suspicion."""
         confirmations = len(self.reporters) - 1
         return self.started_at + suspicion_timeout(timers, fleet_size, confirmations)
 
 
 def suspicion_bounds(timers: Timers, fleet_size: int) -> tuple[float, float]:
-    """Return the shortest and the longest timeout of a suspicion, in seconds, in a fleet of `fleet_size` living."""
-    shortest = timers.suspicion * timers.period * max(1.0, math.log10(max(1, fleet_size)))
-    return shortest, shortest * timers.patience
+    """Return the shortest and the longest suspicion timeout in seconds for `fleet_size` living members."""
+    shortest = timers.suspicion * timers.probe_interval * max(1.0, math.log10(max(1, fleet_size)))
+    return shortest, shortest * timers.max_suspicion_factor
 
 
 def suspicion_timeout(timers: Timers, fleet_size: int, confirmations: int) -> float:
-    """Return how long a suspicion lasts.
+    """Return the timeout of a suspicion.
 
     Args:
         timers: The protocol's timers.
-        fleet_size: How many members live, this instance included.
-        confirmations: How many instances besides the first suspect the member too.
+        fleet_size: Number of living members, including this instance.
+        confirmations: Number of further instances that suspect the member.
 
     Returns:
-        Seconds from the suspicion's beginning.
+        Seconds from the start of the suspicion.
     """
     shortest, longest = suspicion_bounds(timers, fleet_size)
     expected = min(timers.confirmations, fleet_size - 2)
-    if expected <= 0:  # nobody is there who could confirm
+    if expected <= 0:  # no other member could confirm it
         return shortest
     share = math.log(min(confirmations, expected) + 1) / math.log(expected + 1)
     return max(shortest, longest - (longest - shortest) * share)
--- a/loadbalancer/fleet/membership/view.py
+++ b/loadbalancer/fleet/membership/view.py
@@ -1,21 +1,21 @@
-"""The membership view: which instances of the fleet live, as one of them sees it.
+"""The membership view: one instance's record of which instances of the fleet live.
 
-SWIM with Lifeguard's suspicion and local health, state synchronisation and name conflicts. Events and a time go in,
-actions come out; there is no socket, clock or random source but those given. The options that were weighed, and the
-bounds, are in docs/design/fleet-view.md.
+It implements SWIM with Lifeguard's suspicion and local health, state synchronisation and name conflicts. It takes
+events and the current time and returns actions; it opens no socket and reads no clock, and its random numbers come from
+a seed. The design options that were considered, and the bounds, are in docs/design/fleet-view.md.
 
-What is decided where (each module lists its rules):
+Decisions by module (each module lists its rules):
 
-    member_state.py           which of two states of one member holds
-    member_table.py           the rows of all members, and the digest of those that live
+    member_state.py           which of two states of one member takes precedence
+    member_table.py           the rows of all other members, and the digest of the living ones
     member_updates.py         a member joins, is suspected, dies, leaves, returns, is forgotten
-    suspicion.py              how long a suspicion lasts
+    suspicion.py              the timeout of a suspicion
     failure_detector.py       direct and indirect probes, with local_health.py
-    dissemination.py          which member states ride on a message, with the queue of gossip.py
+    dissemination.py          which member states are sent with a message, with the queue of gossip.py
     state_synchronization.py  when two instances exchange their whole tables
-    joining.py                seeds, and when this instance joins
+    joining.py                hellos to seeds, and when this instance joins
     name_conflicts.py         refutation, and two processes under one name
-    reconnection.py           when the dead are called
+    reconnection.py           when dead members are sent hellos
 """
 
 from __future__ import annotations
@@ -64,20 +64,20 @@
 
 
 class MembershipView:
-    """One instance's view of the fleet.
+    """Holds one instance's view of the fleet and dispatches events to its components.
 
     Attributes:
         settings: Seeds, expected size and timers.
-        joining: Calls the seeds and decides when this instance joins.
+        joining: Sends hellos to the seeds and decides when this instance joins.
     """
 
     def __init__(self, identity: Identity, settings: Settings, seed: int) -> None:
-        """Make a view of an instance that has just started.
+        """Create the view of an instance that has just started.
 
         Args:
-            identity: Who this instance is.
-            settings: What it is told of its fleet.
-            seed: Of all random draws.
+            identity: Name, boot id, address and zone of this instance.
+            settings: Its fleet settings.
+            seed: Seed of all random numbers.
         """
         source = random.Random(seed)
         context = ViewContext(LocalMember(identity), settings.timers, source)
@@ -107,14 +107,14 @@
     # Events and time.
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take an event.
+        """Handle an event.
 
         Args:
-            now: Seconds on any clock that does not run backwards, the same for all calls; 0 or greater.
-            event: What has happened.
+            now: Seconds on a monotonic clock, the same clock for all calls; 0 or greater.
+            event: The event.
 
         Returns:
-            What is to be done, in order.
+            The actions to carry out, in order.
         """
         self._advance(now)
         match event:
@@ -130,7 +130,7 @@
 
     @property
     def next_timer(self) -> float:
-        """When the view wants a TimerExpired, in seconds on the clock of `handle`; in the past at first."""
+        """When TimerExpired is next due, in seconds on the clock of `handle`; at once before the first event."""
         if self._local.has_left:
             return math.inf
         due = min(self._conflicts.next_timer, self.joining.next_timer)
@@ -166,7 +166,7 @@
     # Packets.
 
     def _receive(self, now: float, packet: Packet) -> None:
-        """Sort out who has sent a packet and for whom, apply its member states, then handle its message."""
+        """Route a packet by sender and receiver; apply its member states, then handle its message."""
         if self._local.has_left:
             return
         if packet.sender == self.identity.name:
@@ -209,22 +209,24 @@
             case AliveNotice() as message:
                 self.joining.on_alive_notice(now, packet, message)
             case NameConflictNotice():
-                pass  # only one from a process under our own name matters
+                pass  # only a notice from a process under our own name matters
             case message:
-                raise TypeError(f"not a membership message: {type(message).__name__} from {packet.sender}")
+                raise TypeError(
+                    f"expected a membership message from {packet.sender}, got {type(message).__name__}"
+                )
 
     # Hot restart.
 
     def resume(self, now: float, generation: int, member_states: Sequence[MemberState]) -> list[Action]:
-        """Take the place of the process before, without a death in between.
+        """Replace the previous process as the next generation, without being declared dead in between.
 
         Args:
             now: Seconds on the clock of `handle`.
-            generation: That of the process before, from its `hand_over`; this one is the next.
-            member_states: What it held of the others, from the same call.
+            generation: Generation of the previous process, from its `hand_over`; this process takes the next one.
+            member_states: States of the other members, from the same call.
 
         Returns:
-            What is to be done: this generation is announced at once.
+            The actions to carry out; they announce this generation at once.
         """
         self._now = now
         self.joining.start(now)
@@ -235,14 +237,14 @@
         return self._context.take_actions()
 
     def hand_over(self) -> tuple[int, list[MemberState]]:
-        """Return what a successor's `resume` takes: this process's generation, and the others' states."""
+        """Return the arguments of a successor's `resume`: this process's generation and the states of all others."""
         return self._local.state.generation, [peer.state for peer in self.table]
 
-    # What others read.
+    # Accessors.
 
     @property
     def identity(self) -> Identity:
-        """Who this instance is."""
+        """Name, boot id, address and zone of this instance."""
         return self._local.identity
 
     @property
@@ -252,17 +254,17 @@
 
     @property
     def table(self) -> MemberTable:
-        """All other members."""
+        """The table of all other members."""
         return self._context.table
 
     @property
     def counters(self) -> Counter[str]:
-        """Events by name."""
+        """Number of events by name."""
         return self._context.counters
 
     @property
     def gossip_queue(self) -> GossipQueue:
-        """Member states that are to be passed on."""
+        """The member states that are still to be disseminated."""
         return self._dissemination.queue
 
     @property
@@ -272,12 +274,12 @@
 
     @property
     def state(self) -> LocalStatus:
-        """What this instance is in the fleet."""
+        """The status of this instance in the fleet."""
         return self._local.status
 
     @property
     def joined(self) -> bool:
-        """Whether this instance counts as one of the fleet."""
+        """Whether this instance is a member of the fleet; stays true after a successor has replaced it."""
         return self._local.is_member
 
     @property
@@ -287,7 +289,7 @@
 
     @property
     def phase(self) -> int:
-        """How far this instance has recovered from its start, as it tells others (RecoveryPhase)."""
+        """Recovery progress of this instance after its start, as reported to others (RecoveryPhase)."""
         return self._local.recovery_phase
 
     @phase.setter
@@ -296,11 +298,11 @@
 
     @property
     def fleet_size(self) -> int:
-        """How many members live, this instance included."""
+        """Number of living members, including this instance."""
         return self.table.fleet_size
 
     def facts(self) -> Iterator[MemberState]:
-        """Yield what a whole table has for a peer: this instance's state while it is a member, and all others'."""
+        """Yield the states of a whole table: this instance's own while it is a member, then those of all others."""
         if self._local.is_member:
             yield self._local.state
         for peer in self.table:
--- a/loadbalancer/fleet/report.py
+++ b/loadbalancer/fleet/report.py
@@ -1,7 +1,8 @@
-"""What an instance reports of its membership view: a row for each member, and figures. The keys are those of the API.
+"""Reports of the membership view for the administrative API: a row for each member, and a summary.
 
-A view is *settled* if nothing has changed for the `hold` timer, nobody is suspected, and no living member that has
-reported a digest since the last change reports another one; some of them (MIN_AGREEING) must have reported.
+A view is *settled* if nothing has changed for the `settle_time` timer, no member is suspected, and no living member
+that has reported a digest since the last change reports a different one; at least MIN_AGREEING of them (in a smaller
+fleet all) must have reported.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 
 
 class MemberRow(TypedDict):
-    """One member, as this instance holds it.
+    """Describes one member as this instance records it.
 
-    Ages (`since_s` in its status, `heard_s` since its last message) are in seconds, None where there was none. `agrees`
-    is whether its digest is this instance's, None where it has not reported one since the last change. `suspicion`
-    says who suspects it and when it is declared dead.
+    `since_s` is the time in its current status and `heard_s` the time since its last message, in seconds; None if there
+    was none. `agrees` is whether its digest equals this instance's, None if it has reported none since the last change.
+    `suspicion` states who suspects it and when it is declared dead, None if it is not suspected.
     """
 
     instance: str
@@ -39,11 +40,12 @@
 
 
 class ViewStatus(TypedDict):
-    """The view in figures.
+    """Summarizes the membership view.
 
-    `digest` is over name, boot id and incarnation of all living members, and `unchanged_s` its age in seconds. `living`
-    counts this instance while it is a member; `should_be` is the configured size. `agree` and `differ` count members by
-    the digest that they have reported since the last change. `doubt` is the local health score.
+    `digest` covers name, boot id and incarnation of all living members; `unchanged_s` is its age in seconds. `living`
+    includes this instance while it is a member; `should_be` is the configured size. `agree` and `differ` are the
+    numbers of members that have reported the same or another digest since the last change. `doubt` is the local health
+    score.
     """
 
     instance: str
@@ -64,14 +66,14 @@
 
 
 class DigestAgreement(NamedTuple):
-    """Living members that have reported a digest since this instance's own last changed."""
+    """Counts of the living members that have reported a digest since this instance's own last changed."""
 
     same: int
     other: int
 
 
 def digest_agreement(view: MembershipView) -> DigestAgreement:
-    """Count the living members by whether they hold the same table."""
+    """Count the living members that have reported the same digest, and those that have reported another one."""
     answers = [_agrees(view, peer) for peer in view.table.living]
     return DigestAgreement(answers.count(True), answers.count(False))
 
@@ -83,8 +85,8 @@
 
 
 def is_settled(view: MembershipView, now: float) -> bool:
-    """Return whether the view has settled. An instance that is alone settles with itself."""
-    if not view.joined or now - view.table.changed_at < view.timers.hold:
+    """Return whether the view has settled. An instance without living peers needs no agreement."""
+    if not view.joined or now - view.table.changed_at < view.timers.settle_time:
         return False
     living = view.table.living
     if any(peer.state.status == MemberStatus.SUSPECT for peer in living):
@@ -94,7 +96,7 @@
 
 
 def rows(view: MembershipView, now: float) -> list[MemberRow]:
-    """Return a row for each member: this instance first, then the living, then the rest."""
+    """Return a row for each member: this instance first, then the others by status and name."""
     peers = sorted(view.table, key=lambda peer: (peer.state.status, peer.state.name))
     return [_own_row(view), *(_peer_row(view, peer, now) for peer in peers)]
 
@@ -121,7 +123,7 @@
 
 
 def _state_row(state: MemberState) -> MemberRow:
-    """Return the row of a state, without what is observed of the member."""
+    """Return the row of a member state; the observed fields are None."""
     return {
         "instance": state.name,
         "state": state.status.name.lower(),
@@ -142,7 +144,7 @@
 
 
 def status(view: MembershipView, now: float) -> ViewStatus:
-    """Return the view in figures."""
+    """Return the summary of the view."""
     table = view.table
     statuses = [peer.state.status for peer in table]
     agreement = digest_agreement(view)
--- a/tests/fleet/membership/test_view.py
+++ b/tests/fleet/membership/test_view.py
@@ -176,10 +176,10 @@
 
 
 DEFECTS: dict[str, tuple[Callable[[], bool], type, str, Callable[..., None]]] = {
-    "the dead are not called": (partition_heals, Reconnection, "_call", call_nobody),
+    "the dead are not called": (partition_heals, Reconnection, "_send_hello", call_nobody),
     "nothing is refuted, after a partition": (partition_heals, NameConflicts, "on_state", refute_nothing),
     "nothing is refuted, after a stop": (stopped_process_returns, NameConflicts, "on_state", refute_nothing),
-    "own stops count": (own_stop_is_held_against_nobody, FailureDetector, "_excuse_stall", excuse_nothing),
+    "own stops count": (own_stop_is_held_against_nobody, FailureDetector, "_handle_stall", excuse_nothing),
     "nobody else tries": (
         indirect_probes_reach,
         FailureDetector,
@@ -313,9 +313,13 @@
 
 def test_timers_of_all_profiles_hold_together() -> None:
     for timers in PROFILES.values():
-        assert timers.timeout * 2 <= timers.period
-        assert timers.try_first < timers.try_most < timers.try_late
-        assert timers.hold >= timers.period
+        assert timers.timeout * 2 <= timers.probe_interval
+        assert (
+            timers.first_reconnect_interval
+            < timers.max_reconnect_interval
+            < timers.max_late_reconnect_interval
+        )
+        assert timers.settle_time >= timers.probe_interval
 
 
 def test_a_ping_of_an_unknown_member_gets_no_answer_and_its_own_state_makes_it_known() -> None:
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -20,7 +20,7 @@
         rumours.add(fact)
     told: dict[str, int] = {}
     while len(rumours):
-        batch = rumours.take(8)
+        batch = rumours.select_batch(8)
         assert batch and sum(map(encoded_size, batch)) <= form.MAX_GOSSIP_BYTES
         for fact in batch:
             told[fact.name] = told.get(fact.name, 0) + 1
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -91,14 +91,14 @@
         "import math\n"
         "from loadbalancer.fleet.membership.joining import Joining as J\n"
         "from loadbalancer.fleet.membership.reconnection import Reconnection as R\n"
-        "_seeds = J._call_seeds\n"
-        "R._call = lambda self, now, peer: setattr(peer, 'reconnect_at', math.inf)\n"
+        "_send = J._send_hellos_to_seeds\n"
+        "R._send_hello = lambda self, now, peer: setattr(peer, 'reconnect_at', math.inf)\n"
         "def _no_seeds(self, now):\n"
         "    if self._context.local.is_member:\n"
-        "        self._call_seeds_at = math.inf\n"
+        "        self._next_hello_at = math.inf\n"
         "    else:\n"
-        "        _seeds(self, now)\n"
-        "J._call_seeds = _no_seeds\n"
+        "        _send(self, now)\n"
+        "J._send_hellos_to_seeds = _no_seeds\n"
     )
 
     async def scene() -> None:
