--- a/loadbalancer/fleet/__init__.py
+++ b/loadbalancer/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What instances of the program know of one another. Off unless `[fleet]` stands in the configuration."""
+"""Membership and replicated state of a fleet of instances. Disabled unless the configuration has `[fleet]`."""
--- a/loadbalancer/fleet/datagram_socket.py
+++ b/loadbalancer/fleet/datagram_socket.py
@@ -12,7 +12,7 @@
 from loadbalancer.fleet.settings import Address
 from loadbalancer.fleet.wire import MAX_DATAGRAM_BYTES, Message, Packet
 
-#: Datagrams that are read at one wake-up, so that a flood of them leaves the event loop to clients.
+#: Maximum number of datagrams read per wake-up, so that a flood of datagrams does not starve client connections.
 MAX_DATAGRAMS_PER_WAKE_UP = 64
 
 
@@ -26,7 +26,7 @@
         counts: Counter[str],
         on_packet: Callable[[Packet], None],
     ) -> None:
-        """`on_packet` gets each packet that is new, in the order in which they come."""
+        """Take over the socket; `on_packet` receives each new packet in the order of arrival."""
         self.socket = sock
         self._codec = codec
         self._counts = counts
@@ -35,18 +35,18 @@
         self._is_reading = False
 
     def start_reading(self) -> None:
-        """Read whatever comes from now on."""
+        """Start reading datagrams."""
         self._is_reading = True
         self._loop.add_reader(self.socket, self._read_batch)
 
     def pause_reading(self) -> None:
-        """Read no more; the socket stays, for another process that reads from it."""
+        """Stop reading; the socket stays open for another process that reads from it."""
         if self._is_reading:
             self._is_reading = False
             self._loop.remove_reader(self.socket)
 
     def close(self) -> None:
-        """Release the socket."""
+        """Stop reading and close the socket."""
         self.pause_reading()
         self.socket.close()
 
@@ -57,30 +57,30 @@
         message: Message,
         member_states: tuple[MemberState, ...] = (),
     ) -> None:
-        """Send one datagram. One that is too long, or that the kernel does not take, is counted and lost."""
+        """Send one datagram. A datagram that is too long, or that the kernel rejects, is counted and dropped."""
         data = self._codec.seal(receiver_boot, message, member_states)
         if len(data) > MAX_DATAGRAM_BYTES:
             self._counts["datagrams too long"] += 1
             return
         try:
             self.socket.sendto(data, address)
-        except OSError:  # BlockingIOError among them
+        except OSError:  # includes BlockingIOError
             self._counts["datagrams not sent"] += 1
             return
         self._counts["datagrams out"] += 1
         self._counts["bytes out"] += len(data)
 
     def read_pending(self) -> None:
-        """Read all that has come by now."""
+        """Read all datagrams that have arrived."""
         while self._is_reading and self._read_batch() == MAX_DATAGRAMS_PER_WAKE_UP:
             pass
 
     def _read_batch(self) -> int:
-        """Read what has come, up to the bound; how many datagrams that were."""
+        """Read at most MAX_DATAGRAMS_PER_WAKE_UP datagrams and return how many were read."""
         for count in range(MAX_DATAGRAMS_PER_WAKE_UP):
             try:
                 data = self.socket.recv(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # nothing more, or a peer's kernel has answered that nobody listens there
+            except OSError:  # nothing left to read, or a peer's kernel has reported that its port is closed
                 return count
             self._counts["datagrams in"] += 1
             self._counts["bytes in"] += len(data)
--- a/loadbalancer/fleet/errors.py
+++ b/loadbalancer/fleet/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the fleet's wire format, keys and connections; those of replicated state: `replication/errors.py`."""
+"""Errors of the fleet's wire format, keys and connections; those of replicated state are in `replication/errors.py`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DropReason(StrEnum):
-    """Why bytes are dropped; the counter of each is named `dropped: <reason>`."""
+    """Reasons for which received bytes are dropped; each has a counter named `dropped: <reason>`."""
 
     TOO_LONG = "too long"
     NOT_OURS = "not ours"
@@ -19,14 +19,14 @@
 
 
 class FleetError(Exception):
-    """Base of the errors in this file."""
+    """Base class of the errors in this module."""
 
 
 class MessageError(FleetError, ValueError):
-    """Bytes that no instance of this fleet has sent, or that this build can't read.
+    """Raised for bytes that no instance of this fleet has sent, or that this build can't decode.
 
     Attributes:
-        kind: Why.
+        kind: The reason.
     """
 
     def __init__(self, kind: DropReason) -> None:
@@ -35,8 +35,8 @@
 
 
 class KeyFileError(FleetError, ValueError):
-    """A key file, or a list of keys, that can't be used; the text says what is wrong with it."""
+    """Raised for a key file, or a list of keys, that can't be used; the text states the defect."""
 
 
 class ExchangeError(FleetError, ConnectionError):
-    """A peer has sent something else over a connection than what is expected next."""
+    """Raised when a peer sends something other than the expected packet over a connection."""
--- a/loadbalancer/fleet/framed_connection.py
+++ b/loadbalancer/fleet/framed_connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection between two instances, as packets with their length before them."""
+"""One TCP connection between two instances, which carries length-prefixed packets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FramedConnection:
-    """Reads and writes packets; `open_framed` opens and closes it."""
+    """Reads and writes packets over one connection; `open_framed` opens and closes it."""
 
     def __init__(
         self,
@@ -32,32 +32,34 @@
         self._counts = counts
 
     def write(self, receiver_boot: int, message: Message, member_states: tuple[MemberState, ...] = ()) -> int:
-        """Buffer a message.
+        """Write a message to the send buffer.
 
         Returns:
-            Its bytes on the connection.
+            The number of bytes written, including the length prefix.
         """
         data = self._codec.seal(receiver_boot, message, member_states)
         self._writer.write(len(data).to_bytes(LENGTH_BYTES, "big") + data)
         return LENGTH_BYTES + len(data)
 
     async def drain(self) -> None:
-        """Wait until the peer has taken enough of what is buffered."""
+        """Wait until the send buffer has drained below its low-water mark."""
         await self._writer.drain()
 
     async def read(self) -> Packet:
         """Read the next packet.
 
         Raises:
-            ExchangeError: It is too long, or not a packet for this boot of this instance.
-            asyncio.IncompleteReadError: The peer has closed the connection.
+            ExchangeError: The packet is too long, invalid, or not for this boot of this instance.
+            asyncio.IncompleteReadError: The peer closed the connection.
         """
         length = int.from_bytes(await self._reader.readexactly(LENGTH_BYTES), "big")
         if length > MAX_PIECE_BYTES:
-            raise ExchangeError(f"a message of {length} bytes; at most {MAX_PIECE_BYTES}")
+            raise ExchangeError(f"received a message of {length} bytes; expected at most {MAX_PIECE_BYTES}")
         packet = self._codec.open(await self._reader.readexactly(length), MAX_PIECE_BYTES)
         if packet is None or packet.to != self._codec.boot:
-            raise ExchangeError("not a message for this instance")
+            raise ExchangeError(
+                "received an invalid packet, or one for another process; expected one for this boot of this instance"
+            )
         self._counts["bytes in"] += LENGTH_BYTES + length
         return packet
 
@@ -66,7 +68,7 @@
 async def open_framed(
     sock: socket.socket, codec: PacketCodec, counts: Counter[str]
 ) -> AsyncIterator[FramedConnection]:
-    """A connection over a connected socket; both are closed at the end of the context."""
+    """Open a framed connection over a connected socket; both are closed at the end of the context."""
     try:
         reader, writer = await asyncio.open_connection(sock=sock)
         try:
--- a/loadbalancer/fleet/replay_window.py
+++ b/loadbalancer/fleet/replay_window.py
@@ -1,70 +1,70 @@
-"""Replay protection: packets that come a second time are told from new ones.
+"""Replay protection: each packet is accepted once.
 
 Rules:
 
-1. A packet is meant for one boot of its receiver, and boot ids are drawn anew at each start: what was recorded before a
-   restart is for nobody after it, and nothing has to be kept on disk.
+1. A packet is addressed to one boot of its receiver, and boot ids are drawn anew at each start: a packet that was
+   captured before a restart is not valid after it, and no state has to be kept on disk.
 2. Each boot of a sender numbers its packets. Each number is accepted once, and only within a window behind the
    greatest.
-3. Of each name several boots are remembered, so that a packet of an earlier boot does not come as new again.
+3. Windows of several boots per name are kept, so that a replayed packet of an earlier boot is not accepted as new.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-#: Numbers behind a sender's greatest that may still come, out of order.
+#: Size of the window behind a sender's greatest number in which packets are accepted out of order.
 WINDOW = 1024
-#: Boots of one name that are remembered; each takes some 200 bytes.
+#: Maximum number of boots per name; each window takes some 200 bytes.
 MAX_BOOTS_PER_NAME = 64
-#: Names that are remembered.
+#: Maximum number of names.
 MAX_NAMES = 8_192
 
 
 class ReplayWindow:
-    """The numbers that were accepted of one boot of a sender.
+    """Holds the packet numbers that were accepted from one boot of a sender.
 
     Attributes:
-        latest: The greatest of them.
-        seen: A bit for each number of the window; the lowest is that of `latest`.
+        greatest: The greatest accepted number.
+        accepted_bits: A bit for each number of the window; the lowest is that of `greatest`.
     """
 
-    __slots__ = ("latest", "seen")
+    __slots__ = ("greatest", "accepted_bits")
 
     def __init__(self) -> None:
-        self.latest = 0
-        self.seen = 0
+        self.greatest = 0
+        self.accepted_bits = 0
 
-    def take(self, number: int) -> bool:
-        """Accept a number; false where it was accepted before, or is behind the window."""
-        ahead = number - self.latest
+    def accept(self, number: int) -> bool:
+        """Accept a number and return True; return False if it was accepted before or is behind the window."""
+        ahead = number - self.greatest
         if ahead > 0:
             self._advance(ahead)
-            self.latest = number
+            self.greatest = number
             return True
-        if ahead <= -WINDOW or self.seen >> -ahead & 1:
+        if ahead <= -WINDOW or self.accepted_bits >> -ahead & 1:
             return False
-        self.seen |= 1 << -ahead
+        self.accepted_bits |= 1 << -ahead
         return True
 
     def _advance(self, ahead: int) -> None:
         if ahead >= WINDOW:
-            self.seen = 1
+            self.accepted_bits = 1
         else:
-            self.seen = ((self.seen << ahead) | 1) & ((1 << WINDOW) - 1)
+            self.accepted_bits = ((self.accepted_bits << ahead) | 1) & ((1 << WINDOW) - 1)
 
 
 class ReplayProtection:
-    """The windows of all senders.
+    """Holds the replay windows of all senders.
 
-    Past the bounds the name that was silent longest is forgotten, and of one name the boot that came first.
+    Above the limits it evicts the least recently received name, and within one name the boot that was added first.
     """
 
     def __init__(self) -> None:
         self._names: OrderedDict[str, OrderedDict[int, ReplayWindow]] = OrderedDict()
 
     def take(self, sender: str, boot: int, number: int) -> bool:
-        """Accept a packet; false where it was accepted before, or is behind the window."""
+        """Accept a packet and return True; return False if it was accepted before or is behind the window."""
         boots = self._names.get(sender)
         if boots is None:
             boots = self._names[sender] = OrderedDict()
@@ -77,7 +77,7 @@
             window = boots[boot] = ReplayWindow()
             if len(boots) > MAX_BOOTS_PER_NAME:
                 boots.popitem(last=False)
-        return window.take(number)
+        return window.accept(number)
 
     def __len__(self) -> int:
         return len(self._names)
--- a/loadbalancer/fleet/stream_exchange.py
+++ b/loadbalancer/fleet/stream_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges over TCP: whole membership views with a peer, and streams of messages that answer a request."""
+"""Exchanges over TCP: whole membership views, and requests that are answered by a stream of messages."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from loadbalancer.fleet.view_exchange import receive_view, send_view
 from loadbalancer.fleet.wire import Message, Packet, Piece
 
-#: Connections of other instances that are open at once.
+#: Maximum number of open inbound connections.
 MAX_INBOUND_CONNECTIONS = 8
-#: Seconds for a whole exchange of views, and for each message of a stream.
+#: Time limit for a whole exchange of views, and for each message of a stream.
 EXCHANGE_TIMEOUT_S = 5.0
-#: Seconds that a connection has to show that it is of the fleet.
+#: Time limit for the first valid packet on an inbound connection.
 FIRST_MESSAGE_TIMEOUT_S = 1.0
-#: Seconds until a connection is accepted again after the kernel had no descriptor.
+#: Time until accepting resumes after the kernel had no file descriptor left.
 ACCEPT_RETRY_INTERVAL_S = 0.2
 
-#: The kinds of messages that come over a connection.
+#: The message types that are sent over a connection.
 STREAM_MESSAGES = (*get_args(StreamMessage), Piece)
 
-#: Answers the first message of a connection: each message of the answer with the seconds to wait after it. None where
-#: the message is not a request, but the first piece of a view.
+#: Handles the first message of a connection. Returns the messages of the answer, each with the seconds to wait after
+#: it, or None if the message is not a request but the first piece of a view.
 StreamHandler = Callable[[Message], Iterator[tuple[Message, float]] | None]
 
 
@@ -40,9 +40,9 @@
 
 
 class StreamExchange:
-    """Owns the listening TCP socket, the connections that it accepts, and one connection of its own for views.
+    """Owns the listening TCP socket, the inbound connections, and one outbound connection for views.
 
-    `close` releases them all. Connections that `ask` opens end with their iterator.
+    `close` releases them all. A connection that `ask` opens is closed with its iterator.
     """
 
     def __init__(
@@ -55,15 +55,15 @@
         on_packet: Callable[[Packet], None],
         log_notice: Callable[[str, str], None],
     ) -> None:
-        """Take the listening socket.
+        """Take over the listening socket.
 
         Args:
-            listener: Listens, and does not block.
+            listener: A non-blocking listening socket.
             codec: Seals and opens packets.
-            counts: Where failures and bytes are counted.
-            member_states: All that the membership view knows, to be sent to a peer.
-            on_packet: Gets the pieces of a peer's view.
-            log_notice: Logs an event with a text.
+            counts: Counters of failures and bytes.
+            member_states: Returns all member states of the membership view, which are sent to a peer.
+            on_packet: Receives the packet of each piece of a peer's view.
+            log_notice: Logs an event name with a text.
         """
         self.socket = listener
         self.handler: StreamHandler = _no_streams
@@ -79,15 +79,15 @@
         self._inbound: set[asyncio.Task[None]] = set()
         self._outbound: asyncio.Task[None] | None = None
 
-    # Life.
+    # Lifecycle.
 
     def start_accepting(self) -> None:
-        """Accept connections from now on."""
+        """Start accepting connections."""
         self._is_accepting = True
         self._loop.add_reader(self.socket, self._accept)
 
     def pause_accepting(self) -> None:
-        """Accept no more; the socket stays, for another process that accepts from it."""
+        """Stop accepting; the socket stays open for another process that accepts from it."""
         if self._is_accepting:
             self._is_accepting = False
             self._loop.remove_reader(self.socket)
@@ -95,7 +95,7 @@
                 self._accept_retry.cancel()
 
     def close(self) -> None:
-        """Release the socket and end all exchanges but those of `ask`."""
+        """Close the socket and cancel all exchanges except those of `ask`."""
         self.pause_accepting()
         for task in self._inbound:
             task.cancel()
@@ -103,12 +103,12 @@
             self._outbound.cancel()
         self.socket.close()
 
-    # Of our own.
+    # Outbound exchanges.
 
-    def synchronize(self, wanted: SynchronizeState) -> None:
-        """Begin to exchange views with a peer, unless such an exchange is under way."""
+    def synchronize(self, action: SynchronizeState) -> None:
+        """Start exchanging views with a peer, unless an outbound exchange is in progress."""
         if self._outbound is None:
-            self._outbound = self._loop.create_task(self._synchronize(wanted))
+            self._outbound = self._loop.create_task(self._synchronize(action))
             self._outbound.add_done_callback(self._outbound_ended)
 
     def _outbound_ended(self, task: asyncio.Task[None]) -> None:
@@ -119,33 +119,33 @@
         if not task.cancelled() and task.exception() is not None:
             self._counts["exchanges failed"] += 1
 
-    async def _synchronize(self, wanted: SynchronizeState) -> None:
-        """Send the whole view, then receive the peer's."""
+    async def _synchronize(self, action: SynchronizeState) -> None:
+        """Send the whole view, then receive that of the peer."""
         async with (
             asyncio.timeout(EXCHANGE_TIMEOUT_S),
-            self._connect(wanted.address, EXCHANGE_TIMEOUT_S) as connection,
+            self._connect(action.address, EXCHANGE_TIMEOUT_S) as connection,
         ):
-            await send_view(connection, wanted.boot, self._member_states(), self._counts)
-            await receive_view(connection, self._on_packet, wanted.boot)
+            await send_view(connection, action.boot, self._member_states(), self._counts)
+            await receive_view(connection, self._on_packet, action.boot)
 
     async def ask(
         self, address: Address, boot: int, message: Message, timeout_s: float = EXCHANGE_TIMEOUT_S
     ) -> AsyncIterator[Message]:
-        """Ask a peer over a connection of its own.
+        """Send a request to a peer over a new connection.
 
         Args:
-            address: Where the peer is reached.
+            address: The peer's host and port.
             boot: The peer's boot id.
             message: The request.
-            timeout_s: Seconds to connect in, and for each message of the answer.
+            timeout_s: Time limit for the connect, and for each message of the answer.
 
         Yields:
             The messages of the answer, in order.
 
         Raises:
-            OSError: The peer can't be reached, or is another boot (`ExchangeError`).
-            TimeoutError: It has not answered in time.
-            asyncio.IncompleteReadError: It has closed the connection, which also ends a complete answer.
+            OSError: The peer can't be reached, or another boot answered (`ExchangeError`).
+            TimeoutError: The peer did not answer in time.
+            asyncio.IncompleteReadError: The peer closed the connection, which also ends a complete answer.
         """
         async with self._connect(address, timeout_s) as connection:
             connection.write(boot, message)
@@ -153,12 +153,15 @@
                 async with asyncio.timeout(timeout_s):
                     packet = await connection.read()
                 if packet.boot != boot or not isinstance(packet.message, STREAM_MESSAGES):
-                    raise ExchangeError("an answer of another life")
+                    raise ExchangeError(
+                        f"expected a stream message of boot {boot:016x}, "
+                        f"got {type(packet.message).__name__} of boot {packet.boot:016x}"
+                    )
                 yield packet.message
 
     @asynccontextmanager
     async def _connect(self, address: Address, timeout_s: float) -> AsyncIterator[FramedConnection]:
-        """A connection from the address that this instance is known by."""
+        """Connect to a peer from the local host address of the listening socket."""
         sock = await self._connect_socket(address, timeout_s)
         async with open_framed(sock, self._codec, self._counts) as connection:
             yield connection
@@ -175,18 +178,18 @@
             raise
         return sock
 
-    # Of others.
+    # Inbound connections.
 
     def _accept(self) -> None:
         try:
             sock, _ = self.socket.accept()
         except BlockingIOError:
             return
-        except OSError as error:  # no descriptor: datagrams go on, and the peer tries its exchange again
+        except OSError as error:  # no file descriptor left: datagrams still work, the peer retries
             self._counts["exchanges not accepted"] += 1
             self._log_notice("fleet: accept", str(error))
             self._loop.remove_reader(self.socket)
-            self._accept_retry = self._loop.call_later(ACCEPT_RETRY_INTERVAL_S, self._accept_again)
+            self._accept_retry = self._loop.call_later(ACCEPT_RETRY_INTERVAL_S, self._resume_accepting)
             return
         if len(self._inbound) >= MAX_INBOUND_CONNECTIONS:
             self._counts["exchanges turned away"] += 1
@@ -197,7 +200,7 @@
         self._inbound.add(task)
         task.add_done_callback(self._inbound_ended)
 
-    def _accept_again(self) -> None:
+    def _resume_accepting(self) -> None:
         self._accept_retry = None
         self._loop.add_reader(self.socket, self._accept)
 
@@ -206,7 +209,7 @@
         self._count_failure(task)
 
     async def _serve(self, sock: socket.socket) -> None:
-        """Answer the request that a connection begins with, or exchange views with its peer."""
+        """Handle an inbound connection: answer its request, or exchange views with the peer."""
         async with open_framed(sock, self._codec, self._counts) as connection:
             async with asyncio.timeout(FIRST_MESSAGE_TIMEOUT_S):
                 first = await connection.read()
@@ -221,7 +224,7 @@
     async def _send_answer(
         self, connection: FramedConnection, receiver_boot: int, answer: Iterator[tuple[Message, float]]
     ) -> None:
-        """Send the messages of an answer at their pace; a peer that stops reading is left after a while."""
+        """Send the messages of an answer with their pauses; give up on a peer that stops reading (TimeoutError)."""
         for message, pause_s in answer:
             self._counts["bytes out"] += connection.write(receiver_boot, message)
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
--- a/loadbalancer/fleet/transport.py
+++ b/loadbalancer/fleet/transport.py
@@ -1,13 +1,13 @@
-"""The fleet transport: carries out what the membership view wants done, and brings it what has come.
+"""The fleet transport: carries out the actions of the membership view, and delivers received packets to it.
 
 Resources and their owners, all released by `FleetTransport.close`:
 
 - the UDP socket and its reader: `DatagramSocket`,
-- the listening TCP socket, at most MAX_INBOUND_CONNECTIONS connections of other instances, and one connection of this
-  one for views: `StreamExchange`,
+- the listening TCP socket, at most MAX_INBOUND_CONNECTIONS inbound connections, and one outbound connection for views:
+  `StreamExchange`,
 - one timer: `FleetTransport`.
 
-A connection that `FleetTransport.ask` opens is released with its iterator.
+A connection that `FleetTransport.ask` opens is closed with its iterator.
 """
 
 from __future__ import annotations
@@ -43,30 +43,30 @@
 
 REPLICATION_MESSAGES = get_args(ReplicationMessage)
 
-#: Gets the sender's name and a message of replicated state.
+#: Receives the sender's name and a message of replicated state.
 ReplicationHandler = Callable[[str, Message], None]
 
 
 class View(Protocol):
-    """The membership view, as its transport sees it."""
+    """The interface of the membership view that the transport uses."""
 
     @property
     def next_timer(self) -> float:
-        """When `TimerExpired` is due, in seconds of `time.monotonic`."""
+        """When `TimerExpired` is next due, in seconds of `time.monotonic`."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Handle an event; what is to be done."""
+        """Handle an event and return the actions to carry out, in order."""
 
     def facts(self) -> Iterable[MemberState]:
-        """All member states that the view knows."""
+        """Return all member states of the view."""
 
 
 class FleetTransport:
-    """Sockets and timer of one instance in a fleet.
+    """Owns the sockets and the timer of one instance in a fleet.
 
     Attributes:
-        counts: Datagrams, bytes, and what was dropped or has failed, for operators.
-        replication_handler: Gets messages of replicated state; None drops them.
+        counts: Counters of datagrams, bytes, drops and failures, for operators.
+        replication_handler: Receives messages of replicated state; if None they are dropped.
     """
 
     def __init__(
@@ -82,12 +82,12 @@
         """Bind the sockets; nothing is read before `start`.
 
         Args:
-            view: Gets the events, and says what is to be done.
+            view: Receives events and returns actions.
             name: The instance's name.
             boot: Its boot id.
-            sealer: Seals and opens packets; `sealer` replaces it.
-            bind: Where to bind.
-            log_notice: Logs an event with a text.
+            sealer: Seals and opens packets; the property `sealer` replaces it.
+            bind: The address to bind to.
+            log_notice: Logs an event name with a text.
             inherited: The sockets of the process that this one replaces.
 
         Raises:
@@ -118,7 +118,7 @@
 
     @property
     def sealer(self) -> Sealer:
-        """Seals and opens packets; a new one is set when the keys change."""
+        """The sealer of packets; replaced when the keys change."""
         return self._codec.sealer
 
     @sealer.setter
@@ -127,7 +127,7 @@
 
     @property
     def stream_handler(self) -> StreamHandler:
-        """Answers the requests that come over connections."""
+        """The handler of requests that arrive over connections."""
         return self._streams.handler
 
     @stream_handler.setter
@@ -150,22 +150,22 @@
         host, port = self.udp.getsockname()
         return host, port
 
-    # Life.
+    # Lifecycle.
 
     def start(self, actions: Iterable[Action] = ()) -> None:
-        """Read and keep time from now on; `actions` are carried out first."""
+        """Start reading, accepting and the timer; `actions` are carried out first."""
         self._datagrams.start_reading()
         self._streams.start_accepting()
         self._carry_out(actions)
         self._on_timer()
 
     def pause_reading(self) -> None:
-        """Read and accept no more, since another process does; the sockets stay."""
+        """Stop reading and accepting, since another process takes over; the sockets stay open."""
         self._datagrams.pause_reading()
         self._streams.pause_accepting()
 
     def close(self) -> None:
-        """Release the sockets, the connections and the timer."""
+        """Close the sockets and connections, and cancel the timer."""
         self._is_closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -175,7 +175,7 @@
     # Events and actions.
 
     def handle(self, event: Event) -> None:
-        """Hand an event to the view, and carry out what it wants done."""
+        """Pass an event to the view, and carry out the actions that it returns."""
         self._carry_out(self.view.handle(time.monotonic(), event))
         self._set_timer()
 
@@ -191,7 +191,7 @@
             self._timer = self._loop.call_later(max(0.0, due - time.monotonic()), self._on_timer)
 
     def _on_timer(self) -> None:
-        """What has come by now is read first, so that no peer counts as silent whose answer waits in the kernel."""
+        """Read pending datagrams, then expire timers: an answer still in the socket buffer is not a missed one."""
         self._timer = None
         self._datagrams.read_pending()
         self.handle(TimerExpired())
@@ -209,7 +209,7 @@
                     self._log_notice(action.event, action.text)
 
     def _on_datagram(self, packet: Packet) -> None:
-        """Bring a packet to whom its message is for: the replica, or the view."""
+        """Deliver a packet to the replication handler or to the view, according to its message."""
         if isinstance(packet.message, REPLICATION_MESSAGES):
             if self.replication_handler is not None and packet.to == self._codec.boot:
                 self.replication_handler(packet.sender, packet.message)
@@ -219,14 +219,14 @@
     def _on_view_piece(self, packet: Packet) -> None:
         self.handle(PacketReceived(packet))
 
-    # Messages beside the view's.
+    # Messages of other components.
 
     def send_datagram(self, address: Address, receiver_boot: int, message: Message) -> None:
-        """Send one message; it may be lost."""
+        """Send one message as a datagram; it may be lost."""
         self._datagrams.send(address, receiver_boot, message)
 
     def ask(
         self, address: Address, boot: int, message: Message, timeout_s: float = EXCHANGE_TIMEOUT_S
     ) -> AsyncIterator[Message]:
-        """Ask a peer over a connection of its own; `StreamExchange.ask` has the arguments and errors."""
+        """Send a request to a peer over a new connection; see `StreamExchange.ask` for arguments and errors."""
         return self._streams.ask(address, boot, message, timeout_s)
--- a/loadbalancer/fleet/view_exchange.py
+++ b/loadbalancer/fleet/view_exchange.py
@@ -1,4 +1,4 @@
-"""Two instances exchange their whole membership views over a connection, in pieces."""
+"""Sending and receiving whole membership views over a connection, in pieces."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from loadbalancer.fleet.member_state import MemberState, encoded_size
 from loadbalancer.fleet.wire import MAX_PIECE_BYTES, MAX_PIECES, Packet, Piece
 
-#: Bytes of member states in one piece; the rest is for the packet and its seal.
+#: Maximum size of the member states in one piece; the rest is for the packet and its seal.
 MAX_PIECE_STATES_BYTES = MAX_PIECE_BYTES - 512
 
 
 def split_into_pieces(member_states: Iterable[MemberState]) -> list[tuple[MemberState, ...]]:
-    """Split member states into parts that fit into a piece each; one empty part for none."""
+    """Split member states into parts that each fit into a piece; no states give one empty part."""
     parts: list[list[MemberState]] = [[]]
-    room = MAX_PIECE_STATES_BYTES
+    free_bytes = MAX_PIECE_STATES_BYTES
     for state in member_states:
         size = encoded_size(state)
-        if size > room:
+        if size > free_bytes:
             parts.append([])
-            room = MAX_PIECE_STATES_BYTES
+            free_bytes = MAX_PIECE_STATES_BYTES
         parts[-1].append(state)
-        room -= size
+        free_bytes -= size
     return [tuple(part) for part in parts]
 
 
@@ -34,7 +34,7 @@
     member_states: Iterable[MemberState],
     counts: Counter[str],
 ) -> None:
-    """Send a view, piece by piece."""
+    """Send a view in pieces."""
     parts = split_into_pieces(member_states)
     for number, part in enumerate(parts):
         piece = Piece(number, number == len(parts) - 1)
@@ -48,29 +48,32 @@
     sender_boot: int = 0,
     first: Packet | None = None,
 ) -> int:
-    """Receive a view, piece by piece.
+    """Receive a view in pieces.
 
     Args:
-        connection: Where it comes from.
-        on_packet: Gets the packet of each piece.
+        connection: The connection to read from.
+        on_packet: Receives the packet of each piece.
         sender_boot: The boot id that the pieces must have; 0 for that of the first piece.
-        first: The first packet, if it was read already.
+        first: The first packet, if it was already read.
 
     Returns:
         The sender's boot id.
 
     Raises:
-        ExchangeError: Something else than the next piece has come, or too many of them.
+        ExchangeError: Something other than the next piece was received, or too many pieces.
     """
     for number in range(MAX_PIECES):
         packet = first if first is not None else await connection.read()
         first = None
         if not isinstance(packet.message, Piece):
-            raise ExchangeError("not a piece")
+            raise ExchangeError(f"expected a piece of a view, got {type(packet.message).__name__}")
         sender_boot = sender_boot or packet.boot
         if packet.boot != sender_boot or packet.message.number != number:
-            raise ExchangeError("a piece of another exchange")
+            raise ExchangeError(
+                f"expected piece {number} of boot {sender_boot:016x}, "
+                f"got piece {packet.message.number} of boot {packet.boot:016x}"
+            )
         on_packet(packet)
         if packet.message.last:
             return sender_boot
-    raise ExchangeError(f"over {MAX_PIECES} pieces")
+    raise ExchangeError(f"expected at most {MAX_PIECES} pieces, got more")
--- a/loadbalancer/fleet/wire.py
+++ b/loadbalancer/fleet/wire.py
@@ -1,11 +1,11 @@
-"""What instances send one another: messages in packets, and packets sealed with the fleet's key.
+"""The wire format: messages in packets, and packets that are sealed with the fleet's key.
 
 A sealed packet is `mS`, the format's version, the key's number, 16 bytes of MAC, then the packet as MessagePack. The
 MAC is BLAKE3 keyed with the fleet's key, over the header and the packet. A datagram is one sealed packet of at most
-MAX_DATAGRAM_BYTES. Over TCP each sealed packet has its length before it, and at most MAX_PIECE_BYTES.
+MAX_DATAGRAM_BYTES. Over TCP each sealed packet has a length prefix and at most MAX_PIECE_BYTES.
 
-Builds side by side: new fields are appended, and passed over by builds that do not know them. A message of a kind that
-a build can't read is dropped, a member state that it can't read is passed over; both are counted.
+Compatibility between builds: new fields are appended, and ignored by builds that do not know them. A message of an
+unknown kind is dropped, and a member state that can't be decoded is skipped; both are counted.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 MAC_BYTES = 16
 #: Magic, format version and key number.
 HEADER_BYTES = len(MAGIC) + 2
-#: Bytes of a datagram: within the least that IPv6 carries whole (1,280), less its headers and UDP's.
+#: Maximum size of a datagram: within the minimum IPv6 MTU (1,280) less the headers of IPv6 and UDP.
 MAX_DATAGRAM_BYTES = 1_232
-#: Bytes of the member states that go along with a message in a datagram; the rest is for packet and message.
+#: Maximum size of the member states in a datagram; the rest is for the packet and the message.
 MAX_GOSSIP_BYTES = 1_000
-#: Bytes of one piece of an exchange.
+#: Maximum size of one piece of an exchange.
 MAX_PIECE_BYTES = 16 << 10
-#: Pieces of one exchange: some 50,000 instances.
+#: Maximum number of pieces in one exchange: some 50,000 instances.
 MAX_PIECES = 512
 
 Digest = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
@@ -45,7 +45,7 @@
 
 
 class Hello(Struct, frozen=True, array_like=True, tag=0):
-    """Ask who is at an address. It changes nothing at its receiver; the answer goes to `host` and `port`."""
+    """Asks which process is at an address. It changes nothing at its receiver; the answer goes to `host` and `port`."""
 
     host: Host
     port: Port
@@ -55,9 +55,9 @@
     """The answer to `Hello`, and to a packet for another boot of this instance.
 
     Attributes:
-        host: At which the sender is reached.
-        port: At which the sender is reached.
-        phase: The sender's recovery phase; 0 of a build that does not say.
+        host: Host at which the sender is reached.
+        port: Port at which the sender is reached.
+        phase: The sender's recovery phase; 0 if its build does not report it.
     """
 
     host: Host
@@ -69,9 +69,9 @@
     """A direct probe.
 
     Attributes:
-        number: Of the probe; the answer names it.
-        digest: Of the sender's membership view.
-        phase: The sender's recovery phase; 0 of a build that does not say.
+        number: Sequence number of the probe; the answer repeats it.
+        digest: Digest of the sender's membership view.
+        phase: The sender's recovery phase; 0 if its build does not report it.
     """
 
     number: Count
@@ -88,14 +88,14 @@
 
 
 class IndirectProbe(Struct, frozen=True, array_like=True, tag=4):
-    """Ask the receiver to probe `target` in the sender's place."""
+    """Asks the receiver to probe `target` on behalf of the sender."""
 
     number: Count
     target: Name
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=5):
-    """The answer to `IndirectProbe` where the target has not answered."""
+    """The answer to `IndirectProbe` if the target has not answered."""
 
     number: Count
 
@@ -105,14 +105,14 @@
 
 
 class NameConflictNotice(Struct, frozen=True, array_like=True, tag=7):
-    """The sender has the receiver's name.
+    """Tells the receiver that the sender has the same name.
 
     Attributes:
         life: The sender's generation.
-        host: At which the sender is reached.
-        port: At which the sender is reached.
+        host: Host at which the sender is reached.
+        port: Port at which the sender is reached.
         joined: Whether the sender has joined the fleet.
-        answer: Whether this answers such a notice; then nothing follows.
+        answer: Whether this notice answers another one; it is then not answered itself.
     """
 
     life: Count
@@ -123,18 +123,18 @@
 
 
 class Piece(Struct, frozen=True, array_like=True, tag=8):
-    """A part of the sender's membership view, in an exchange over TCP.
+    """A piece of the sender's membership view, in an exchange over TCP.
 
     Attributes:
-        number: From 0 on.
-        last: Whether it is the last.
+        number: Index of the piece, from 0.
+        last: Whether this is the last piece.
     """
 
     number: Count
     last: bool
 
 
-#: Of the membership view, and of replicated state (`replication/messages.py`).
+#: All messages: of the membership protocol, and of replicated state (`replication/messages.py`).
 Message = Union[
     Hello,
     AliveNotice,
@@ -151,15 +151,15 @@
 
 
 class Packet(Struct, frozen=True, array_like=True):
-    """A message with its sender and the boot of the receiver that it is meant for.
+    """A message with its sender and the boot id of the receiver.
 
     Attributes:
         sender: The sender's name.
-        boot: The sender's boot id, drawn at each start of a process.
-        to: The receiver's boot id; 0 where it is not known, which only a hello may say.
-        number: Grows with each packet of the sender's boot.
+        boot: The sender's boot id, drawn at random at each start of its process.
+        to: The receiver's boot id; 0 if it is not known, which is allowed only for a hello.
+        number: Sequence number, which increases with each packet of the sender's boot.
         message: The message.
-        facts: Member states that go along.
+        facts: Member states that are sent with the message.
     """
 
     sender: Name
@@ -171,7 +171,7 @@
 
 
 class _Envelope(Struct, array_like=True):
-    """A `Packet` of which the message and the member states are not decoded yet."""
+    """A `Packet` whose message and member states are not decoded yet."""
 
     sender: Name
     boot: BootId
@@ -186,8 +186,8 @@
 _message_decoder = msgspec.msgpack.Decoder(Message)
 _member_state_decoder = msgspec.msgpack.Decoder(MemberState)
 
-#: What the decoders raise for bytes that they can't read; invalid UTF-8 and deep nesting raise errors of their own.
-UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+#: Errors that the decoders raise for malformed bytes; invalid UTF-8 and deep nesting raise errors of their own.
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
 
 @dataclass(frozen=True, slots=True)
@@ -196,7 +196,7 @@
 
     Attributes:
         packet: The packet.
-        unreadable_states: Member states in it that this build can't read.
+        unreadable_states: Number of its member states that this build can't decode.
     """
 
     packet: Packet
@@ -204,20 +204,20 @@
 
 
 class Sealer:
-    """Seals packets with the first key and opens those that any of the keys has sealed.
+    """Seals packets with the first key and opens packets that were sealed with any of the keys.
 
     Attributes:
-        keys: By key number.
+        keys: The keys by key number.
     """
 
     def __init__(self, keys: Sequence[bytes]) -> None:
-        """Take the keys, the sealing one first.
+        """Create a sealer from the keys, the sealing key first.
 
         Raises:
-            KeyFileError: No key, too many, or one that has not KEY_BYTES.
+            KeyFileError: There are no keys, too many, or a key whose length is not KEY_BYTES.
         """
         if not 1 <= len(keys) <= MAX_KEYS or any(len(key) != KEY_BYTES for key in keys):
-            raise KeyFileError(f"1 to {MAX_KEYS} keys of {KEY_BYTES} bytes are wanted")
+            raise KeyFileError(f"expected 1 to {MAX_KEYS} keys of {KEY_BYTES} bytes, got {len(keys)} keys")
         self.keys: Mapping[int, bytes] = {key_number(key): key for key in keys}
         self._sealing_number = key_number(keys[0])
 
@@ -231,7 +231,7 @@
         """Check the seal and decode the packet.
 
         Raises:
-            MessageError: No instance of this fleet has sent the bytes, or this build can't read them.
+            MessageError: No instance of this fleet has sent the bytes, or this build can't decode them.
         """
         if len(data) > max_bytes:
             raise MessageError(DropReason.TOO_LONG)
@@ -251,24 +251,24 @@
 
 
 def compute_mac(key: bytes, header: bytes, body: bytes) -> bytes:
-    """The MAC of a packet."""
+    """Return the MAC of a packet."""
     return blake3(header + body, key=key).digest(MAC_BYTES)
 
 
 def _decode_packet(body: bytes) -> OpenedPacket:
     try:
         envelope = _envelope_decoder.decode(body)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         raise MessageError(DropReason.MALFORMED) from None
     try:
         message: Message = _message_decoder.decode(envelope.message)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         raise MessageError(DropReason.UNKNOWN_KIND) from None
     states = []
     for raw in envelope.facts:
         try:
             states.append(_member_state_decoder.decode(raw))
-        except UNREADABLE:
-            continue  # of a later build
+        except DECODE_ERRORS:
+            continue  # sent by a later build
     packet = Packet(envelope.sender, envelope.boot, envelope.to, envelope.number, message, tuple(states))
     return OpenedPacket(packet, len(envelope.facts) - len(states))
--- a/tests/fleet/test_keys.py
+++ b/tests/fleet/test_keys.py
@@ -14,7 +14,7 @@
         ("zz", "not 64"),
         ("11", "not 64"),
         (f"{'11' * 32}\n" * 3, "3 keys"),
-        (f"{'11' * 32}\n" * 2, "told apart"),
+        (f"{'11' * 32}\n" * 2, "both keys have the number"),
     ],
 )
 def test_a_file_of_keys_says_what_is_wrong(text: str, words: str) -> None:
