--- a/tests/fleet/membership/test_hand_over.py
+++ b/tests/fleet/membership/test_hand_over.py
@@ -1,4 +1,4 @@
-"""A membership view that goes on from what another process has handed over."""
+"""Reports of a membership view that was resumed from the states that a previous process handed over."""
 
 from __future__ import annotations
 
--- a/tests/fleet/membership/test_hand_over_states.py
+++ b/tests/fleet/membership/test_hand_over_states.py
@@ -1,4 +1,4 @@
-"""Whatever a membership view hands over, its successor reports it, and ends a suspicion that nobody refutes."""
+"""A successor reports every member state that it takes over, and ends each suspicion that nobody refutes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def random_states(source: random.Random) -> list[MemberState]:
-    """Up to twelve members in any status, reported by anybody."""
+    """Return up to twelve member states with random status and reporter."""
     return [
         MemberState(
             f"m{number}",
@@ -32,17 +32,17 @@
     ]
 
 
-def successor(states: list[MemberState], now: float, boot: int) -> MembershipView:
+def resumed_view(states: list[MemberState], now: float, boot: int) -> MembershipView:
     view = MembershipView(Identity("a", boot, ("10.0.0.1", 1)), Settings(instances=5), boot)
     view.resume(now, 3, states)
     return view
 
 
-# Guards against a hot restart after which a suspect breaks the report and the timers, or stays suspected for good.
+# After a hot restart a suspect that was taken over must not break the report and the timers, or stay suspect for ever.
 @pytest.mark.parametrize("seed", range(100))
-def test_every_state_that_is_handed_over_is_reported_and_ends(seed: int) -> None:
-    view = successor(random_states(random.Random(seed)), 1.0, 5)
-    view = successor(view.hand_over()[1], 2.0, 6)
+def test_handed_over_states_are_reported_and_suspicions_expire(seed: int) -> None:
+    view = resumed_view(random_states(random.Random(seed)), 1.0, 5)
+    view = resumed_view(view.hand_over()[1], 2.0, 6)
     suspects = {peer.state.name for peer in view.table.living if peer.state.status == MemberStatus.SUSPECT}
 
     rows = {row["instance"]: row for row in report.rows(view, 2.1)}
--- a/tests/fleet/membership/test_view.py
+++ b/tests/fleet/membership/test_view.py
@@ -1,4 +1,4 @@
-"""The membership view without I/O: schedules of a faulty network, and defects that the same checks must find."""
+"""The membership view without I/O: random network faults, and injected defects that the same checks must detect."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from loadbalancer.fleet.settings import PROFILES, Identity, Settings
 from loadbalancer.fleet.wire import GossipReply, Hello, Message, Packet, Ping
 
-#: Seconds within which all agree once the network is whole and nobody dies any more (docs/design/fleet-view.md).
+#: Seconds within which all agree once the network works and no process dies any more (docs/design/fleet-view.md).
 SETTLE_S = 20.0
 
 
-def after_faults(seed: int) -> FleetModel:
-    """Return eight instances after a minute of random faults, when the network is sound again.
+def model_after_random_faults(seed: int) -> FleetModel:
+    """Return eight instances after a minute of random faults, with the network healed.
 
-    All processes run but those that the faults have left killed.
+    All processes run except those that the faults have killed.
     """
     source = random.Random(seed)
     model = FleetModel(8, seed)
@@ -68,8 +68,8 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_after_any_faults_all_that_live_agree_within_the_bound(seed: int) -> None:
-    model = after_faults(seed)
+def test_live_members_agree_within_the_bound_after_random_faults(seed: int) -> None:
+    model = model_after_random_faults(seed)
 
     settled_after = model.until(model.settled, SETTLE_S)
 
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 5, 40])
-def test_a_fleet_of_any_size_forms_notices_a_loss_and_takes_the_member_back(size: int) -> None:
+def test_fleet_of_any_size_settles_after_start_crash_and_restart_of_a_member(size: int) -> None:
     model = FleetModel(size, size)
     assert model.start_all(20.0) is not None
     if size > 1:
@@ -92,23 +92,23 @@
         assert model.instances[-1].view.own_state.generation == 2
 
 
-def test_every_schedule_of_the_first_datagrams_of_a_join_ends_in_agreement() -> None:
-    """Three instances; what becomes of the first six datagrams once the third begins, in all 4 ** 6 ways."""
-    for fates in product(("", "gone", "twice", "late"), repeat=6):
+def test_join_settles_for_every_schedule_of_its_first_six_datagrams() -> None:
+    """Three instances; all 4 ** 6 combinations of what happens to the first six datagrams of the third."""
+    for deliveries in product(("", "gone", "twice", "late"), repeat=6):
         model = FleetModel(3, 1)
         model.instances[0].start()
         model.instances[1].start()
         assert model.until(model.settled, 10.0) is not None
-        model.net.fates = list(fates)
+        model.net.fates = list(deliveries)
         model.instances[2].start()
-        assert model.until(model.settled, SETTLE_S) is not None, fates
+        assert model.until(model.settled, SETTLE_S) is not None, deliveries
 
 
-# Checks, and defects that each of them must find.
+# Checks, and the injected defects that each of them must detect.
 
 
 def partition_heals() -> bool:
-    """Halves for a minute, without seeds that could help; then agreement in time."""
+    """Return whether two halves, partitioned for a minute and without seeds, agree in time once they are joined."""
     model = FleetModel(8, 3)
     assert model.start_all() is not None
     for instance in model.instances:
@@ -120,7 +120,7 @@
 
 
 def stopped_process_returns() -> bool:
-    """Stopped until it is dead to all, then resumed: back in the same generation."""
+    """Return whether a process that is resumed after it was declared dead returns in the same generation."""
     model = FleetModel(8, 4)
     assert model.start_all() is not None
     stopped = model.instances[5]
@@ -130,8 +130,11 @@
     return model.until(model.settled, SETTLE_S) is not None and stopped.view.own_state.generation == 1
 
 
-def own_stop_is_held_against_nobody() -> bool:
-    """Stopped just when it suspects another, and resumed long after; what had come for it meanwhile is lost."""
+def own_stall_causes_no_deaths() -> bool:
+    """Return whether an instance that was stopped while it suspected another declares nobody dead when resumed.
+
+    The datagrams that arrived while it was stopped are lost.
+    """
     model = FleetModel(8, 6)
     assert model.start_all() is not None
     observer, suspect = model.instances[5], model.instances[6]
@@ -150,8 +153,8 @@
     return settled and not observer.view.counters["died"]
 
 
-def indirect_probes_reach() -> bool:
-    """One way of many is cut for a minute: nobody is so much as suspected."""
+def indirect_probes_prevent_suspicion() -> bool:
+    """Return whether nobody is suspected while the path between two instances is cut for a minute."""
     model = FleetModel(8, 5)
     assert model.start_all() is not None
     model.net.cut = {(2, 3), (3, 2)}
@@ -159,15 +162,15 @@
     return not any(instance.view.counters["suspected"] for instance in model.instances)
 
 
-def call_nobody(self: Reconnection, now: float, peer: Peer) -> None:
+def send_no_hello(self: Reconnection, now: float, peer: Peer) -> None:
     peer.reconnect_at = math.inf
 
 
-def refute_nothing(self: NameConflicts, now: float, state: MemberState) -> None:
+def ignore_own_state(self: NameConflicts, now: float, state: MemberState) -> None:
     pass
 
 
-def excuse_nothing(self: FailureDetector, now: float, late: float) -> None:
+def ignore_stall(self: FailureDetector, now: float, stall_s: float) -> None:
     pass
 
 
@@ -176,12 +179,17 @@
 
 
 DEFECTS: dict[str, tuple[Callable[[], bool], type, str, Callable[..., None]]] = {
-    "the dead are not called": (partition_heals, Reconnection, "_send_hello", call_nobody),
-    "nothing is refuted, after a partition": (partition_heals, NameConflicts, "on_state", refute_nothing),
-    "nothing is refuted, after a stop": (stopped_process_returns, NameConflicts, "on_state", refute_nothing),
-    "own stops count": (own_stop_is_held_against_nobody, FailureDetector, "_handle_stall", excuse_nothing),
-    "nobody else tries": (
-        indirect_probes_reach,
+    "no hellos to dead members": (partition_heals, Reconnection, "_send_hello", send_no_hello),
+    "no refutation after a partition": (partition_heals, NameConflicts, "on_state", ignore_own_state),
+    "no refutation after a stop": (stopped_process_returns, NameConflicts, "on_state", ignore_own_state),
+    "own stalls are not compensated": (
+        own_stall_causes_no_deaths,
+        FailureDetector,
+        "_handle_stall",
+        ignore_stall,
+    ),
+    "no indirect probes": (
+        indirect_probes_prevent_suspicion,
         FailureDetector,
         "_request_indirect_probes",
         request_no_indirect_probes,
@@ -190,7 +198,9 @@
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_a_defect_makes_the_check_fail(defect: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_passes_and_fails_with_its_defect_injected(
+    defect: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     check, owner, method, broken = DEFECTS[defect]
     assert check()
 
@@ -199,11 +209,11 @@
     assert not check()
 
 
-# Rules one by one.
+# Single rules.
 
 
 def member_view(name: str = "a") -> MembershipView:
-    """Return the view of an instance that is alone and has joined."""
+    """Return the view of an instance that has joined alone."""
     view = MembershipView(Identity(name, 5, ("10.0.0.1", 1)), Settings(instances=3), 1)
     view.handle(0.0, TimerExpired())
     view.handle(2.1, TimerExpired())
@@ -228,7 +238,7 @@
     receiver_boot: int = 5,
     message: Message | None = None,
 ) -> list[Action]:
-    """Hand a packet of the instance b to a view."""
+    """Deliver a packet of instance `b` to a view."""
     packet = Packet("b", 9, receiver_boot, 1, message or GossipReply(), states)
     return view.handle(now, PacketReceived(packet))
 
@@ -261,7 +271,7 @@
     assert not view.table.peers
 
 
-def test_a_state_of_less_rank_changes_nothing_in_whatever_order_states_come() -> None:
+def test_state_of_greatest_rank_is_recorded_whatever_the_order_of_arrival() -> None:
     states = [
         member("b", status=status, incarnation=incarnation, generation=generation)
         for status in MemberStatus
@@ -289,7 +299,7 @@
     assert len(view.gossip_queue) <= 4_096
 
 
-def test_a_place_that_is_passed_on_makes_no_death() -> None:
+def test_hot_restart_causes_no_suspicion_and_no_death() -> None:
     model = FleetModel(5, 7)
     assert model.start_all() is not None
     replaced = model.instances[2]
@@ -297,7 +307,7 @@
     waiting, replaced.waits = replaced.waits, []
     replaced.up = False
 
-    replaced.start()  # another process at the same sockets
+    replaced.start()  # another process with the same address
     replaced.view = MembershipView(Identity("i2", 99, replaced.address), replaced.view.settings, 3)
     for action in replaced.view.resume(model.clock.now, generation, states):
         replaced.do(action)
@@ -311,7 +321,7 @@
     assert replaced.view.own_state.generation == 2
 
 
-def test_timers_of_all_profiles_hold_together() -> None:
+def test_timers_of_each_profile_are_consistent() -> None:
     for timers in PROFILES.values():
         assert timers.timeout * 2 <= timers.probe_interval
         assert (
@@ -322,7 +332,7 @@
         assert timers.settle_time >= timers.probe_interval
 
 
-def test_a_ping_of_an_unknown_member_gets_no_answer_and_its_own_state_makes_it_known() -> None:
+def test_ping_of_an_unknown_member_is_answered_only_once_its_own_state_arrived() -> None:
     view = member_view()
     assert receive(view, 3.0, message=Ping(1, 1)) == []
 
--- a/tests/fleet/scenes.py
+++ b/tests/fleet/scenes.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes before stand-in members, for tests; they wait for events and never for a while."""
+"""Fleets of real processes with stand-in members, for tests. The helpers wait for events, never for a fixed time."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 from standins.member import Fleet as Members
 from standins.processes import CONFIG, Fleet, One, until
 
-#: Seconds that one test may take, on however busy a machine.
-TEST_S = 150.0
+#: Time limit of one test, also on a busy machine.
+TEST_TIMEOUT_S = 150.0
 
 
-def run(scene: Callable[[], Awaitable[None]]) -> None:
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
+    """Run a test scenario within the time limit of a test."""
+
     async def bounded() -> None:
-        await asyncio.wait_for(scene(), TEST_S)
+        await asyncio.wait_for(scenario(), TEST_TIMEOUT_S)
 
     asyncio.run(bounded())
 
@@ -25,34 +27,34 @@
 async def fleet(
     folder: Path, size: int, *numbers: int, members: Members | None = None, **more: Any
 ) -> AsyncIterator[Fleet]:
-    """`numbers`: the places whose processes are started, or all."""
+    """Start the instances with these numbers, or all of them, which then settle, in front of stand-in members."""
     members = members or Members(3)
     await members.start()
     try:
         pool = '[[pool]]\nname = "p"\nrules = { new_members = "warm" }\n' + members.tables()
-        async with Fleet(folder, size, pool, **more) as made:
-            await made.open(*numbers)
+        async with Fleet(folder, size, pool, **more) as processes:
+            await processes.open(*numbers)
             if not numbers:
-                await made.settled()
-            yield made
+                await processes.settled()
+            yield processes
     finally:
         await members.stop()
 
 
-async def row(asked: Any, name: str) -> dict[str, Any] | None:
-    """Return what one instance holds of another, None where it does not know the name."""
-    members = await asked.read("fleet/members")
+async def row(observer: Any, name: str) -> dict[str, Any] | None:
+    """Return the row that one instance reports of another, or None if it does not know the name."""
+    members = await observer.read("fleet/members")
     return next((member for member in members if member["instance"] == name), None)
 
 
-async def held(asked: Any, name: str, state: str) -> None:
-    """Wait until one instance holds another for alive, suspected or dead."""
+async def until_recorded(observer: Any, name: str, state: str) -> None:
+    """Wait until one instance records another in this state (alive, suspect or dead)."""
 
-    async def is_held() -> bool:
-        member = await row(asked, name)
+    async def is_recorded() -> bool:
+        member = await row(observer, name)
         return member is not None and member["state"] == state
 
-    await until(is_held, f"{asked.name} holds {name} {state}")
+    await until(is_recorded, f"{observer.name} records {name} as {state}")
 
 
 @asynccontextmanager
@@ -66,7 +68,7 @@
     cut_off: str = "refuse",
     **more: Any,
 ) -> AsyncIterator[Fleet]:
-    """A fleet with a replicated state; where all are started, it is entered once all may act."""
+    """Start a fleet with replicated state; if all instances are started, wait until all may act."""
     names = ", ".join(f'"i{number}"' for number in range(min(size, voters)))
     settings = f'voters = [{names}]\nstale_most = "{stale}"\ncut_off = "{cut_off}"'
     config = '[store]\nfolder = "state"\n' + CONFIG
@@ -79,18 +81,18 @@
 
 
 async def replication_status(instance: One) -> dict[str, Any]:
-    """Return an instance's place in the replicated state."""
+    """Return an instance's status of the replicated state."""
     return dict((await instance.read("fleet/status"))["agreed"])
 
 
 async def until_acting(instances: Sequence[One], version: int = 0) -> None:
-    """Wait until all of these may act, on this version or a later one."""
+    """Wait until all of these instances may act on this version or a later one."""
 
     async def all_act() -> bool:
-        found = await asyncio.gather(*(replication_status(instance) for instance in instances))
+        statuses = await asyncio.gather(*(replication_status(instance) for instance in instances))
         return all(
             not status["shut_out"] and status["version"] >= version and not status["behind"]
-            for status in found
+            for status in statuses
         )
 
     names = ", ".join(instance.name for instance in instances)
--- a/tests/fleet/test_fleet_config.py
+++ b/tests/fleet/test_fleet_config.py
@@ -1,4 +1,4 @@
-"""`[fleet]` in the file: what is good, and every error at once with what would be right."""
+"""Validation of the `[fleet]` table: all errors are reported at once, with the expected values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from loadbalancer.config.plan import load
 from loadbalancer.config.reader import ConfigError
 
-REST = """
+BASE_CONFIG = """
 [[class]]
 name = "c"
 aim = "1s"
@@ -28,16 +28,17 @@
 """
 
 
-def problems(folder: Path, text: str) -> dict[str, str]:
+def load_problems(folder: Path, text: str) -> dict[str, str]:
+    """Load a file with this text, and return the error texts by key."""
     path = folder / "micastand.toml"
-    path.write_text(text + REST)
+    path.write_text(text + BASE_CONFIG)
     with pytest.raises(ConfigError) as caught:
         load(path)
     return {problem.key: problem.text for problem in caught.value.problems}
 
 
-def test_all_that_is_wrong_is_told_at_once(tmp_path: Path) -> None:
-    found = problems(
+def test_all_errors_of_the_fleet_table_are_reported_at_once(tmp_path: Path) -> None:
+    found = load_problems(
         tmp_path,
         """
 [process]
@@ -54,7 +55,7 @@
 """,
     )
     assert set(found) == {"fleet.name", "fleet.profile", "fleet.sed"}
-    found = problems(
+    found = load_problems(
         tmp_path,
         """
 [process]
@@ -71,20 +72,20 @@
     assert "openssl rand -hex 32" in found["fleet.key_file"]
 
 
-def test_what_is_right_counts_for_decisions_from_the_start(tmp_path: Path) -> None:
+def test_configured_fleet_size_is_the_initial_instance_count(tmp_path: Path) -> None:
     (tmp_path / "key").write_text("11" * 32)
     path = tmp_path / "micastand.toml"
     path.write_text(
         '[fleet]\nname = "a"\nbind = "127.0.0.1:0"\nadvertise = "127.0.0.1:9"\nkey_file = "key"\ninstances = 8\n'
-        + REST
+        + BASE_CONFIG
     )
     plan = load(path)
     assert plan.pools["p"].deployment.settings.instance_count == 8
 
 
-def test_voters_need_a_store_a_socket_and_time(tmp_path: Path) -> None:
+def test_invalid_voters_and_staleness_limit_are_reported(tmp_path: Path) -> None:
     (tmp_path / "key").write_text("11" * 32)
-    found = problems(
+    found = load_problems(
         tmp_path,
         """
 [fleet]
--- a/tests/fleet/test_keys.py
+++ b/tests/fleet/test_keys.py
@@ -1,4 +1,4 @@
-"""Key files: what is accepted, and what is said of those that are not."""
+"""Key files: valid ones are parsed, malformed ones are rejected with the defect."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "message"),
     [
         ("", "0 keys"),
         ("zz", "not 64"),
@@ -17,7 +17,7 @@
         (f"{'11' * 32}\n" * 2, "both keys have the number"),
     ],
 )
-def test_a_file_of_keys_says_what_is_wrong(text: str, words: str) -> None:
-    with pytest.raises(ValueError, match=words):
+def test_malformed_key_file_is_rejected_with_its_defect(text: str, message: str) -> None:
+    with pytest.raises(ValueError, match=message):
         read_keys(text)
     assert read_keys(f"# now\n{'11' * 32}\n\n# before\n{'22' * 32}\n") == [b"\x11" * 32, b"\x22" * 32]
--- a/tests/fleet/test_replay_window.py
+++ b/tests/fleet/test_replay_window.py
@@ -1,4 +1,4 @@
-"""Packets that come twice, out of order, or from an earlier boot."""
+"""Replay protection against duplicate packets, packets out of order, and packets of an earlier boot."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 @given(st.lists(st.integers(min_value=1, max_value=3 * WINDOW), max_size=200))
-def test_a_number_is_taken_once_and_only_within_the_window(numbers: list[int]) -> None:
-    replays, seen, latest = ReplayProtection(), set(), 0
+def test_number_is_accepted_once_and_only_within_the_window(numbers: list[int]) -> None:
+    protection, accepted, greatest = ReplayProtection(), set(), 0
     for number in numbers:
-        fresh = number not in seen and number > latest - WINDOW
-        assert replays.take("a", 1, number) == fresh
-        seen.add(number)
-        latest = max(latest, number)
+        is_new = number not in accepted and number > greatest - WINDOW
+        assert protection.take("a", 1, number) == is_new
+        accepted.add(number)
+        greatest = max(greatest, number)
 
 
-def test_lives_of_one_name_are_told_apart_and_bounded() -> None:
-    replays = ReplayProtection()
+def test_boots_of_one_name_are_distinguished_and_bounded() -> None:
+    protection = ReplayProtection()
     for boot in range(1, 2 * MAX_BOOTS_PER_NAME):
-        assert replays.take("a", boot, 1) and not replays.take("a", boot, 1)
-    assert not replays.take("a", MAX_BOOTS_PER_NAME, 1)  # among the latest lives still
+        assert protection.take("a", boot, 1) and not protection.take("a", boot, 1)
+    assert not protection.take("a", MAX_BOOTS_PER_NAME, 1)  # still among the latest boots
     for number in range(10_000):
-        replays.take(f"n{number}", 1, 1)
-    assert len(replays) <= 8_192
+        protection.take(f"n{number}", 1, 1)
+    assert len(protection) <= 8_192
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program, and faults between them: all agree again, and no client's request is lost by it."""
+"""Several processes of the program and faults between them: all agree again, and no client request fails."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from pathlib import Path
 
 import msgspec
-from scenes import fleet, held, row, run
+from scenes import fleet, row, run, until_recorded
 
-from loadbalancer.fleet import wire as form
+from loadbalancer.fleet import wire
 from loadbalancer.fleet.keys import key_number
 from loadbalancer.fleet.wire import Packet, Sealer
 from standins.askers import Askers
@@ -20,73 +20,74 @@
 KEY = b"\x11" * 32
 
 
-def test_one_half_and_all_but_one_are_killed_and_come_back(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 8) as made:
-            askers = Askers([made.all[0].port])
-            askers.start()
-            await made.all[3].kill()
-            await made.settled()
-            await made.start(3)
-            await made.settled()
-            found = await row(made.all[0], "i3")
+def test_fleet_settles_after_one_half_and_all_but_one_are_killed_and_restarted(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 8) as processes:
+            clients = Askers([processes.all[0].port])
+            clients.start()
+            await processes.all[3].kill()
+            await processes.settled()
+            await processes.start(3)
+            await processes.settled()
+            found = await row(processes.all[0], "i3")
             assert found is not None and found["life"] == 2
-            await asyncio.gather(*(made.all[n].kill() for n in (4, 5, 6, 7)))
-            await made.settled()
-            await made.start(4, 5, 6, 7)
-            await made.settled()
-            await asyncio.gather(*(made.all[n].kill() for n in range(1, 8)))
-            await made.start(*range(1, 8))  # most before their deaths were seen
-            await made.settled()
-            ends = await askers.stop()
-            assert set(ends) == {"200"}, ends
+            await asyncio.gather(*(processes.all[n].kill() for n in (4, 5, 6, 7)))
+            await processes.settled()
+            await processes.start(4, 5, 6, 7)
+            await processes.settled()
+            await asyncio.gather(*(processes.all[n].kill() for n in range(1, 8)))
+            await processes.start(*range(1, 8))  # most of them before they were declared dead
+            await processes.settled()
+            statuses = await clients.stop()
+            assert set(statuses) == {"200"}, statuses
 
-    run(scene)
+    run(scenario)
 
 
 def test_partitions_of_all_kinds_heal_without_seeds(tmp_path: Path) -> None:
-    """The only seed is dead by then, and stays so."""
-
-    async def scene() -> None:
-        async with fleet(tmp_path, 8, seeds=(0,)) as made:
-            await made.all[0].kill()
-            await made.settled()
-            askers = Askers([one.port for one in made.up])
-            askers.start()
+    """The only seed is dead before the first partition, and stays dead."""
+
+    async def scenario() -> None:
+        async with fleet(tmp_path, 8, seeds=(0,)) as processes:
+            await processes.all[0].kill()
+            await processes.settled()
+            clients = Askers([instance.port for instance in processes.up])
+            clients.start()
             for sides in (((1, 2, 3), (4, 5, 6, 7)), ((1,), (2, 3, 4, 5, 6, 7)), ((1, 2), (3, 4), (5, 6, 7))):
-                made.network.part(*sides)
+                processes.network.part(*sides)
                 for side in sides:
-                    await made.settled([made.all[n] for n in side])
-                made.network.heal()
-                await made.settled()
-            made.network.set_cut({(2, other) for other in range(8)})  # is heard by nobody, and hears
-            await made.settled([made.all[n] for n in (1, 3, 4, 5, 6, 7)])
-            made.network.heal()
-            await made.settled()
-            for _ in range(3):  # flapping: each time as soon as one has seen it
-                made.network.part((1, 2, 3, 4), (5, 6, 7))
-                await held(made.all[1], "i5", "suspect")
-                made.network.heal()
-                await held(made.all[1], "i5", "alive")
-            await made.settled()
-            ends = await askers.stop()
-            assert set(ends) == {"200"}, ends
-
-    run(scene)
-
-
-async def passed(made: Fleet, count: int) -> None:
-    """Wait until so many more datagrams have come to the network."""
-    sent = made.network.counts["datagrams"]
-
-    async def enough() -> bool:
-        return made.network.counts["datagrams"] > sent + count
-
-    await until(enough, f"{count} datagrams have passed")
-
-
-def test_with_a_defect_a_partition_does_not_heal(tmp_path: Path) -> None:
-    """The dead are not called, and seeds neither: the same scene finds it, so it can fail."""
+                    await processes.settled([processes.all[n] for n in side])
+                processes.network.heal()
+                await processes.settled()
+            # Instance 2 can receive, but not send.
+            processes.network.set_cut({(2, other) for other in range(8)})
+            await processes.settled([processes.all[n] for n in (1, 3, 4, 5, 6, 7)])
+            processes.network.heal()
+            await processes.settled()
+            for _ in range(3):  # flapping: healed as soon as one side has noticed the partition
+                processes.network.part((1, 2, 3, 4), (5, 6, 7))
+                await until_recorded(processes.all[1], "i5", "suspect")
+                processes.network.heal()
+                await until_recorded(processes.all[1], "i5", "alive")
+            await processes.settled()
+            statuses = await clients.stop()
+            assert set(statuses) == {"200"}, statuses
+
+    run(scenario)
+
+
+async def until_datagrams(processes: Fleet, count: int) -> None:
+    """Wait until the network has received this many further datagrams."""
+    sent = processes.network.counts["datagrams"]
+
+    async def are_received() -> bool:
+        return processes.network.counts["datagrams"] > sent + count
+
+    await until(are_received, f"the network has received {count} further datagrams")
+
+
+def test_partition_does_not_heal_if_no_hellos_are_sent(tmp_path: Path) -> None:
+    """Neither dead members nor seeds are sent hellos; shows that the checks of a healed partition can fail."""
     defect = (
         "import math\n"
         "from loadbalancer.fleet.membership.joining import Joining as J\n"
@@ -101,256 +102,258 @@
         "J._send_hellos_to_seeds = _no_seeds\n"
     )
 
-    async def scene() -> None:
-        async with fleet(tmp_path, 4, 0) as made:
-            for one in made.all[1:]:
-                one.prelude = defect
-            await made.all[0].kill()
-            made.all[0].prelude = defect
-            # The seeds first: an instance that waits for them in vain joins alone, and calls none after that.
-            await made.start(0)
-            await made.start(1)
-            await made.settled(made.all[:2])
-            await made.start(2, 3)
-            await made.settled()
-            made.network.part((0, 1), (2, 3))
-            await made.settled(made.all[:2])
-            await made.settled(made.all[2:])
-            await passed(made, 100)  # no probe of before is under way any more
-            made.network.heal()
-            await passed(made, 200)
-            assert not await made.agree(made.all, 4)
-            assert [one["living"] for one in await made.statuses()] == [2, 2, 2, 2]
-
-    run(scene)
-
-
-def test_one_that_was_stopped_is_dead_to_others_and_back_in_the_same_life(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 8) as made:
-            one = made.all[5]
-            boot = (await one.read("fleet/members"))[0]["boot"]
-            others = [other for other in made.all if other is not one]
-            one.send(signal.SIGSTOP)
-            await made.settled(others)
-            one.send(signal.SIGCONT)
-            await made.settled()
-            mine = (await one.read("fleet/members"))[0]
-            assert (mine["boot"], mine["life"]) == (boot, 1) and mine["incarnation"] > 0
-            assert not (await one.read("fleet/status"))["counts"].get("died")
-
-    run(scene)
-
-
-def test_lost_doubled_flipped_and_late_datagrams_kill_nobody(tmp_path: Path) -> None:
-    """Timers of service, and one instance that answers late in all that it does."""
-
-    async def scene() -> None:
-        async with fleet(tmp_path, 6, profile="lan") as made:
-            net = made.network
+    async def scenario() -> None:
+        async with fleet(tmp_path, 4, 0) as processes:
+            for instance in processes.all[1:]:
+                instance.prelude = defect
+            await processes.all[0].kill()
+            processes.all[0].prelude = defect
+            # The seeds start first: an instance without an answer from them joins alone, and then sends them no hellos.
+            await processes.start(0)
+            await processes.start(1)
+            await processes.settled(processes.all[:2])
+            await processes.start(2, 3)
+            await processes.settled()
+            processes.network.part((0, 1), (2, 3))
+            await processes.settled(processes.all[:2])
+            await processes.settled(processes.all[2:])
+            await until_datagrams(processes, 100)  # no probe from before the partition is in flight any more
+            processes.network.heal()
+            await until_datagrams(processes, 200)
+            assert not await processes.agree(processes.all, 4)
+            assert [instance["living"] for instance in await processes.statuses()] == [2, 2, 2, 2]
+
+    run(scenario)
+
+
+def test_stopped_instance_is_declared_dead_and_returns_in_the_same_generation(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 8) as processes:
+            instance = processes.all[5]
+            boot = (await instance.read("fleet/members"))[0]["boot"]
+            others = [other for other in processes.all if other is not instance]
+            instance.send(signal.SIGSTOP)
+            await processes.settled(others)
+            instance.send(signal.SIGCONT)
+            await processes.settled()
+            own_row = (await instance.read("fleet/members"))[0]
+            assert (own_row["boot"], own_row["life"]) == (boot, 1) and own_row["incarnation"] > 0
+            assert not (await instance.read("fleet/status"))["counts"].get("died")
+
+    run(scenario)
+
+
+def test_lost_duplicated_corrupted_and_late_datagrams_cause_no_deaths(tmp_path: Path) -> None:
+    """Uses the timers of the `lan` profile; all datagrams of one instance are delayed."""
+
+    async def scenario() -> None:
+        async with fleet(tmp_path, 6, profile="lan") as processes:
+            net = processes.network
             net.loss, net.doubled, net.flipped, net.jitter, net.late[4] = 0.02, 0.05, 0.02, 0.02, 0.1
-            await passed(made, 400)
-            found = await made.statuses()
-            assert not any(one["counts"].get("died") for one in found)
-            wire = [one["wire"] for one in found]
-            assert sum(one.get("dropped: replayed", 0) for one in wire) > 0
-            assert sum(one.get("dropped: forged", 0) for one in wire) > 0
+            await until_datagrams(processes, 400)
+            found = await processes.statuses()
+            assert not any(instance["counts"].get("died") for instance in found)
+            wire_counts = [instance["wire"] for instance in found]
+            assert sum(instance.get("dropped: replayed", 0) for instance in wire_counts) > 0
+            assert sum(instance.get("dropped: forged", 0) for instance in wire_counts) > 0
             net.loss = net.doubled = net.flipped = 0.0
-            await made.settled()
+            await processes.settled()
 
-    run(scene)
+    run(scenario)
 
 
-def test_of_two_under_one_name_the_later_stays_out_and_comes_in_when_the_first_has_gone(
+def test_second_process_of_one_name_joins_only_after_the_first_has_left(
     tmp_path: Path,
 ) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 4, 0, 1, 2) as made:
-            await made.settled()
-            later = made.all[3]
-            made.write(later, name="i2")
-            await later.start()
-
-            async def out() -> bool:
-                return str((await later.read("fleet/status"))["state"]) == "out"
-
-            await until(out, "the later one stays out")
-            await until(lambda: told(made, 2), "the first is told")
-            await made.settled(made.all[:3])
-            assert "stays out" in later.log
-            await made.all[2].end()
-            await made.settled([made.all[0], made.all[1], later])
+    async def scenario() -> None:
+        async with fleet(tmp_path, 4, 0, 1, 2) as processes:
+            await processes.settled()
+            second = processes.all[3]
+            processes.write(second, name="i2")
+            await second.start()
+
+            async def is_out() -> bool:
+                return str((await second.read("fleet/status"))["state"]) == "out"
+
+            await until(is_out, "the second process has the status out")
+            await until(
+                lambda: has_logged_conflict(processes, 2), "the first process has logged the conflict"
+            )
+            await processes.settled(processes.all[:3])
+            assert "stays out" in second.log
+            await processes.all[2].end()
+            await processes.settled([processes.all[0], processes.all[1], second])
 
-    run(scene)
+    run(scenario)
 
 
-async def told(made: Fleet, number: int) -> bool:
-    return "two instances under one name" in made.all[number].log
+async def has_logged_conflict(processes: Fleet, number: int) -> bool:
+    return "two instances under one name" in processes.all[number].log
 
 
-def test_a_joiner_that_knows_only_a_dead_seed_serves_alone_and_joins_once_that_lives(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 4, 1, 2, 3, seeds=(0,)) as made:
+def test_instance_with_only_a_dead_seed_serves_alone_and_joins_once_the_seed_runs(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 4, 1, 2, 3, seeds=(0,)) as processes:
             for number in (1, 2, 3):
-                await made.settled([made.all[number]])
-            askers = Askers([one.port for one in made.up])
-            askers.start()
-            await made.start(0)
-            await made.settled()
-            ends = await askers.stop()
-            assert set(ends) == {"200"}, ends
+                await processes.settled([processes.all[number]])
+            clients = Askers([instance.port for instance in processes.up])
+            clients.start()
+            await processes.start(0)
+            await processes.settled()
+            statuses = await clients.stop()
+            assert set(statuses) == {"200"}, statuses
 
-    run(scene)
+    run(scenario)
 
 
-def test_forged_replayed_cut_flipped_and_oversized_datagrams_change_nothing(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 3) as made:
-            one, net = made.all[0], made.network
+def test_forged_replayed_truncated_corrupted_and_oversized_datagrams_change_nothing(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 3) as processes:
+            instance, net = processes.all[0], processes.network
             net.catches = True
-            await made.all[2].kill()
-            await made.settled()
-            await made.start(2)  # what it said before is of a life that is over
-            await made.settled()
+            await processes.all[2].kill()
+            await processes.settled()
+            await processes.start(2)  # packets of its previous process are of an ended generation
+            await processes.settled()
             net.catches = False
             caught = [data for _, to, data in net.caught if to == 0]
-            before = await one.read("fleet/status")
-            forged = Sealer([b"x" * 32]).seal(Packet("i1", 1, 1, 1, form.GossipReply()))
+            before = await instance.read("fleet/status")
+            forged = Sealer([b"x" * 32]).seal(Packet("i1", 1, 1, 1, wire.GossipReply()))
             for number in range(1500):
                 data = caught[number % len(caught)]
                 at = number % len(data)
-                for bad in (
+                for altered in (
                     data,
                     data[:at],
                     data[:at] + bytes((data[at] ^ 4,)) + data[at + 1 :],
                     forged,
                     data + b"\0" * 1400,
                 ):
-                    net.inject(0, bad)
+                    net.inject(0, altered)
                 if number % 10 == 0:
                     await asyncio.sleep(0)
 
-            async def heard() -> bool:
-                wire = (await one.read("fleet/status"))["wire"]
+            async def are_counted() -> bool:
+                wire_counts = (await instance.read("fleet/status"))["wire"]
                 kinds = ("replayed", "forged", "another key", "too long", "not ours")
-                return all(wire.get(f"dropped: {kind}", 0) > 0 for kind in kinds)
+                return all(wire_counts.get(f"dropped: {kind}", 0) > 0 for kind in kinds)
 
-            await until(heard, "all kinds are counted")
-            after = await one.read("fleet/status")
+            await until(are_counted, "drops of all kinds are counted")
+            after = await instance.read("fleet/status")
             assert (after["digest"], after["living"]) == (before["digest"], 3)
             assert not after["counts"].get("died", 0) > before["counts"].get("died", 0)
 
-    run(scene)
+    run(scenario)
 
 
-def test_keys_change_in_service_and_a_broken_file_changes_nothing(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 4) as made:
+def test_key_rotation_in_service_causes_no_deaths_and_a_malformed_file_is_ignored(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 4) as processes:
             old, new = "11" * 32, "22" * 32
-            made.write_keys("zz")
+            processes.write_keys("zz")
 
-            async def told() -> bool:
-                return all("the new key is not taken" in one.log for one in made.all)
+            async def have_rejected_file() -> bool:
+                return all("the new key is not taken" in instance.log for instance in processes.all)
 
-            await until(told, "all have seen the broken file")
+            await until(have_rejected_file, "all have rejected the malformed file")
             for keys in ((old, new), (new, old), (new,)):
-                made.write_keys(*keys)
+                processes.write_keys(*keys)
                 numbers = [f"{key_number(bytes.fromhex(key)):02x}" for key in keys]
 
-                async def taken(wanted: list[str] = numbers) -> bool:
-                    return all(one["keys"] == wanted for one in await made.statuses())
+                async def use_keys(expected: list[str] = numbers) -> bool:
+                    return all(instance["keys"] == expected for instance in await processes.statuses())
 
-                await until(taken, f"all have taken {numbers}")
-                await made.settled()
-            assert not any(one["counts"].get("died") for one in await made.statuses())
+                await until(use_keys, f"all use the keys {numbers}")
+                await processes.settled()
+            assert not any(instance["counts"].get("died") for instance in await processes.statuses())
 
-    run(scene)
+    run(scenario)
 
 
-def test_an_upgrade_within_a_partition_passes_the_place_and_nobody_sees_a_death(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 5) as made:
-            made.network.part((0, 1, 2), (3, 4))
-            near = [made.all[n] for n in (0, 1, 2)]
-            await made.settled(near)
-            died = [one["counts"]["died"] for one in await made.statuses(near)]
+def test_upgrade_within_a_partition_causes_no_deaths(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 5) as processes:
+            processes.network.part((0, 1, 2), (3, 4))
+            near = [processes.all[n] for n in (0, 1, 2)]
+            await processes.settled(near)
+            died = [instance["counts"]["died"] for instance in await processes.statuses(near)]
             upgraded = await asyncio.create_subprocess_exec(
                 "./micastand",
                 "upgrade",
                 "-c",
-                str(made.all[1].config),
+                str(processes.all[1].config),
                 "--timeout",
                 "30",
                 stdout=asyncio.subprocess.PIPE,
             )
             assert await upgraded.wait() == 0
-            await made.settled(near)
-            found = await row(made.all[0], "i1")
+            await processes.settled(near)
+            found = await row(processes.all[0], "i1")
             assert found is not None and (found["life"], found["state"]) == (2, "alive")
-            after = await made.statuses([made.all[0], made.all[2]])
-            assert [one["counts"]["died"] for one in after] == [died[0], died[2]]
-            made.network.heal()
-            await made.settled()
-            os.kill((await made.all[1].read("status"))["pid"], signal.SIGKILL)
-
-    run(scene)
-
-
-def test_without_descriptors_the_view_goes_on_by_datagrams(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 3) as made:
-            one = made.all[1]
-            assert one.process is not None
-            free = resource.prlimit(one.process.pid, resource.RLIMIT_NOFILE)
-            resource.prlimit(one.process.pid, resource.RLIMIT_NOFILE, (8, free[1]))
-            await made.all[2].kill()
-            await held(made.all[0], "i2", "dead")
-            found = await row(made.all[0], "i1")
+            after = await processes.statuses([processes.all[0], processes.all[2]])
+            assert [instance["counts"]["died"] for instance in after] == [died[0], died[2]]
+            processes.network.heal()
+            await processes.settled()
+            os.kill((await processes.all[1].read("status"))["pid"], signal.SIGKILL)
+
+    run(scenario)
+
+
+def test_instance_without_free_descriptors_stays_alive_by_datagrams(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 3) as processes:
+            instance = processes.all[1]
+            assert instance.process is not None
+            free = resource.prlimit(instance.process.pid, resource.RLIMIT_NOFILE)
+            resource.prlimit(instance.process.pid, resource.RLIMIT_NOFILE, (8, free[1]))
+            await processes.all[2].kill()
+            await until_recorded(processes.all[0], "i2", "dead")
+            found = await row(processes.all[0], "i1")
             assert found is not None and found["state"] in ("alive", "suspect")
-            resource.prlimit(one.process.pid, resource.RLIMIT_NOFILE, free)
-            await made.start(2)
-            await made.settled()
-            assert not (await made.all[0].read("fleet/status"))["counts"].get("died", 0) > 1
+            resource.prlimit(instance.process.pid, resource.RLIMIT_NOFILE, free)
+            await processes.start(2)
+            await processes.settled()
+            assert not (await processes.all[0].read("fleet/status"))["counts"].get("died", 0) > 1
 
-    run(scene)
+    run(scenario)
 
 
-def test_clocks_that_are_hours_off_and_step_back_change_nothing(tmp_path: Path) -> None:
+def test_fleet_settles_with_clocks_that_are_hours_off_or_step_back(tmp_path: Path) -> None:
     steps = "import time, itertools; _real = time.time; _n = itertools.count()\n"
 
-    async def scene() -> None:
-        async with fleet(tmp_path, 4, 0) as made:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 4, 0) as processes:
             for number, code in (
                 (1, "_real() + 7200"),
                 (2, "_real() - 86400"),
                 (3, "_real() - 60 * next(_n)"),
             ):
-                made.all[number].prelude = steps + f"time.time = lambda: {code}"
-            await made.start(1, 2, 3)
-            await made.settled()
-            await made.all[2].kill()
-            await made.settled()
-            await made.start(2)
-            await made.settled()
+                processes.all[number].prelude = steps + f"time.time = lambda: {code}"
+            await processes.start(1, 2, 3)
+            await processes.settled()
+            await processes.all[2].kill()
+            await processes.settled()
+            await processes.start(2)
+            await processes.settled()
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_fact_of_a_later_build_goes_by(tmp_path: Path) -> None:
-    """An instance hears a sealed message with a fact that no build of today can read."""
+def test_member_state_of_a_later_build_is_skipped_and_counted(tmp_path: Path) -> None:
+    """An instance receives a sealed packet with a member state that this build can't decode."""
 
-    async def scene() -> None:
-        async with fleet(tmp_path, 2) as made:
-            one = made.all[0]
-            boot = int((await one.read("fleet/members"))[0]["boot"], 16)
+    async def scenario() -> None:
+        async with fleet(tmp_path, 2) as processes:
+            instance = processes.all[0]
+            boot = int((await instance.read("fleet/members"))[0]["boot"], 16)
             body = msgspec.msgpack.encode(["i1", 77, boot, 5, [6], [["a", "later", "form"]]])
-            head = form.MAGIC + bytes((form.FORMAT_VERSION, key_number(KEY)))
-            made.network.inject(0, head + form.compute_mac(KEY, head, body) + body)
+            header = wire.MAGIC + bytes((wire.FORMAT_VERSION, key_number(KEY)))
+            processes.network.inject(0, header + wire.compute_mac(KEY, header, body) + body)
 
-            async def passed() -> bool:
-                return bool((await one.read("fleet/status"))["wire"].get("facts passed over"))
+            async def is_counted() -> bool:
+                return bool((await instance.read("fleet/status"))["wire"].get("facts passed over"))
 
-            await until(passed, "the fact is counted")
-            await made.settled()
+            await until(is_counted, "the skipped member state is counted")
+            await processes.settled()
 
-    run(scene)
+    run(scenario)
