--- a/loadbalancer/fleet/membership/local_member.py
+++ b/loadbalancer/fleet/membership/local_member.py
@@ -93,5 +93,5 @@
         return Hello(*self.identity.address)
 
     def alive_notice(self) -> AliveNotice:
-        """Return the message that says which process is here."""
+        """Return the message that reports which process is here."""
         return AliveNotice(*self.identity.address, self.recovery_phase)
--- a/loadbalancer/fleet/membership/name_conflicts.py
+++ b/loadbalancer/fleet/membership/name_conflicts.py
@@ -141,7 +141,7 @@
         return own.boot < boot
 
     def _keep_name(self, boot: int, address: Address, answers: bool) -> None:
-        self._report_conflict(address, " too; that one stays out")
+        self._report_conflict(address, " too; the other process stays out")
         if answers:
             self._send_notice(address, boot, is_answer=True)
 
@@ -149,7 +149,7 @@
         if self._local.is_member:
             self._lifecycle.leave(now)
         self._local.yield_name()
-        self._report_conflict(address, "; this one stays out")
+        self._report_conflict(address, "; this process stays out")
         if answers:
             self._send_notice(address, boot, is_answer=True)
 
--- a/loadbalancer/fleet/settings.py
+++ b/loadbalancer/fleet/settings.py
@@ -21,8 +21,7 @@
         helpers: Number of other members that are asked to probe a member.
         suspicion: Minimum duration of a suspicion in probe intervals; it is multiplied by the logarithm of the fleet's
             size.
-        max_suspicion_factor: Maximum duration of a suspicion, which nobody else has confirmed, as a multiple of the
-            minimum.
+        max_suspicion_factor: Maximum duration of a suspicion, if it is not confirmed, as a multiple of the minimum.
         confirmations: Number of confirmations by other instances after which a suspicion has its minimum duration.
         max_health_score: Maximum local health score; 1 plus the score is the factor by which an instance that is slow
             itself lengthens its probe interval and timeout.
@@ -85,7 +84,7 @@
         name: Its name in the fleet.
         boot: Boot id, drawn at random at each start of the process; never 0.
         address: The address at which other instances reach it.
-        zone: Its availability zone; empty where none is configured.
+        zone: Its availability zone; empty if none is configured.
     """
 
     name: str
