--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -42,7 +42,7 @@
     scene = new[0].scene
     asked = in_time = 0
     for second in range(6, 12):
-        span: Counter[str] = scene.spans.get(second, Counter())
+        span: Counter[str] = scene.counts_by_second.get(second, Counter())
         asked += sum(span.get(f"asked {cls}", 0) for cls in (0, 1))
         in_time += sum(span.get(f"intime {cls}", 0) for cls in (0, 1))
     return row, sum(member.over_budget() > 0 for member in new), len(new), in_time / max(1, asked)
--- a/emulator/fleetview.py
+++ b/emulator/fleetview.py
@@ -100,7 +100,7 @@
             return
         if isinstance(event, PacketReceived):
             packet = event.packet
-            if packet.to and not self.replays.take(packet.sender, packet.boot, packet.number):
+            if packet.to and not self.replays.accept(packet.sender, packet.boot, packet.number):
                 self.counts["replayed"] += 1
                 return
         before = self.view.table.digest
@@ -141,7 +141,7 @@
             self.model.clock.after(2 * self.model.net.delay, self.model.exchange, self, action)
 
     def pieces(self, to: int) -> list[Packet]:
-        facts = list(self.view.facts())
+        facts = list(self.view.member_states())
         cuts = range(0, max(1, len(facts)), PIECE_FACTS)
         found = []
         for number, at in enumerate(cuts):
--- a/loadbalancer/daemon/fleet_peers.py
+++ b/loadbalancer/daemon/fleet_peers.py
@@ -62,7 +62,7 @@
             The messages of the answer. The iteration raises OSError, TimeoutError or IncompleteReadError
             where the connection fails, and ValueError for an answer that can't be read.
         """
-        return self._transport.ask(member.address, member.boot, message, timeout_s)
+        return self._transport.request(member.address, member.boot, message, timeout_s)
 
     def ask(self, name: str, message: Message) -> AsyncIterator[Message]:
         """Ask an instance by its name, as `ask_member` does.
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -14,7 +14,7 @@
 from loadbalancer.daemon.fleet_interfaces import JsonObject, StreamedAnswer
 from loadbalancer.daemon.fleet_peers import FleetPeers
 from loadbalancer.daemon.peer_learning import LIST_QUERY_PREFIX, SNAPSHOT_QUERY, PeerLearning, empty_answer
-from loadbalancer.fleet.membership.member_table import NOT_HEARD
+from loadbalancer.fleet.membership.member_table import PHASE_UNKNOWN
 from loadbalancer.fleet.membership.view import MembershipView
 from loadbalancer.fleet.orchestration.recovery import (
     ConnectionPace,
@@ -176,7 +176,7 @@
 
     def _observe(self) -> RecoveryObservation:
         living = list(self.view.table.living)
-        heard = [peer for peer in living if peer.phase != NOT_HEARD]
+        heard = [peer for peer in living if peer.phase != PHASE_UNKNOWN]
         served = ended = 0
         for pool in self._daemon.pools.values():
             for counts in pool.proxy.metrics.ended:
--- a/loadbalancer/fleet/membership/member_table.py
+++ b/loadbalancer/fleet/membership/member_table.py
@@ -20,7 +20,7 @@
 #: Assumed recovery phase of a generation that has just started and reported none (RecoveryPhase.FINDING).
 INITIAL_PHASE = 1
 #: The recovery phase of a member that has not reported any.
-NOT_HEARD = -1
+PHASE_UNKNOWN = -1
 #: The digest of a member that has not reported any.
 NO_DIGEST = -1
 
@@ -34,7 +34,7 @@
         last_heard_at: When its last message arrived, in this generation.
         digest: The digest of its table that it last reported; NO_DIGEST if none.
         digest_at: When it reported that digest.
-        phase: The recovery phase that it last reported; NOT_HEARD if none.
+        phase: The recovery phase that it last reported; PHASE_UNKNOWN if none.
         corrected_at: When it was last sent its recorded state because that was not alive.
         suspicion: Its reporters and its start; valid only while the status is SUSPECT.
         reconnect_at: While it is dead: when to send it the next hello.
@@ -62,7 +62,7 @@
         self.last_heard_at = -math.inf
         self.digest = NO_DIGEST
         self.digest_at = -math.inf
-        self.phase = NOT_HEARD
+        self.phase = PHASE_UNKNOWN
         self.corrected_at = -math.inf
         self.suspicion = Suspicion(now)
         self.reconnect_at = math.inf
--- a/loadbalancer/fleet/membership/view.py
+++ b/loadbalancer/fleet/membership/view.py
@@ -301,7 +301,7 @@
         """Number of living members, including this instance."""
         return self.table.fleet_size
 
-    def facts(self) -> Iterator[MemberState]:
+    def member_states(self) -> Iterator[MemberState]:
         """Yield the states of a whole table: this instance's own while it is a member, then those of all others."""
         if self._local.is_member:
             yield self._local.state
--- a/loadbalancer/fleet/packet_codec.py
+++ b/loadbalancer/fleet/packet_codec.py
@@ -47,7 +47,7 @@
             self._counts["facts passed over"] += opened.unreadable_states
         # A packet for another boot changes nothing here, so only packets for this boot enter the replay windows.
         is_for_us = packet.to == self.boot
-        if is_for_us and not self._replay_protection.take(packet.sender, packet.boot, packet.number):
+        if is_for_us and not self._replay_protection.accept(packet.sender, packet.boot, packet.number):
             self._counts[f"dropped: {DropReason.REPLAYED}"] += 1
             return None
         return packet
--- a/loadbalancer/fleet/replay_window.py
+++ b/loadbalancer/fleet/replay_window.py
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         self._names: OrderedDict[str, OrderedDict[int, ReplayWindow]] = OrderedDict()
 
-    def take(self, sender: str, boot: int, number: int) -> bool:
+    def accept(self, sender: str, boot: int, number: int) -> bool:
         """Accept a packet and return True; return False if it was accepted before or is behind the window."""
         boots = self._names.get(sender)
         if boots is None:
--- a/loadbalancer/fleet/stream_exchange.py
+++ b/loadbalancer/fleet/stream_exchange.py
@@ -42,7 +42,7 @@
 class StreamExchange:
     """Owns the listening TCP socket, the inbound connections, and one outbound connection for views.
 
-    `close` releases them all. A connection that `ask` opens is closed with its iterator.
+    `close` releases them all. A connection that `request` opens is closed with its iterator.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
                 self._accept_retry.cancel()
 
     def close(self) -> None:
-        """Close the socket and cancel all exchanges except those of `ask`."""
+        """Close the socket and cancel all exchanges except those of `request`."""
         self.pause_accepting()
         for task in self._inbound:
             task.cancel()
@@ -128,7 +128,7 @@
             await send_view(connection, action.boot, self._member_states(), self._counts)
             await receive_view(connection, self._on_packet, action.boot)
 
-    async def ask(
+    async def request(
         self, address: Address, boot: int, message: Message, timeout_s: float = EXCHANGE_TIMEOUT_S
     ) -> AsyncIterator[Message]:
         """Send a request to a peer over a new connection.
--- a/loadbalancer/fleet/transport.py
+++ b/loadbalancer/fleet/transport.py
@@ -7,7 +7,7 @@
   `StreamExchange`,
 - one timer: `FleetTransport`.
 
-A connection that `FleetTransport.ask` opens is closed with its iterator.
+A connection that `FleetTransport.request` opens is closed with its iterator.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         """Handle an event and return the actions to carry out, in order."""
 
-    def facts(self) -> Iterable[MemberState]:
+    def member_states(self) -> Iterable[MemberState]:
         """Return all member states of the view."""
 
 
@@ -111,7 +111,7 @@
             listener,
             self._codec,
             self.counts,
-            member_states=self.view.facts,
+            member_states=self.view.member_states,
             on_packet=self._on_view_piece,
             log_notice=self._log_notice,
         )
@@ -225,8 +225,8 @@
         """Send one message as a datagram; it may be lost."""
         self._datagrams.send(address, receiver_boot, message)
 
-    def ask(
+    def request(
         self, address: Address, boot: int, message: Message, timeout_s: float = EXCHANGE_TIMEOUT_S
     ) -> AsyncIterator[Message]:
-        """Send a request to a peer over a new connection; see `StreamExchange.ask` for arguments and errors."""
-        return self._streams.ask(address, boot, message, timeout_s)
+        """Send a request to a peer over a new connection; see `StreamExchange.request` for arguments and errors."""
+        return self._streams.request(address, boot, message, timeout_s)
--- a/tests/fleet/test_replay_window.py
+++ b/tests/fleet/test_replay_window.py
@@ -13,7 +13,7 @@
     protection, accepted, greatest = ReplayProtection(), set(), 0
     for number in numbers:
         is_new = number not in accepted and number > greatest - WINDOW
-        assert protection.take("a", 1, number) == is_new
+        assert protection.accept("a", 1, number) == is_new
         accepted.add(number)
         greatest = max(greatest, number)
 
@@ -21,8 +21,8 @@
 def test_boots_of_one_name_are_distinguished_and_bounded() -> None:
     protection = ReplayProtection()
     for boot in range(1, 2 * MAX_BOOTS_PER_NAME):
-        assert protection.take("a", boot, 1) and not protection.take("a", boot, 1)
-    assert not protection.take("a", MAX_BOOTS_PER_NAME, 1)  # still among the latest boots
+        assert protection.accept("a", boot, 1) and not protection.accept("a", boot, 1)
+    assert not protection.accept("a", MAX_BOOTS_PER_NAME, 1)  # still among the latest boots
     for number in range(10_000):
-        protection.take(f"n{number}", 1, 1)
+        protection.accept(f"n{number}", 1, 1)
     assert len(protection) <= 8_192
--- a/tests/fleetscene.py
+++ b/tests/fleetscene.py
@@ -91,12 +91,14 @@
         self.advanced_at = self.busy_s = self.busy_at_report = 0.0
         self.reports: list[tuple[float, float]] = [(0.0, 0.0)]
         self.version = 0
-        self.given: list[tuple[float, float]] = []  # time and work of each attempt that was sent here
+        self.received_work: list[tuple[float, float]] = []  # time and work of each attempt that was sent here
 
     def max_cold_overload(self) -> float:
         """Return the greatest ratio of work sent while cold to capacity, over all windows of the rules."""
         cold = [
-            (at, work) for at, work in self.given if at < self.started + self.scene.rules.slow_start_duration
+            (at, work)
+            for at, work in self.received_work
+            if at < self.started + self.scene.rules.slow_start_duration
         ]
         most = 0.0
         for first, (begin, _) in enumerate(cold):
@@ -114,7 +116,11 @@
         The allowance is the budget of N requests, plus 2 roots of N and 2 for chance. Above 0 the member fails.
         """
         rules, mean = self.scene.rules, sum(WORK_S) / 2
-        cold = [(at, work / mean) for at, work in self.given if at < self.started + rules.slow_start_duration]
+        cold = [
+            (at, work / mean)
+            for at, work in self.received_work
+            if at < self.started + rules.slow_start_duration
+        ]
         worst, end, in_window = -math.inf, 0, 0.0
         for begin, work in cold:
             while end < len(cold) and cold[end][0] < begin + rules.overload_duration:
@@ -139,7 +145,7 @@
             return 1.0
         return rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age / rules.slow_start_duration
 
-    def fall(self) -> None:
+    def go_down(self) -> None:
         """Stop accepting connections."""
         self.down = True
         self.idle.clear()
@@ -233,7 +239,7 @@
         self.open: dict[tuple[int, int], tuple[float, int, int]] = {}
         self.attempts: Counter[tuple[int, int]] = Counter()
         self.sent: dict[tuple[int, int, int], Any] = {}
-        self.spans: dict[int, Counter[str]] = {}
+        self.counts_by_second: dict[int, Counter[str]] = {}
 
     def proxy(self, number: int, life: int = 0) -> Balancer:
         """Create a balancer; `life` is the number of restarts of its proxy."""
@@ -269,7 +275,7 @@
         """Schedule a call after this many seconds of virtual time."""
         heapq.heappush(self.scheduled, (self.now + wait, next(self.schedule_order), call, args))
 
-    def tell_list(self, spread: float = 0.0) -> None:
+    def publish_endpoints(self, spread: float = 0.0) -> None:
         """Deliver the list of members that are up to each proxy, after a random delay of up to `spread` seconds."""
         entries = tuple(
             EndpointEntry(member.name, member.zone, member.zone, member.kind, started=member.started)
@@ -306,7 +312,7 @@
 
     def add_count(self, name: str, amount: int = 1) -> None:
         """Add to a counter, in total and for the current second."""
-        self.spans.setdefault(int(self.now - self.start), Counter())[name] += amount
+        self.counts_by_second.setdefault(int(self.now - self.start), Counter())[name] += amount
         self.total_counts[name] += amount
 
     def deliver(self, number: int, event: Any) -> None:
@@ -350,7 +356,7 @@
         if self.random.random() < member.error_rate:
             self.after(0.001, self.finish, key, AttemptResult.ERROR)
             return
-        member.given.append((self.now, work))
+        member.received_work.append((self.now, work))
         member.jobs[key] = Job(key, work, IO_S[cls])
         member.schedule_completion()
 
--- a/tests/policy/test_slow_start_of_a_fleet.py
+++ b/tests/policy/test_slow_start_of_a_fleet.py
@@ -28,7 +28,7 @@
 ) -> None:
     new = replace_members(proxies, factor, cold_from, part, restarted, seed)
     assert max(member.over_budget() for member in new) <= 0
-    assert sum(len(member.given) for member in new) > len(new)  # they do get requests
+    assert sum(len(member.received_work) for member in new) > len(new)  # they do get requests
 
 
 def test_a_first_request_of_every_proxy_at_once_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/policy_scene.py
+++ b/tests/policy_scene.py
@@ -145,14 +145,14 @@
     )
     speeds = sum(0.6 if n % 5 in (1, 3) else 0.97 for n in range(MEMBER_COUNT))
     scene = Scene(proxies, MEMBER_COUNT, LOAD * speeds / (sum(WORK_S) / 2), seed, rules=rules)
-    scene.tell_list()
+    scene.publish_endpoints()
     scene.run(6.0)
     new = []
     for old in list(scene.members.values())[: int(part * MEMBER_COUNT)]:
-        old.fall()
+        old.go_down()
         new.append(scene.add(f"{old.name}-new", old.speed, old.kind, old.zone, scene.now))
     for number in range(int(restarted * proxies)):
         scene.restart(number)
-    scene.tell_list()
+    scene.publish_endpoints()
     scene.run(rules.slow_start_duration)
     return new
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,14 +12,14 @@
 
 def publish_and_run(scene: Scene, seconds: float = 3.0) -> Scene:
     """Publish the endpoint list within 0.5 s, run the scene, and return it."""
-    scene.tell_list(0.5)
+    scene.publish_endpoints(0.5)
     scene.run(seconds)
     return scene
 
 
 def counts_since(scene: Scene, second: int) -> Counter[str]:
     """Return the sum of the counts from this second of the scene on."""
-    return sum((counts for at, counts in scene.spans.items() if at >= second), Counter())
+    return sum((counts for at, counts in scene.counts_by_second.items() if at >= second), Counter())
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -36,9 +36,9 @@
     scene = publish_and_run(Scene(40, 60, 950, seed))
     for member in scene.members.values():
         if member.zone == 1:
-            member.fall()
+            member.go_down()
     scene.run(5.0)
-    first, last = scene.spans[3], scene.spans[7]
+    first, last = scene.counts_by_second[3], scene.counts_by_second[7]
     assert last["no_connection"] < 0.3 * last["sent"] and last["no_connection"] < first["no_connection"]
     assert last[f"intime {BOOK}"] > 0.75 * last[f"asked {BOOK}"]
     assert (
@@ -53,9 +53,9 @@
     replacements = []
     for part in range(3):
         for old in replaced[part * 12 : part * 12 + 12]:
-            old.fall()
+            old.go_down()
             replacements.append(scene.add(f"{old.name}-new", old.speed, old.kind, old.zone, scene.now))
-        scene.tell_list(0.4)
+        scene.publish_endpoints(0.4)
         scene.run(2.3)
     scene.run(5.0)
     assert max(member.max_cold_overload() for member in replacements) < RULES.overload_factor
