--- a/tests/policy_scene.py
+++ b/tests/policy_scene.py
@@ -150,14 +150,14 @@
     )
     speeds = sum(0.6 if n % 5 in (1, 3) else 0.97 for n in range(MEMBER_COUNT))
     scene = Scene(proxy_count, MEMBER_COUNT, LOAD * speeds / (sum(WORK_S) / 2), seed, rules=rules)
-    scene.tell_list()
+    scene.publish_endpoints()
     scene.run(6.0)
     new_members = []
     for old in list(scene.members.values())[: int(replaced_share * MEMBER_COUNT)]:
-        old.fall()
+        old.go_down()
         new_members.append(scene.add(f"{old.name}-new", old.speed, old.kind, old.zone, scene.now))
     for number in range(int(restarted_share * proxy_count)):
         scene.restart(number)
-    scene.tell_list()
+    scene.publish_endpoints()
     scene.run(rules.slow_start_duration)
     return new_members
