--- a/loadbalancer/fleet/orchestration/fleet_size.py
+++ b/loadbalancer/fleet/orchestration/fleet_size.py
@@ -1,17 +1,17 @@
-"""With how many instances a decision counts that divides a limit by the fleet.
+"""Estimates the fleet's size, by which each instance divides fleet-wide limits.
 
-Kept idle connections, a tenant's quota and the pace of calls to a source are divided so.
+These limits are the kept idle connections, a tenant's quota and the rate of calls to a discovery source.
 
 Rules:
 
-1. The configured number holds until a view has settled for the first time.
-2. After that only a settled view changes the number, and only one in which more than half of the last settled number
-   live. An instance that is cut off, or has seen half of the fleet die, keeps the last settled number and never counts
-   itself alone. The price: after a true loss of half, endpoints get fewer kept connections than they could hold, for
-   BELIEVE_S.
-3. A smaller view that has held unchanged for BELIEVE_S is believed all the same.
-4. A greater number counts at once, as each instance then takes less. A smaller one is approached in steps, each to
-   STEP_FACTOR of the number and STEP_INTERVAL_S after the last, so that a view that flaps changes little.
+1. The configured size is used until the membership view has settled for the first time.
+2. After that only a settled view changes the size, and only if its live instances are more than half of the last
+   settled size. An instance that is cut off, or has seen half of the fleet die, keeps the last settled size and never
+   assumes that it is alone. The cost: after a real loss of half of the fleet, endpoints get fewer kept connections than
+   they could hold, for SHRINK_CONFIRMATION_S.
+3. A smaller view is accepted once it has been unchanged for SHRINK_CONFIRMATION_S.
+4. A larger size is used at once, as each instance then takes a smaller share. A smaller one is approached in steps,
+   each to STEP_FACTOR of the size and STEP_INTERVAL_S after the last, so that a flapping view changes little.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 import math
 from dataclasses import dataclass
 
-#: Seconds that a view of half of the fleet or less must hold before it is believed.
-BELIEVE_S = 600.0
+#: Seconds for which a view of half of the fleet or less must be unchanged before it is accepted.
+SHRINK_CONFIRMATION_S = 600.0
 #: Seconds between two steps down.
 STEP_INTERVAL_S = 5.0
-#: Factor of the number in one step down.
+#: Factor by which one step down reduces the size.
 STEP_FACTOR = 0.75
 
 
 class SizeStanding(enum.StrEnum):
-    """What a number rests on; the values are in the administrative API."""
+    """The basis of a size estimate; the values are in the administrative API."""
 
     CONFIGURED = "configured"
     SETTLED = "settled"
-    #: On its way to the settled number, or the view has not settled.
+    #: The size is moving to the settled one in steps, or the view has not settled.
     MOVING = "moving"
     CUT_OFF = "cut off"
 
 
 @dataclass(frozen=True, slots=True)
 class SizeEstimate:
-    """The number that decisions count with.
+    """An estimate of the fleet's size.
 
     Attributes:
-        instances: How many.
-        standing: What the number rests on.
-        age_s: Seconds since a settled view last confirmed it, infinity where none has.
+        instances: Number of instances.
+        standing: The basis of the estimate.
+        age_s: Seconds since a settled view last confirmed it; infinity if none has.
     """
 
     instances: int
@@ -54,43 +54,46 @@
 
 
 class FleetSize:
-    """One instance's estimate of the fleet's size.
+    """Maintains one instance's estimate of the fleet's size.
 
     Attributes:
-        number: What decisions count with.
-        settled: Size of the last settled view that was believed.
-        standing: What the number rests on.
+        number: The current estimate.
+        settled: Size of the last settled view that was accepted.
+        standing: The basis of the estimate.
     """
 
     def __init__(
-        self, configured: int, believe_s: float = BELIEVE_S, step_s: float = STEP_INTERVAL_S
+        self,
+        configured: int,
+        shrink_confirmation_s: float = SHRINK_CONFIRMATION_S,
+        step_s: float = STEP_INTERVAL_S,
     ) -> None:
-        """Begin with the configured number.
+        """Start with the configured size.
 
         Args:
-            configured: How many instances there should be.
-            believe_s: Seconds of rule 3.
+            configured: Configured number of instances.
+            shrink_confirmation_s: Seconds for which a smaller view must be unchanged (rule 3).
             step_s: Seconds between two steps down.
         """
         self.number = configured
         self.settled = configured
         self.standing = SizeStanding.CONFIGURED
-        self._believe_s = believe_s
+        self._shrink_confirmation_s = shrink_confirmation_s
         self._step_s = step_s
         self._confirmed_at = -math.inf
-        self._doubted_size = 0
-        self._doubted_since = 0.0
+        self._unconfirmed_size = 0
+        self._unconfirmed_since = 0.0
         self._last_step_at = -math.inf
 
     def step(self, now: float, living: int, settled: bool) -> SizeEstimate:
-        """Take what the view says, and return the estimate.
+        """Update the estimate from the membership view, and return it.
 
         Args:
-            now: Seconds on a clock that does not run backwards.
-            living: Instances in the view, this one included.
+            now: Current time in seconds on a monotonic clock.
+            living: Number of live instances in the view, including this one.
             settled: Whether the view has settled.
         """
-        if settled and self._believes(now, living):
+        if settled and self._accepts_view(now, living):
             self.settled = living
             self._confirmed_at = now
             self.standing = SizeStanding.SETTLED
@@ -99,24 +102,24 @@
         elif self.standing != SizeStanding.CONFIGURED:
             half_or_less = 2 * living <= self.settled
             self.standing = SizeStanding.CUT_OFF if half_or_less else SizeStanding.MOVING
-        self._move(now)
+        self._approach_settled(now)
         return SizeEstimate(self.number, self.standing, max(0.0, now - self._confirmed_at))
 
-    def _believes(self, now: float, living: int) -> bool:
-        """Return whether a settled view of this size is believed (rules 2 and 3)."""
+    def _accepts_view(self, now: float, living: int) -> bool:
+        """Return whether a settled view of this size is accepted (rules 2 and 3)."""
         if 2 * living > self.settled:
-            self._doubted_size = 0
+            self._unconfirmed_size = 0
             return True
-        if living != self._doubted_size:
-            self._doubted_size = living
-            self._doubted_since = now
-        if now - self._doubted_since < self._believe_s:
+        if living != self._unconfirmed_size:
+            self._unconfirmed_size = living
+            self._unconfirmed_since = now
+        if now - self._unconfirmed_since < self._shrink_confirmation_s:
             return False
-        self._doubted_size = 0
+        self._unconfirmed_size = 0
         return True
 
-    def _move(self, now: float) -> None:
-        """Move the number towards the settled size (rule 4)."""
+    def _approach_settled(self, now: float) -> None:
+        """Move the estimate towards the settled size (rule 4)."""
         if self.settled > self.number:
             self.number = self.settled
             self._last_step_at = now
--- a/loadbalancer/fleet/orchestration/recovery.py
+++ b/loadbalancer/fleet/orchestration/recovery.py
@@ -1,17 +1,18 @@
-"""How an instance recovers from a start: its phases, what ends each, and what it does without what it waits for.
+"""Recovery of an instance after a start: its phases, the condition that ends each, and their timeouts.
 
-    phase     serves                     ends when                       at the latest
-    finding   not if it needs a lease    it is a member of the view      after the view's `joining` timer
-    state     not if it needs a lease    it has a lease, or needs none   no limit: without a lease it must not serve
-    learning  yes, as at a first start   survivors have answered         after LEARN_TIMEOUT_S
-    warming   yes                        it is in full service           after WARM_TIMEOUT_S, without full service
+    phase     serves                     ends when                       timeout
+    finding   not if it needs a lease    it is a member of the view      the view's `joining` timer
+    state     not if it needs a lease    it has a lease, or needs none   none: without a lease it must not serve
+    learning  yes, as at a first start   survivors have answered         LEARN_TIMEOUT_S
+    warming   yes                        it is in full service           WARM_TIMEOUT_S, then without full service
     full      yes                        -                               -
 
-Full service: in all windows of WINDOW_S in the last FULL_SERVICE_S it has served FULL_SERVICE_SHARE of the requests.
+Full service: in each window of WINDOW_S within the last FULL_SERVICE_S it has served at least FULL_SERVICE_SHARE of the
+requests.
 
-In a mass start, connections to endpoints are opened at a limited pace from the first phase with requests to full
-service. The kind of a start is told by what other members report (`StartKind`). Reports come in by and by, so a lone
-start becomes a mass one when enough others report that they are recovering, and stays one.
+In a mass start, the rate at which connections to endpoints are opened is limited from the first phase with requests
+until full service. The kind of a start is derived from the reports of other members (`StartKind`). Reports arrive over
+time, so a lone start becomes a mass start once enough others report that they are recovering, and then stays one.
 """
 
 from __future__ import annotations
@@ -21,32 +22,32 @@
 from dataclasses import dataclass
 from typing import NamedTuple, Sequence, TypedDict, Union
 
-#: Seconds that survivors have to answer.
+#: Seconds within which survivors have to answer.
 LEARN_TIMEOUT_S = 2.0
-#: Seconds of warming, at most.
+#: Maximum duration of the warming phase in seconds.
 WARM_TIMEOUT_S = 30.0
-#: Seconds of one window in which served requests are compared with all.
+#: Length of one window, in seconds, over which the share of served requests is measured.
 WINDOW_S = 0.25
-#: Seconds of full windows in a row that make full service.
+#: Seconds of consecutive full windows that count as full service.
 FULL_SERVICE_S = 1.0
-#: Share of a window's requests that must be served for it to be full.
+#: Share of a window's requests that must be served for the window to be full.
 FULL_SERVICE_SHARE = 0.98
-#: Seconds between the turns of two instances that recover together, and over which all turns are spread at most, so
-#: that the last of a large fleet does not wait long.
-TURN_INTERVAL_S = 0.05
-MAX_TURNS_S = 1.0
-#: Survivors that are asked for what they have learnt: enough that one that is wrong does not decide.
+#: Seconds between the start times of two instances that recover together, and the maximum over which all of them are
+#: spread, so that the last instance of a large fleet does not wait long.
+STAGGER_INTERVAL_S = 0.05
+MAX_STAGGER_S = 1.0
+#: Number of survivors that are asked for their endpoint statistics, so that a single wrong answer does not decide.
 MAX_ASKED_SURVIVORS = 3
-#: Seconds for which other members are given to report their phases.
+#: Seconds that an instance waits for other members to report their phases.
 REPORTS_TIMEOUT_S = 0.6
-#: Endpoint connections opened a second, for each endpoint, in a mass start.
+#: Connections opened per second to each endpoint in a mass start.
 MASS_START_CONNECTIONS_PER_S = 1.0
 
 
 class RecoveryPhase(enum.IntEnum):
-    """How far a start has come; the values are on the wire.
+    """A phase of a recovery; the values are on the wire.
 
-    UNKNOWN is an older build, which reports no phase and counts as full.
+    UNKNOWN stands for an older build, which reports no phase and counts as full.
     """
 
     UNKNOWN = 0
@@ -58,10 +59,11 @@
 
 
 class StartKind(enum.StrEnum):
-    """What other members report at a start; the values are in the administrative API.
+    """The kind of a start, as derived from the reports of other members; the values are in the administrative API.
 
-    FIRST: nobody is there, and nothing was stored. ALONE: nobody is there. MASS: at least as many report that they
-    recover as report full service, and somebody does. LONE: all else.
+    FIRST: no other member is live, and nothing was stored. ALONE: no other member is live, and something was stored.
+    MASS: at least one other member reports that it is recovering, and at least as many as report full service.
+    LONE: any other case.
     """
 
     FIRST = "first"
@@ -77,17 +79,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryObservation:
-    """What an instance sees of itself and of others.
+    """An instance's observation of itself and of other members.
 
     Attributes:
-        joined: Whether it is a member of the view.
+        joined: Whether it is a member of the membership view.
         may_act: Whether it has a lease, or needs none.
-        has_stored_state: Whether it has stored something before this start.
-        in_full_service: Names of other living members that report full service.
-        recovering: Names of other living members that report an earlier phase.
-        unheard: How many other living members have reported no phase yet.
-        served: Requests served since the start.
-        ended: Requests served or not since the start.
+        has_stored_state: Whether it had stored state before this start.
+        in_full_service: Names of other live members that report full service.
+        recovering: Names of other live members that report an earlier phase.
+        unreported: Number of other live members that have not reported a phase yet.
+        served: Number of requests served since the start.
+        ended: Number of requests that have ended since the start, served or not.
     """
 
     joined: bool
@@ -95,17 +97,17 @@
     has_stored_state: bool
     in_full_service: tuple[str, ...]
     recovering: tuple[str, ...]
-    unheard: int
+    unreported: int
     served: int
     ended: int
 
 
 @dataclass(frozen=True, slots=True)
 class LearnFromPeers:
-    """Ask survivors for what they have learnt of endpoints; `RecoveryCoordinator.learnt` follows.
+    """Request endpoint statistics from survivors; the caller then calls `RecoveryCoordinator.learnt`.
 
     Attributes:
-        names: Whom to ask, the first one first.
+        names: The survivors to ask, in order of preference.
     """
 
     names: tuple[str, ...]
@@ -113,10 +115,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionPace:
-    """Limit how fast connections to endpoints are opened.
+    """Limit the rate at which connections to endpoints are opened.
 
     Attributes:
-        per_member_s: Connections a second for each endpoint; None ends the limit.
+        per_member_s: Connections per second to each endpoint; None removes the limit.
     """
 
     per_member_s: float | None
@@ -128,8 +130,8 @@
 
     Attributes:
         phase: The phase.
-        elapsed: Seconds of the phase before.
-        reason: What has ended that one.
+        elapsed: Duration of the previous phase in seconds.
+        reason: What has ended the previous phase.
     """
 
     phase: RecoveryPhase
@@ -141,7 +143,7 @@
 
 
 class PhaseRecord(NamedTuple):
-    """A phase that is over: its name, its seconds, and what has ended it."""
+    """A completed phase: its name, its duration in seconds, and what has ended it."""
 
     phase: str
     took_s: float
@@ -149,7 +151,7 @@
 
 
 class PhaseRow(TypedDict):
-    """A phase that is over, in the administrative API."""
+    """A completed phase, in the administrative API."""
 
     phase: str
     took_s: float
@@ -157,7 +159,7 @@
 
 
 class RecoveryReport(TypedDict):
-    """A start, in the administrative API."""
+    """The report on a recovery, in the administrative API."""
 
     phase: str
     kind: str | None
@@ -173,16 +175,16 @@
 
 
 class RecoveryCoordinator:
-    """One start of one instance.
+    """Coordinates the recovery of one instance after one start.
 
     Attributes:
         name: The instance.
-        began: When its process began, in seconds on the clock of `step`.
-        phase: The phase that is under way.
-        kind: What kind of a start it is, None until it is a member.
-        since: When the phase began.
-        times: Phases that are over.
-        full_after: Seconds from the start to full service, 0 until then.
+        began: When its process started, in seconds on the clock of `step`.
+        phase: The current phase.
+        kind: The kind of the start; None until the instance is a member.
+        since: When the current phase began.
+        completed_phases: Phases that are completed, in order.
+        full_after: Seconds from the start to full service; 0 until then.
     """
 
     def __init__(self, name: str, began: float) -> None:
@@ -191,91 +193,93 @@
         self.phase = RecoveryPhase.FINDING
         self.kind: StartKind | None = None
         self.since = began
-        self.times: list[PhaseRecord] = []
+        self.completed_phases: list[PhaseRecord] = []
         self.full_after = 0.0
         self._learning = _Learning.NOT_ASKED
         self._full_windows: deque[bool] = deque(maxlen=int(FULL_SERVICE_S / WINDOW_S))
         self._window_began_at = began
-        self._served_before = 0
-        self._ended_before = 0
+        self._served_at_window_start = 0
+        self._ended_at_window_start = 0
 
     def learnt(self) -> None:
-        """Note that the survivors that were asked have answered, or will not."""
+        """Record that the survivors that were asked have answered, or will not answer."""
         self._learning = _Learning.ANSWERED
 
-    def step(self, now: float, seen: RecoveryObservation) -> list[RecoveryAction]:
-        """Take an observation, and return what is to be done, in order.
+    def step(self, now: float, observation: RecoveryObservation) -> list[RecoveryAction]:
+        """Process an observation, and return the actions to execute, in order.
 
-        Call it several times a second until the phase is full, and as often as convenient after that.
+        Call it several times per second until the phase is full, and at any rate after that.
         """
         actions: list[RecoveryAction] = []
-        if self.phase == RecoveryPhase.FINDING and seen.joined:
+        if self.phase == RecoveryPhase.FINDING and observation.joined:
             actions.append(self._begin_phase(now, RecoveryPhase.STATE, "a place in the view"))
-        actions += self._update_kind(seen)
-        if self.phase == RecoveryPhase.STATE and seen.may_act:
+        actions += self._update_kind(observation)
+        if self.phase == RecoveryPhase.STATE and observation.may_act:
             actions.append(self._begin_phase(now, RecoveryPhase.LEARNING, "may act"))
         if self.phase == RecoveryPhase.LEARNING:
-            actions += self._learn(now, seen)
+            actions += self._learn(now, observation)
         if self.phase == RecoveryPhase.WARMING:
-            actions += self._warm(now, seen)
+            actions += self._warm(now, observation)
         return actions
 
     def _begin_phase(self, now: float, phase: RecoveryPhase, reason: str) -> PhaseChanged:
         elapsed = now - self.since
-        self.times.append(PhaseRecord(self.phase.name.lower(), round(elapsed, 3), reason))
+        self.completed_phases.append(PhaseRecord(self.phase.name.lower(), round(elapsed, 3), reason))
         self.phase = phase
         self.since = now
         return PhaseChanged(phase, elapsed, reason)
 
-    def _update_kind(self, seen: RecoveryObservation) -> list[RecoveryAction]:
-        """Classify the start again until it is a mass one, which begins the limited pace."""
-        is_under_way = self.phase not in (RecoveryPhase.FINDING, RecoveryPhase.FULL)
-        if not is_under_way or self.kind == StartKind.MASS:
+    def _update_kind(self, observation: RecoveryObservation) -> list[RecoveryAction]:
+        """Classify the start again until it is a mass start, which limits the connection rate."""
+        is_recovering = self.phase not in (RecoveryPhase.FINDING, RecoveryPhase.FULL)
+        if not is_recovering or self.kind == StartKind.MASS:
             return []
-        self.kind = classify_start(seen)
+        self.kind = classify_start(observation)
         return [ConnectionPace(MASS_START_CONNECTIONS_PER_S)] if self.kind == StartKind.MASS else []
 
-    def _learn(self, now: float, seen: RecoveryObservation) -> list[RecoveryAction]:
-        """Ask survivors at this instance's turn, and wait for their answers."""
+    def _learn(self, now: float, observation: RecoveryObservation) -> list[RecoveryAction]:
+        """Ask survivors once this instance's delay is over, and wait for their answers."""
         if self._learning is _Learning.NOT_ASKED:
-            return self._ask_survivors(now, seen)
+            return self._ask_survivors(now, observation)
         if self._learning is _Learning.ANSWERED:
-            return [self._begin_warming(now, seen, "survivors have told")]
+            return [self._begin_warming(now, observation, "survivors have told")]
         if now >= self.since + LEARN_TIMEOUT_S:
-            return [self._begin_warming(now, seen, "survivors have not told in time")]
+            return [self._begin_warming(now, observation, "survivors have not told in time")]
         return []
 
-    def _ask_survivors(self, now: float, seen: RecoveryObservation) -> list[RecoveryAction]:
-        survivors = seen.in_full_service
+    def _ask_survivors(self, now: float, observation: RecoveryObservation) -> list[RecoveryAction]:
+        survivors = observation.in_full_service
         if not survivors:
-            if seen.unheard and now < self.since + REPORTS_TIMEOUT_S:
+            if observation.unreported and now < self.since + REPORTS_TIMEOUT_S:
                 return []
             self._learning = _Learning.ASKED
-            return [self._begin_warming(now, seen, "nobody is there who could tell")]
-        if now < self.since + turn(self.name, seen.recovering, TURN_INTERVAL_S):
+            return [self._begin_warming(now, observation, "nobody is there who could tell")]
+        if now < self.since + turn(self.name, observation.recovering, STAGGER_INTERVAL_S):
             return []
         self._learning = _Learning.ASKED
         return [LearnFromPeers(choose_survivors(self.name, survivors))]
 
-    def _begin_warming(self, now: float, seen: RecoveryObservation, reason: str) -> PhaseChanged:
-        self._begin_window(now, seen)
+    def _begin_warming(self, now: float, observation: RecoveryObservation, reason: str) -> PhaseChanged:
+        self._begin_window(now, observation)
         return self._begin_phase(now, RecoveryPhase.WARMING, reason)
 
-    def _begin_window(self, now: float, seen: RecoveryObservation) -> None:
+    def _begin_window(self, now: float, observation: RecoveryObservation) -> None:
         self._window_began_at = now
-        self._served_before = seen.served
-        self._ended_before = seen.ended
+        self._served_at_window_start = observation.served
+        self._ended_at_window_start = observation.ended
 
-    def _warm(self, now: float, seen: RecoveryObservation) -> list[RecoveryAction]:
-        """Judge a window that is over, and end the phase with full service or its time limit."""
+    def _warm(self, now: float, observation: RecoveryObservation) -> list[RecoveryAction]:
+        """Evaluate a window that is over, and end the phase on full service or on timeout."""
         if now < self._window_began_at + WINDOW_S:
             return []
-        served = seen.served - self._served_before
-        ended = seen.ended - self._ended_before
-        self._begin_window(now, seen)
+        served = observation.served - self._served_at_window_start
+        ended = observation.ended - self._ended_at_window_start
+        self._begin_window(now, observation)
         self._full_windows.append(served >= FULL_SERVICE_SHARE * ended)
         if len(self._full_windows) == self._full_windows.maxlen and all(self._full_windows):
-            self.full_after = now - self.began - FULL_SERVICE_S  # it had begun with the first of the windows
+            self.full_after = (
+                now - self.began - FULL_SERVICE_S
+            )  # full service began with the first of the full windows
             return self._end_recovery(now, "full service")
         if now >= self.since + WARM_TIMEOUT_S:
             return self._end_recovery(now, "not full in time")
@@ -285,7 +289,7 @@
         return [self._begin_phase(now, RecoveryPhase.FULL, reason), ConnectionPace(None)]
 
     def report(self, now: float) -> RecoveryReport:
-        """Return what `fleet status` shows of this start."""
+        """Return the report that `fleet status` shows."""
         return {
             "phase": self.phase.name.lower(),
             "kind": self.kind.value if self.kind is not None else None,
@@ -293,49 +297,51 @@
             "full_after_s": round(self.full_after, 2) or None,
             "phases": [
                 {"phase": record.phase, "took_s": record.took_s, "ended_by": record.ended_by}
-                for record in self.times
+                for record in self.completed_phases
             ],
         }
 
 
-def classify_start(seen: RecoveryObservation) -> StartKind:
-    """Return the kind of a start, by what is seen now."""
-    if not seen.in_full_service and not seen.recovering and not seen.unheard:
-        return StartKind.ALONE if seen.has_stored_state else StartKind.FIRST
-    if seen.recovering and len(seen.recovering) >= len(seen.in_full_service):
+def classify_start(observation: RecoveryObservation) -> StartKind:
+    """Return the kind of a start according to the current observation."""
+    if not observation.in_full_service and not observation.recovering and not observation.unreported:
+        return StartKind.ALONE if observation.has_stored_state else StartKind.FIRST
+    if observation.recovering and len(observation.recovering) >= len(observation.in_full_service):
         return StartKind.MASS
     return StartKind.LONE
 
 
-def turn(name: str, recovering: Sequence[str], interval_s: float, max_total_s: float = MAX_TURNS_S) -> float:
-    """Return after how many seconds it is an instance's turn among those that recover together.
+def turn(
+    name: str, recovering: Sequence[str], interval_s: float, max_total_s: float = MAX_STAGGER_S
+) -> float:
+    """Return the delay in seconds that staggers an instance among those that recover together.
 
-    The order is that of names, which all see alike. So nobody has to lead, and an instance that dies leaves a gap of
-    one interval.
+    Instances are ordered by name, which is the same everywhere. So no leader is needed, and an instance that dies
+    leaves a gap of one interval.
 
     Args:
         name: The instance.
-        recovering: Names of the others.
-        interval_s: Seconds between two turns.
-        max_total_s: Seconds over which all turns are spread at most.
+        recovering: Names of the other recovering instances.
+        interval_s: Seconds between two instances.
+        max_total_s: Maximum seconds over which all instances are spread.
     """
     order = sorted({*recovering, name})
     return order.index(name) * min(interval_s, max_total_s / len(order))
 
 
 def choose_survivors(name: str, survivors: Sequence[str]) -> tuple[str, ...]:
-    """Return whom an instance asks: others for each name, so that no survivor is asked by all."""
+    """Return the survivors that an instance asks; its name decides, so that no survivor is asked by all."""
     order = sorted(survivors)
     first = sum(map(ord, name)) % len(order)
     return tuple((order[first:] + order[:first])[:MAX_ASKED_SURVIVORS])
 
 
 def return_after(draw: float, recovering: int, min_s: float = 1.0) -> int:
-    """Return after how many whole seconds a rejected client may come back.
+    """Return the delay in whole seconds after which a rejected client may retry.
 
     Args:
-        draw: A random number from 0 to 1, which spreads clients.
-        recovering: How many instances recover; the more, the wider the spread, to 8 s.
-        min_s: Seconds at the least.
+        draw: A random number from 0 to 1, which spreads the clients' retries.
+        recovering: Number of recovering instances; the more, the wider the spread, up to 8 s.
+        min_s: Minimum delay in seconds.
     """
     return int(min_s + draw * min(8.0, 1.0 + recovering / 2) + 0.5)
--- a/loadbalancer/fleet/orchestration/rolling_restart.py
+++ b/loadbalancer/fleet/orchestration/rolling_restart.py
@@ -1,12 +1,12 @@
-"""Restarting a whole fleet: group after group, the next once the one before is in full service.
+"""Rolling restart of a fleet: one group after another, each once the previous one is in full service.
 
 Rules:
 
-1. Nobody is restarted while another instance is down, recovering, or has not reported its recovery phase.
-2. A group is over once each of its instances runs as another process and reports full service.
-3. A group that is not over in GROUP_TIMEOUT_S, or a fleet that is not whole for so long, halts the restart. An operator
-   looks, and begins anew. Instances that have restarted run on.
-4. The instance that drives the restart is the last of the last group, as its own restart ends it.
+1. No instance is restarted while any instance is down, recovering, or has not reported its recovery phase.
+2. A group is complete once each of its instances runs as a new process and reports full service.
+3. If a group is not complete within GROUP_TIMEOUT_S, or the fleet is not fully in service for that long, the restart
+   halts. An operator has to investigate and start a new one. Instances that have restarted keep running.
+4. The instance that coordinates the restart is the last of the last group, since its own restart ends the coordination.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from dataclasses import dataclass
 from typing import Mapping, Sequence
 
-#: Seconds that one group, or the wait for a whole fleet, may take.
+#: Seconds that one group, or the wait until the fleet is fully in service, may take.
 GROUP_TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRestart:
-    """One instance, as the membership view has it now.
+    """The state of one instance in the membership view.
 
     Attributes:
         boot: Boot id of its process.
-        is_live: Whether it lives.
+        is_live: Whether it is alive.
         in_full_service: Whether it has reported that its recovery is over.
     """
 
@@ -34,7 +34,7 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether it lives and is in full service."""
+        """Whether it is alive and in full service."""
         return self.is_live and self.in_full_service
 
 
@@ -53,37 +53,37 @@
     """One rolling restart of the fleet.
 
     Attributes:
-        groups: Groups that are not over, the first of which is under way or next.
-        done: Names of instances whose group is over.
-        halted: Why it has halted; empty while it has not. A driver that could not restart an instance sets it too.
+        groups: Groups that are not complete; the first is in progress or next.
+        done: Names of instances whose group is complete.
+        halted: Why it has halted; empty if it has not. The caller also sets it when it could not restart an instance.
     """
 
-    def __init__(self, me: str, names: Sequence[str], group: int, now: float) -> None:
+    def __init__(self, coordinator: str, names: Sequence[str], group: int, now: float) -> None:
         """Plan the groups.
 
         Args:
-            me: The instance that drives.
-            names: All instances that live.
-            group: How many are restarted at once.
-            now: Seconds on a clock that does not run backwards.
+            coordinator: The instance that coordinates the restart.
+            names: All live instances.
+            group: Number of instances that are restarted at once.
+            now: Current time in seconds on a monotonic clock.
         """
-        order = [*sorted(name for name in names if name != me), me]
+        order = [*sorted(name for name in names if name != coordinator), coordinator]
         self.groups = [order[start : start + group] for start in range(0, len(order), group)]
         self.done: list[str] = []
         self.halted = ""
         self._waiting_since = now
-        self._boots_before: dict[str, int] = {}  # of the group that is under way
+        self._boots_before: dict[str, int] = {}  # boot ids of the group in progress, before its restart
 
     @property
     def over(self) -> bool:
-        """Whether nothing follows any more."""
+        """Whether the restart has halted or is complete."""
         return bool(self.halted) or not self.groups
 
     def step(self, now: float, members: Mapping[str, MemberRestart]) -> list[RestartMember]:
-        """Return whom to restart now.
+        """Return the instances to restart now.
 
         Args:
-            now: Seconds on the clock of the constructor.
+            now: Current time in seconds on the clock of the constructor.
             members: All instances that have not left, by name.
         """
         if self.over:
@@ -94,7 +94,7 @@
         return self._begin_group(now, members)
 
     def _begin_group(self, now: float, members: Mapping[str, MemberRestart]) -> list[RestartMember]:
-        """Begin the next group if the fleet is whole (rules 1 and 3)."""
+        """Start the next group if the whole fleet is in full service (rules 1 and 3)."""
         group = self.groups[0]
         missing = [name for name in group if name not in members or not members[name].is_live]
         if missing:
@@ -110,7 +110,7 @@
         return [RestartMember(name) for name in group]
 
     def _check_group(self, now: float, members: Mapping[str, MemberRestart]) -> None:
-        """End the group that is under way once all of it are back (rules 2 and 3)."""
+        """Complete the group in progress once all of its instances are back (rules 2 and 3)."""
         missing = [name for name in self.groups[0] if not self._is_back(name, members)]
         if not missing:
             self.done += self.groups.pop(0)
--- a/loadbalancer/fleet/replication/acceptor.py
+++ b/loadbalancer/fleet/replication/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor: promises and accepts for the one slot that is voted on, and answers only once that is on disk."""
+"""The acceptor: votes on the slot that is open, and replies only once its promise or acceptance is on disk."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 )
 from loadbalancer.fleet.replication.voter_registration import VoterRegistration
 
-#: Seconds after which a command that was accepted and not decided is finished by its acceptor; each acceptor waits up
-#: to twice as long, drawn at random, so that usually only one of them does it.
+#: Seconds after which an acceptor starts a round to finish a command that it has accepted and that is not decided yet.
+#: Each acceptor waits up to twice as long, drawn at random, so that usually only one of them starts one.
 UNDECIDED_TIMEOUT_S = 0.5
 
 
@@ -35,43 +35,50 @@
         registration: VoterRegistration,
         active_leaseholders: Callable[[float], ActiveLeaseholders],
     ) -> None:
-        """`active_leaseholders`: Who may still act by this voter's grants at a time in seconds."""
+        """Create an acceptor without votes.
+
+        Args:
+            context: Shared by the roles of the replica.
+            learner: Knows what is decided, and helps instances that are behind.
+            registration: Knows whether this instance may vote.
+            active_leaseholders: Returns who may still act under this voter's grants at a time in seconds.
+        """
         self._context = context
         self._learner = learner
         self._registration = registration
         self._active_leaseholders = active_leaseholders
         self.state = self._empty_state()
-        #: When this instance finishes the command that it has accepted; infinite where there is none.
+        #: When this instance starts a round to finish its accepted command; infinite if it has accepted none.
         self.undecided_deadline = math.inf
 
     def _empty_state(self) -> AcceptorState:
         return AcceptorState(self._context.state.version + 1, NO_BALLOT, NO_BALLOT, None)
 
     def start_next_slot(self) -> None:
-        """Begin with the slot after the version that was just applied; nothing is promised for it yet."""
+        """Move to the slot after the version that was just applied; nothing is promised for it yet."""
         self.state = self._empty_state()
         self.undecided_deadline = math.inf
 
     def restore(self, stored: AcceptorState) -> None:
-        """Take up the acceptor state from disk, if it is of the slot that is voted on now."""
+        """Restore the acceptor state from disk, unless it belongs to a slot that is decided meanwhile."""
         if stored.slot == self._context.state.version + 1:
             self.state = stored
             if stored.command is not None:
                 self.undecided_deadline = -math.inf
 
     def postpone_undecided_deadline(self, until: float) -> None:
-        """Leave a command that was accepted to others until the next round of this instance may start."""
+        """Leave an accepted, undecided command to other proposers until this instance may start its next round."""
         if self.undecided_deadline < math.inf:
             self.undecided_deadline = max(self.undecided_deadline, until)
 
     @property
     def highest_accepted_version(self) -> int:
-        """The greatest version that this voter knows of, decided or only accepted."""
+        """The highest version that this voter knows of, decided or only accepted."""
         accepted_slot = self.state.slot if self.state.command is not None else 0
         return max(self._learner.highest_known_version, accepted_slot)
 
     def on_prepare(self, sender: str, message: Prepare) -> None:
-        """Promise to accept nothing under a lesser ballot, or name the ballot that stands in the way."""
+        """Promise to accept nothing under a lower ballot, or reject with the higher ballot that was promised."""
         if not self._votes_on(sender, message.slot):
             return
         state = self.state
@@ -82,7 +89,7 @@
         self._reply(sender, reply, state_changed=ok)
 
     def on_accept(self, sender: str, message: Accept) -> None:
-        """Accept a command, unless a greater ballot was promised."""
+        """Accept a command, unless a higher ballot was promised."""
         if not self._votes_on(sender, message.slot):
             return
         context, state = self._context, self.state
@@ -99,18 +106,21 @@
         self._reply(sender, reply, state_changed=ok)
 
     def _votes_on(self, sender: str, slot: int) -> bool:
-        """Whether this instance votes on the slot now. Where it does not, whichever of the two is behind is helped."""
+        """Return whether this instance votes on the slot now.
+
+        If the sender is behind, it is sent what it lacks; if this instance is behind, it requests a state transfer.
+        """
         version = self._context.state.version
         if slot <= version:
             self._learner.send_decided_from(sender, slot)
             return False
         if slot > version + 1:
-            self._learner.note_later_version(sender, slot - 1)
+            self._learner.record_later_version(sender, slot - 1)
             return False
         return not self._learner.blocked_reason and self._registration.can_vote
 
     def _reply(self, to: str, reply: ReplicationMessage, *, state_changed: bool) -> None:
-        """Rule 2: an answer leaves only once the state that it speaks of is on disk."""
+        """Reply once the acceptor state that the reply reports is on disk (rule 2)."""
         if not state_changed:
             self._context.send(to, reply)
             return
--- a/loadbalancer/fleet/replication/actions.py
+++ b/loadbalancer/fleet/replication/actions.py
@@ -1,4 +1,4 @@
-"""What a Paxos replica wants done. The caller carries the actions out in the order in which they are returned."""
+"""Actions that a Paxos replica returns. The caller executes them in the order in which they are returned."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to the instance of this name; it may be lost."""
+    """Send a message to the instance of this name; delivery is not guaranteed."""
 
     to: str
     message: ReplicationMessage
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write to disk, and only then send.
+    """Write to disk, then send the messages that depend on the write.
 
     Attributes:
-        acceptor_state: The new acceptor state; None leaves the one that is stored.
-        observed_store: A voter's store to remember; None leaves what is stored.
-        then_send: Messages that may leave only once the above is on disk.
+        acceptor_state: The new acceptor state; None leaves the stored one unchanged.
+        observed_store: A voter's store to record; None leaves the stored records unchanged.
+        then_send: Messages that may be sent only once the above is on disk.
     """
 
     acceptor_state: AcceptorState | None
@@ -42,15 +42,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmitStore:
-    """Write to disk that this instance's store is not new any more, and hand in `StoreAdmitted` once it is there."""
+    """Write to disk that this instance's store is admitted, and pass `StoreAdmitted` to the replica afterwards."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommandApplied:
-    """A decided command is in force here; it is to be persisted.
+    """A decided command was applied to the replicated state; the caller persists it.
 
     Attributes:
-        version: The version that the command has made.
+        version: The version that the command has produced.
         command: The command.
         touched: The items of the replicated state that it has changed.
     """
@@ -62,25 +62,25 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotInstalled:
-    """The whole replicated state was replaced; all of it is to be put in force and persisted."""
+    """The whole replicated state was replaced by a snapshot; the caller puts it into effect and persists it."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestStateTransfer:
-    """Ask this instance for the commands, or the snapshot, that are missing here."""
+    """Request the missing commands, or a snapshot, from the instance named `source`."""
 
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class CommandCompleted:
-    """What became of a command that this instance has proposed.
+    """The outcome of a command that this instance has proposed.
 
     Attributes:
         command_id: The command's identifier.
-        version: The version that it has made; 0 where it was not decided, or that is not known.
+        version: The version that it has produced; 0 if it was not decided, or its outcome is unknown.
         reason: Why `version` is 0.
-        leaseholders: Who may still act on older versions; None where that is not known.
+        leaseholders: Instances that may still act on older versions; None if they are unknown.
     """
 
     command_id: str
--- a/loadbalancer/fleet/replication/commands.py
+++ b/loadbalancer/fleet/replication/commands.py
@@ -1,4 +1,4 @@
-"""Commands: the entries of the replicated log, their kinds and the bodies that they carry as MessagePack."""
+"""Commands: the entries of the replicated log, their kinds and their MessagePack bodies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from loadbalancer.fleet.replication.errors import StateError
 from loadbalancer.routing.traffic_migration import Migration
 
-#: Bytes of a command's body, so that the command fits into a datagram with the rest of its message.
+#: Maximum size of a command's body in bytes, so that a message with the command fits into a datagram.
 MAX_BODY_BYTES = 800
 
 Text = Annotated[str, Meta(max_length=200)]
@@ -21,7 +21,7 @@
 
 
 class CommandKind(StrEnum):
-    """The kinds of commands that this build knows; the values stand in messages and in the store."""
+    """The kinds of commands that this build knows; the values are on the wire and in the store."""
 
     MARK = "mark"
     MOVE = "move"
@@ -37,12 +37,12 @@
     """One entry of the replicated log.
 
     Attributes:
-        id: Unique in the fleet; its proposer draws it.
-        kind: A `CommandKind`, or one of a later build.
+        id: Identifier, unique in the fleet; the proposer generates it.
+        kind: A `CommandKind`, or a kind that only a later build knows.
         body: The body of this kind as MessagePack.
-        by: Who has asked for it.
-        reason: Why, for people.
-        at: Unix time at the proposer, for people.
+        by: Who has requested the command.
+        reason: The reason given with the request; informational.
+        at: Unix time at the proposer; informational.
     """
 
     id: Annotated[str, Meta(max_length=80)]
@@ -58,9 +58,9 @@
 
     Attributes:
         pool: The pool.
-        overrides: By endpoint; None lifts the override.
-        duration: Seconds until they end, counted by each instance from when it applies the command; 0 for no end.
-        expected_version: Change only what this version has set; 0 changes it in any case.
+        overrides: Override by endpoint; None lifts the override.
+        duration: Seconds until they expire, counted by each instance from when it applies the command; 0 for never.
+        expected_version: Change only overrides that this version has set; 0 changes them unconditionally.
     """
 
     pool: Text
@@ -73,7 +73,7 @@
     """Start or end the traffic migration of a pool; the other attributes are those of `MarkBody`.
 
     Attributes:
-        migration: None ends the migration.
+        migration: The migration to start; None ends the current one.
     """
 
     pool: Text
@@ -83,7 +83,7 @@
 
 
 class FreezeBody(Struct, frozen=True, array_like=True):
-    """Freeze a pool's endpoint list, or let it follow its source again."""
+    """Freeze a pool's endpoint list, or unfreeze it, so that it follows its discovery source again."""
 
     pool: Text
     frozen: bool
@@ -105,7 +105,7 @@
     """Replace all voters after a majority was lost for good.
 
     Attributes:
-        voters: Store by voter; an empty store accepts the voter's first one.
+        voters: Store identity by voter; empty accepts the first store that the voter presents.
     """
 
     voters: dict[str, str]
@@ -123,15 +123,15 @@
     CommandKind.STAGE: StageBody,
 }
 
-#: Proposed to finish a slot for which no command of this instance waits.
+#: Proposed to finish an open slot if no accepted command is found and this instance has none to propose.
 NO_OPERATION = Command("", CommandKind.NO_OPERATION.value, b"")
 
 
 def read_body(command: Command) -> CommandBody | None:
-    """Decode a command's body; None for a command without effect.
+    """Decode a command's body; return None for `NO_OPERATION`, which has none.
 
     Raises:
-        StateError: This build does not know the kind, or can't read the body.
+        StateError: This build does not know the kind, or can't decode the body.
     """
     if command.kind == CommandKind.NO_OPERATION:
         return None
@@ -148,7 +148,7 @@
     """Encode a command's body.
 
     Raises:
-        StateError: It is longer than MAX_BODY_BYTES.
+        StateError: The encoded body is longer than MAX_BODY_BYTES.
     """
     data = msgspec.msgpack.encode(body)
     if len(data) > MAX_BODY_BYTES:
--- a/loadbalancer/fleet/replication/commit_tracking.py
+++ b/loadbalancer/fleet/replication/commit_tracking.py
@@ -1,13 +1,13 @@
-"""Whether a decided command is committed in the whole fleet: no instance acts on an older version any more.
+"""Tracks whether a decided command is committed fleet-wide, i.e. no instance acts on an older version any more.
 
 Rules:
 
-1. Whoever may act holds a lease of a majority of voters, one of which has accepted the command; so only those that the
-   accepting voters name as leaseholders have to confirm.
-2. Where the leaseholders are not known, all instances of the membership view have to confirm, and the time of rule 3
+1. An instance that may act holds a lease from a majority of voters, and at least one of these has accepted the command.
+   So only the instances that the accepting voters name as leaseholders have to confirm.
+2. If the leaseholders are unknown, all instances of the membership view have to confirm, and the time of rule 3
    has to pass.
 3. The lease of an instance that does not confirm expires by its own clock within the lease duration after the command
-   was accepted. Where instances serve on without a lease (`cut_off = "serve"`), only a confirmation counts.
+   was accepted. If instances continue to serve without a lease (`cut_off = "serve"`), only a confirmation counts.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitStatus:
-    """How far a command has come.
+    """The progress of a command towards being committed.
 
     Attributes:
         is_committed: No instance acts on an older version any more.
-        unconfirmed: Who has not confirmed, sorted.
-        time_remaining: Seconds until their leases have expired; None where they do not.
+        unconfirmed: Names of instances that have not confirmed, sorted.
+        time_remaining: Seconds until their leases have expired; None if they never expire.
     """
 
     is_committed: bool
@@ -32,7 +32,7 @@
 
 
 class CommitTracker:
-    """Follows one decided command until it is committed."""
+    """Tracks one decided command until it is committed."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
         """Start to track a command.
 
         Args:
-            version: The version that it has made.
+            version: The version that it has produced.
             accepted_at: When a majority had accepted it, in seconds on the clock of `status`.
-            leaseholders: Who may act on older versions; None where that is not known.
+            leaseholders: Instances that may act on older versions; None if they are unknown.
             lease_duration: Seconds after which all leases have expired, clock drift included.
-            serves_when_expired: Whether the fleet's instances serve on without a lease.
+            serves_when_expired: Whether the fleet's instances continue to serve without a lease.
         """
         self.version = version
         self.accepted_at = accepted_at
@@ -64,13 +64,13 @@
         known: Collection[str],
         left: Collection[str],
     ) -> CommitStatus:
-        """Say how far the command has come.
+        """Return the current progress of the command.
 
         Args:
-            now: Seconds.
-            announced_versions: The version that each instance says it acts on.
-            known: Names of the membership view, this instance's among them.
-            left: Names of instances that have left; nothing is expected of them.
+            now: Current time in seconds.
+            announced_versions: The latest version that each instance has announced to act on.
+            known: Names in the membership view, including this instance's.
+            left: Names of instances that have left the fleet; they need not confirm.
         """
         expected = known if self.leaseholders is None or self.serves_when_expired else self.leaseholders
         unconfirmed = tuple(
--- a/loadbalancer/fleet/replication/context.py
+++ b/loadbalancer/fleet/replication/context.py
@@ -1,4 +1,4 @@
-"""What the roles of one Paxos replica share."""
+"""State that is shared by the roles of one Paxos replica."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     Attributes:
         name: The instance's name in the fleet.
         store_id: Identity of the store that holds its votes; empty while it must not vote.
-        generation: How often that store was opened, with random bits of each opening.
+        generation: Count of openings of that store, with random low bits drawn at each opening.
         state: The replicated state; only the learner changes it.
         random: Source of all random draws of the replica.
-        now: Seconds, never decreasing.
-        live_members: Other instances that the membership view holds alive.
-        metadata: What this instance tells others of itself, for people.
-        actions: What the event that is being handled has called for so far.
+        now: Time of the event in seconds, never decreasing.
+        live_members: Other instances that are alive in the membership view.
+        metadata: What this instance announces about itself; informational.
+        actions: Actions emitted so far for the event that is being handled.
     """
 
     name: str
@@ -37,9 +37,9 @@
     actions: list[Action] = field(default_factory=list)
 
     def emit(self, action: Action) -> None:
-        """Add an action to those that the current event has called for."""
+        """Add an action to those returned for the current event."""
         self.actions.append(action)
 
     def send(self, to: str, message: ReplicationMessage) -> None:
-        """Emit a message that needs nothing on disk first."""
+        """Emit a message that does not depend on a disk write."""
         self.emit(SendMessage(to, message))
--- a/loadbalancer/fleet/replication/epochs.py
+++ b/loadbalancer/fleet/replication/epochs.py
@@ -1,4 +1,4 @@
-"""Epochs: when each version was in force at an instance, and the epochs of several instances merged for operators."""
+"""Epochs: when each version was in effect at an instance, and a merged report over several instances."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 )
 from loadbalancer.fleet.replication.errors import StateError
 
-#: What is noted of a version whose command was not seen: it was restored from the store, or came with a snapshot.
+#: Descriptions of a version whose command is unknown: it was restored from the store, or came with a snapshot.
 AS_KEPT = "as kept"
 WHOLE = "the whole state"
-#: What is reported of each instance beside its epochs.
+#: Fields that are reported for each instance besides its epochs.
 INSTANCE_KEYS = (
     "instance",
     "version",
@@ -36,7 +36,7 @@
 
 
 class EpochRow(TypedDict):
-    """An epoch as operators read it; times are Unix times."""
+    """An epoch as shown to operators; times are Unix times."""
 
     version: int
     what: str
@@ -51,10 +51,10 @@
 
     Attributes:
         version: The version.
-        what: The command that has made it.
-        by: Who has asked for the command.
+        what: Description of the command that has produced it.
+        by: Who has requested the command.
         taken_up: By instance, the Unix time at which it applied the command.
-        last_before: By instance, the Unix time of its last send under the version before.
+        last_before: By instance, the Unix time of its last send under the previous version.
     """
 
     version: int
@@ -69,8 +69,8 @@
 
     Attributes:
         versions: Sorted by version.
-        instances: What each instance reports of itself, without its epochs.
-        not_known: Instances that could not be asked.
+        instances: The `INSTANCE_KEYS` of each instance, without its epochs.
+        not_known: Instances that could not be queried.
     """
 
     versions: list[VersionRow]
@@ -79,15 +79,15 @@
 
 
 class Epoch:
-    """One version in force at this instance.
+    """The period during which one version was in effect at this instance.
 
     Attributes:
         version: The version.
-        what: The command that has made it, in a line.
-        by: Who has asked for the command.
+        what: One-line description of the command that has produced it.
+        by: Who has requested the command.
         at: When it was applied, in seconds on the lease's clock.
-        sends: Attempts that left under it.
-        last: When the last of them left, in seconds on the lease's clock; 0 for none.
+        sends: Number of attempts sent under it.
+        last: When the last of them was sent, in seconds on the lease's clock; 0 for none.
     """
 
     __slots__ = ("at", "by", "last", "sends", "version", "what")
@@ -101,7 +101,7 @@
         self.last = 0.0
 
     def row(self, clock_origin: float) -> dict[str, Any]:
-        """The epoch as an `EpochRow`.
+        """Return the epoch as an `EpochRow`.
 
         Args:
             clock_origin: The Unix time at 0 of the lease's clock.
@@ -118,7 +118,7 @@
 
 
 def describe(command: Command) -> str:
-    """A command in a line, for operators."""
+    """Return a one-line description of a command for operators."""
     try:
         body = read_body(command)
     except StateError as error:
@@ -157,14 +157,14 @@
 
 
 def merge(instances: Sequence[Mapping[str, Any]], unknown: Sequence[str]) -> MergedReport:
-    """Merge the reports of several instances, as they came from JSON.
+    """Merge the reports of several instances, as decoded from JSON.
 
     Args:
-        instances: Of each, `INSTANCE_KEYS` and its epochs as `EpochRow`s, oldest first.
-        unknown: Instances that could not be asked.
+        instances: For each, its `INSTANCE_KEYS` and its epochs as `EpochRow`s, oldest first.
+        unknown: Instances that could not be queried.
 
     Returns:
-        For each version who applied it when, and when each instance last acted on the one before.
+        For each version, when each instance applied it, and when each last acted on the previous one.
     """
     versions: dict[int, VersionRow] = {}
     for instance in instances:
--- a/loadbalancer/fleet/replication/errors.py
+++ b/loadbalancer/fleet/replication/errors.py
@@ -8,8 +8,8 @@
 
 
 class StateError(ReplicationError):
-    """A command or snapshot can't become part of the replicated state; the text says why and names the value."""
+    """A command or snapshot can't become part of the replicated state; the message states why and names the value."""
 
 
 class TransferError(ReplicationError):
-    """A message of a state transfer does not fit what has been received so far."""
+    """A message of a state transfer does not match the data received so far."""
--- a/loadbalancer/fleet/replication/events.py
+++ b/loadbalancer/fleet/replication/events.py
@@ -1,4 +1,4 @@
-"""What a Paxos replica is told. Each event is handed to `PaxosReplica.handle` with the time at which it happened."""
+"""Events that a Paxos replica handles. Each is passed to `PaxosReplica.handle` with the time at which it occurred."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     Attributes:
         command: The command; its identifier is unique in the fleet.
-        expires_at: When it is given up, in seconds on the replica's clock.
+        expires_at: When the proposal times out, in seconds on the replica's clock.
         expected_version: The version that the command has to follow directly; negative for any.
     """
 
@@ -24,13 +24,13 @@
     expected_version: int = -1
 
     def may_follow(self, version: int) -> bool:
-        """Whether the command may make the version after this one."""
+        """Return whether the command may be applied directly after this version."""
         return self.expected_version < 0 or self.expected_version == version
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message of another instance, or of this one to itself."""
+    """A message was received from another instance, or from this one itself."""
 
     sender: str
     message: ReplicationMessage
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The time of `PaxosReplica.next_timer` has come, or was passed.
+    """The time of `PaxosReplica.next_timer` is reached or passed.
 
     Attributes:
-        live_members: Names that the membership view holds alive, without this instance's.
+        live_members: Names that are alive in the membership view, without this instance's.
     """
 
     live_members: tuple[str, ...]
@@ -49,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandsReceived:
-    """Decided commands in order, from a state transfer.
+    """Decided commands were received in order from a state transfer.
 
     Attributes:
-        first_version: The version that the first command makes.
-        commands: The commands of this version and those after it.
+        first_version: The version that the first command produces.
+        commands: The commands of this and the following versions.
     """
 
     first_version: int
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReceived:
-    """A whole state from a state transfer; its digest has been checked."""
+    """A snapshot was received from a state transfer, and its digest was verified."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class StoreAdmitted:
-    """What `AdmitStore` has asked for is on disk."""
+    """The admission that `AdmitStore` requested is on disk."""
 
 
 Event = Union[Propose, MessageReceived, TimerExpired, CommandsReceived, SnapshotReceived, StoreAdmitted]
--- a/loadbalancer/fleet/replication/learner.py
+++ b/loadbalancer/fleet/replication/learner.py
@@ -12,15 +12,15 @@
 from loadbalancer.fleet.replication.messages import Decided, VersionAnnouncement
 from loadbalancer.fleet.replication.replicated_state import TouchedItem
 
-#: Commands that are held for instances that are behind; one that lacks more gets a snapshot.
+#: Commands that are retained for instances that are behind; one that lacks more than these gets a snapshot.
 RETAINED_COMMANDS = 1024
-#: Seconds between two announcements to a few other instances while nothing changes.
+#: Seconds between two periodic announcements to ANNOUNCE_FANOUT other instances.
 ANNOUNCE_INTERVAL_S = 1.0
-#: Instances that one such announcement goes to.
+#: Number of instances that receive one periodic announcement.
 ANNOUNCE_FANOUT = 3
 #: Seconds between two requests for a state transfer.
 TRANSFER_RETRY_INTERVAL_S = 0.1
-#: Decided commands that are sent at once to an acceptor's peer that asks for an old slot.
+#: Decided commands that are sent at once to an instance that still works on a decided slot.
 MAX_COMMANDS_IN_REPLY = 4
 
 
@@ -30,7 +30,7 @@
     def __init__(self, context: ReplicaContext) -> None:
         self._context = context
         self.command_log: dict[int, Command] = {}
-        #: The greatest version that is known to be decided at any instance.
+        #: The highest version that is known to be decided at any instance.
         self.highest_known_version = context.state.version
         #: Why the next command can't be applied; empty while nothing blocks.
         self.blocked_reason = ""
@@ -42,7 +42,7 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether a later version is known than the one that this instance acts on."""
+        """Whether a later version than the one that this instance acts on is known."""
         return bool(self.blocked_reason) or self.highest_known_version > self._context.state.version
 
     @property
@@ -51,14 +51,15 @@
         return self._announce_at
 
     def is_next(self, version: int) -> bool:
-        """Whether the command that makes this version can be applied now."""
+        """Return whether the command that produces this version can be applied now."""
         return version == self._context.state.version + 1 and not self.blocked_reason
 
     def apply(self, command: Command) -> tuple[TouchedItem, ...] | None:
-        """Apply the command that makes the next version.
+        """Apply the command that produces the next version.
 
         Returns:
-            What it has changed; None where this build can't read it, which blocks the replica until a snapshot comes.
+            The items that it has changed; None if this build can't read it, which blocks the replica until a snapshot
+            is installed.
         """
         state = self._context.state
         try:
@@ -73,11 +74,11 @@
         return touched
 
     def install_snapshot(self, data: bytes) -> None:
-        """Replace the whole state by one that another instance has sent.
+        """Replace the whole state by a snapshot that another instance has sent.
 
         Raises:
-            StateError: The bytes are no snapshot.
-            AssertionError: The snapshot is older than the state, which nobody asks for.
+            StateError: The bytes are not a valid snapshot.
+            AssertionError: The snapshot is older than the state; such a snapshot is never requested.
         """
         state = self._context.state
         version_before = state.version
@@ -89,14 +90,14 @@
         self.blocked_reason = ""
 
     def on_announcement(self, sender: str, message: VersionAnnouncement) -> None:
-        """Note what version another instance acts on, and ask for what it has more."""
+        """Record the version that another instance acts on, and request what is missing here."""
         self.announced_versions[sender] = max(message.version, self.announced_versions.get(sender, 0))
         self.peer_metadata[sender] = message.metadata
         if message.version > self._context.state.version:
-            self.note_later_version(sender, message.version)
+            self.record_later_version(sender, message.version)
 
-    def note_later_version(self, source: str, version: int) -> None:
-        """Remember that `version` is decided, and ask `source`, which has it, for what is missing (rule 8)."""
+    def record_later_version(self, source: str, version: int) -> None:
+        """Record that `version` is decided, and request the missing commands from `source`, which has it (rule 8)."""
         self.highest_known_version = max(self.highest_known_version, version)
         now = self._context.now
         if now >= self._transfer_requested_at + TRANSFER_RETRY_INTERVAL_S and not self.blocked_reason:
@@ -104,7 +105,7 @@
             self._context.emit(RequestStateTransfer(source))
 
     def send_decided_from(self, to: str, slot: int) -> None:
-        """Bring an instance up to date that still works on a slot that is decided."""
+        """Send decided commands from `slot` on to an instance that still works on that slot."""
         version = self._context.state.version
         for number in range(slot, min(version, slot + MAX_COMMANDS_IN_REPLY - 1) + 1):
             if number in self.command_log:
@@ -113,7 +114,7 @@
             self.announce_to(to)
 
     def on_timer(self) -> None:
-        """Announce the version to a few instances, so that one that has missed a decision notices."""
+        """Announce the version to some random instances, so that one that has missed a decision detects it."""
         context = self._context
         if context.now < self._announce_at:
             return
@@ -123,9 +124,9 @@
             self.announce_to(name)
 
     def announce_to(self, name: str) -> None:
-        """Tell one instance which version this one acts on."""
+        """Announce to one instance the version that this one acts on."""
         self._context.emit(self.announcement(name))
 
     def announcement(self, name: str) -> SendMessage:
-        """The announcement of this instance's version, addressed to `name`."""
+        """Return the announcement of this instance's version, addressed to `name`."""
         return SendMessage(name, VersionAnnouncement(self._context.state.version, self._context.metadata))
--- a/loadbalancer/fleet/replication/lease.py
+++ b/loadbalancer/fleet/replication/lease.py
@@ -1,15 +1,16 @@
-"""The lease: whether this instance may act on its replicated state now, by its own clock (fencing).
+"""The lease: decides by this instance's own clock whether it may act on its replicated state now (fencing).
 
 Rules:
 
-1. An instance may act until its lease duration after the *sending* of the last request that a majority of voters has
-   granted, once it acts on the greatest version that any of these grants has named. So whoever gets a command accepted
-   by a majority knows that after the duration (and clock drift) nobody acts on an older version: one voter of that
-   majority has granted either before, when the duration began to run, or after, when it named the version.
-2. The clock runs on while the process is stopped or the machine sleeps, and is read at each request sent.
-3. Two clocks may drift apart by MAX_CLOCK_DRIFT; whoever counts on another's clock allows for it. The drift against
-   voters' clocks is measured; an instance that drifts more says so and stops acting.
-4. With `cut_off = "serve"` an instance acts on without a lease; then nobody counts on its lease expiring.
+1. An instance may act until one lease duration after it *sent* the last request that a majority of voters has granted,
+   once it has applied the highest version that these grants name. So after a majority has accepted a command, no
+   instance acts on an older version once the duration (plus clock drift) is over: the two majorities share a voter,
+   which granted the lease either before it accepted, so that the lease expires by then, or after, so that its grant
+   names the version.
+2. The clock continues while the process is stopped or the machine sleeps, and is read at each request sent.
+3. Two clocks may drift apart by MAX_CLOCK_DRIFT; an instance that relies on the expiry of another's lease allows for
+   it. The drift against voters' clocks is measured; an instance that drifts more reports it and stops acting.
+4. With `cut_off = "serve"` an instance continues to act without a lease; then no instance may rely on its expiry.
 """
 
 from __future__ import annotations
@@ -18,33 +19,33 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-#: Seconds between two requests while the lease has expired. Nothing is served then, so they follow each other closely.
+#: Seconds between two requests while the lease has expired. It is short since nothing is served meanwhile.
 EXPIRED_REQUEST_INTERVAL_S = 0.05
-#: Requests in one lease duration, so that some may be lost.
+#: Requests sent within one lease duration, so that some may be lost.
 REQUESTS_PER_DURATION = 5
 #: Fraction by which two clocks may drift apart.
 MAX_CLOCK_DRIFT = 0.01
-#: Seconds over which the drift against a voter's clock is measured before it is judged.
+#: Seconds over which the drift against a voter's clock is measured before it is compared with the limit.
 DRIFT_MEASURE_S = 30.0
-#: Seconds after which a measurement starts anew.
+#: Seconds after which a measurement is restarted.
 DRIFT_RESTART_S = 20 * DRIFT_MEASURE_S
-#: Seconds by which one measurement may be off, since a grant takes its time on the way. One that took longer than this
-#: since its request is not measured by.
+#: Error of one measurement in seconds, due to the network delay of a grant. Grants that arrive later than this after
+#: their request are not used for measuring.
 DRIFT_ERROR_S = 0.25
-#: Leaseholders that are remembered before expired ones are dropped.
+#: Number of leaseholders above which expired ones are removed.
 MAX_REMEMBERED_LEASEHOLDERS = 64
 #: Leaseholders that fit into one message.
 MAX_NAMED_LEASEHOLDERS = 24
-#: Bits of the number of a life's first request; the numbers after it stay below the 40 bits of a message.
+#: Bits of the first request number of a process; the numbers after it stay within the 40 bits of a message.
 FIRST_NUMBER_BITS = 39
 
 
 class ActiveLeaseholders(NamedTuple):
-    """Who may still act by a voter's grants.
+    """Instances that may still act under a voter's grants.
 
     Attributes:
         names: Sorted; at most MAX_NAMED_LEASEHOLDERS.
-        is_incomplete: Whether there may be others.
+        is_incomplete: Whether there may be other leaseholders.
     """
 
     names: tuple[str, ...]
@@ -54,17 +55,17 @@
 class ClockReading(NamedTuple):
     """A voter's clock and this instance's at the same moment, in seconds."""
 
-    theirs: float
-    ours: float
+    voter_time: float
+    local_time: float
 
 
 @dataclass
 class PendingLeaseRequest:
-    """A request for the lease.
+    """A lease request that was sent to all voters.
 
     Attributes:
-        sent_at: In seconds on this instance's clock.
-        granted_versions: The greatest version that each voter has named in its grant.
+        sent_at: When it was sent, in seconds on this instance's clock.
+        granted_versions: By voter, the highest version that its grant names.
     """
 
     sent_at: float
@@ -72,25 +73,26 @@
 
 
 class Lease:
-    """One instance's lease, and as a voter what it has granted. Times are seconds on the clock of rule 2."""
+    """One instance's lease, and the leases that it has granted as a voter. Times are seconds on the clock of rule 2."""
 
     def __init__(self, duration: float, serves_when_expired: bool, first_number: int = 1) -> None:
-        """Begin without a lease.
+        """Start without a lease.
 
         Args:
             duration: Seconds that a lease lasts.
-            serves_when_expired: Whether the instance acts on without one (rule 4).
-            first_number: Of the first request; drawn for each life, so that no grant to an earlier one is counted.
+            serves_when_expired: Whether the instance continues to act without one (rule 4).
+            first_number: Number of the first request; drawn at random for each process, so that a grant to an earlier
+                process of this instance is not counted.
         """
         self.duration = duration
         self.serves_when_expired = serves_when_expired
-        #: The lease lasts until then.
+        #: When the lease expires.
         self.expires_at = -math.inf
-        #: The version that grants have named and that is not reached yet; 0 for none.
+        #: The version that grants name and that this instance has not applied yet; 0 for none.
         self.required_version = 0
-        #: Which voter's clock drifts from this instance's, and how far; empty for none.
+        #: The voter whose clock drifts too far from this instance's, and the measurement; empty for none.
         self.clock_drift = ""
-        #: Granted as a voter: until when each instance may act, by this instance's clock.
+        #: Leases granted as a voter: by instance, when its lease expires by this instance's clock.
         self.leaseholders: dict[str, float] = {}
         self._last_number = first_number - 1
         self._requests: dict[int, PendingLeaseRequest] = {}
@@ -99,11 +101,11 @@
         self._started_at = math.inf
 
     def is_open(self, now: float) -> bool:
-        """Whether the lease holds."""
+        """Return whether the lease is valid."""
         return now < self.expires_at and not self.clock_drift
 
     def may_act(self, now: float) -> bool:
-        """Whether the instance may act; asked before every send."""
+        """Return whether the instance may act; checked before every send."""
         return self.serves_when_expired or self.is_open(now)
 
     @property
@@ -111,17 +113,17 @@
         """When the next request is due."""
         return self._request_at
 
-    # As the instance that holds the lease.
+    # As a leaseholder.
 
     def postpone_request(self, now: float) -> None:
-        """Note that none is requested now."""
+        """Skip a request that is due; the next is due after EXPIRED_REQUEST_INTERVAL_S."""
         self._request_at = now + EXPIRED_REQUEST_INTERVAL_S
 
     def request(self, now: float) -> int:
-        """Note that a request is sent to all voters now.
+        """Record that a request is sent to all voters now.
 
         Returns:
-            Its number, which the grants name.
+            The number of the request, which its grants carry.
         """
         self._started_at = min(self._started_at, now)
         self._last_number += 1
@@ -150,12 +152,12 @@
         """Count a voter's grant.
 
         Args:
-            now: Seconds.
+            now: Current time in seconds.
             number: The number of the request.
-            voter: Who grants it.
-            highest_version: The greatest version that the voter knows of.
+            voter: The voter that granted it.
+            highest_version: The highest version that the voter knows of.
             voter_clock: The voter's clock when it granted, in seconds.
-            majority: Grants that are needed.
+            majority: Number of grants needed.
             applied_version: The version that this instance acts on.
         """
         request = self._requests.get(number)
@@ -181,33 +183,33 @@
                 del self._requests[number]
 
     def _measure_drift(self, now: float, voter: str, voter_clock: float) -> None:
-        """Rule 3."""
+        """Measure the clock drift against a voter (rule 3)."""
         first = self._first_readings.setdefault(voter, ClockReading(voter_clock, now))
-        our_elapsed = now - first.ours
-        if our_elapsed < DRIFT_MEASURE_S:
+        local_elapsed = now - first.local_time
+        if local_elapsed < DRIFT_MEASURE_S:
             return
-        their_elapsed = voter_clock - first.theirs
-        drift = abs(their_elapsed - our_elapsed) - DRIFT_ERROR_S
-        if drift > 2 * MAX_CLOCK_DRIFT * our_elapsed:
-            self.clock_drift = f"{voter}: {their_elapsed:.2f} s there, {our_elapsed:.2f} s here"
+        voter_elapsed = voter_clock - first.voter_time
+        drift = abs(voter_elapsed - local_elapsed) - DRIFT_ERROR_S
+        if drift > 2 * MAX_CLOCK_DRIFT * local_elapsed:
+            self.clock_drift = f"{voter}: {voter_elapsed:.2f} s there, {local_elapsed:.2f} s here"
         elif self.clock_drift.startswith(f"{voter}:"):
             self.clock_drift = ""
-        if our_elapsed > DRIFT_RESTART_S:
+        if local_elapsed > DRIFT_RESTART_S:
             self._first_readings[voter] = ClockReading(voter_clock, now)
 
     # As a voter.
 
     def grant(self, now: float, name: str) -> None:
-        """Note that this voter grants the lease to an instance now."""
+        """Record that this voter grants the lease to an instance now."""
         self.leaseholders[name] = now + self.expiry_with_drift
         if len(self.leaseholders) > MAX_REMEMBERED_LEASEHOLDERS:
             self.leaseholders = {name: until for name, until in self.leaseholders.items() if until > now}
 
     def active_leaseholders(self, now: float) -> ActiveLeaseholders:
-        """Who may still act by this voter's grants.
+        """Return the instances that may still act under this voter's grants.
 
-        The list is incomplete where not all fit, and for a lease duration after the start: what the process before has
-        granted is not known.
+        The list is incomplete if not all fit, and for a lease duration after the start, since the grants of the
+        previous process are unknown.
         """
         names = sorted(name for name, until in self.leaseholders.items() if until > now)
         is_incomplete = len(names) > MAX_NAMED_LEASEHOLDERS or now < self._started_at + self.expiry_with_drift
@@ -215,5 +217,5 @@
 
     @property
     def expiry_with_drift(self) -> float:
-        """Seconds after a command was accepted by which nobody acts on older versions, by this instance's clock."""
+        """Seconds by this instance's clock after a command was accepted until no instance acts on an older version."""
         return self.duration * (1 + 2 * MAX_CLOCK_DRIFT)
--- a/loadbalancer/fleet/replication/messages.py
+++ b/loadbalancer/fleet/replication/messages.py
@@ -1,6 +1,6 @@
 """The messages between replicas, and the records that a voter persists.
 
-They are arrays with an integer tag for the kind: fields are only ever appended, and a tag is never used anew.
+Messages are arrays with an integer tag for the kind: fields are only ever appended, and a tag is never reused.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 from loadbalancer.fleet.replication.commands import Command
 
 Number = Annotated[int, Meta(ge=0, lt=1 << 40)]
-#: Characters of a proposer's identity in a ballot.
+#: Maximum length of a proposer's identity in a ballot, in characters.
 MAX_PROPOSER_ID_LENGTH = 48
-#: The round's number and the proposer's identity in this life, so that each ballot is used once. Ballots compare in
-#: this order. Builds that know no identities write the proposer's name.
+#: The round's number and the identity of the proposer's process, so that each ballot is used for one round only.
+#: Ballots are compared in this order. Older builds without identities write the proposer's name instead.
 Ballot = tuple[Number, Annotated[str, Meta(max_length=MAX_PROPOSER_ID_LENGTH)]]
-#: Below every ballot: nothing was promised or accepted.
+#: Lower than every ballot: nothing was promised or accepted.
 NO_BALLOT: Ballot = (0, "")
 
 
 class Prepare(Struct, frozen=True, array_like=True, tag=20):
-    """Ask an acceptor to accept nothing under a lesser ballot for the slot, and what it has accepted."""
+    """Ask an acceptor to promise that it accepts nothing under a lower ballot for the slot."""
 
     slot: Number
     ballot: Ballot
 
 
 class Promise(Struct, frozen=True, array_like=True, tag=21):
-    """An acceptor's answer to `Prepare`.
+    """An acceptor's reply to `Prepare`.
 
     Attributes:
-        slot: As asked.
-        ballot: As asked.
+        slot: As in the request.
+        ballot: As in the request.
         ok: Whether it promises.
-        blocking_ballot: The greatest ballot that it has promised; where `ok` is false, the one that stands in the way.
+        blocking_ballot: The highest ballot that it has promised; if `ok` is false, the reason for the rejection.
         accepted: The ballot of the command that it has accepted; `NO_BALLOT` for none.
         command: That command.
     """
@@ -57,14 +57,14 @@
 
 
 class Accepted(Struct, frozen=True, array_like=True, tag=23):
-    """An acceptor's answer to `Accept`.
+    """An acceptor's reply to `Accept`.
 
     Attributes:
-        slot: As asked.
-        ballot: As asked.
+        slot: As in the request.
+        ballot: As in the request.
         ok: Whether it has accepted; then the command is on its disk.
-        blocking_ballot: The greatest ballot that it has promised.
-        leaseholders: Who may still act on older versions by this voter's grants.
+        blocking_ballot: The highest ballot that it has promised.
+        leaseholders: Instances that may still act on older versions under this voter's grants.
         has_more: Whether there may be other leaseholders.
     """
 
@@ -77,18 +77,18 @@
 
 
 class Decided(Struct, frozen=True, array_like=True, tag=24):
-    """The command that is decided for the slot `version`."""
+    """Announces the command that is decided for the slot `version`."""
 
     version: Number
     command: Command
 
 
 class VersionAnnouncement(Struct, frozen=True, array_like=True, tag=25):
-    """The version that the sender acts on.
+    """Announces the version that the sender acts on.
 
     Attributes:
-        version: Commands applied.
-        metadata: What else the sender runs under, for people.
+        version: Number of commands applied.
+        metadata: What the sender reports about itself; informational.
     """
 
     version: Number
@@ -99,7 +99,7 @@
     """Ask a voter for the lease.
 
     Attributes:
-        number: Of the request; the grant names it.
+        number: Number of the request; the grant carries it.
         version: The version that the sender acts on.
     """
 
@@ -111,8 +111,8 @@
     """A voter's grant of the lease.
 
     Attributes:
-        number: Of the request.
-        highest_known_version: The greatest version that the voter knows of, decided or only accepted.
+        number: Number of the request.
+        highest_known_version: The highest version that the voter knows of, decided or only accepted.
         clock: The voter's clock, in seconds.
     """
 
@@ -122,11 +122,11 @@
 
 
 class VoterGreeting(Struct, frozen=True, array_like=True, tag=28):
-    """The store that holds the sender's votes.
+    """Asks a voter to confirm the store that holds the sender's votes.
 
     Attributes:
-        store: Its identity.
-        generation: How often it was opened, with random bits of the opening.
+        store: Identity of the store.
+        generation: Count of openings of the store, with random low bits drawn at each opening.
     """
 
     store: Annotated[str, Meta(max_length=40)]
@@ -134,9 +134,9 @@
 
 
 class FoundingGreeting(Struct, frozen=True, array_like=True, tag=35):
-    """The sender's new store, which asks to be one of those that the fleet is founded with.
+    """Asks a voter to admit the sender's new store as one of those that the fleet is founded with.
 
-    Builds that do not know it drop it, so that the sender waits until they are replaced. It is answered with
+    Builds that do not know this message drop it, so the sender waits until they are replaced. The reply is
     `VoterGreetingReply`.
 
     Attributes:
@@ -149,13 +149,13 @@
 
 
 class VoterGreetingReply(Struct, frozen=True, array_like=True, tag=29):
-    """A voter's answer to `VoterGreeting` or `FoundingGreeting`.
+    """A voter's reply to `VoterGreeting` or `FoundingGreeting`.
 
     Attributes:
         store: As in the greeting.
         generation: As in the greeting.
-        ok: Whether nothing is known that speaks against votes from that store.
-        reason: What speaks against them.
+        ok: Whether the voter has no objection to votes from that store.
+        reason: The objection; empty if `ok` is true.
     """
 
     store: Annotated[str, Meta(max_length=40)]
@@ -165,12 +165,12 @@
 
 
 class StateRequest(Struct, frozen=True, array_like=True, tag=30):
-    """Ask for a state transfer: all commands after `version`, or a snapshot where those are not held any more.
+    """Request a state transfer: all commands after `version`, or a snapshot if those are not retained any more.
 
     Attributes:
         version: The version that the sender acts on.
-        digest: Of the snapshot of which a part has been received; empty for none.
-        offset: Bytes of it that have been received.
+        digest: Digest of the snapshot that was received in part; empty for none.
+        offset: Number of its bytes that were received.
     """
 
     version: Number
@@ -182,9 +182,9 @@
     """Decided commands in order.
 
     Attributes:
-        first_version: The version that the first of them makes.
+        first_version: The version that the first of them produces.
         commands: The commands.
-        is_last: Whether nothing follows.
+        is_last: Whether this is the last message of the transfer.
     """
 
     first_version: Number
@@ -193,14 +193,14 @@
 
 
 class SnapshotChunk(Struct, frozen=True, array_like=True, tag=32):
-    """A part of a snapshot.
+    """A chunk of a snapshot.
 
     Attributes:
         version: The version of the snapshot.
-        digest: Of the whole snapshot.
-        offset: Where `data` begins in it, in bytes.
-        size: Of the whole snapshot, in bytes.
-        data: The part.
+        digest: Digest of the whole snapshot.
+        offset: Position of `data` in it, in bytes.
+        size: Size of the whole snapshot, in bytes.
+        data: The bytes of this chunk.
     """
 
     version: Number
@@ -211,18 +211,18 @@
 
 
 class QueryRequest(Struct, frozen=True, array_like=True, tag=33):
-    """What an operator wants to read of the receiver; `path` is that of the administrative API."""
+    """Query the receiver on behalf of an operator; `path` is a path of the administrative API."""
 
     path: Annotated[str, Meta(max_length=200)]
 
 
 class QueryResponse(Struct, frozen=True, array_like=True, tag=34):
-    """The answer to `QueryRequest`, or a part of it, as bytes of JSON."""
+    """The response to `QueryRequest`, or a part of it, as JSON bytes."""
 
     body: bytes
 
 
-#: Sent as datagrams, to replicas and their leases.
+#: Messages of replicas and leases, which are sent as datagrams.
 ReplicationMessage = Union[
     Prepare,
     Promise,
@@ -236,18 +236,18 @@
     VoterGreetingReply,
     FoundingGreeting,
 ]
-#: Sent over a connection of its own.
+#: Messages that are sent over a dedicated connection.
 StreamMessage = Union[StateRequest, LogEntries, SnapshotChunk, QueryRequest, QueryResponse]
 
 
 class AcceptorState(Struct, array_like=True):
-    """What a voter persists for the slot that it votes on before it answers.
+    """The record that a voter persists for the slot that it votes on before it replies.
 
     Attributes:
         slot: The version after the last that was applied.
-        promised: Nothing is accepted under a lesser ballot.
+        promised: The ballot below which nothing is accepted.
         accepted: The ballot of `command`; `NO_BALLOT` for none.
-        command: What was accepted.
+        command: The accepted command.
     """
 
     slot: int
@@ -260,8 +260,8 @@
     """The store that a voter was observed with.
 
     Attributes:
-        store: Its identity.
-        generation: The latest opening of it that was observed; 0 before the first.
+        store: Identity of the store.
+        generation: The generation of its latest observed opening; 0 before the first.
     """
 
     store: str
--- a/loadbalancer/fleet/replication/proposer.py
+++ b/loadbalancer/fleet/replication/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer: gets queued commands decided, one round after another, and finishes what others have left undecided."""
+"""The proposer: gets queued commands decided, one round at a time, and finishes commands that were left undecided."""
 
 from __future__ import annotations
 
@@ -25,33 +25,33 @@
     Promise,
 )
 
-#: Seconds after which voters that have not answered are asked again.
+#: Seconds after which a request is sent again to voters that have not replied.
 RETRY_INTERVAL_S = 0.1
-#: Seconds after which a round is given up.
+#: Seconds after which a round is aborted.
 ROUND_TIMEOUT_S = 0.6
-#: Bounds of the seconds between two rounds of one proposer. The pause doubles with each failed round and is drawn at
-#: random, so that two proposers do not go on overtaking each other.
+#: Bounds of the backoff between two rounds of one proposer, in seconds. It doubles with each failed round and is
+#: randomized, so that two proposers do not preempt each other forever.
 MIN_BACKOFF_S = 0.02
 MAX_BACKOFF_S = 0.4
-#: Commands of this instance that may wait to be proposed.
+#: Maximum number of this instance's queued commands.
 MAX_QUEUED_COMMANDS = 256
-#: Bits that tell the lives of one proposer apart in its ballots, written as hexadecimal digits.
-LIFE_NONCE_BITS = 64
-LIFE_NONCE_DIGITS = LIFE_NONCE_BITS // 4
+#: Random bits that tell the processes of one proposer apart in its ballots, written as hexadecimal digits.
+PROCESS_NONCE_BITS = 64
+PROCESS_NONCE_DIGITS = PROCESS_NONCE_BITS // 4
 
 
 def make_proposer_id(name: str, source: random.Random) -> str:
-    """The identity of one life of a proposer, as it stands in its ballots.
+    """Return the identity of one process of a proposer, as used in its ballots.
 
-    Round numbers are held in memory, and a proposer without a store remembers none of its earlier lives; so the number
-    and the name alone could come again with another command.
+    Round numbers are held in memory, and a proposer without a store does not know those of its earlier processes. So
+    round number and name alone could form the same ballot again for another command.
     """
-    nonce = f"{source.getrandbits(LIFE_NONCE_BITS):0{LIFE_NONCE_DIGITS}x}"
-    return f"{name[: MAX_PROPOSER_ID_LENGTH - LIFE_NONCE_DIGITS - 1]}~{nonce}"
+    nonce = f"{source.getrandbits(PROCESS_NONCE_BITS):0{PROCESS_NONCE_DIGITS}x}"
+    return f"{name[: MAX_PROPOSER_ID_LENGTH - PROCESS_NONCE_DIGITS - 1]}~{nonce}"
 
 
 class PromisedValue(NamedTuple):
-    """What a voter had accepted when it promised: the ballot, `NO_BALLOT` for nothing, and the command."""
+    """The command that a voter had accepted when it promised, and its ballot; `NO_BALLOT` for none."""
 
     ballot: Ballot
     command: Command | None
@@ -62,16 +62,16 @@
     """One attempt of this proposer to get a command decided for a slot.
 
     Attributes:
-        proposal: The queued command that it is for; None to finish a command that was accepted and not decided.
-        slot: The version that the command will make.
+        proposal: The queued command that it is for; None to finish a command that was accepted but not decided.
+        slot: The version that the command will produce.
         ballot: The ballot of the round.
-        started_at: In seconds.
-        retry_at: When voters that have not answered are asked again.
-        command: What voters are asked to accept; None while promises are collected.
-        promises: Answers to `Prepare`, by voter.
+        started_at: When it started, in seconds.
+        retry_at: When the request is sent again to voters that have not replied, in seconds.
+        command: The command that voters are asked to accept; None while promises are collected.
+        promises: Positive replies to `Prepare`, by voter.
         accepted_by: Voters that have accepted the command.
-        leaseholders: Who may still act on older versions, by those voters.
-        leaseholders_incomplete: Whether there may be others.
+        leaseholders: Instances that may still act on older versions, as named by those voters.
+        leaseholders_incomplete: Whether there may be other leaseholders.
     """
 
     proposal: Propose | None
@@ -87,19 +87,19 @@
 
     @property
     def ends_at(self) -> float:
-        """When the round is given up, in seconds."""
+        """When the round is aborted, in seconds."""
         return self.started_at + ROUND_TIMEOUT_S
 
     @property
-    def answered(self) -> Collection[str]:
-        """Voters that have answered the current phase."""
+    def replied(self) -> Collection[str]:
+        """Voters that have replied in the current phase."""
         return self.promises.keys() if self.command is None else self.accepted_by
 
     def choose_command(self) -> Command:
-        """The command to propose once a majority has promised: rule 4 of replica.py."""
-        found = max(self.promises.values(), key=lambda promised: promised.ballot)
-        if found.ballot != NO_BALLOT and found.command is not None:
-            return found.command
+        """Return the command to propose once a majority has promised (rule 4 of replica.py)."""
+        highest = max(self.promises.values(), key=lambda promised: promised.ballot)
+        if highest.ballot != NO_BALLOT and highest.command is not None:
+            return highest.command
         return self.proposal.command if self.proposal is not None else NO_OPERATION
 
 
@@ -108,9 +108,9 @@
     """A command that a majority has accepted under one ballot.
 
     Attributes:
-        slot: The version that it makes.
+        slot: The version that it produces.
         command: The command.
-        leaseholders: Who may still act on older versions; None where that is not known.
+        leaseholders: Instances that may still act on older versions; None if they are unknown.
     """
 
     slot: int
@@ -131,12 +131,12 @@
         self._highest_round_number = 0
         self._next_round_at = -math.inf
         self._backoff_s = MIN_BACKOFF_S
-        #: Commands that voters may have accepted, by identifier, and the last slot that they were proposed for.
+        #: By identifier, commands that voters may have accepted, with the last slot that each was proposed for.
         self._possibly_accepted: dict[str, int] = {}
 
     @property
     def next_timer(self) -> float:
-        """When a retry, the end of a round, a new round or the end of a proposal's time is due, in seconds."""
+        """When a retry, the end of a round, a new round or a proposal's timeout is due, in seconds."""
         due = min((proposal.expires_at for proposal in self._queue), default=math.inf)
         if self._round is not None:
             return min(due, self._round.retry_at, self._round.ends_at)
@@ -151,7 +151,7 @@
     # Proposals.
 
     def propose(self, proposal: Propose) -> None:
-        """Queue a command, and start a round for it if none runs; one that can't be proposed is completed at once."""
+        """Queue a command and start a round unless one is running; reject a command that can't be proposed."""
         try:
             self._context.state.check(proposal.command)
         except StateError as error:
@@ -165,16 +165,16 @@
             self.start_queued()
 
     def enqueue(self, proposal: Propose) -> None:
-        """Queue a command of the replica's own; its round starts with the next timer."""
+        """Queue a command that the replica itself proposes; its round starts with the next timer."""
         self._queue.append(proposal)
 
     def start_queued(self) -> None:
-        """Start a round for the first queued command, unless one runs, or this instance is behind."""
+        """Start a round for the first queued command, unless a round is running or this instance is behind."""
         if self._round is None and self._queue and not self._learner.is_behind:
             self._start_round(self._queue[0])
 
     def on_timer(self) -> None:
-        """Give up what has timed out, ask again, and start the round that is due."""
+        """Expire proposals, abort or retry the current round, and start the round that is due."""
         now = self._context.now
         for proposal in [proposal for proposal in self._queue if now >= proposal.expires_at]:
             self._expire(proposal)
@@ -182,7 +182,7 @@
             if now >= self._round.ends_at:
                 self._end_round()
             elif now >= self._round.retry_at:
-                self._ask_voters(self._round)
+                self._send_requests(self._round)
         if self._round is not None or now < self._next_round_at or self._learner.is_behind:
             return
         if self._queue:
@@ -191,10 +191,10 @@
             self._start_round(None)
 
     def _expire(self, proposal: Propose) -> None:
-        """End a proposal whose time is over.
+        """Complete a proposal that has timed out.
 
-        Whether its command will be decided is not known where a voter may have accepted it, in this round or an earlier
-        one, for a slot that is not decided yet.
+        The outcome of its command is unknown if a voter may have accepted it, in this round or an earlier one, for a
+        slot that is not decided yet.
         """
         self._queue.remove(proposal)
         last_slot = self._possibly_accepted.pop(proposal.command.id, 0)
@@ -209,10 +209,10 @@
     # Rounds.
 
     def _start_round(self, proposal: Propose | None) -> None:
-        """Begin to collect promises for the next slot.
+        """Start to collect promises for the next slot.
 
         Args:
-            proposal: The first of the queue, or None to finish what was accepted and not decided.
+            proposal: The first in the queue, or None to finish a command that was accepted but not decided.
         """
         version = self._context.state.version
         if proposal is not None and not proposal.may_follow(version):
@@ -220,48 +220,50 @@
             reason = f"the state is at version {version}, not {proposal.expected_version}; it does not stand"
             self._complete(proposal, reason)
             return
-        voted = self._acceptor.state
-        self._highest_round_number = max(self._highest_round_number, voted.promised[0], voted.accepted[0]) + 1
+        acceptor_state = self._acceptor.state
+        self._highest_round_number = (
+            max(self._highest_round_number, acceptor_state.promised[0], acceptor_state.accepted[0]) + 1
+        )
         ballot = (self._highest_round_number, self._id)
         now = self._context.now
         self._round = Round(proposal, version + 1, ballot, started_at=now, retry_at=now)
-        self._ask_voters(self._round)
+        self._send_requests(self._round)
 
-    def _ask_voters(self, current: Round) -> None:
-        """Send the request of the round's phase to the voters that have not answered it."""
+    def _send_requests(self, current: Round) -> None:
+        """Send the request of the round's current phase to the voters that have not replied to it."""
         current.retry_at = self._context.now + RETRY_INTERVAL_S
         for voter in self._context.state.voters:
-            if voter in current.answered:
+            if voter in current.replied:
                 continue
             if current.command is None:
                 self._context.send(voter, Prepare(current.slot, current.ballot))
             else:
-                self._note_possibly_accepted(current.command, current.slot)
+                self._record_possibly_accepted(current.command, current.slot)
                 self._context.send(voter, Accept(current.slot, current.ballot, current.command))
 
-    def _note_possibly_accepted(self, command: Command, slot: int) -> None:
-        """Remember that from here on a voter may have accepted the command, whatever this instance is answered."""
+    def _record_possibly_accepted(self, command: Command, slot: int) -> None:
+        """Record that from now on a voter may have accepted the command, whatever replies arrive."""
         self._possibly_accepted[command.id] = slot
 
     def _end_round(self, blocking_ballot: Ballot = NO_BALLOT) -> None:
-        """Give the round up; the next starts after a random pause, with a ballot above the one that was in the way."""
+        """Abort the round; the next starts after a random backoff, with a ballot above the one that blocked it."""
         self._round = None
         self._highest_round_number = max(self._highest_round_number, blocking_ballot[0])
-        pause = self._backoff_s * (0.5 + self._context.random.random())
-        self._next_round_at = self._context.now + pause
+        backoff = self._backoff_s * (0.5 + self._context.random.random())
+        self._next_round_at = self._context.now + backoff
         self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
         self._acceptor.postpone_undecided_deadline(self._next_round_at)
 
-    def _round_of(self, message: Promise | Accepted) -> Round | None:
-        """The current round, if the message answers it."""
+    def _matching_round(self, message: Promise | Accepted) -> Round | None:
+        """Return the current round if the message is a reply to it, else None."""
         current = self._round
         if current is None or current.ballot != message.ballot or current.slot != message.slot:
             return None
         return current
 
     def on_promise(self, sender: str, message: Promise) -> None:
-        """Count a promise; with a majority of them, ask the voters to accept."""
-        current = self._round_of(message)
+        """Count a promise; once a majority has promised, ask the voters to accept."""
+        current = self._matching_round(message)
         if current is None or current.command is not None:
             return
         if not message.ok:
@@ -271,15 +273,15 @@
             current.promises[sender] = PromisedValue(message.accepted, message.command)
         if len(current.promises) >= self._context.state.majority:
             current.command = current.choose_command()
-            self._ask_voters(current)
+            self._send_requests(current)
 
     def on_accepted(self, sender: str, message: Accepted) -> Decision | None:
         """Count an acceptance.
 
         Returns:
-            What is decided by it, once a majority has accepted; the round is over then.
+            The decision that ends the round, once a majority has accepted; None before.
         """
-        current = self._round_of(message)
+        current = self._matching_round(message)
         if current is None or current.command is None:
             return None
         if not message.ok:
@@ -298,10 +300,10 @@
         leaseholders = None if current.leaseholders_incomplete else frozenset(current.leaseholders)
         return Decision(current.slot, current.command, leaseholders)
 
-    # What has been decided.
+    # Decisions.
 
     def drop_decided_round(self) -> None:
-        """Leave the round if its slot was decided meanwhile."""
+        """Drop the round if its slot was decided meanwhile."""
         if self._round is not None and self._round.slot <= self._context.state.version:
             self._round = None
 
--- a/loadbalancer/fleet/replication/replica.py
+++ b/loadbalancer/fleet/replication/replica.py
@@ -1,25 +1,26 @@
-"""Multi-decree Paxos over a log of commands, without a leader: how the instances of a fleet agree on one order.
+"""Leaderless multi-decree Paxos over a log of commands, by which the instances of a fleet agree on one order.
 
-Each entry of the log has a slot, the version that its command makes. The instances of `ReplicatedState.voters` are the
-acceptors; every instance is a learner, and any of them may be a proposer. Events and a time go in, actions come out.
+Each entry of the log has a slot: the version that its command produces. The instances of `ReplicatedState.voters` are
+the acceptors; every instance is a learner, and any of them may be a proposer. A replica does no I/O: it handles events
+with a time, and returns actions.
 The reasons for this design are in docs/design/fleet-versions.md.
 
 Rules:
 
-1. Decided: a command is decided for a slot once a quorum, a majority of the voters of the version before, has accepted
-   it under one ballot. A ballot is a round number and the proposer's identity, drawn anew in each life, so that none is
-   ever used for two commands.
-2. Durability: an acceptor answers only once its promise or acceptance is on disk (`Persist`).
+1. Decided: a command is decided for a slot once a quorum, a majority of the voters of the previous version, has
+   accepted it under one ballot. A ballot is a round number and the proposer's identity, which is drawn at random for
+   each process, so that no ballot is ever used for two commands.
+2. Durability: an acceptor replies only once its promise or acceptance is on disk (`Persist`).
 3. Slot: an acceptor votes only on the slot after the last version that its instance has applied.
-4. Choice: with promises of a quorum, a proposer proposes the command that was accepted under the greatest ballot that
+4. Choice: with promises of a quorum, a proposer proposes the command that was accepted under the highest ballot that
    they name; its own command then waits for a later slot.
 5. Lost stores: a voter whose store is new, or older than other voters have observed, does not vote. The first stores of
-   a fleet are admitted once all voters have met; any other is registered (rule 6).
-6. Registration: a command registers the new store; a majority accepts it without that voter.
-7. Undecided: a command that was accepted and not decided for a while is finished by whoever accepted it, so that no
-   slot stays open for good.
-8. Catching up: an instance that is behind asks for a state transfer. A command that this build can't read blocks it: it
-   applies nothing further.
+   a fleet are admitted once all voters have greeted each other; any other is registered (rule 6).
+6. Registration: a command registers the new store; a majority accepts it without that store's vote.
+7. Undecided: an acceptor whose accepted command is not decided for a while runs a round to finish it, so that no slot
+   stays open forever.
+8. Catching up: an instance that is behind requests a state transfer. A command that this build can't read blocks it: it
+   applies nothing further until it installs a snapshot.
 
 Roles: `proposer.py` (1, 4, 7), `acceptor.py` (2, 3, 7), `learner.py` (8), `voter_registration.py` (5, 6).
 """
@@ -58,12 +59,12 @@
 
 
 def no_leaseholders(_now: float) -> ActiveLeaseholders:
-    """Of a replica whose fleet grants no leases."""
+    """Return no leaseholders, for a replica whose fleet grants no leases."""
     return ActiveLeaseholders((), False)
 
 
 class PaxosReplica:
-    """One instance's replica: hands events to its roles, and lets each know what was decided."""
+    """One instance's replica: dispatches events to its roles, and notifies them of decisions."""
 
     def __init__(
         self,
@@ -74,15 +75,15 @@
         source: random.Random,
         active_leaseholders: Callable[[float], ActiveLeaseholders] = no_leaseholders,
     ) -> None:
-        """Compose the roles.
+        """Create the roles.
 
         Args:
             name: The instance's name in the fleet.
             store_id: Identity of the store that holds its votes; empty while it must not vote.
-            generation: How often that store was opened, with random bits (`voter_registration.py`).
+            generation: Count of openings of that store, with random low bits (`voter_registration.py`).
             state: The replicated state, as restored from the store.
             source: Source of random draws.
-            active_leaseholders: Who may still act by this voter's grants, at a time in seconds.
+            active_leaseholders: Returns who may still act under this voter's grants at a time in seconds.
         """
         self._context = ReplicaContext(name, store_id, generation, state, source)
         self.state = state
@@ -99,10 +100,10 @@
         *,
         is_new_store: bool = False,
     ) -> None:
-        """Take up what an earlier process has persisted, before the first event.
+        """Restore what an earlier process has persisted; called before the first event.
 
         Args:
-            acceptor_state: What this voter has promised and accepted; None for nothing.
+            acceptor_state: The stored acceptor state; None if there is none.
             observed_stores: The stores that other voters were observed with.
             command_log: The latest decided commands.
             is_new_store: Whether the store is not admitted yet (`voter_registration.py`).
@@ -120,10 +121,10 @@
 
         Args:
             now: Seconds on a clock that also runs while the machine sleeps.
-            event: What has happened.
+            event: The event.
 
         Returns:
-            What is to be done, in order.
+            The actions to execute, in order.
         """
         self._context.now = max(self._context.now, now)
         self._context.actions = []
@@ -175,7 +176,7 @@
                 self.registration.on_message(sender, message)
 
     def _on_decision(self, decision: Decision) -> None:
-        """Tell everyone what this instance's round has decided (rule 1), apply it, and go on with the queue."""
+        """Broadcast and apply the decision of this instance's round (rule 1), and start the next queued command."""
         decided = Decided(decision.slot, decision.command)
         for name in dict.fromkeys((*self.state.voters, *self._context.live_members)):
             if name != self._context.name:
@@ -184,13 +185,13 @@
         self.proposer.start_queued()
 
     def _on_decided(self, sender: str, message: Decided) -> None:
-        """Apply what another instance's round has decided, or find out which of the two is behind."""
+        """Apply a decision of another instance's round; if the slots differ, help whichever of the two is behind."""
         if self.learner.is_next(message.version):
             self._apply(message.command)
             self.learner.announce_to(sender)
             self.proposer.start_queued()
         elif message.version > self.state.version:
-            self.learner.note_later_version(sender, message.version)
+            self.learner.record_later_version(sender, message.version)
         else:
             self.learner.announce_to(sender)
 
@@ -207,7 +208,7 @@
             self.registration.on_voter_changed(name)
 
     def _apply(self, command: Command, leaseholders: frozenset[str] | None = None) -> None:
-        """Apply the command that is decided for the next slot, and let each role know."""
+        """Apply the command that is decided for the next slot, and notify the roles."""
         touched = self.learner.apply(command)
         if touched is None:
             return
@@ -222,13 +223,13 @@
         self.acceptor.start_next_slot()
         self.proposer.drop_decided_round()
 
-    # Calls beside the protocol.
+    # Calls outside the protocol.
 
     def recover(self, command: Command) -> list[Action]:
-        """Apply an operator's command without a quorum, and tell all instances that can be reached.
+        """Apply an operator's command without a quorum, and send it to all live instances.
 
-        The way out after a majority of the voters was lost for good. An instance that comes back with commands that the
-        others do not have has another history, and has to start with an empty store.
+        This recovers from the permanent loss of a majority of voters. An instance that returns with commands that the
+        others lack has a diverging history, and has to start with an empty store.
         """
         self._context.actions = []
         self._apply(command)
@@ -237,18 +238,18 @@
         return self._context.actions
 
     def announce_to_voters(self) -> list[Action]:
-        """Announce this instance's version and metadata to the voters, which drive a rollout."""
+        """Announce this instance's version and metadata to the voters, which coordinate a rollout."""
         return [self.learner.announcement(name) for name in self.state.voters if name != self._context.name]
 
     def announce_to_all(self) -> list[Action]:
         """Announce this instance's version and metadata to every live instance."""
         return [self.learner.announcement(name) for name in self._context.live_members]
 
-    # What others read.
+    # Read access.
 
     @property
     def store_id(self) -> str:
-        """Identity of the store that holds this instance's votes; set once its opening is on disk, empty before."""
+        """Identity of the store that holds this instance's votes; empty until its opening is on disk."""
         return self._context.store_id
 
     @store_id.setter
@@ -257,7 +258,7 @@
 
     @property
     def metadata(self) -> dict[str, str]:
-        """What this instance tells others of itself, for people."""
+        """What this instance announces about itself; informational."""
         return self._context.metadata
 
     @metadata.setter
@@ -266,7 +267,7 @@
 
     @property
     def command_log(self) -> dict[int, Command]:
-        """The latest decided commands, by the version that each has made."""
+        """The latest decided commands, by the version that each has produced."""
         return self.learner.command_log
 
     @property
@@ -276,7 +277,7 @@
 
     @property
     def vote_suspension(self) -> str:
-        """Why its votes do not count (rule 5); empty while nothing speaks against them."""
+        """Why its votes do not count (rule 5); empty if there is no objection to them."""
         return self.registration.vote_suspension
 
     @property
@@ -286,12 +287,12 @@
 
     @property
     def missing_voters(self) -> list[str]:
-        """Voters whose answers this instance waits for before its votes count."""
+        """Voters whose replies this instance waits for before its votes count."""
         return self.registration.missing_voters
 
     @property
     def is_behind(self) -> bool:
-        """Whether a later version is known than the one that this instance acts on."""
+        """Whether a later version than the one that this instance acts on is known."""
         return self.learner.is_behind
 
     @property
@@ -301,12 +302,12 @@
 
     @property
     def highest_known_version(self) -> int:
-        """The greatest version that is known to be decided at any instance."""
+        """The highest version that is known to be decided at any instance."""
         return self.learner.highest_known_version
 
     @property
     def highest_accepted_version(self) -> int:
-        """The greatest version that this voter knows of, decided or only accepted."""
+        """The highest version that this voter knows of, decided or only accepted."""
         return self.acceptor.highest_accepted_version
 
     @property
@@ -316,5 +317,5 @@
 
     @property
     def peer_metadata(self) -> dict[str, Mapping[str, str]]:
-        """What other instances have told of themselves."""
+        """What other instances have announced about themselves."""
         return self.learner.peer_metadata
--- a/loadbalancer/fleet/replication/replicated_state.py
+++ b/loadbalancer/fleet/replication/replicated_state.py
@@ -2,13 +2,14 @@
 
 Rules:
 
-1. A version is the number of commands applied; the same commands in the same order make the same state, byte for byte.
-2. A command that this build can't read is not applied: the instance stays behind from there on, and never skips or
-   guesses one.
+1. A version is the number of commands applied; the same commands in the same order produce the same state, byte for
+   byte.
+2. A command that this build can't read is not applied: the instance stays at the version before it, and never skips or
+   guesses a command.
 3. The voters, with the store that holds each one's votes, are part of the state. One command changes one voter, so that
-   a majority before and a majority after it always share a voter.
-4. Durations, not points in time, say when an item ends: each instance counts from when it applied the command, and the
-   end is a command of its own, so that a clock that is hours off ends nothing early.
+   every majority before it and every majority after it share a voter.
+4. Durations, not points in time, say when an item expires: each instance counts from when it applied the command, and
+   the expiry is a separate command, so that a clock that is hours off ends nothing early.
 """
 
 from __future__ import annotations
@@ -51,13 +52,13 @@
     "VersionedOverride",
 ]
 
-#: Overrides and voters that a state holds at most; a command for more is rejected.
+#: Maximum numbers of overrides and voters in a state; a command that exceeds them is rejected.
 MAX_OVERRIDES = 200_000
 MAX_VOTERS = 64
 
 
 class VersionedOverride(NamedTuple):
-    """An override with its duration in seconds (0 for no end) and the version that has set it."""
+    """An override with its duration in seconds (0 for unlimited) and the version that has set it."""
 
     override: AdminOverride
     duration: float
@@ -65,7 +66,7 @@
 
 
 class VersionedMigration(NamedTuple):
-    """A migration with its duration in seconds (0 for no end) and the version that has set it."""
+    """A migration with its duration in seconds (0 for unlimited) and the version that has set it."""
 
     migration: Migration
     duration: float
@@ -73,7 +74,7 @@
 
 
 class ItemKind(StrEnum):
-    """Kinds of items of the state."""
+    """Kinds of items in the replicated state."""
 
     OVERRIDE = "mark"
     MIGRATION = "move"
@@ -98,7 +99,7 @@
 
 
 class TouchedFreeze(NamedTuple):
-    """A pool was frozen or released."""
+    """A pool was frozen or unfrozen."""
 
     kind: Literal[ItemKind.FREEZE]
     pool: str
@@ -112,24 +113,24 @@
 
 
 class TouchedPlan(NamedTuple):
-    """The rollout plan was replaced, or has reached another stage."""
+    """The rollout plan was replaced, or has entered another stage."""
 
     kind: Literal[ItemKind.PLAN]
 
 
-#: One item of the state that a command has changed. The kind comes first in each, and tells them apart.
+#: One item of the state that a command has changed. The kind is the first field of each, and distinguishes them.
 TouchedItem = Union[TouchedOverride, TouchedMigration, TouchedFreeze, TouchedVoter, TouchedPlan]
 
 
 class Snapshot(Struct, array_like=True):
-    """The state in one piece; its bytes are the same at all instances of one version.
+    """The complete replicated state; its encoding is identical at all instances of one version.
 
     Attributes:
-        version: Commands applied.
-        overrides: By pool and endpoint.
-        migrations: By pool.
-        frozen: Frozen pools, sorted.
-        voters: Store by voter; empty accepts the voter's first store.
+        version: Number of commands applied.
+        overrides: Overrides by pool and endpoint.
+        migrations: Migrations by pool.
+        frozen: Names of frozen pools, sorted.
+        voters: Store identity by voter; empty accepts the first store that the voter presents.
         rollout_plan: The latest plan.
     """
 
@@ -142,7 +143,7 @@
 
 
 class ReplicatedState:
-    """The replicated state of one instance; attributes as in `Snapshot`."""
+    """The replicated state of one instance; the attributes are those of `Snapshot`."""
 
     def __init__(self, voters: Mapping[str, str]) -> None:
         self.version = 0
@@ -155,7 +156,7 @@
 
     @property
     def majority(self) -> int:
-        """Voters that make a quorum."""
+        """Number of voters in a quorum."""
         return len(self.voters) // 2 + 1
 
     def apply(self, command: Command) -> tuple[TouchedItem, ...]:
@@ -165,7 +166,7 @@
             The items that it has changed.
 
         Raises:
-            StateError: This build can't read the command; nothing has changed.
+            StateError: This build can't read the command; the state is unchanged.
         """
         body = read_body(command)
         self.version += 1
@@ -196,7 +197,7 @@
         return tuple(TouchedOverride(ItemKind.OVERRIDE, body.pool, endpoint) for endpoint in endpoints)
 
     def _is_expected(self, body: MarkBody, endpoint: str) -> bool:
-        """Whether the endpoint's override is still the one that the command is about."""
+        """Return whether the endpoint's override is still the one that the command expects."""
         current = self.overrides.get(body.pool, {}).get(endpoint)
         return not body.expected_version or (current is not None and current.version == body.expected_version)
 
@@ -243,7 +244,7 @@
     def _apply_stage(self, body: StageBody) -> tuple[TouchedItem, ...]:
         plan = self.rollout_plan
         if plan is None or plan.id != body.id or plan.stage != body.frm:
-            return ()  # another instance has moved the plan on first
+            return ()  # another instance has advanced the plan already
         plan.stage = body.to
         plan.why = body.why
         plan.old_bad = body.old_bad
@@ -254,7 +255,7 @@
         """Check a command before it is proposed.
 
         Raises:
-            StateError: It may not be proposed now.
+            StateError: It must not be proposed in the current state.
         """
         match read_body(command):
             case MarkBody() as body:
@@ -287,7 +288,7 @@
     # Snapshots.
 
     def encode(self) -> bytes:
-        """The state as the bytes of a `Snapshot`."""
+        """Return the state as an encoded `Snapshot`."""
         snapshot = Snapshot(
             version=self.version,
             overrides={pool: dict(sorted(items.items())) for pool, items in sorted(self.overrides.items())},
@@ -299,14 +300,14 @@
         return msgspec.msgpack.encode(snapshot)
 
     def digest(self) -> str:
-        """BLAKE3 of the encoded state, 16 bytes as hexadecimal digits."""
+        """Return the BLAKE3 digest of the encoded state: 16 bytes as hexadecimal digits."""
         return blake3(self.encode()).hexdigest(16)
 
     def install_snapshot(self, data: bytes) -> None:
-        """Replace the whole state.
+        """Replace the whole state by an encoded snapshot.
 
         Raises:
-            StateError: The bytes are no snapshot; nothing has changed.
+            StateError: The bytes are not a valid snapshot; the state is unchanged.
         """
         try:
             snapshot = msgspec.msgpack.decode(data, type=Snapshot)
--- a/loadbalancer/fleet/replication/state_transfer.py
+++ b/loadbalancer/fleet/replication/state_transfer.py
@@ -1,7 +1,7 @@
-"""State transfer: how an instance that is behind gets what it lacks.
+"""State transfer, by which an instance that is behind catches up.
 
-It gets the commands after its version where the sender still holds them, else a snapshot in chunks that is checked by
-its digest. A transfer that is cut goes on where it stopped.
+It receives the commands after its version if the sender still retains them, else a snapshot in chunks, which is
+verified by its digest. An interrupted snapshot transfer resumes where it stopped.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from loadbalancer.fleet.replication.messages import LogEntries, SnapshotChunk, StateRequest
 from loadbalancer.fleet.replication.replica import PaxosReplica
 
-#: Bytes of commands, or of a snapshot, in one message.
+#: Target size of the commands, or of the part of a snapshot, in one message, in bytes.
 CHUNK_BYTES = 12 << 10
-#: Bytes that a command takes at most beside its body, roughly.
+#: Estimated upper bound of the encoded size of a command without its body, in bytes.
 COMMAND_OVERHEAD_BYTES = 120
-#: Bytes of a snapshot that are taken at most.
+#: Maximum size of a snapshot that is received, in bytes.
 MAX_SNAPSHOT_BYTES = 128 << 20
 
 
 class EncodedSnapshot(NamedTuple):
-    """The encoded state of one version, kept for the next request."""
+    """The encoded state of one version, cached for the next request."""
 
     version: int
     data: bytes
@@ -33,14 +33,14 @@
 
 
 class StateSender:
-    """Answers the requests of instances that are behind; a state is encoded once for each version."""
+    """Serves state requests of instances that are behind; a state is encoded once for each version."""
 
     def __init__(self, replica: PaxosReplica) -> None:
         self._replica = replica
         self._snapshot = EncodedSnapshot(-1, b"", "")
 
     def answer(self, request: StateRequest) -> Iterator[LogEntries | SnapshotChunk]:
-        """The messages that answer a request, in order; the caller may stop after any of them."""
+        """Yield the messages that answer a request, in order; the caller may stop after any of them."""
         log = self._replica.command_log
         version = self._replica.state.version
         if request.version >= version:
@@ -74,10 +74,10 @@
 
 
 class TransferStep(NamedTuple):
-    """What one message of a transfer has brought.
+    """The result of receiving one message of a transfer.
 
     Attributes:
-        event: For the replica, once something is complete; None before.
+        event: The event for the replica; None while a snapshot is incomplete.
         is_last: Whether the transfer ends with this message.
     """
 
@@ -86,7 +86,7 @@
 
 
 class StateReceiver:
-    """Collects the chunks of a snapshot; what has come outlasts a connection that is cut."""
+    """Collects the chunks of a snapshot; received chunks are kept when a connection is interrupted."""
 
     def __init__(self) -> None:
         self._digest = ""
@@ -94,15 +94,15 @@
         self._data = bytearray()
 
     def next_request(self, version: int) -> StateRequest:
-        """The request of an instance that acts on `version`; it names what has been received of a snapshot."""
+        """Return the request of an instance that acts on `version`; it resumes a snapshot that was received in part."""
         return StateRequest(version, self._digest, len(self._data))
 
     def take(self, message: LogEntries | SnapshotChunk) -> TransferStep:
-        """Take one message of the answer.
+        """Receive one message of the answer.
 
         Raises:
-            TransferError: It does not follow what has come, or the snapshot does not have its digest. What has come of
-                the snapshot is dropped.
+            TransferError: It does not continue the data received so far, or the snapshot does not match its digest. The
+                part of the snapshot that was received is dropped.
         """
         if isinstance(message, LogEntries):
             self._reset()
@@ -126,7 +126,7 @@
         self._data += chunk.data
 
     def _complete(self) -> bytes:
-        """The snapshot, checked by size and digest."""
+        """Return the snapshot after verifying its size and digest."""
         data = bytes(self._data)
         size, digest = self._size, self._digest
         self._reset()
--- a/tests/fleet/orchestration/test_fleet_size.py
+++ b/tests/fleet/orchestration/test_fleet_size.py
@@ -53,7 +53,7 @@
 
 
 def test_half_of_the_fleet_that_stays_away_is_believed_in_the_end() -> None:
-    size = FleetSize(8, believe_s=600.0)
+    size = FleetSize(8, shrink_confirmation_s=600.0)
     now = observe(size, 5, 8, True, 0.0)
     now = observe(size, 590, 4, True, now)
     assert size.number == 8
--- a/tests/fleet/orchestration/test_recovery.py
+++ b/tests/fleet/orchestration/test_recovery.py
@@ -34,7 +34,7 @@
         "has_stored_state": True,
         "in_full_service": (),
         "recovering": (),
-        "unheard": 0,
+        "unreported": 0,
         "served": 0,
         "ended": 0,
     }
@@ -74,11 +74,11 @@
 
 def test_a_lone_start_that_is_one_of_many_is_found_out_and_paced() -> None:
     recovery = RecoveryCoordinator("a", 0.0)
-    assert not questions(recovery.step(0.1, seen(unheard=7)))
-    recovery.step(0.8, seen(unheard=7))
+    assert not questions(recovery.step(0.1, seen(unreported=7)))
+    recovery.step(0.8, seen(unreported=7))
     assert (recovery.kind, recovery.phase) == ("lone", RecoveryPhase.WARMING)  # nobody has reported a phase
 
-    actions = recovery.step(0.9, seen(unheard=3, in_full_service=("b",), recovering=("c", "d", "e")))
+    actions = recovery.step(0.9, seen(unreported=3, in_full_service=("b",), recovering=("c", "d", "e")))
 
     assert ConnectionPace(1.0) in actions
     assert recovery.kind == "mass"
@@ -107,7 +107,7 @@
         now += 0.3
         served += 10
         recovery.step(now, seen(in_full_service=full, served=served, ended=2 * served))
-    assert "not full in time" in recovery.times[-1].ended_by
+    assert "not full in time" in recovery.completed_phases[-1].ended_by
     assert now > 61 + WARM_TIMEOUT_S
     assert not recovery.full_after
 
--- a/tests/fleet/replication/test_replica.py
+++ b/tests/fleet/replication/test_replica.py
@@ -112,7 +112,7 @@
     "a refusal that is not sure": (
         seeds,
         Proposer,
-        "_note_possibly_accepted",
+        "_record_possibly_accepted",
         lambda self, command, slot: None,
     ),
 }
