--- a/tests/fleet/replication/lost_store_model.py
+++ b/tests/fleet/replication/lost_store_model.py
@@ -1,4 +1,4 @@
-"""Random faults with lost stores, slow disks, proposers without a vote, and messages of earlier lives."""
+"""Random faults with lost stores, slow disks, proposers without a vote, and replayed messages of earlier processes."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from loadbalancer.fleet.replication.lease import MAX_CLOCK_DRIFT
 
 FAULTS = ("change", "change", "change", "kill", "kill", "stop", "part", "heal", "lose", "replay", "slow disk")
-#: Messages that are kept to be sent again, long after.
-KEPT_MESSAGES = 200
+#: Messages that are recorded so that they can be replayed much later.
+RECORDED_MESSAGES = 200
 
 
 @dataclass
-class Losses:
-    """One run.
+class LostStoreRun:
+    """One run with random faults.
 
     Attributes:
-        model: The instances, a minority of whose stores may be lost.
-        source: Of all draws.
+        model: The instances; the stores of a minority may be lost.
+        source: Source of all random draws.
         lost: Instances whose store was lost, once each.
-        sent: Messages that may come once more.
+        sent: Recorded messages that may be replayed.
         last_step: The number of the last command.
     """
 
@@ -35,32 +35,32 @@
     last_step: int = 0
 
     def record_messages(self) -> None:
-        """Keep some of the messages that are sent from now on."""
+        """Record some of the messages that are sent from now on."""
         send = self.model.send
 
         def record(sender: str, to: str, message: Any) -> None:
-            if len(self.sent) < KEPT_MESSAGES:
+            if len(self.sent) < RECORDED_MESSAGES:
                 self.sent.append((sender, to, message))
             elif self.source.random() < 0.2:
-                self.sent[self.source.randrange(KEPT_MESSAGES)] = (sender, to, message)
+                self.sent[self.source.randrange(RECORDED_MESSAGES)] = (sender, to, message)
             send(sender, to, message)
 
         self.model.send = record  # type: ignore[method-assign]
 
     def inject(self, step: int) -> None:
-        """One thing that may happen."""
+        """Inject one random fault or command."""
         instance = self.source.choice(list(self.model.all.values()))
         match self.source.choice(FAULTS):
             case "change":
-                self.change(instance, step)
+                self.propose_override(instance, step)
             case "kill":
                 instance.kill() if instance.up else instance.start()
             case "stop" if instance.up:
                 instance.go_on() if instance.stopped else instance.stop()
             case "part":
-                self.part()
+                self.partition()
             case "lose":
-                self.lose(instance)
+                self.lose_store(instance)
             case "replay":
                 self.replay()
             case "slow disk":
@@ -68,18 +68,18 @@
             case _:
                 self.model.heal()
 
-    def change(self, instance: Instance, step: int) -> None:
+    def propose_override(self, instance: Instance, step: int) -> None:
         if instance.up and not instance.stopped:
             word = self.source.choice(("cordon", None))
             instance.propose(override_command(step, f"m{self.source.randrange(4)}", word))
 
-    def part(self) -> None:
+    def partition(self) -> None:
         order = self.source.sample(list(self.model.all), len(self.model.all))
-        at = self.source.randint(1, len(order) - 1)
-        self.model.part(order[:at], order[at:])
+        split = self.source.randint(1, len(order) - 1)
+        self.model.part(order[:split], order[split:])
 
-    def lose(self, instance: Instance) -> None:
-        """A minority of the voters may lose a store, each of them once, once the fleet is founded."""
+    def lose_store(self, instance: Instance) -> None:
+        """Lose the store of a voter, once per voter, of a minority only, and only once the fleet is founded."""
         voters = self.model.voters
         allowed = (len(voters) - 1) // 2
         is_founded = not any(self.model.all[name].disk.is_new for name in voters if name not in self.lost)
@@ -91,7 +91,7 @@
             instance.start()
 
     def replay(self) -> None:
-        """Some messages come once more, into whatever life is there now."""
+        """Deliver some recorded messages again, to the current processes of their receivers."""
         for sender, to, message in self.source.sample(self.sent, min(20, len(self.sent))):
             self.model._arrive(self.model.all[to], sender, message)
 
@@ -108,13 +108,13 @@
 
 
 def random_losses(seed: int, steps: int = 60) -> Invariants:
-    """Commands while instances die, stop, are cut off and lose their stores; then all heals and agrees."""
+    """Run commands while instances die, stop, are cut off and lose their stores; then heal and check agreement."""
     source = random.Random(seed)
     model = StateModel(source.choice((3, 5)), seed, founded=source.random() < 0.5)
     model.join(source.choice((0, 1, 2)))
     model.loss, model.doubled = source.choice((0.0, 0.02, 0.1)), source.choice((0.0, 0.1))
     model.delay, model.fsync = source.choice((0.001, 0.04)), source.choice((0.002, 0.06))
-    run = Losses(model, source)
+    run = LostStoreRun(model, source)
     run.record_messages()
     for instance in model.all.values():
         instance.drift = 1 + source.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2
--- a/tests/fleet/replication/replica_model.py
+++ b/tests/fleet/replication/replica_model.py
@@ -1,4 +1,4 @@
-"""Random faults over a model of several replicas, and what must hold whatever happens."""
+"""Random faults over a model of several replicas, and the invariants that must always hold."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def override_command(number: int, member: str = "m", word: Any = "cordon") -> Command:
-    """The command `c<number>`, which sets an override, or lifts it for no word."""
+    """Return the command `c<number>`, which sets an override, or lifts it if `word` is None."""
     body = MarkBody("p", {member: AdminOverride(word=word) if word else None})
     return Command(f"c{number}", "mark", write_body(body), "test")
 
 
 def started_model(voters: int, seed: int) -> StateModel:
-    """A model of which all instances run."""
+    """Return a model in which all instances are running."""
     model = StateModel(voters, seed)
     for instance in model.all.values():
         instance.start()
@@ -26,20 +26,20 @@
 
 
 class Invariants:
-    """What must hold at all times.
+    """Invariants that must hold at all times.
 
-    There is one order; no command is lost that was said to be decided; and nobody may act on an older version once the
-    lease duration after a decision is over.
+    There is one order of commands; no command that was reported as decided is lost; and no instance may act on an older
+    version once the lease duration after a decision is over.
     """
 
     def __init__(self, model: StateModel) -> None:
         self.model = model
         self.order: dict[int, str] = {}
-        self.decided: dict[str, tuple[int, float]] = {}  # by command: its version, and when that was told
+        self.decided: dict[str, tuple[int, float]] = {}  # by command: its version, and when it was reported
         self.refused: set[str] = set()
 
     def check(self) -> None:
-        """At any time."""
+        """Check the invariants that hold at any time."""
         now = self.model.clock.now
         for instance in self.model.all.values():
             if not instance.lives:
@@ -55,37 +55,37 @@
                     self.refused.add(completed.command_id)
         for instance in self.model.up:
             if instance.fence.may_act(instance.clock()):
-                for version, told_at in self.decided.values():
+                for version, reported_at in self.decided.values():
                     allowed = instance.fence.expiry_with_drift + 0.1
-                    assert instance.versions.state.version >= version or now < told_at + allowed, (
-                        f"{instance.name} acts on an old one"
+                    assert instance.versions.state.version >= version or now < reported_at + allowed, (
+                        f"{instance.name} acts on version {instance.versions.state.version}, older than {version}"
                     )
 
     def check_end(self) -> None:
-        """After all has healed."""
+        """Check the invariants that hold once all faults are healed."""
         log = self.model.up[0].versions.command_log
         ids = {command.id for command in log.values()}
         assert all(log[version].id == name for name, (version, _) in self.decided.items())
-        assert not self.refused & ids, "a change that was refused stands"
-        found = [command.id for command in log.values() if command.id]
-        assert len(found) == len(set(found)), "a change stands twice"
+        assert not self.refused & ids, f"rejected commands were decided: {self.refused & ids}"
+        decided_ids = [command.id for command in log.values() if command.id]
+        assert len(decided_ids) == len(set(decided_ids)), "a command was decided twice"
 
 
 def inject_fault(model: StateModel, source: random.Random, step: int, lost: list[str]) -> None:
-    """One thing that may happen; only one disk of a run is lost, since two would be more than is promised."""
+    """Inject one random fault or command; at most one disk is lost per run, since two exceed the guarantee."""
     instance = source.choice(list(model.all.values()))
-    what = source.choice(("change", "change", "change", "kill", "stop", "part", "heal", "lose"))
-    if what == "change" and instance.up and not instance.stopped:
+    fault = source.choice(("change", "change", "change", "kill", "stop", "part", "heal", "lose"))
+    if fault == "change" and instance.up and not instance.stopped:
         instance.propose(override_command(step, f"m{source.randrange(4)}", source.choice(("cordon", None))))
-    elif what == "kill":
+    elif fault == "kill":
         instance.kill() if instance.up else instance.start()
-    elif what == "stop" and instance.up:
+    elif fault == "stop" and instance.up:
         instance.go_on() if instance.stopped else instance.stop()
-    elif what == "part":
+    elif fault == "part":
         order = source.sample(model.voters, len(model.voters))
-        at = source.randint(1, len(order) - 1)
-        model.part(order[:at], order[at:])
-    elif what == "lose" and not lost and len(model.up) == len(model.all):
+        split = source.randint(1, len(order) - 1)
+        model.part(order[:split], order[split:])
+    elif fault == "lose" and not lost and len(model.up) == len(model.all):
         lost.append(instance.name)
         instance.lose_disk()
         instance.start()
@@ -94,14 +94,14 @@
 
 
 def random_faults(seed: int, steps: int = 60) -> Invariants:
-    """Commands at random instances while others are killed, stopped, cut off and healed; then all heals and agrees."""
+    """Run commands while instances are killed, stopped and cut off; then heal everything and check agreement."""
     source = random.Random(seed)
     model = StateModel(5, seed)
     model.loss, model.doubled = source.choice((0.0, 0.02, 0.1)), source.choice((0.0, 0.1))
     model.delay, model.fsync = (
         source.choice((0.001, 0.04)),
         source.choice((0.002, 0.06)),
-    )  # wide enough to die in
+    )  # long enough that a process may die in between
     for instance in model.all.values():
         instance.drift = 1 + source.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2
         instance.start()
@@ -118,7 +118,7 @@
             instance.go_on()
         if not instance.up:
             instance.start()
-    assert model.until(model.agree, 10.0) is not None, "no agreement"
+    assert model.until(model.agree, 10.0) is not None, "the instances do not agree on one state within 10 s"
     model.all["i0"].propose(override_command(9999))
     assert model.until(lambda: "c9999" in model.all["i0"].ended, 10.0) is not None
     assert model.all["i0"].ended["c9999"].version
--- a/tests/fleet/replication/test_epochs.py
+++ b/tests/fleet/replication/test_epochs.py
@@ -1,4 +1,4 @@
-"""Notes of several instances on the versions that they took up, merged."""
+"""Merging the epochs of several instances."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from loadbalancer.fleet.replication.epochs import AS_KEPT, WHOLE, Epoch, merge
 
 
-def told(instance: str, *epochs: Epoch) -> dict[str, Any]:
+def instance_report(instance: str, *epochs: Epoch) -> dict[str, Any]:
     return {"instance": instance, "epochs": [epoch.row(0.0) for epoch in epochs]}
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(3))))
-def test_a_version_is_told_by_the_change_where_anybody_has_seen_it(order: tuple[int, ...]) -> None:
-    """Whoever took the whole state, or came back with its store, does not know what made it, and may be asked first."""
-    parts = [
-        told("i0", Epoch(1, "p: a cordoned", "ops", 1.0), Epoch(2, "roster: i2 votes", "i1", 2.0)),
-        told("i1", Epoch(1, AS_KEPT, "", 5.0), Epoch(2, "roster: i2 votes", "i1", 2.1)),
-        told("i3", Epoch(2, WHOLE, "", 3.0)),
+def test_merged_version_is_described_by_an_instance_that_has_seen_the_command(order: tuple[int, ...]) -> None:
+    """An instance that restored its store or installed a snapshot does not know the command, and may come first."""
+    reports = [
+        instance_report("i0", Epoch(1, "p: a cordoned", "ops", 1.0), Epoch(2, "roster: i2 votes", "i1", 2.0)),
+        instance_report("i1", Epoch(1, AS_KEPT, "", 5.0), Epoch(2, "roster: i2 votes", "i1", 2.1)),
+        instance_report("i3", Epoch(2, WHOLE, "", 3.0)),
     ]
-    versions = merge([parts[n] for n in order], [])["versions"]
+    versions = merge([reports[index] for index in order], [])["versions"]
     assert [(row["version"], row["what"], row["by"]) for row in versions] == [
         (1, "p: a cordoned", "ops"),
         (2, "roster: i2 votes", "i1"),
@@ -30,8 +30,9 @@
     assert versions[1]["taken_up"] == {"i0": 2.0, "i1": 2.1, "i3": 3.0}
 
 
-def test_where_nobody_has_seen_the_change_that_is_said() -> None:
-    (row,) = merge([told("i3", Epoch(2, WHOLE, "", 3.0)), told("i1", Epoch(2, AS_KEPT, "", 4.0))], ["i0"])[
-        "versions"
-    ]
+def test_merged_version_says_so_if_no_instance_has_seen_the_command() -> None:
+    (row,) = merge(
+        [instance_report("i3", Epoch(2, WHOLE, "", 3.0)), instance_report("i1", Epoch(2, AS_KEPT, "", 4.0))],
+        ["i0"],
+    )["versions"]
     assert row["what"] in (AS_KEPT, WHOLE) and row["by"] == ""
--- a/tests/fleet/replication/test_founding.py
+++ b/tests/fleet/replication/test_founding.py
@@ -1,4 +1,4 @@
-"""New stores: when a fleet is founded, and how a store that takes the place of a lost one comes to vote."""
+"""New stores: when a fleet is founded, and how a store that replaces a lost one is admitted to vote."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 def new_fleet(voters: int, seed: int = 1) -> StateModel:
-    """A model whose stores are all new."""
+    """Return a model in which all stores are new."""
     return StateModel(voters, seed, founded=False)
 
 
 def decide(model: StateModel, name: str, number: int, seconds: float = 2.0) -> int:
-    """The version that a command of this instance makes; 0 where it is not decided in time."""
+    """Propose a command; return the version that it produces, or 0 if it is not decided in time."""
     model.all[name].propose(override_command(number))
     model.run(seconds)
     ended = model.all[name].ended.get(f"c{number}")
     return ended.version if ended is not None else 0
 
 
-# Guards against a minority of first starts that decides what a lost store could decide again.
-def test_a_fleet_is_founded_only_once_all_voters_have_met() -> None:
+# Guards against a fleet that is founded without all voters: a store that is lost later could then decide a slot again.
+def test_fleet_is_founded_only_once_all_voters_have_greeted_each_other() -> None:
     model = new_fleet(3)
     model.all["i1"].start()
     model.all["i2"].start()
@@ -46,7 +46,7 @@
 
 
 # Guards against two founded sets of stores for one list of voters.
-def test_a_founder_that_loses_its_store_is_not_founded_again() -> None:
+def test_founder_that_loses_its_store_is_registered_and_not_founded_again() -> None:
     model = new_fleet(3)
     for instance in model.all.values():
         instance.start()
@@ -66,9 +66,9 @@
     assert model.all["i2"].versions.state.voters["i2"] == model.all["i2"].disk.store
 
 
-# Guards against a founding that ends halfway when voters die, or messages are lost, while it goes on.
+# Guards against a founding that never completes if voters die or messages are lost meanwhile.
 @pytest.mark.parametrize("seed", range(20))
-def test_a_founding_goes_on_after_restarts(seed: int) -> None:
+def test_founding_completes_after_restarts_and_message_loss(seed: int) -> None:
     source = random.Random(seed)
     model = new_fleet(5, seed)
     model.loss, model.fsync = 0.2, source.choice((0.002, 0.2))
@@ -79,13 +79,16 @@
     for instance in model.all.values():
         if not instance.up:
             instance.start()
-    assert model.until(lambda: all(one.versions.can_vote for one in model.all.values()), 10.0) is not None
+    assert (
+        model.until(lambda: all(instance.versions.can_vote for instance in model.all.values()), 10.0)
+        is not None
+    )
     assert decide(model, "i0", 1, seconds=5.0) == 1
 
 
-# Guards against a lost store that votes without a command that registers it.
+# Guards against a store that replaces a lost one and votes without a command that registers it.
 @pytest.mark.parametrize("lost", [("i4",), ("i3", "i4")])
-def test_lost_stores_of_a_minority_are_registered(lost: tuple[str, ...]) -> None:
+def test_new_stores_of_a_minority_are_registered(lost: tuple[str, ...]) -> None:
     model = new_fleet(5)
     invariants = Invariants(model)
     for instance in model.all.values():
@@ -102,24 +105,26 @@
     invariants.check()
 
 
-# Guards against a reply that leaves before the store that it speaks of is on the replier's disk.
-def test_a_voter_that_dies_before_it_has_kept_a_store_has_not_confirmed_it() -> None:
+# Guards against a reply that is sent before the observed store is on the replying voter's disk.
+def test_voter_confirms_a_store_only_once_it_is_on_its_disk() -> None:
     model = new_fleet(3)
     model.all["i0"].start()
     model.all["i1"].start()
-    model.all["i1"].do_later = lambda *_: None  # type: ignore[method-assign]  # its disk never answers
+    model.all["i1"].do_later = lambda *_: None  # type: ignore[method-assign]  # its disk never completes a write
     model.run(1)
     assert "i1" not in model.all["i0"].versions.registration._founding_replies
 
 
-# Guards against two commands for one version, and leases that outlast it, after any loss that the rule allows.
+# Guards against two commands for one version, and leases that outlast a decision, after the loss of any minority of
+# stores.
 @pytest.mark.parametrize("seed", range(250))
-def test_no_loss_of_a_minority_of_stores_breaks_the_order(seed: int) -> None:
+def test_order_holds_under_random_faults_with_a_minority_of_stores_lost(seed: int) -> None:
     random_losses(seed)
 
 
-# Guards against a store that counts as registered while its opening is not on disk: no name equals no name.
-def test_a_store_whose_opening_is_not_on_disk_is_not_admitted() -> None:
+# Guards against a store that counts as registered while its opening is not on disk: its identity is then empty, like
+# that of a voter without a registered store.
+def test_store_whose_opening_is_not_on_disk_is_not_admitted() -> None:
     state = ReplicatedState(dict.fromkeys(("a", "b", "c"), ""))
     replica = PaxosReplica("a", "", 1, state, random.Random(1))
     replica.restore(None, {}, {}, is_new_store=True)
--- a/tests/fleet/replication/test_lost_store.py
+++ b/tests/fleet/replication/test_lost_store.py
@@ -1,4 +1,4 @@
-"""A voter whose store was lost, where those that it meets first have never seen that store."""
+"""A voter that lost its store, and first meets voters that have never observed that store."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 from emulator.fleetstate import StateModel
 
 
-def test_a_lost_store_votes_only_once_all_decided_commands_are_known() -> None:
-    """Two voters decide a command; one loses its store and meets the third, which has seen neither."""
+def test_voter_with_lost_store_does_not_let_a_version_be_decided_twice() -> None:
+    """Two voters decide a command; one of them loses its store and meets the third voter, which knows neither the
+    command nor the lost store."""
     model = StateModel(3, 1)
     model.all["i1"].start()
     model.all["i2"].start()
--- a/tests/fleet/replication/test_replica.py
+++ b/tests/fleet/replication/test_replica.py
@@ -1,4 +1,4 @@
-"""The replica under random faults, defects that the same checks must find, and rules one by one."""
+"""The replica under random faults, injected defects that the same checks must detect, and single rules."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from replica_model import Invariants, override_command, random_faults, started_model
 
 from emulator.fleetstate import Instance
-from loadbalancer.fleet.replication import messages as form
+from loadbalancer.fleet.replication import messages
 from loadbalancer.fleet.replication.commands import Command
 from loadbalancer.fleet.replication.events import CommandsReceived
 from loadbalancer.fleet.replication.lease import Lease
@@ -20,19 +20,19 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_whatever_happens_there_is_one_order_and_nobody_acts_on_an_old_one_for_long(seed: int) -> None:
+def test_invariants_hold_under_random_faults(seed: int) -> None:
     random_faults(seed)
 
 
-def test_the_schedules_do_something() -> None:
-    found = [random_faults(seed) for seed in range(100, 110)]
+def test_random_schedules_decide_and_reject_commands() -> None:
+    runs = [random_faults(seed) for seed in range(100, 110)]
 
-    assert sum(len(run.decided) for run in found) > 60
-    assert sum(len(run.refused) for run in found) > 5
+    assert sum(len(run.decided) for run in runs) > 60
+    assert sum(len(run.refused) for run in runs) > 5
 
 
-def a_store_is_lost_between_two_majorities() -> None:
-    """Three of five decide; one of them loses its store, and is up with the two that know nothing."""
+def run_store_loss_between_majorities() -> None:
+    """Three of five voters decide a command; one of them loses its store, and runs with the two that do not know it."""
     model = started_model(5, 3)
     invariants = Invariants(model)
     model.run(2)
@@ -41,8 +41,8 @@
     model.run(1)
     assert model.all["i0"].ended["c1"].version == 1
     invariants.check()
-    for one in model.all.values():
-        one.kill()
+    for instance in model.all.values():
+        instance.kill()
     model.heal()
     model.all["i2"].lose_disk()
     for name in ("i2", "i3", "i4"):
@@ -58,19 +58,19 @@
     invariants.check_end()
 
 
-def a_voter_dies_between_its_vote_and_the_decision() -> None:
-    """One of three has voted, and does not hear that it is decided; the one that decided dies, and so does it."""
+def run_crash_between_vote_and_decision() -> None:
+    """One of three voters accepts a command and misses the decision; then it and the proposer crash."""
     model = started_model(3, 4)
     invariants = Invariants(model)
     model.run(2)
     model.part(["i0", "i1"], ["i2"])
     send = model.send
 
-    def all_but_decisions(sender: str, to: str, message: Any) -> None:
-        if not isinstance(message, (form.Decided, form.VersionAnnouncement)):
+    def drop_decisions(sender: str, to: str, message: Any) -> None:
+        if not isinstance(message, (messages.Decided, messages.VersionAnnouncement)):
             send(sender, to, message)
 
-    model.send = all_but_decisions  # type: ignore[method-assign]
+    model.send = drop_decisions  # type: ignore[method-assign]
     model.all["i0"].propose(override_command(1))
     assert model.until(lambda: "c1" in model.all["i0"].ended, 2.0) is not None
     invariants.check()
@@ -89,28 +89,28 @@
     invariants.check_end()
 
 
-def seeds() -> None:
+def run_random_faults() -> None:
     for seed in range(40):
         random_faults(seed)
 
 
 DEFECTS: dict[str, tuple[Any, Any, str, Any]] = {
-    "the fence is off": (seeds, Lease, "may_act", lambda self, now: True),
-    "one is a majority": (seeds, ReplicatedState, "majority", property(lambda self: 1)),
+    "the lease is not checked": (run_random_faults, Lease, "may_act", lambda self, now: True),
+    "one voter is a majority": (run_random_faults, ReplicatedState, "majority", property(lambda self: 1)),
     "a voter that lost its store votes": (
-        a_store_is_lost_between_two_majorities,
+        run_store_loss_between_majorities,
         VoterRegistration,
         "on_greeting_reply",
         lambda self, sender, message: self.confirmed_voters.add(sender),
     ),
-    "nothing is kept before an answer": (
-        a_voter_dies_between_its_vote_and_the_decision,
+    "replies are sent before the write to disk": (
+        run_crash_between_vote_and_decision,
         Instance,
         "keep",
-        lambda self, action: [self.send(say.to, say.message) for say in action.then_send],
+        lambda self, action: [self.send(pending.to, pending.message) for pending in action.then_send],
     ),
-    "a refusal that is not sure": (
-        seeds,
+    "an uncertain outcome is reported as a rejection": (
+        run_random_faults,
         Proposer,
         "_record_possibly_accepted",
         lambda self, command, slot: None,
@@ -119,24 +119,26 @@
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_a_defect_is_found_by_the_same_schedules(defect: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    scene, place, name, broken = DEFECTS[defect]
-    scene()
-    monkeypatch.setattr(place, name, broken)
+def test_injected_defect_is_detected_by_the_same_schedules(
+    defect: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    run_schedule, target, name, broken = DEFECTS[defect]
+    run_schedule()
+    monkeypatch.setattr(target, name, broken)
     with pytest.raises(AssertionError):
-        scene()
+        run_schedule()
 
 
-def test_a_state_of_another_build_is_behind_and_not_broken() -> None:
-    said = ReplicatedState({"a": ""})
-    versions = PaxosReplica("b", "", 0, said, random.Random(1))
+def test_command_of_a_later_build_blocks_the_replica_at_the_version_before() -> None:
+    state = ReplicatedState({"a": ""})
+    versions = PaxosReplica("b", "", 0, state, random.Random(1))
     later = Command("x", "later", b"", "test")
     actions = versions.handle(0.0, CommandsReceived(1, (override_command(1), later, override_command(3))))
-    assert said.version == 1 and versions.is_behind and "does not know" in versions.blocked_reason
-    assert [type(one).__name__ for one in actions] == ["CommandApplied"]
+    assert state.version == 1 and versions.is_behind and "does not know" in versions.blocked_reason
+    assert [type(action).__name__ for action in actions] == ["CommandApplied"]
 
 
-def test_a_change_only_after_a_version_is_refused_once_the_state_has_moved_on() -> None:
+def test_command_with_expected_version_is_rejected_at_a_later_version() -> None:
     model = started_model(3, 1)
     model.run(1)
     model.all["i0"].propose(override_command(1))
@@ -148,7 +150,7 @@
     assert model.all["i2"].ended["c3"].version == 2
 
 
-def test_a_majority_of_stores_that_are_lost_takes_no_change_until_an_operator_says_so() -> None:
+def test_no_command_is_decided_after_a_majority_of_stores_was_lost() -> None:
     model = started_model(3, 1)
     model.run(1)
     model.all["i0"].propose(override_command(1))
--- a/tests/fleet/replication/test_replica_schedules.py
+++ b/tests/fleet/replication/test_replica_schedules.py
@@ -1,4 +1,4 @@
-"""Every schedule of three replicas with few deviations from an orderly run."""
+"""Exhaustive schedules of three replicas with up to two deviations from a run without faults."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 from replica_model import override_command
 
-from loadbalancer.fleet.replication import messages as form
+from loadbalancer.fleet.replication import messages
 from loadbalancer.fleet.replication.actions import (
     CommandApplied,
     CommandCompleted,
@@ -25,10 +25,12 @@
 from loadbalancer.fleet.replication.state_transfer import StateReceiver, StateSender
 
 
-class Small:
-    """Three voters, two changes at two of them, messages in the order in which they were sent but for the deviations
-    that a schedule names by the number of the step: the message is lost, put last, or its receiver dies, before it or
-    once the answer is kept and not sent."""
+class ScheduledCluster:
+    """Three voters, two of which propose one command each; messages are delivered in the order in which they were sent.
+
+    A schedule names deviations by the number of the step: the message is lost, or moved to the end of the queue, or its
+    receiver crashes, either before it receives the message or after its reply is on disk and before it is sent.
+    """
 
     def __init__(self, schedule: dict[int, str]) -> None:
         self.schedule, self.now, self.step = schedule, 0.0, 0
@@ -46,39 +48,39 @@
     def start(self, name: str) -> None:
         disk = self.disks[name]
         disk["opened"] += 1
-        said = ReplicatedState({"a": "", "b": "", "c": ""})
+        state = ReplicatedState({"a": "", "b": "", "c": ""})
         if disk["state"]:
-            said.install_snapshot(disk["state"])
-        made = PaxosReplica(name, f"s{name}", disk["opened"] << 20, said, random.Random(1))
-        made.restore(copy.copy(disk["vote"]), dict(disk["met"]), dict(disk["log"]))
-        self.all[name] = made
+            state.install_snapshot(disk["state"])
+        replica = PaxosReplica(name, f"s{name}", disk["opened"] << 20, state, random.Random(1))
+        replica.restore(copy.copy(disk["vote"]), dict(disk["met"]), dict(disk["log"]))
+        self.all[name] = replica
 
-    def keep(self, name: str, action: Persist, dies: bool) -> None:
+    def persist(self, name: str, action: Persist, crashes: bool) -> None:
         disk = self.disks[name]
         disk["vote"] = action.acceptor_state or disk["vote"]
         if action.observed_store:
             disk["met"][action.observed_store[0]] = action.observed_store[1]
-        if not dies:
-            self.queue.extend((name, say.to, say.message) for say in action.then_send)
+        if not crashes:
+            self.queue.extend((name, pending.to, pending.message) for pending in action.then_send)
 
-    def hand(self, name: str, event: Any, dies: bool = False) -> None:
-        versions, disk = self.all[name], self.disks[name]
-        for action in versions.handle(self.now, event):
+    def handle(self, name: str, event: Any, crashes: bool = False) -> None:
+        replica, disk = self.all[name], self.disks[name]
+        for action in replica.handle(self.now, event):
             if isinstance(action, SendMessage):
                 self.queue.append((name, action.to, action.message))
             elif isinstance(action, Persist):
-                self.keep(name, action, dies)
+                self.persist(name, action, crashes)
             elif isinstance(action, (CommandApplied, SnapshotInstalled)):
-                disk["state"], disk["log"] = versions.state.encode(), dict(versions.command_log)
-                for version, change in versions.command_log.items():
-                    self.logs.setdefault(version, set()).add(change.id)
+                disk["state"], disk["log"] = replica.state.encode(), dict(replica.command_log)
+                for version, command in replica.command_log.items():
+                    self.logs.setdefault(version, set()).add(command.id)
             elif isinstance(action, RequestStateTransfer):
                 for part in StateSender(self.all[action.source]).answer(
-                    form.StateRequest(versions.state.version)
+                    messages.StateRequest(replica.state.version)
                 ):
-                    found, _ = StateReceiver().take(part)
-                    if found is not None:
-                        self.hand(name, found)
+                    received, _ = StateReceiver().take(part)
+                    if received is not None:
+                        self.handle(name, received)
             elif isinstance(action, CommandCompleted):
                 self.ended[action.command_id] = action
 
@@ -91,16 +93,16 @@
         if deviation == "late":
             self.queue.append((sender, to, message))
             return
-        if deviation == "dies before":
+        if deviation == "crashes before":
             self.start(to)
             return
-        self.hand(to, MessageReceived(sender, message), deviation == "dies after")
-        if deviation == "dies after":
+        self.handle(to, MessageReceived(sender, message), deviation == "crashes after")
+        if deviation == "crashes after":
             self.start(to)
 
-    def play(self) -> None:
-        self.hand("a", Propose(override_command(1), 8.0))
-        self.hand("b", Propose(override_command(2, word=None), 8.0))
+    def run(self) -> None:
+        self.handle("a", Propose(override_command(1), 8.0))
+        self.handle("b", Propose(override_command(2, word=None), 8.0))
         for _ in range(60):
             while self.queue and self.step < 2_000:
                 self.deliver()
@@ -109,41 +111,41 @@
             self.now += 0.15
             for name in self.all:
                 others = tuple(other for other in self.all if other != name)
-                self.hand(name, TimerExpired(others))
+                self.handle(name, TimerExpired(others))
         for version, ids in self.logs.items():
-            assert len(ids) == 1, f"two orders at version {version}: {ids}"
+            assert len(ids) == 1, f"several commands are decided for version {version}: {ids}"
         by_version = {version: next(iter(ids)) for version, ids in self.logs.items()}
         for ended in self.ended.values():
             if ended.version:
                 assert by_version[ended.version] == ended.command_id
-        found = [one for one in by_version.values() if one]
-        assert len(found) == len(set(found)), "a change stands twice"
+        decided_ids = [command_id for command_id in by_version.values() if command_id]
+        assert len(decided_ids) == len(set(decided_ids)), "a command was decided twice"
 
 
-KINDS = ("lost", "late", "dies before", "dies after")
+DEVIATIONS = ("lost", "late", "crashes before", "crashes after")
 
 
-def walk(steps: int, deviations: int) -> int:
-    """All schedules with so many deviations within the first steps; how many there are."""
+def run_all_schedules(steps: int, deviations: int) -> int:
+    """Run all schedules with this many deviations within the first `steps` steps; return their number."""
     count = 0
-    places = [(step, kind) for step in range(steps) for kind in KINDS]
-    for chosen in combinations(places, deviations):
+    candidates = [(step, kind) for step in range(steps) for kind in DEVIATIONS]
+    for chosen in combinations(candidates, deviations):
         schedule = dict(chosen)
         if len(schedule) == deviations:
-            Small(schedule).play()
+            ScheduledCluster(schedule).run()
             count += 1
     return count
 
 
-def test_every_schedule_of_two_deviations_keeps_one_order() -> None:
-    whole = Small({})
-    whole.play()
-    assert sorted(one.version for one in whole.ended.values()) == [1, 2]
-    assert walk(24, 1) == 96 and walk(24, 2) == 16 * 276
+def test_every_schedule_with_up_to_two_deviations_keeps_one_order() -> None:
+    cluster = ScheduledCluster({})
+    cluster.run()
+    assert sorted(completed.version for completed in cluster.ended.values()) == [1, 2]
+    assert run_all_schedules(24, 1) == 96 and run_all_schedules(24, 2) == 16 * 276
 
 
-def test_the_walk_finds_a_majority_of_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_schedules_detect_a_majority_of_one_voter(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ReplicatedState, "majority", property(lambda self: 1))
     with pytest.raises(AssertionError):
-        walk(24, 1)
-        walk(24, 2)
+        run_all_schedules(24, 1)
+        run_all_schedules(24, 2)
--- a/tests/fleet/replication/test_replica_stateful.py
+++ b/tests/fleet/replication/test_replica_stateful.py
@@ -1,4 +1,4 @@
-"""Replicas under a state machine of hypothesis: it looks for the shortest schedule that breaks a rule."""
+"""Replicas under a Hypothesis state machine, which searches for a short schedule that violates an invariant."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 NUMBERS = st.integers(min_value=0, max_value=2)
 
 
-class Agreeing(RuleBasedStateMachine):
-    """Three voters: changes, crashes, stops and cuts of any length, in any order."""
+class ReplicaMachine(RuleBasedStateMachine):
+    """Three voters with commands, crashes, pauses and partitions of any length, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.model = StateModel(3, 5)
         self.model.delay, self.model.fsync = 0.03, 0.05
-        for one in self.model.all.values():
-            one.start()
-        self.checker = Invariants(self.model)
-        self.changes = 0
+        for instance in self.model.all.values():
+            instance.start()
+        self.checked_invariants = Invariants(self.model)
+        self.proposed_count = 0
 
-    def one(self, number: int) -> Instance:
+    def instance(self, number: int) -> Instance:
         return self.model.all[f"i{number}"]
 
     @rule(number=NUMBERS, word=st.sampled_from(("cordon", None)))
-    def change(self, number: int, word: Any) -> None:
-        one = self.one(number)
-        if one.up and not one.stopped:
-            self.changes += 1
-            one.propose(override_command(self.changes, word=word))
+    def propose_override(self, number: int, word: Any) -> None:
+        instance = self.instance(number)
+        if instance.up and not instance.stopped:
+            self.proposed_count += 1
+            instance.propose(override_command(self.proposed_count, word=word))
 
     @rule(number=NUMBERS)
-    def dies_or_starts(self, number: int) -> None:
-        one = self.one(number)
-        one.kill() if one.up else one.start()
+    def kill_or_start(self, number: int) -> None:
+        instance = self.instance(number)
+        instance.kill() if instance.up else instance.start()
 
     @rule(number=NUMBERS)
-    def stops_or_goes_on(self, number: int) -> None:
-        one = self.one(number)
-        if one.up:
-            one.go_on() if one.stopped else one.stop()
+    def stop_or_continue(self, number: int) -> None:
+        instance = self.instance(number)
+        if instance.up:
+            instance.go_on() if instance.stopped else instance.stop()
 
     @precondition(lambda self: not self.model.cut)
     @rule(number=NUMBERS, both=st.booleans())
@@ -58,27 +58,29 @@
         self.model.heal()
 
     @rule(steps=st.sampled_from((1, 3, 20, 80)))
-    def time_passes(self, steps: int) -> None:
+    def advance_time(self, steps: int) -> None:
         for _ in range(steps):
             self.model.run(0.02)
-            self.checker.check()
+            self.checked_invariants.check()
 
     @invariant()
-    def all_holds(self) -> None:
-        self.checker.check()
+    def invariants_hold(self) -> None:
+        self.checked_invariants.check()
 
     def teardown(self) -> None:
-        """All heals: one state, whatever was done."""
+        """Heal all faults, and check that all instances agree on one state."""
         self.model.heal()
-        for one in self.model.all.values():
-            if one.stopped:
-                one.go_on()
-            if not one.up:
-                one.start()
+        for instance in self.model.all.values():
+            if instance.stopped:
+                instance.go_on()
+            if not instance.up:
+                instance.start()
         assert self.model.until(lambda: self.model.agree() and self.model.open(), 15.0) is not None
-        self.checker.check()
-        self.checker.check_end()
+        self.checked_invariants.check()
+        self.checked_invariants.check_end()
 
 
-TestAgreeing = Agreeing.TestCase
-TestAgreeing.settings = settings(max_examples=200, stateful_step_count=25, deadline=None, derandomize=True)
+TestReplicaMachine = ReplicaMachine.TestCase
+TestReplicaMachine.settings = settings(
+    max_examples=200, stateful_step_count=25, deadline=None, derandomize=True
+)
--- a/tests/fleet/replication/test_replicated_state.py
+++ b/tests/fleet/replication/test_replicated_state.py
@@ -1,4 +1,4 @@
-"""What the replicated state rejects."""
+"""Commands that the replicated state rejects."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 
 
-def test_what_is_said_is_bounded_and_checked() -> None:
+def test_oversized_body_and_invalid_voter_removals_are_rejected() -> None:
     with pytest.raises(StateError, match=f"at most {MAX_BODY_BYTES}"):
         write_body(
-            MarkBody("p", {f"member-{n}": AdminOverride(word="drain", reason="r" * 40) for n in range(40)})
+            MarkBody(
+                "p",
+                {f"member-{number}": AdminOverride(word="drain", reason="r" * 40) for number in range(40)},
+            )
         )
-    said = ReplicatedState({"a": "", "b": ""})
+    state = ReplicatedState({"a": "", "b": ""})
     with pytest.raises(StateError, match="not on the roster"):
-        said.check(Command("x", "roster", write_body(RosterBody("z", ""))))
-    said.apply(Command("x", "roster", write_body(RosterBody("b", ""))))
+        state.check(Command("x", "roster", write_body(RosterBody("z", ""))))
+    state.apply(Command("x", "roster", write_body(RosterBody("b", ""))))
     with pytest.raises(StateError, match="last one"):
-        said.check(Command("y", "roster", write_body(RosterBody("a", ""))))
+        state.check(Command("y", "roster", write_body(RosterBody("a", ""))))
--- a/tests/fleet/replication/test_restarts.py
+++ b/tests/fleet/replication/test_restarts.py
@@ -1,4 +1,4 @@
-"""Replicas that start again in the middle of a slot, and messages of their earlier lives."""
+"""Replicas that restart in the middle of a slot, and messages of their earlier processes."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from replica_model import Invariants, override_command, started_model
 
 from emulator.fleetstate import StateModel
-from loadbalancer.fleet.replication import messages as form
+from loadbalancer.fleet.replication import messages
 from loadbalancer.fleet.replication.lease import Lease
 
 DURATION_S = 2.0
 
 
-def decided_everywhere(model: StateModel) -> set[str]:
-    """The commands that the instances hold for version 1."""
+def first_commands(model: StateModel) -> set[str]:
+    """Return the commands that the instances hold for version 1."""
     return {
         instance.versions.command_log[1].id
         for instance in model.all.values()
@@ -23,28 +23,28 @@
 
 
 class BallotRecorder:
-    """Which commands each ballot was sent out with, and messages that are held back on their way."""
+    """Records the commands that each ballot was sent with, and delays messages of one proposer."""
 
     def __init__(self, model: StateModel) -> None:
         self.model = model
-        self.commands: dict[tuple[int, form.Ballot], set[str]] = {}
-        self.held: list[tuple[str, str, Any]] = []
-        self.holds_from = ""
+        self.commands: dict[tuple[int, messages.Ballot], set[str]] = {}
+        self.delayed: list[tuple[str, str, Any]] = []
+        self.delayed_sender = ""
         self._send = model.send
         model.send = self.send  # type: ignore[method-assign]
 
     def send(self, sender: str, to: str, message: Any) -> None:
-        if isinstance(message, form.Accept):
+        if isinstance(message, messages.Accept):
             self.commands.setdefault((message.slot, message.ballot), set()).add(message.command.id)
-            if sender == self.holds_from and to != "i1":
-                self.held.append((sender, to, message))
+            if sender == self.delayed_sender and to != "i1":
+                self.delayed.append((sender, to, message))
                 return
         self._send(sender, to, message)
 
     def release(self) -> None:
-        """The messages that were held arrive now."""
-        self.holds_from = ""
-        for sender, to, message in self.held:
+        """Send the delayed messages now."""
+        self.delayed_sender = ""
+        for sender, to, message in self.delayed:
             self._send(sender, to, message)
 
     def check(self) -> None:
@@ -52,8 +52,8 @@
         assert not reused, f"one ballot for two commands: {reused}"
 
 
-# Guards against a caller that is told of a version which the voters then give to another command.
-def test_a_proposer_without_a_store_uses_no_ballot_of_an_earlier_life() -> None:
+# Guards against reporting a version to a caller that the voters then decide for another command.
+def test_proposer_without_a_store_does_not_reuse_ballots_after_a_restart() -> None:
     model = StateModel(3, 7)
     model.join(1)
     for instance in model.all.values():
@@ -61,20 +61,20 @@
     model.run(1)
     recorder = BallotRecorder(model)
     proposer = model.all["i3"]
-    recorder.holds_from = "i3"
+    recorder.delayed_sender = "i3"
     proposer.propose(override_command(1))
     model.run(0.02)
     proposer.kill()
     model.run(0.01)
     proposer.start()
-    model.all["i1"].stop()  # it has accepted c1, and answers nobody for a while
+    model.all["i1"].stop()  # it has accepted c1, and sends no replies for a while
     model.run(0.02)
-    held, recorder.held = recorder.held, []
-    recorder.holds_from = ""
+    delayed, recorder.delayed = recorder.delayed, []
+    recorder.delayed_sender = ""
     proposer.propose(override_command(2))
     model.until(lambda: "c2" in proposer.ended, 2.0, 0.0005)
     proposer.kill()
-    for sender, to, message in held:
+    for sender, to, message in delayed:
         recorder.send(sender, to, message)
     model.run(0.1)
     model.all["i1"].go_on()
@@ -82,25 +82,25 @@
     model.run(5)
 
     recorder.check()
-    assert len(decided_everywhere(model)) == 1
-    told = proposer.ended.get("c2")
-    if told is not None and told.version:
-        assert proposer.versions.command_log[told.version].id == "c2"
+    assert len(first_commands(model)) == 1
+    completed = proposer.ended.get("c2")
+    if completed is not None and completed.version:
+        assert proposer.versions.command_log[completed.version].id == "c2"
 
 
-# Guards against the same where a voter's own promise was not on its disk yet when it died.
-def test_a_voter_with_a_slow_disk_uses_no_ballot_of_an_earlier_life() -> None:
+# Guards against the same if the voter's own promise was not on its disk yet when it crashed.
+def test_voter_with_a_slow_disk_does_not_reuse_ballots_after_a_restart() -> None:
     model = started_model(3, 7)
     model.run(1)
     recorder = BallotRecorder(model)
     proposer = model.all["i0"]
     do_later = proposer.do_later
 
-    def slowly(wait: float, call: Any, *arguments: Any) -> None:
+    def delay_persist(wait: float, call: Any, *arguments: Any) -> None:
         do_later(wait + (1.0 if call == proposer.keep else 0.0), call, *arguments)
 
-    proposer.do_later = slowly  # type: ignore[method-assign]
-    recorder.holds_from = "i0"
+    proposer.do_later = delay_persist  # type: ignore[method-assign]
+    recorder.delayed_sender = "i0"
     proposer.propose(override_command(1))
     model.run(0.02)
     proposer.kill()
@@ -109,22 +109,22 @@
     proposer.start()
     model.all["i1"].stop()
     model.run(0.15)
-    recorder.holds_from = ""
+    recorder.delayed_sender = ""
     proposer.propose(override_command(2))
     model.until(lambda: "c2" in proposer.ended, 2.0, 0.0005)
     model.all["i1"].go_on()
     model.run(5)
 
     recorder.check()
-    assert len(decided_everywhere(model)) == 1
+    assert len(first_commands(model)) == 1
 
 
-# Guards against a whole fleet that refuses its callers until an operator happens to propose something.
-def test_a_command_that_a_voter_had_accepted_before_it_started_again_is_finished() -> None:
+# Guards against a fleet that rejects all requests until the next command is proposed.
+def test_command_accepted_before_a_restart_is_finished_by_its_acceptor() -> None:
     model = started_model(3, 1)
     model.run(1)
     recorder = BallotRecorder(model)
-    recorder.holds_from = "i0"
+    recorder.delayed_sender = "i0"
     model.all["i0"].propose(override_command(1))  # reaches i1 alone
     model.run(0.02)
     model.all["i0"].kill()
@@ -136,18 +136,18 @@
     assert model.all["i1"].fence.may_act(model.all["i1"].clock())
 
 
-# Guards against a store that stays without a vote since its registration found no majority once.
-def test_a_new_store_is_registered_also_after_a_majority_was_away_for_long() -> None:
+# Guards against a store that never votes because one registration found no majority.
+def test_new_store_is_registered_after_its_first_registration_found_no_majority() -> None:
     model = started_model(3, 1)
     invariants = Invariants(model)
     model.run(1)
     send = model.send
 
-    def all_but_prepares(sender: str, to: str, message: Any) -> None:
-        if not isinstance(message, form.Prepare):
+    def drop_prepares(sender: str, to: str, message: Any) -> None:
+        if not isinstance(message, messages.Prepare):
             send(sender, to, message)
 
-    model.send = all_but_prepares  # type: ignore[method-assign]
+    model.send = drop_prepares  # type: ignore[method-assign]
     model.all["i2"].lose_disk()
     model.all["i2"].start()
     model.run(15)
@@ -157,15 +157,15 @@
     invariants.check()
 
 
-# Guards against a lease that runs from a request of this life by a grant to an earlier one.
-def test_a_grant_to_an_earlier_life_counts_for_nothing() -> None:
+# Guards against a lease that is extended because a grant to an earlier process matches a request of this one.
+def test_grant_to_an_earlier_process_is_ignored() -> None:
     model = started_model(3, 1)
     model.run(1)
     grants: list[tuple[str, Any]] = []
     send = model.send
 
     def record(sender: str, to: str, message: Any) -> None:
-        if to == "i0" and isinstance(message, form.LeaseGrant) and len(grants) < 30:
+        if to == "i0" and isinstance(message, messages.LeaseGrant) and len(grants) < 30:
             grants.append((sender, message))
         send(sender, to, message)
 
@@ -186,19 +186,19 @@
     assert not instance.fence._first_readings
 
 
-# Guards against an instance that refuses its callers for ten minutes since one datagram was late.
-def test_a_grant_that_was_long_on_its_way_is_no_clock_that_drifts() -> None:
+# Guards against an instance that rejects requests for ten minutes because one datagram was late.
+def test_late_grant_is_not_measured_as_clock_drift() -> None:
     lease = Lease(DURATION_S, serves_when_expired=False)
-    late = lease.request(0.0)
-    lease.granted(1.5, late, "v", 0, 0.0, 1, 0)
+    late_request = lease.request(0.0)
+    lease.granted(1.5, late_request, "v", 0, 0.0, 1, 0)
     for second in range(2, 60):
         lease.granted(float(second), lease.request(float(second)), "v", 0, float(second), 1, 0)
 
     assert not lease.clock_drift
 
 
-# Guards against the same at the lease itself: numbers of two lives do not meet.
-def test_request_numbers_go_on_from_the_first_that_is_given() -> None:
+# Guards against request numbers that two processes of an instance share.
+def test_request_numbers_start_at_the_given_first_number() -> None:
     lease = Lease(DURATION_S, serves_when_expired=False, first_number=700)
 
     assert lease.request(1.0) == 700
--- a/tests/fleet/replication/test_state_transfer.py
+++ b/tests/fleet/replication/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""State transfer: commands, snapshots, cuts and chunks that were changed on the way."""
+"""State transfer: commands, snapshots, interrupted connections and corrupted chunks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from replica_model import override_command
 
-from loadbalancer.fleet.replication import messages as form
+from loadbalancer.fleet.replication import messages
 from loadbalancer.fleet.replication.events import CommandsReceived
 from loadbalancer.fleet.replication.replica import PaxosReplica
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
@@ -16,36 +16,36 @@
 
 
 @pytest.mark.parametrize("count", [3, 500, 5000])
-def test_a_straggler_gets_changes_or_the_whole_and_goes_on_after_a_cut(count: int) -> None:
+def test_instance_behind_receives_commands_or_a_snapshot_and_resumes_after_interruptions(count: int) -> None:
     ahead = PaxosReplica("a", "s", 1, ReplicatedState({"a": ""}), random.Random(1))
     for number in range(count):
         ahead.handle(0.0, CommandsReceived(number + 1, (override_command(number, f"m{number}"),)))
-    behind, taker = PaxosReplica("b", "", 0, ReplicatedState({"a": ""}), random.Random(1)), StateReceiver()
-    cuts = 0
+    behind, receiver = PaxosReplica("b", "", 0, ReplicatedState({"a": ""}), random.Random(1)), StateReceiver()
+    interruptions = 0
     while behind.state.version < count:
-        for number, part in enumerate(StateSender(ahead).answer(taker.next_request(behind.state.version))):
-            if cuts < 5 and number == 2:
-                cuts += 1
-                break  # the stream is cut; what has come stays
+        for number, part in enumerate(StateSender(ahead).answer(receiver.next_request(behind.state.version))):
+            if interruptions < 5 and number == 2:
+                interruptions += 1
+                break  # the connection is interrupted; received chunks are kept
             assert len(msgspec.msgpack.encode(part)) < CHUNK_BYTES + 2048
-            found, _ = taker.take(part)
-            if found is not None:
-                behind.handle(1.0, found)
+            received, _ = receiver.take(part)
+            if received is not None:
+                behind.handle(1.0, received)
     assert behind.state.digest() == ahead.state.digest()
 
 
-def test_a_state_that_was_changed_on_the_way_is_not_taken() -> None:
+def test_snapshot_with_a_corrupted_chunk_is_rejected() -> None:
     ahead = PaxosReplica("a", "s", 1, ReplicatedState({"a": ""}), random.Random(1))
     for number in range(2000):
         ahead.handle(0.0, CommandsReceived(number + 1, (override_command(number, f"m{number}"),)))
-    parts = list(StateSender(ahead).answer(form.StateRequest(0)))
-    assert isinstance(parts[0], form.SnapshotChunk)
-    taker = StateReceiver()
+    parts = list(StateSender(ahead).answer(messages.StateRequest(0)))
+    assert isinstance(parts[0], messages.SnapshotChunk)
+    receiver = StateReceiver()
     with pytest.raises(ValueError, match="digest"):
         for number, part in enumerate(parts):
-            assert isinstance(part, form.SnapshotChunk)
+            assert isinstance(part, messages.SnapshotChunk)
             data = part.data[:-1] + b"x" if number == 1 else part.data
-            taker.take(msgspec.structs.replace(part, data=data))
+            receiver.take(msgspec.structs.replace(part, data=data))
     with pytest.raises(ValueError, match="follow"):
-        taker.take(parts[1])
-    assert taker.next_request(0).offset == 0
+        receiver.take(parts[1])
+    assert receiver.next_request(0).offset == 0
