--- a/tests/fleet/orchestration/test_fleet_size.py
+++ b/tests/fleet/orchestration/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""How many instances decisions count with, while the view moves."""
+"""The estimate of the fleet's size while the membership view changes."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 def observe(size: FleetSize, seconds: float, living: int, settled: bool, now: float) -> float:
-    """Hand in the same view four times a second for a while, and return the time after it."""
+    """Report the same view four times per second for `seconds`; return the time after it."""
     for _ in range(int(seconds * 4)):
         now += 0.25
         size.step(now, living, settled)
     return now
 
 
-def test_until_a_view_has_settled_the_configured_number_counts() -> None:
+def test_configured_size_is_used_until_a_view_has_settled() -> None:
     size = FleetSize(8)
     assert size.step(1.0, 1, False).instances == 8
     assert size.step(2.0, 1, False).standing == "configured"
     assert size.step(3.0, 8, True).standing == "settled"
 
 
-def test_an_instance_that_is_cut_off_keeps_the_last_settled_number_and_never_counts_one() -> None:
+def test_instance_that_is_cut_off_keeps_the_last_settled_size() -> None:
     size = FleetSize(8)
     now = observe(size, 5, 8, True, 0.0)
     now = observe(size, 60, 1, True, now)
@@ -30,7 +30,7 @@
     assert (size.number, size.standing) == (8, "settled")
 
 
-def test_a_loss_is_followed_in_steps_and_a_gain_at_once() -> None:
+def test_size_shrinks_in_steps_and_grows_at_once() -> None:
     size = FleetSize(40)
     now = observe(size, 5, 40, True, 0.0)
     numbers = []
@@ -44,7 +44,7 @@
     assert size.number == 44
 
 
-def test_a_view_that_flaps_moves_little() -> None:
+def test_flapping_view_changes_the_size_by_at_most_one() -> None:
     size = FleetSize(8)
     now = observe(size, 5, 8, True, 0.0)
     for turn in range(60):
@@ -52,7 +52,7 @@
     assert size.number in (7, 8)
 
 
-def test_half_of_the_fleet_that_stays_away_is_believed_in_the_end() -> None:
+def test_permanent_loss_of_half_of_the_fleet_is_accepted_after_the_confirmation_time() -> None:
     size = FleetSize(8, shrink_confirmation_s=600.0)
     now = observe(size, 5, 8, True, 0.0)
     now = observe(size, 590, 4, True, now)
