--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -1,4 +1,4 @@
-"""Coming back: what several survivors tell, and processes that are killed and started at once."""
+"""Recovery after restarts: merged snapshots of survivors, and processes that are killed and started at once."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 from standins.member import Behaviour, Member
 from standins.member import Fleet as Members
 from standins.processes import Fleet, until
-from standins.processes import Fleet as Rig
+from standins.processes import Fleet as Processes
 
 
-def test_openings_keep_their_pace() -> None:
+def test_connections_are_opened_at_the_limited_rate() -> None:
     pacer, opened, now = Pacer(10.0, 0.0), 0, 0.0
     while now < 2.0:
         wait = pacer.take(now)
@@ -44,8 +44,8 @@
     assert opened <= 20 + BURST
 
 
-class Ends:
-    """Who is told how attempts ended."""
+class AttemptRecorder:
+    """Records the results of attempts in place of the proxy."""
 
     def __init__(self) -> None:
         self.results: list[AttemptResult] = []
@@ -60,42 +60,44 @@
         return False
 
     def begin_answer(self, attempt: Attempt, answer: Any, giver: Any) -> None:
-        raise AssertionError("nobody answers")
+        raise AssertionError("expected no answer: there is no server")
 
 
-@pytest.mark.parametrize("ends_early", [False, True])
-def test_what_waits_for_a_connection_ends_where_none_comes_up(ends_early: bool) -> None:
-    """At a pace, and when the pace ends in between: nothing is left waiting."""
+@pytest.mark.parametrize("limit_is_removed", [False, True])
+def test_attempts_waiting_for_a_connection_fail_if_none_can_be_opened(limit_is_removed: bool) -> None:
+    """No attempt is left waiting, under a limited rate and if the limit is removed meanwhile."""
 
-    async def scene() -> None:
-        ends = Ends()
+    async def scenario() -> None:
+        recorder = AttemptRecorder()
         job: Any = None
         dialect = Dialect()
         make = partial(Http1UpstreamConnection, dialect=dialect, not_passed=dialect.not_passed())
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
-            pool = UpstreamPools(ends, BufferBudget(1 << 20), RateLimitedLogger(), 20, make, 0.5, 15.0)
+            pool = UpstreamPools(recorder, BufferBudget(1 << 20), RateLimitedLogger(), 20, make, 0.5, 15.0)
             pool.listed("m1", (closed.getsockname(), 0.0), True)
-            pool.set_pace(Pacer(2.0 if ends_early else 200.0, time.monotonic()))
+            pool.set_pace(Pacer(2.0 if limit_is_removed else 200.0, time.monotonic()))
             for number in range(6):
                 pool.send(Attempt(job, number, "m1", 0.0, 1.0))
-            assert len(ends.results) == 0 and len(pool.endpoints["m1"].waiting_attempts) >= 4
-            if ends_early:
+            assert len(recorder.results) == 0 and len(pool.endpoints["m1"].waiting_attempts) >= 4
+            if limit_is_removed:
                 pool.set_pace(None)
 
             async def all_ended() -> bool:
-                return len(ends.results) == 6
+                return len(recorder.results) == 6
 
             await until(all_ended, "all attempts have ended")
             assert (
-                set(ends.results) == {AttemptResult.NO_CONNECTION}
+                set(recorder.results) == {AttemptResult.NO_CONNECTION}
                 and not pool.endpoints["m1"].waiting_attempts
             )
 
-    run(scene)
+    run(scenario)
 
 
-def note(errors: float, member: str = "m1", started: float = 5.0, failed: int = 0) -> EndpointSnapshot:
+def endpoint_snapshot(
+    errors: float, member: str = "m1", started: float = 5.0, failed: int = 0
+) -> EndpointSnapshot:
     return EndpointSnapshot(member, started, 60.0, errors, 1.0, 0.5, 1.0, 0.01, 1.0, failed, {})
 
 
@@ -103,53 +105,67 @@
     return Snapshot(at, [PoolSnapshot("p", list(members), {"c": 0.1}, level, {}, None)])
 
 
-def test_one_of_several_that_is_wrong_decides_nothing() -> None:
-    found = merge_snapshots(
+def test_single_deviating_snapshot_does_not_decide_the_merge() -> None:
+    merged = merge_snapshots(
         [
-            snapshot(10, note(0.9), level=0.2),
-            snapshot(10, note(0.8), level=0.3),
-            snapshot(10, note(0.0), level=50.0),
+            snapshot(10, endpoint_snapshot(0.9), level=0.2),
+            snapshot(10, endpoint_snapshot(0.8), level=0.3),
+            snapshot(10, endpoint_snapshot(0.0), level=50.0),
         ],
         11.0,
     )
     assert (
-        found is not None
-        and found.pools[0].endpoints[0].error_rate == 0.8
-        and found.pools[0].shed_level == 0.3
+        merged is not None
+        and merged.pools[0].endpoints[0].error_rate == 0.8
+        and merged.pools[0].shed_level == 0.3
     )
-    found = merge_snapshots([snapshot(10, note(0.0)), snapshot(10, note(0.7))], 11.0)
-    assert found is not None and found.pools[0].endpoints[0].error_rate == 0.7  # of two the worse
+    merged = merge_snapshots(
+        [snapshot(10, endpoint_snapshot(0.0)), snapshot(10, endpoint_snapshot(0.7))], 11.0
+    )
+    assert merged is not None and merged.pools[0].endpoints[0].error_rate == 0.7  # the worse of two
 
 
-def test_what_is_old_of_another_life_or_known_to_few_is_unknown() -> None:
-    assert merge_snapshots([snapshot(10, note(0.5))], 60.0) is None and merge_snapshots([], 1.0) is None
-    found = merge_snapshots(
-        [snapshot(10, note(0.9, started=5.0)), snapshot(10, note(0.1, started=9.0)), snapshot(10)], 11.0
+def test_old_snapshots_and_endpoints_of_other_processes_or_few_snapshots_are_dropped() -> None:
+    assert (
+        merge_snapshots([snapshot(10, endpoint_snapshot(0.5))], 60.0) is None
+        and merge_snapshots([], 1.0) is None
     )
-    assert found is not None and found.pools[0].endpoints == []
-    found = merge_snapshots(
-        [snapshot(10, note(0.9, started=5.0)), snapshot(10, note(0.1, started=9.0))], 11.0
+    merged = merge_snapshots(
+        [
+            snapshot(10, endpoint_snapshot(0.9, started=5.0)),
+            snapshot(10, endpoint_snapshot(0.1, started=9.0)),
+            snapshot(10),
+        ],
+        11.0,
+    )
+    assert merged is not None and merged.pools[0].endpoints == []
+    merged = merge_snapshots(
+        [
+            snapshot(10, endpoint_snapshot(0.9, started=5.0)),
+            snapshot(10, endpoint_snapshot(0.1, started=9.0)),
+        ],
+        11.0,
     )
-    assert found is not None and [one.error_rate for one in found.pools[0].endpoints] == [0.1]
+    assert merged is not None and [endpoint.error_rate for endpoint in merged.pools[0].endpoints] == [0.1]
 
 
-def test_a_list_goes_by_names_and_an_old_one_goes_nowhere() -> None:
+def test_list_handoff_maps_zones_and_kinds_by_name_and_rejects_old_or_truncated_lists() -> None:
     entries = [(EndpointEntry("m1", zone=1, kind=0, started=5.0), ("10.0.0.1", 80))]
     data = write(entries, 7, 1.0, {"a": 0, "b": 1}, {"k": 0})
-    found, handed = read(data, {"b": 0, "c": 1}, {"k": 3})
+    entries_read, handoff = read(data, {"b": 0, "c": 1}, {"k": 3})
     assert (
-        found == [(EndpointEntry("m1", zone=0, kind=3, started=5.0), ("10.0.0.1", 80))]
-        and handed.version == 7
+        entries_read == [(EndpointEntry("m1", zone=0, kind=3, started=5.0), ("10.0.0.1", 80))]
+        and handoff.version == 7
     )
     with pytest.raises(ValueError, match="heard 11 s ago"):
         read(write(entries, 7, 11.0, {}, {}), {}, {})
-    for at in range(len(data)):
+    for length in range(len(data)):
         with pytest.raises(ValueError):
-            read(data[:at], {}, {})
+            read(data[:length], {}, {})
 
 
-def test_each_measure_is_worth_something_in_a_large_fleet() -> None:
-    """60 of 70 instances before 80 members; the same seed with and without."""
+def test_each_recovery_measure_improves_a_mass_start_in_the_emulator() -> None:
+    """60 of 70 instances start in front of 80 members, with the same seed with and without each measure."""
     shape: dict[str, Any] = {"proxies": 70, "members": 80, "comes": 60, "rate": 20.0}
     with_all = Herd(1, Measures(), **shape).play(6.0)
     assert len(with_all.full) == 60
@@ -166,8 +182,8 @@
 # Several processes.
 
 
-class Source:
-    """A source of lists that pushes one list, and may be down."""
+class DiscoverySource:
+    """A discovery source that pushes one list, and can be shut down."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
         self.entries, self.calls, self.port = entries, 0, 0
@@ -178,7 +194,7 @@
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def down(self) -> None:
+    def shut_down(self) -> None:
         assert self.server is not None
         self.server.close()
         for writer in self.writers:
@@ -199,252 +215,260 @@
             await asyncio.sleep(0.5)
 
 
-def test_with_its_source_down_one_that_comes_back_serves_by_a_survivors_list(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_restarted_instance_serves_by_a_survivors_list_while_the_source_is_down(tmp_path: Path) -> None:
+    async def scenario() -> None:
         members = Members(3)
         await members.start()
-        source = Source([{"id": m.name, "addr": m.address} for m in members.members])
+        source = DiscoverySource([{"id": member.name, "addr": member.address} for member in members.members])
         await source.start()
         pool = f'[[pool]]\nname = "p"\nrules = {{ new_members = "warm" }}\ndiscovery = "127.0.0.1:{source.port}"\n'
-        async with Rig(tmp_path, 4, pool) as made:
-            await made.open()
-            await made.settled()
-            await whole(made, [0, 1, 2, 3])
-            source.down()
-            await asyncio.gather(*(made.all[n].kill() for n in (1, 2, 3)))
-            await made.start(1, 2, 3)
+        async with Processes(tmp_path, 4, pool) as processes:
+            await processes.open()
+            await processes.settled()
+            await until_full(processes, [0, 1, 2, 3])
+            source.shut_down()
+            await asyncio.gather(*(processes.all[number].kill() for number in (1, 2, 3)))
+            await processes.start(1, 2, 3)
             for number in (1, 2, 3):
 
-                async def serves(port: int = made.all[number].port) -> bool:
+                async def serves(port: int = processes.all[number].port) -> bool:
                     return await ask(port) == "200"
 
                 await until(serves, f"i{number} serves")
-                assert "endpoint list received" in made.all[number].log
+                assert "endpoint list received" in processes.all[number].log
             await source.start()
-            await until(lambda: heard(source, 4), "all have called the source again")
-            assert await ask(made.all[2].port) == "200"
-            for one in made.all:  # nobody is left who has a list
-                await one.kill()
-                (one.folder / "log").write_text("")
-            await made.start(0, 1, 2, 3)
-            await whole(made, [0, 1, 2, 3])
-            assert [await ask(one.port) for one in made.all] == ["200"] * 4
-            assert any("endpoint list received" in one.log for one in made.all)
-        source.down()
+            await until(lambda: has_watchers(source, 4), "all instances have connected to the source again")
+            assert await ask(processes.all[2].port) == "200"
+            for instance in processes.all:  # no instance is left that has a list
+                await instance.kill()
+                (instance.folder / "log").write_text("")
+            await processes.start(0, 1, 2, 3)
+            await until_full(processes, [0, 1, 2, 3])
+            assert [await ask(instance.port) for instance in processes.all] == ["200"] * 4
+            assert any("endpoint list received" in instance.log for instance in processes.all)
+        source.shut_down()
         await members.stop()
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_fleet_that_is_restarted_on_purpose_loses_no_request(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with replicated_fleet(tmp_path, 3, voters=3) as made:
-            await whole(made, [0, 1, 2])
-            before = [(await one.read("status"))["pid"] for one in made.all]
-            askers = Askers([one.port for one in made.all])
+def test_rolling_restart_of_the_fleet_loses_no_request(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with replicated_fleet(tmp_path, 3, voters=3) as processes:
+            await until_full(processes, [0, 1, 2])
+            pids_before = [(await instance.read("status"))["pid"] for instance in processes.all]
+            askers = Askers([instance.port for instance in processes.all])
             askers.start()
-            status, _ = await made.all[1].say("fleet/restart")
+            status, _ = await processes.all[1].say("fleet/restart")
             assert status == 200
 
-            async def all_new() -> bool:
-                now = [(await one.read("status"))["pid"] for one in made.all]
-                return all(new != old for new, old in zip(now, before, strict=True))
+            async def all_are_replaced() -> bool:
+                pids = [(await instance.read("status"))["pid"] for instance in processes.all]
+                return all(new != old for new, old in zip(pids, pids_before, strict=True))
 
-            await until(all_new, "all are other processes")
-            await made.settled()
-            assert {row["life"] for row in await made.all[0].read("fleet/members")} == {2}
-            ends = await askers.stop()
-            assert set(ends) == {"200"}, ends
-            for one in made.all:
-                os.kill((await one.read("status"))["pid"], signal.SIGKILL)
+            await until(all_are_replaced, "all instances are new processes")
+            await processes.settled()
+            assert {row["life"] for row in await processes.all[0].read("fleet/members")} == {2}
+            results = await askers.stop()
+            assert set(results) == {"200"}, results
+            for instance in processes.all:
+                os.kill((await instance.read("status"))["pid"], signal.SIGKILL)
 
-    run(scene)
+    run(scenario)
 
 
-async def heard(source: Source, most: int) -> bool:
-    return sum(not writer.is_closing() for writer in source.writers) >= most
+async def has_watchers(source: DiscoverySource, count: int) -> bool:
+    return sum(not writer.is_closing() for writer in source.writers) >= count
 
 
-async def whole(made: Fleet, among: list[int]) -> list[dict[str, Any]]:
-    """Wait until all of these say that they, and the fleet, are full."""
+async def until_full(processes: Fleet, numbers: list[int]) -> list[dict[str, Any]]:
+    """Wait until these instances report that they, and the fleet, are in full service; return their reports."""
 
-    async def so() -> Any:
-        found = [dict(one["coming_back"]) for one in await made.statuses([made.all[n] for n in among])]
-        return found if all(one["phase"] == "full" and one["fleet_full"] for one in found) else None
+    async def are_full() -> Any:
+        reports = [
+            dict(status["coming_back"])
+            for status in await processes.statuses([processes.all[number] for number in numbers])
+        ]
+        return (
+            reports if all(report["phase"] == "full" and report["fleet_full"] for report in reports) else None
+        )
 
-    return list(await until(so, f"{among} are full"))
+    return list(await until(are_full, f"{numbers} are in full service"))
 
 
-def test_seven_of_eight_come_back_at_once_and_learn_of_the_survivor(tmp_path: Path) -> None:
-    """A member that fails and one that is cordoned: the first gets next to nothing, the second nothing."""
+def test_seven_of_eight_instances_restart_at_once_and_learn_from_the_survivor(tmp_path: Path) -> None:
+    """One member fails and one is cordoned: the first gets few requests, the second none."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         members = Members(6)
-        members.members[0] = sick = Member("m1", Behaviour(status=500))
-        async with replicated_fleet(tmp_path, 8, members=members) as made:
-            askers = Askers([made.all[0].port])
+        members.members[0] = failing = Member("m1", Behaviour(status=500))
+        async with replicated_fleet(tmp_path, 8, members=members) as processes:
+            askers = Askers([processes.all[0].port])
             askers.start()
-            _, said = await made.all[1].say("cordon", pool="p", member="m2", wait="20s")
-            assert said["holds"]
-            await whole(made, [0])
-            await asyncio.gather(*(made.all[n].kill() for n in range(1, 8)))
+            _, cordon = await processes.all[1].say("cordon", pool="p", member="m2", wait="20s")
+            assert cordon["holds"]
+            await until_full(processes, [0])
+            await asyncio.gather(*(processes.all[number].kill() for number in range(1, 8)))
             before = members.members[1].counts.requests
-            await made.start(*range(1, 8))
-            found = await whole(made, list(range(8)))
-            kinds = [one["kind"] for one in found[1:]]
+            await processes.start(*range(1, 8))
+            reports = await until_full(processes, list(range(8)))
+            kinds = [report["kind"] for report in reports[1:]]
             assert "mass" in kinds
-            assert any("members" in text for one in found[1:] for text in one["survivors"].values())
-            count = sick.counts.requests
+            assert any("members" in text for report in reports[1:] for text in report["survivors"].values())
+            count = failing.counts.requests
             for _ in range(10):
-                for one in made.all[1:]:
-                    assert await ask(one.port) in ("200", "500")
+                for instance in processes.all[1:]:
+                    assert await ask(instance.port) in ("200", "500")
             assert (
-                sick.counts.requests - count < 40
-            )  # of 70, an even part of which it would get from strangers
+                failing.counts.requests - count < 40
+            )  # of 70 requests, of which it would get an even share from instances that have learnt nothing
             assert members.members[1].counts.requests == before
-            ends = await askers.stop()
-            assert set(ends) <= {"200", "500", "503"}, ends
+            results = await askers.stop()
+            assert set(results) <= {"200", "500", "503"}, results
 
-    run(scene)
+    run(scenario)
 
 
-def test_cold_members_stay_cold_to_those_that_come_back(tmp_path: Path) -> None:
-    """Two of six have just started, as their source says; those that come back send them less than an even part."""
+def test_restarted_instances_send_less_than_an_even_share_to_cold_members(tmp_path: Path) -> None:
+    """Two of six members have just started according to the configuration; restarted instances treat them as cold."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         members = Members(6)
         await members.start()
-        cold = [m.name for m in members.members[:2]]
+        cold = [member.name for member in members.members[:2]]
         pool = '[[pool]]\nname = "p"\nrules = { cold_time = "10m" }\n'
         for member in members.members:
             started = time.time() if member.name in cold else 1.0
             pool += f'[[pool.member]]\nid = "{member.name}"\naddress = "{member.address}"\nstarted = {started:.3f}\n'
-        async with Rig(tmp_path, 6, pool) as made:
-            await made.open()
-            await whole(made, list(range(6)))
-            await asyncio.gather(*(made.all[n].kill() for n in range(1, 6)))
-            await made.start(*range(1, 6))
-            await whole(made, list(range(6)))
-            before = {m.name: m.counts.requests for m in members.members}
-            ends = [await ask(one.port) for _ in range(40) for one in made.all[1:]]
-            assert set(ends) <= {"200", "503"}  # a final answer each; what is counted here is where they went
-            taken = {m.name: m.counts.requests - before[m.name] for m in members.members}
-            even = sum(taken.values()) / 6
-            assert all(taken[name] < 0.8 * even for name in cold), taken
+        async with Processes(tmp_path, 6, pool) as processes:
+            await processes.open()
+            await until_full(processes, list(range(6)))
+            await asyncio.gather(*(processes.all[number].kill() for number in range(1, 6)))
+            await processes.start(*range(1, 6))
+            await until_full(processes, list(range(6)))
+            before = {member.name: member.counts.requests for member in members.members}
+            results = [await ask(instance.port) for _ in range(40) for instance in processes.all[1:]]
+            # Each request gets a final answer; this test counts the members that received them.
+            assert set(results) <= {"200", "503"}
+            received = {
+                member.name: member.counts.requests - before[member.name] for member in members.members
+            }
+            even_share = sum(received.values()) / 6
+            assert all(received[name] < 0.8 * even_share for name in cold), received
         await members.stop()
 
-    run(scene)
+    run(scenario)
 
 
-def test_fourteen_of_sixteen_come_back(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 16) as made:
-            await whole(made, [0, 1])
-            await asyncio.gather(*(made.all[n].kill() for n in range(2, 16)))
-            await made.start(*range(2, 16))
-            await made.settled()
-            found = await whole(made, list(range(16)))
-            assert any(one["kind"] == "mass" for one in found)
+def test_fourteen_of_sixteen_instances_recover_in_a_mass_start(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 16) as processes:
+            await until_full(processes, [0, 1])
+            await asyncio.gather(*(processes.all[number].kill() for number in range(2, 16)))
+            await processes.start(*range(2, 16))
+            await processes.settled()
+            reports = await until_full(processes, list(range(16)))
+            assert any(report["kind"] == "mass" for report in reports)
 
-    run(scene)
+    run(scenario)
 
 
-def test_all_of_them_twice_in_a_row_and_the_last_survivor_dies_while_it_tells(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_fleet_recovers_after_two_full_restarts_and_the_death_of_the_last_survivor(tmp_path: Path) -> None:
+    async def scenario() -> None:
         members = Members(3)
-        async with replicated_fleet(tmp_path, 5, members=members) as made:
-            _, said = await made.all[1].say("cordon", pool="p", member="m1", wait="20s")
-            assert said["holds"]
+        async with replicated_fleet(tmp_path, 5, members=members) as processes:
+            _, cordon = await processes.all[1].say("cordon", pool="p", member="m1", wait="20s")
+            assert cordon["holds"]
             before = members.members[0].counts.requests
             for _ in range(2):
-                await asyncio.gather(*(one.kill() for one in made.all))
-                await made.start(*range(5))
-            await until_acting(made.all, said["version"])
-            await asyncio.gather(*(made.all[n].kill() for n in range(1, 5)))
-            starting = asyncio.ensure_future(made.start(1, 2, 3, 4))
-            await made.all[0].kill()
+                await asyncio.gather(*(instance.kill() for instance in processes.all))
+                await processes.start(*range(5))
+            await until_acting(processes.all, cordon["version"])
+            await asyncio.gather(*(processes.all[number].kill() for number in range(1, 5)))
+            starting = asyncio.ensure_future(processes.start(1, 2, 3, 4))
+            await processes.all[0].kill()
             await starting
-            await made.start(0)
-            await until_acting(made.all, said["version"])
-            found = await whole(made, list(range(5)))
-            assert all(one["full_after_s"] is not None for one in found)
-            for one in made.all:
-                assert await ask(one.port) == "200"
+            await processes.start(0)
+            await until_acting(processes.all, cordon["version"])
+            reports = await until_full(processes, list(range(5)))
+            assert all(report["full_after_s"] is not None for report in reports)
+            for instance in processes.all:
+                assert await ask(instance.port) == "200"
             assert members.members[0].counts.requests == before
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_crash_loop_of_one_holds_up_nobody_else(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with fleet(tmp_path, 5) as made:
-            await whole(made, list(range(5)))
-            await asyncio.gather(*(made.all[n].kill() for n in (1, 2, 3, 4)))
-            await made.start(1, 2, 3, 4)
+def test_crash_loop_of_one_instance_does_not_delay_the_others(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 5) as processes:
+            await until_full(processes, list(range(5)))
+            await asyncio.gather(*(processes.all[number].kill() for number in (1, 2, 3, 4)))
+            await processes.start(1, 2, 3, 4)
             for _ in range(4):
-                await made.all[4].kill()
-                await made.all[4].start()
-            found = await whole(made, [0, 1, 2, 3, 4])
-            assert all(one["phase"] == "full" for one in found)
+                await processes.all[4].kill()
+                await processes.all[4].start()
+            reports = await until_full(processes, [0, 1, 2, 3, 4])
+            assert all(report["phase"] == "full" for report in reports)
 
-    run(scene)
+    run(scenario)
 
 
-def test_one_that_is_stopped_in_any_phase_goes_on_where_it_was(tmp_path: Path) -> None:
-    """Until the others hold it dead; what it sends after that is on what the fleet says by then."""
+def test_instance_stopped_in_any_phase_continues_its_recovery(tmp_path: Path) -> None:
+    """It is stopped until the others consider it dead; after that it sends by the fleet's current state only."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         members = Members(3)
-        async with replicated_fleet(tmp_path, 4, voters=3, members=members) as made:
-            one = made.all[3]
+        async with replicated_fleet(tmp_path, 4, voters=3, members=members) as processes:
+            instance = processes.all[3]
             for phase in ("state", "learning", "warming"):
-                await one.kill()
-                (one.folder / "log").write_text("")
-                await one.start()
-
-                async def told(word: str = phase) -> bool:
-                    return f"recovery: {word}" in one.log
-
-                await until(told, f"it is in {phase}")
-                one.send(signal.SIGSTOP)
-                await made.settled(made.all[:3])
-                _, said = await made.all[0].say("cordon", pool="p", member="m1", wait="20s")
-                assert said["holds"]
+                await instance.kill()
+                (instance.folder / "log").write_text("")
+                await instance.start()
+
+                async def is_logged(name: str = phase) -> bool:
+                    return f"recovery: {name}" in instance.log
+
+                await until(is_logged, f"it is in {phase}")
+                instance.send(signal.SIGSTOP)
+                await processes.settled(processes.all[:3])
+                _, cordon = await processes.all[0].say("cordon", pool="p", member="m1", wait="20s")
+                assert cordon["holds"]
                 before = members.members[0].counts.requests
-                one.send(signal.SIGCONT)
-                await until_acting(made.all, said["version"])
-                found = await whole(made, [3])
-                assert [row["phase"] for row in found[0]["phases"]] == [
+                instance.send(signal.SIGCONT)
+                await until_acting(processes.all, cordon["version"])
+                reports = await until_full(processes, [3])
+                assert [row["phase"] for row in reports[0]["phases"]] == [
                     "finding",
                     "state",
                     "learning",
                     "warming",
                 ]
                 for _ in range(6):
-                    assert await ask(one.port) == "200"
+                    assert await ask(instance.port) == "200"
                 assert members.members[0].counts.requests == before
-                await made.all[1].say("uncordon", pool="p", member="m1")
+                await processes.all[1].say("uncordon", pool="p", member="m1")
 
-    run(scene)
+    run(scenario)
 
 
-def test_an_older_build_that_says_no_phase_counts_as_full(tmp_path: Path) -> None:
-    """It neither tells nor asks; who comes back beside it gets on without."""
-    old = (
+def test_older_build_that_reports_no_phase_counts_as_full(tmp_path: Path) -> None:
+    """It neither answers nor asks survivors; an instance that recovers beside it does so without its help."""
+    older_build = (
         "from loadbalancer.daemon.recovery import RecoveryService\n"
         "RecoveryService.start = lambda self, replaces_process: setattr(self.view, 'phase', 0)\n"
         "RecoveryService.step = lambda self: None\n"
         "RecoveryService.answer = lambda self, message: None\n"
     )
 
-    async def scene() -> None:
-        async with fleet(tmp_path, 4, 0) as made:
+    async def scenario() -> None:
+        async with fleet(tmp_path, 4, 0) as processes:
             for number in (1, 2):
-                made.all[number].prelude = old
-            await made.start(1, 2, 3)
-            await made.settled()
-            await made.all[3].kill()
-            await made.all[3].start()
-            await whole(made, [3])
-
-    run(scene)
+                processes.all[number].prelude = older_build
+            await processes.start(1, 2, 3)
+            await processes.settled()
+            await processes.all[3].kill()
+            await processes.all[3].start()
+            await until_full(processes, [3])
+
+    run(scenario)
