--- a/loadbalancer/fleet/replication/voter_registration.py
+++ b/loadbalancer/fleet/replication/voter_registration.py
@@ -130,7 +130,8 @@
     def _registration_proposal(self) -> Propose | None:
         """Return a proposal to register this store if one is due (rule 6).
 
-        It is made only once this instance has applied every command that it knows of.
+        It is made only once a majority of voters has replied, and this instance has applied every command that it
+        knows of.
         """
         context = self._context
         if not self.vote_suspension or context.now < self._register_at or self._learner.is_behind:
