--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -48,7 +48,7 @@
 )
 NO_LESSONS = (
     "from loadbalancer.daemon.recovery import RecoveryService as R\n"
-    "async def _none(self, names): self.coordinator.learnt()\nR._learn = _none\n"
+    "async def _none(self, names): self.coordinator.on_survivors_answered()\nR._learn = _none\n"
 )
 #: By name: what runs ahead of the program, and whether there is one state.
 BUILDS = {
--- a/benchmarks/fleetversions.py
+++ b/benchmarks/fleetversions.py
@@ -26,7 +26,7 @@
 from benchmarks.fleetview import compare, pool_of, quantile
 from emulator.fleetstate import StateModel
 from loadbalancer.discovery.overrides import AdminOverride
-from loadbalancer.fleet.replication.commands import Command, MarkBody, write_body
+from loadbalancer.fleet.replication.commands import Command, OverrideBody, write_body
 from loadbalancer.fleet.replication.events import CommandsReceived
 from loadbalancer.fleet.replication.replica import PaxosReplica
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
@@ -91,7 +91,7 @@
 
 
 def mark_change(number: int) -> Command:
-    body = MarkBody(
+    body = OverrideBody(
         "pool", {f"member-{number}": AdminOverride(word="drain", by="operator", reason="a reason")}
     )
     return Command(f"edge-1-0123456789ab-{number}", "mark", write_body(body), "operator", "a reason", 1.7e9)
@@ -111,7 +111,7 @@
         for part in StateSender(ahead).answer(taker.next_request(0)):
             size += len(msgspec.msgpack.encode(part))
             parts += 1
-            found, _ = taker.take(part)
+            found, _ = taker.receive(part)
             if found is not None:
                 behind.handle(1.0, found)
         took = time.perf_counter() - began
--- a/emulator/fleetstate.py
+++ b/emulator/fleetstate.py
@@ -209,7 +209,7 @@
         for message in other.state_sender.answer(
             self.state_receiver.next_request(self.versions.state.version)
         ):
-            found, last = self.state_receiver.take(message)
+            found, last = self.state_receiver.receive(message)
             if found is not None:
                 self.hand(found)
             if last:
--- a/emulator/herd.py
+++ b/emulator/herd.py
@@ -22,7 +22,7 @@
     RecoveryObservation,
     RecoveryPhase,
     is_full,
-    turn,
+    stagger_delay,
 )
 from loadbalancer.policy.idle_connections import MIN_RATE_PER_CONNECTION
 from loadbalancer.upstreams.pacing import Pacer
@@ -127,7 +127,7 @@
         if phase == RecoveryPhase.WARMING and not self.listed:
             self.call()
         elif phase == RecoveryPhase.WARMING:
-            after = turn(self.name, coming, SOURCE, SOURCES) if self.herd.measures.turns else 0.0
+            after = stagger_delay(self.name, coming, SOURCE, SOURCES) if self.herd.measures.turns else 0.0
             self.herd.clock.after(after, self.call)
 
     def learn(self, wish: LearnFromPeers) -> None:
@@ -140,12 +140,12 @@
             herd.clock.after(max(waits), self.lesson)
         else:
             assert self.comeback is not None
-            herd.clock.after(max(waits), self.comeback.learnt)
+            herd.clock.after(max(waits), self.comeback.on_survivors_answered)
 
     def lesson(self) -> None:
         assert self.comeback is not None
         self.knows_sick = True
-        self.comeback.learnt()
+        self.comeback.on_survivors_answered()
 
     def take_list(self) -> None:
         self.listed = True
--- a/loadbalancer/daemon/applied_state.py
+++ b/loadbalancer/daemon/applied_state.py
@@ -10,8 +10,8 @@
 from loadbalancer.daemon.components import ReplicatedOverrideTarget
 from loadbalancer.daemon.fleet_interfaces import Clock
 from loadbalancer.fleet.replication.actions import CommandApplied
-from loadbalancer.fleet.replication.commands import CommandKind, MarkBody, MoveBody
-from loadbalancer.fleet.replication.epochs import AS_KEPT, WHOLE, Epoch, describe
+from loadbalancer.fleet.replication.commands import CommandKind, MigrationBody, OverrideBody
+from loadbalancer.fleet.replication.epochs import FROM_SNAPSHOT, RESTORED_FROM_STORE, Epoch, describe
 from loadbalancer.fleet.replication.replicated_state import (
     ItemKind,
     ReplicatedState,
@@ -48,7 +48,7 @@
         self._state = state
         self._overrides = overrides
         self._clock = clock
-        first = Epoch(state.version, AS_KEPT, "", clock())
+        first = Epoch(state.version, RESTORED_FROM_STORE, "", clock())
         self.history: deque[Epoch] = deque([first], maxlen=MAX_HISTORY)
         self._expiries: dict[TouchedItem, Expiry] = {}
 
@@ -71,7 +71,7 @@
 
     def apply_snapshot(self) -> None:
         """Bring a state into force that replaces another one, and lift what it does not have."""
-        self.history.append(Epoch(self._state.version, WHOLE, "", self._clock()))
+        self.history.append(Epoch(self._state.version, FROM_SNAPSHOT, "", self._clock()))
         for pool, overrides in list(self._overrides.overrides.items()):
             for endpoint in list(overrides):
                 if endpoint not in self._state.overrides.get(pool, {}):
@@ -92,10 +92,10 @@
             self._expiries[touched] = Expiry(expiry.version, now + EXPIRY_RETRY_INTERVAL_S)
             match touched:
                 case TouchedOverride(pool=pool, endpoint=endpoint):
-                    lifted = MarkBody(pool, {endpoint: None}, 0.0, expiry.version)
+                    lifted = OverrideBody(pool, {endpoint: None}, 0.0, expiry.version)
                     yield CommandContent(CommandKind.MARK, lifted)
                 case TouchedMigration(pool=pool):
-                    yield CommandContent(CommandKind.MOVE, MoveBody(pool, None, 0.0, expiry.version))
+                    yield CommandContent(CommandKind.MOVE, MigrationBody(pool, None, 0.0, expiry.version))
 
     def _apply(self, touched: TouchedItem) -> None:
         item: VersionedOverride | VersionedMigration | None = None
--- a/loadbalancer/daemon/command_factory.py
+++ b/loadbalancer/daemon/command_factory.py
@@ -16,10 +16,10 @@
     Command,
     CommandKind,
     FreezeBody,
-    MarkBody,
-    MoveBody,
+    MigrationBody,
+    OverrideBody,
     RecoverBody,
-    RosterBody,
+    VoterBody,
     write_body,
 )
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
@@ -94,11 +94,11 @@
         pool = change.request.pool or ""
         if change.verb in OVERRIDE_VERBS:
             return CommandContent(
-                CommandKind.MARK, MarkBody(pool, self._overrides.planned_overrides(change), change.until)
+                CommandKind.MARK, OverrideBody(pool, self._overrides.planned_overrides(change), change.until)
             )
         if change.verb == MIGRATION_VERB:
             return CommandContent(
-                CommandKind.MOVE, MoveBody(pool, self._overrides.planned_migration(change), change.until)
+                CommandKind.MOVE, MigrationBody(pool, self._overrides.planned_migration(change), change.until)
             )
         if change.verb in FREEZE_VERBS:
             return CommandContent(CommandKind.FREEZE, FreezeBody(pool, change.verb == "freeze"))
@@ -109,9 +109,9 @@
         name = request.name or ""
         match change.verb:
             case "fleet/enrol":
-                return CommandContent(CommandKind.ROSTER, RosterBody(name, self._require_store(name)))
+                return CommandContent(CommandKind.ROSTER, VoterBody(name, self._require_store(name)))
             case "fleet/expel":
-                return CommandContent(CommandKind.ROSTER, RosterBody(name, ""))
+                return CommandContent(CommandKind.ROSTER, VoterBody(name, ""))
             case "fleet/rollout":
                 return CommandContent(CommandKind.PLAN, self._rollout_plan(change))
             case "fleet/halt":
--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -305,7 +305,7 @@
         found["coming_back"] = self.recovery.report()
         return found | {
             "counted_with": size.instances,
-            "counted_as": size.standing,
+            "counted_as": size.basis,
             "keys": [f"{number:02x}" for number in self.transport.sealer.keys],
             "wire": dict(sorted(self.transport.counts.items())),
         }
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -25,8 +25,8 @@
     RecoveryPhase,
     StartKind,
     is_full,
-    return_after,
-    turn,
+    retry_delay_s,
+    stagger_delay,
 )
 from loadbalancer.fleet.replication.messages import QueryRequest
 from loadbalancer.fleet.wire import Message
@@ -129,7 +129,7 @@
                 case ConnectionPace():
                     self._set_pace(action)
         for pool in self._daemon.pools.values():
-            pool.proxy.retry_after_s = return_after(self._random.random(), len(seen.recovering))
+            pool.proxy.retry_after_s = retry_delay_s(self._random.random(), len(seen.recovering))
         self._adjust_pace()
         self._learning.apply()
 
@@ -154,7 +154,7 @@
         """
         name = self.coordinator.name
         is_mass_restart = self.coordinator.kind == StartKind.MASS
-        delay_s = turn(name, seen.recovering, DISCOVERY_TURN_S, MAX_DISCOVERY_SPREAD_S)
+        delay_s = stagger_delay(name, seen.recovering, DISCOVERY_TURN_S, MAX_DISCOVERY_SPREAD_S)
         lacking = [pool for pool in self._daemon.pools.values() if not pool.proxy.listed]
         for pool in self._daemon.pools.values():
             pool.release(delay_s if pool not in lacking or is_mass_restart else 0.0)
@@ -172,7 +172,7 @@
 
     async def _learn(self, names: tuple[str, ...]) -> None:
         await self._learning.learn(names)
-        self.coordinator.learnt()
+        self.coordinator.on_survivors_answered()
 
     def _observe(self) -> RecoveryObservation:
         living = list(self.view.table.living)
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -33,7 +33,7 @@
 from loadbalancer.daemon.state_transfer import StateTransferDriver
 from loadbalancer.daemon.version_report import VERSIONS_QUERY, VersionReport
 from loadbalancer.daemon.vote_monitor import VoteMonitor
-from loadbalancer.fleet.orchestration.rollout import OPEN
+from loadbalancer.fleet.orchestration.rollout import ACTIVE_STAGES
 from loadbalancer.fleet.replication.actions import (
     Action,
     AdmitStore,
@@ -280,7 +280,7 @@
         plan = self.state.rollout_plan
         names = sorted({self._name, *(member.name for member in self._peers.members())})
         self._rollout.step(plan, names)
-        if plan is None or plan.stage not in OPEN:
+        if plan is None or plan.stage not in ACTIVE_STAGES:
             return
         self._perform(self.replica.announce_to_voters())
         body = self._coordinator.next_stage(plan, now)
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -65,7 +65,7 @@
         Raises:
             CallError: a rolling restart is under way here.
         """
-        if self._restart is not None and not self._restart.over:
+        if self._restart is not None and not self._restart.is_over:
             raise CallError(409, "a restart of the fleet is under way here")
         names = [self._peers.name, *self._peers.live_names()]
         self._restart = RollingRestart(self._peers.name, names, change.request.group, time.monotonic())
@@ -73,7 +73,7 @@
         answer(self.report())
 
     async def _drive(self, restart: RollingRestart) -> None:
-        while not restart.over:
+        while not restart.is_over:
             for member in restart.step(time.monotonic(), self._observe()):
                 await self._restart_member(member.name, restart)
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -152,4 +152,4 @@
 def _progress(restart: RollingRestart) -> str:
     if restart.halted:
         return "halted"
-    return "done" if restart.over else "under way"
+    return "done" if restart.is_over else "under way"
--- a/loadbalancer/daemon/send_guard.py
+++ b/loadbalancer/daemon/send_guard.py
@@ -47,7 +47,7 @@
                 return AttemptResult.NO_CONNECTION
             epoch = self._history[-1]
             epoch.sends += 1
-            epoch.last = now
+            epoch.last_send_at = now
             return None
 
         return check
--- a/loadbalancer/daemon/state_transfer.py
+++ b/loadbalancer/daemon/state_transfer.py
@@ -72,7 +72,7 @@
         async for message in self._peers.ask_member(member, request):
             if not isinstance(message, (LogEntries, SnapshotChunk)):
                 raise ValueError("neither changes nor a state")  # noqa: TRY004
-            received, is_last = self._receiver.take(message)
+            received, is_last = self._receiver.receive(message)
             if received is not None:
                 self._deliver(received)
             if is_last:
--- a/loadbalancer/fleet/orchestration/fleet_size.py
+++ b/loadbalancer/fleet/orchestration/fleet_size.py
@@ -28,7 +28,7 @@
 STEP_FACTOR = 0.75
 
 
-class SizeStanding(enum.StrEnum):
+class SizeBasis(enum.StrEnum):
     """The basis of a size estimate; the values are in the administrative API."""
 
     CONFIGURED = "configured"
@@ -44,12 +44,12 @@
 
     Attributes:
         instances: Number of instances.
-        standing: The basis of the estimate.
+        basis: The basis of the estimate.
         age_s: Seconds since a settled view last confirmed it; infinity if none has.
     """
 
     instances: int
-    standing: SizeStanding
+    basis: SizeBasis
     age_s: float
 
 
@@ -59,7 +59,7 @@
     Attributes:
         number: The current estimate.
         settled: Size of the last settled view that was accepted.
-        standing: The basis of the estimate.
+        basis: The basis of the estimate.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         """
         self.number = configured
         self.settled = configured
-        self.standing = SizeStanding.CONFIGURED
+        self.basis = SizeBasis.CONFIGURED
         self._shrink_confirmation_s = shrink_confirmation_s
         self._step_s = step_s
         self._confirmed_at = -math.inf
@@ -96,14 +96,14 @@
         if settled and self._accepts_view(now, living):
             self.settled = living
             self._confirmed_at = now
-            self.standing = SizeStanding.SETTLED
+            self.basis = SizeBasis.SETTLED
         elif settled:
-            self.standing = SizeStanding.CUT_OFF
-        elif self.standing != SizeStanding.CONFIGURED:
+            self.basis = SizeBasis.CUT_OFF
+        elif self.basis != SizeBasis.CONFIGURED:
             half_or_less = 2 * living <= self.settled
-            self.standing = SizeStanding.CUT_OFF if half_or_less else SizeStanding.MOVING
+            self.basis = SizeBasis.CUT_OFF if half_or_less else SizeBasis.MOVING
         self._approach_settled(now)
-        return SizeEstimate(self.number, self.standing, max(0.0, now - self._confirmed_at))
+        return SizeEstimate(self.number, self.basis, max(0.0, now - self._confirmed_at))
 
     def _accepts_view(self, now: float, living: int) -> bool:
         """Return whether a settled view of this size is accepted (rules 2 and 3)."""
@@ -126,5 +126,5 @@
         elif self.settled < self.number and now - self._last_step_at >= self._step_s:
             self.number = max(self.settled, int(self.number * STEP_FACTOR))
             self._last_step_at = now
-        if self.number != self.settled and self.standing == SizeStanding.SETTLED:
-            self.standing = SizeStanding.MOVING
+        if self.number != self.settled and self.basis == SizeBasis.SETTLED:
+            self.basis = SizeBasis.MOVING
--- a/loadbalancer/fleet/orchestration/recovery.py
+++ b/loadbalancer/fleet/orchestration/recovery.py
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnFromPeers:
-    """Request endpoint statistics from survivors; the caller then calls `RecoveryCoordinator.learnt`.
+    """Request endpoint statistics from survivors; the caller then calls `RecoveryCoordinator.on_survivors_answered`.
 
     Attributes:
         names: The survivors to ask, in order of preference.
@@ -201,7 +201,7 @@
         self._served_at_window_start = 0
         self._ended_at_window_start = 0
 
-    def learnt(self) -> None:
+    def on_survivors_answered(self) -> None:
         """Record that the survivors that were asked have answered, or will not answer."""
         self._learning = _Learning.ANSWERED
 
@@ -254,7 +254,7 @@
                 return []
             self._learning = _Learning.ASKED
             return [self._begin_warming(now, observation, "nobody is there who could tell")]
-        if now < self.since + turn(self.name, observation.recovering, STAGGER_INTERVAL_S):
+        if now < self.since + stagger_delay(self.name, observation.recovering, STAGGER_INTERVAL_S):
             return []
         self._learning = _Learning.ASKED
         return [LearnFromPeers(choose_survivors(self.name, survivors))]
@@ -311,7 +311,7 @@
     return StartKind.LONE
 
 
-def turn(
+def stagger_delay(
     name: str, recovering: Sequence[str], interval_s: float, max_total_s: float = MAX_STAGGER_S
 ) -> float:
     """Return the delay in seconds that staggers an instance among those that recover together.
@@ -336,7 +336,7 @@
     return tuple((order[first:] + order[:first])[:MAX_ASKED_SURVIVORS])
 
 
-def return_after(draw: float, recovering: int, min_s: float = 1.0) -> int:
+def retry_delay_s(draw: float, recovering: int, min_s: float = 1.0) -> int:
     """Return the delay in whole seconds after which a rejected client may retry.
 
     Args:
--- a/loadbalancer/fleet/orchestration/rolling_restart.py
+++ b/loadbalancer/fleet/orchestration/rolling_restart.py
@@ -75,7 +75,7 @@
         self._boots_before: dict[str, int] = {}  # boot ids of the group in progress, before its restart
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether the restart has halted or is complete."""
         return bool(self.halted) or not self.groups
 
@@ -86,7 +86,7 @@
             now: Current time in seconds on the clock of the constructor.
             members: All instances that have not left, by name.
         """
-        if self.over:
+        if self.is_over:
             return []
         if self._boots_before:
             self._check_group(now, members)
--- a/loadbalancer/fleet/orchestration/rollout.py
+++ b/loadbalancer/fleet/orchestration/rollout.py
@@ -52,7 +52,7 @@
 
 
 #: Stages that end without an operator's command.
-OPEN = (
+ACTIVE_STAGES = (
     RolloutStage.CHECKING,
     RolloutStage.ONE,
     RolloutStage.QUARTER,
--- a/loadbalancer/fleet/replication/commands.py
+++ b/loadbalancer/fleet/replication/commands.py
@@ -53,7 +53,7 @@
     at: float = 0.0
 
 
-class MarkBody(Struct, frozen=True, array_like=True):
+class OverrideBody(Struct, frozen=True, array_like=True):
     """Set or lift administrative overrides of a pool's endpoints.
 
     Attributes:
@@ -69,8 +69,8 @@
     expected_version: int = 0
 
 
-class MoveBody(Struct, frozen=True, array_like=True):
-    """Start or end the traffic migration of a pool; the other attributes are those of `MarkBody`.
+class MigrationBody(Struct, frozen=True, array_like=True):
+    """Start or end the traffic migration of a pool; the other attributes are those of `OverrideBody`.
 
     Attributes:
         migration: The migration to start; None ends the current one.
@@ -89,7 +89,7 @@
     frozen: bool
 
 
-class RosterBody(Struct, frozen=True, array_like=True):
+class VoterBody(Struct, frozen=True, array_like=True):
     """Register a voter's store, or remove the voter.
 
     Attributes:
@@ -111,13 +111,13 @@
     voters: dict[str, str]
 
 
-CommandBody = Union[MarkBody, MoveBody, FreezeBody, RosterBody, RecoverBody, PlanBody, StageBody]
+CommandBody = Union[OverrideBody, MigrationBody, FreezeBody, VoterBody, RecoverBody, PlanBody, StageBody]
 
 BODY_TYPES: Mapping[str, type[CommandBody]] = {
-    CommandKind.MARK: MarkBody,
-    CommandKind.MOVE: MoveBody,
+    CommandKind.MARK: OverrideBody,
+    CommandKind.MOVE: MigrationBody,
     CommandKind.FREEZE: FreezeBody,
-    CommandKind.ROSTER: RosterBody,
+    CommandKind.ROSTER: VoterBody,
     CommandKind.RECOVER: RecoverBody,
     CommandKind.PLAN: PlanBody,
     CommandKind.STAGE: StageBody,
--- a/loadbalancer/fleet/replication/epochs.py
+++ b/loadbalancer/fleet/replication/epochs.py
@@ -9,17 +9,17 @@
 from loadbalancer.fleet.replication.commands import (
     Command,
     FreezeBody,
-    MarkBody,
-    MoveBody,
+    MigrationBody,
+    OverrideBody,
     RecoverBody,
-    RosterBody,
+    VoterBody,
     read_body,
 )
 from loadbalancer.fleet.replication.errors import StateError
 
 #: Descriptions of a version whose command is unknown: it was restored from the store, or came with a snapshot.
-AS_KEPT = "as kept"
-WHOLE = "the whole state"
+RESTORED_FROM_STORE = "as kept"
+FROM_SNAPSHOT = "the whole state"
 #: Fields that are reported for each instance besides its epochs.
 INSTANCE_KEYS = (
     "instance",
@@ -85,20 +85,20 @@
         version: The version.
         what: One-line description of the command that has produced it.
         by: Who has requested the command.
-        at: When it was applied, in seconds on the lease's clock.
+        applied_at: When it was applied, in seconds on the lease's clock.
         sends: Number of attempts sent under it.
-        last: When the last of them was sent, in seconds on the lease's clock; 0 for none.
+        last_send_at: When the last of them was sent, in seconds on the lease's clock; 0 for none.
     """
 
-    __slots__ = ("at", "by", "last", "sends", "version", "what")
+    __slots__ = ("applied_at", "by", "last_send_at", "sends", "version", "what")
 
-    def __init__(self, version: int, what: str, by: str, at: float) -> None:
+    def __init__(self, version: int, what: str, by: str, applied_at: float) -> None:
         self.version = version
         self.what = what
         self.by = by
-        self.at = at
+        self.applied_at = applied_at
         self.sends = 0
-        self.last = 0.0
+        self.last_send_at = 0.0
 
     def row(self, clock_origin: float) -> dict[str, Any]:
         """Return the epoch as an `EpochRow`.
@@ -110,9 +110,9 @@
             "version": self.version,
             "what": self.what,
             "by": self.by,
-            "taken_at": round(clock_origin + self.at, 3),
+            "taken_at": round(clock_origin + self.applied_at, 3),
             "sends": self.sends,
-            "last_send_at": round(clock_origin + self.last, 3) if self.last else None,
+            "last_send_at": round(clock_origin + self.last_send_at, 3) if self.last_send_at else None,
         }
         return dict(row)
 
@@ -124,14 +124,14 @@
     except StateError as error:
         return str(error)
     match body:
-        case MarkBody():
+        case OverrideBody():
             overrides = (f"{name} {_describe_override(item)}" for name, item in body.overrides.items())
             return f"{body.pool}: {', '.join(overrides)}"
-        case MoveBody():
+        case MigrationBody():
             return f"{body.pool}: {_describe_migration(body)}"
         case FreezeBody():
             return f"{body.pool}: {'frozen' if body.frozen else 'thawed'}"
-        case RosterBody():
+        case VoterBody():
             return f"roster: {body.name} {'votes' if body.store else 'votes no more'}"
         case PlanBody():
             return f"roll-out {body.id} of {body.digest[:8]}"
@@ -150,7 +150,7 @@
     return f"weight {override.weight:g}" if override.weight is not None else "added"
 
 
-def _describe_migration(body: MoveBody) -> str:
+def _describe_migration(body: MigrationBody) -> str:
     if body.migration is None:
         return "move ended"
     return f"{body.migration.share:g} to {body.migration.other}"
@@ -189,7 +189,7 @@
                 "taken_up": {},
                 "last_before": {},
             }
-        if row["what"] in (AS_KEPT, WHOLE):  # another instance may have seen the command
+        if row["what"] in (RESTORED_FROM_STORE, FROM_SNAPSHOT):  # another instance may have seen the command
             row["what"] = epoch["what"]
             row["by"] = epoch["by"]
         row["taken_up"][name] = epoch["taken_at"]
--- a/loadbalancer/fleet/replication/replicated_state.py
+++ b/loadbalancer/fleet/replication/replicated_state.py
@@ -22,15 +22,21 @@
 from msgspec import Struct
 
 from loadbalancer.discovery.overrides import AdminOverride
-from loadbalancer.fleet.orchestration.rollout import OPEN, PlanBody, RolloutPlan, RolloutStage, StageBody
+from loadbalancer.fleet.orchestration.rollout import (
+    ACTIVE_STAGES,
+    PlanBody,
+    RolloutPlan,
+    RolloutStage,
+    StageBody,
+)
 from loadbalancer.fleet.replication.commands import (
     Command,
     CommandBody,
     FreezeBody,
-    MarkBody,
-    MoveBody,
+    MigrationBody,
+    OverrideBody,
     RecoverBody,
-    RosterBody,
+    VoterBody,
     read_body,
 )
 from loadbalancer.fleet.replication.errors import StateError
@@ -174,13 +180,13 @@
 
     def _apply_body(self, body: CommandBody) -> tuple[TouchedItem, ...]:
         match body:
-            case MarkBody():
+            case OverrideBody():
                 return self._apply_overrides(body)
-            case MoveBody():
+            case MigrationBody():
                 return self._apply_migration(body)
             case FreezeBody():
                 return self._apply_freeze(body)
-            case RosterBody():
+            case VoterBody():
                 return self._apply_voter(body)
             case RecoverBody():
                 self.voters = dict(body.voters)
@@ -190,13 +196,13 @@
             case StageBody():
                 return self._apply_stage(body)
 
-    def _apply_overrides(self, body: MarkBody) -> tuple[TouchedItem, ...]:
+    def _apply_overrides(self, body: OverrideBody) -> tuple[TouchedItem, ...]:
         endpoints = [endpoint for endpoint in body.overrides if self._is_expected(body, endpoint)]
         for endpoint in endpoints:
             self._set_override(body.pool, endpoint, body.overrides[endpoint], body.duration)
         return tuple(TouchedOverride(ItemKind.OVERRIDE, body.pool, endpoint) for endpoint in endpoints)
 
-    def _is_expected(self, body: MarkBody, endpoint: str) -> bool:
+    def _is_expected(self, body: OverrideBody, endpoint: str) -> bool:
         """Return whether the endpoint's override is still the one that the command expects."""
         current = self.overrides.get(body.pool, {}).get(endpoint)
         return not body.expected_version or (current is not None and current.version == body.expected_version)
@@ -213,7 +219,7 @@
         elif not overrides:
             del self.overrides[pool]
 
-    def _apply_migration(self, body: MoveBody) -> tuple[TouchedItem, ...]:
+    def _apply_migration(self, body: MigrationBody) -> tuple[TouchedItem, ...]:
         current = self.migrations.get(body.pool)
         current_version = current.version if current is not None else 0
         if body.expected_version and current_version != body.expected_version:
@@ -230,7 +236,7 @@
             self.frozen.discard(body.pool)
         return (TouchedFreeze(ItemKind.FREEZE, body.pool),)
 
-    def _apply_voter(self, body: RosterBody) -> tuple[TouchedItem, ...]:
+    def _apply_voter(self, body: VoterBody) -> tuple[TouchedItem, ...]:
         if body.store:
             self.voters[body.name] = body.store
         else:
@@ -258,23 +264,23 @@
             StateError: It must not be proposed in the current state.
         """
         match read_body(command):
-            case MarkBody() as body:
+            case OverrideBody() as body:
                 self._check_overrides(body)
             case PlanBody():
                 self._check_plan()
-            case RosterBody() as body:
+            case VoterBody() as body:
                 self._check_voter(body)
 
-    def _check_overrides(self, body: MarkBody) -> None:
+    def _check_overrides(self, body: OverrideBody) -> None:
         if self._override_count + len(body.overrides) > MAX_OVERRIDES:
             raise StateError(f"{self._override_count} marks stand; at most {MAX_OVERRIDES}")
 
     def _check_plan(self) -> None:
         plan = self.rollout_plan
-        if plan is not None and plan.stage in (*OPEN, RolloutStage.HALTED):
+        if plan is not None and plan.stage in (*ACTIVE_STAGES, RolloutStage.HALTED):
             raise StateError(f"roll-out {plan.id} is under way ({plan.stage}); take it back first")
 
-    def _check_voter(self, body: RosterBody) -> None:
+    def _check_voter(self, body: VoterBody) -> None:
         is_voter = body.name in self.voters
         if body.store:
             if not is_voter and len(self.voters) >= MAX_VOTERS:
--- a/loadbalancer/fleet/replication/state_transfer.py
+++ b/loadbalancer/fleet/replication/state_transfer.py
@@ -97,7 +97,7 @@
         """Return the request of an instance that acts on `version`; it resumes a snapshot that was received in part."""
         return StateRequest(version, self._digest, len(self._data))
 
-    def take(self, message: LogEntries | SnapshotChunk) -> TransferStep:
+    def receive(self, message: LogEntries | SnapshotChunk) -> TransferStep:
         """Receive one message of the answer.
 
         Raises:
--- a/loadbalancer/fleet/replication/voter_registration.py
+++ b/loadbalancer/fleet/replication/voter_registration.py
@@ -19,7 +19,7 @@
 from typing import Union
 
 from loadbalancer.fleet.replication.actions import AdmitStore, Persist, SendMessage, VoterStore
-from loadbalancer.fleet.replication.commands import Command, CommandKind, RosterBody, write_body
+from loadbalancer.fleet.replication.commands import Command, CommandKind, VoterBody, write_body
 from loadbalancer.fleet.replication.context import ReplicaContext
 from loadbalancer.fleet.replication.events import Propose
 from loadbalancer.fleet.replication.learner import Learner
@@ -142,7 +142,7 @@
         command = Command(
             f"{context.name}-{context.store_id}-{context.random.getrandbits(PROPOSAL_NONCE_BITS):x}",
             CommandKind.ROSTER.value,
-            write_body(RosterBody(context.name, context.store_id)),
+            write_body(VoterBody(context.name, context.store_id)),
             context.name,
             "its store was lost",
         )
--- a/tests/daemon/test_applied_state.py
+++ b/tests/daemon/test_applied_state.py
@@ -8,8 +8,8 @@
 from loadbalancer.daemon.command_factory import CommandContent
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.replication.actions import CommandApplied
-from loadbalancer.fleet.replication.commands import Command, MarkBody, write_body
-from loadbalancer.fleet.replication.epochs import WHOLE
+from loadbalancer.fleet.replication.commands import Command, OverrideBody, write_body
+from loadbalancer.fleet.replication.epochs import FROM_SNAPSHOT
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 
 NOW = 100.0
@@ -21,7 +21,7 @@
     state = ReplicatedState({})
     overrides = RecordingOverrides()
     applied = AppliedState(state, overrides, lambda: NOW)
-    body = MarkBody("p", {"m1": DRAIN}, duration_s)
+    body = OverrideBody("p", {"m1": DRAIN}, duration_s)
     command = Command("a-1", "mark", write_body(body), "operator")
     touched = tuple(state.apply(command))
     applied.apply_command(CommandApplied(state.version, command, touched))
@@ -44,7 +44,7 @@
 
 def test_the_end_of_an_override_is_proposed_again_until_it_is_applied() -> None:
     applied, _ = drained(5.0)
-    end = CommandContent("mark", MarkBody("p", {"m1": None}, 0.0, 1))
+    end = CommandContent("mark", OverrideBody("p", {"m1": None}, 0.0, 1))
 
     assert list(applied.expire(NOW + 4.9)) == []
     assert list(applied.expire(NOW + 5.0)) == [end]
@@ -65,4 +65,4 @@
     assert overrides.overrides == {"p": {}}
     assert overrides.migrations == {"p": None}
     assert overrides.frozen == {"q": True}
-    assert applied.history[-1].what == WHOLE
+    assert applied.history[-1].what == FROM_SNAPSHOT
--- a/tests/daemon/test_command_factory.py
+++ b/tests/daemon/test_command_factory.py
@@ -20,7 +20,13 @@
 from loadbalancer.daemon.rollout import RequestCounts, RolloutService
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.fleet.orchestration.rollout import PlanBody, RolloutPlan, StageBody
-from loadbalancer.fleet.replication.commands import FreezeBody, MarkBody, MoveBody, RecoverBody, RosterBody
+from loadbalancer.fleet.replication.commands import (
+    FreezeBody,
+    MigrationBody,
+    OverrideBody,
+    RecoverBody,
+    VoterBody,
+)
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 from loadbalancer.fleet.wire import Message
 
@@ -56,16 +62,16 @@
     [
         (
             change("drain", 60.0, pool="p", members=["m1"]),
-            CommandContent("mark", MarkBody("p", {"m1": AdminOverride("drain")}, 60.0)),
+            CommandContent("mark", OverrideBody("p", {"m1": AdminOverride("drain")}, 60.0)),
         ),
         (
             change("move", 5.0, pool="p", other="q", share=0.0),
-            CommandContent("move", MoveBody("p", None, 5.0)),
+            CommandContent("move", MigrationBody("p", None, 5.0)),
         ),
         (change("freeze", pool="p"), CommandContent("freeze", FreezeBody("p", True))),
         (change("thaw", pool="p"), CommandContent("freeze", FreezeBody("p", False))),
-        (change("fleet/enrol", name="b"), CommandContent("roster", RosterBody("b", "s1"))),
-        (change("fleet/expel", name="c"), CommandContent("roster", RosterBody("c", ""))),
+        (change("fleet/enrol", name="b"), CommandContent("roster", VoterBody("b", "s1"))),
+        (change("fleet/expel", name="c"), CommandContent("roster", VoterBody("c", ""))),
         (change("fleet/recover", roster=["a"]), CommandContent("recover", RecoverBody({"a": ""}))),
     ],
     ids=lambda value: value.verb if isinstance(value, Change) else "",
--- a/tests/daemon/test_persisted_state.py
+++ b/tests/daemon/test_persisted_state.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.daemon import persisted_state
 from loadbalancer.discovery.overrides import AdminOverride
-from loadbalancer.fleet.replication.commands import Command, FreezeBody, MarkBody, write_body
+from loadbalancer.fleet.replication.commands import Command, FreezeBody, OverrideBody, write_body
 from loadbalancer.fleet.replication.learner import RETAINED_COMMANDS
 from loadbalancer.fleet.replication.messages import AcceptorState, ObservedStore
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
@@ -26,7 +26,7 @@
 
 
 def drain(endpoint: str, number: int) -> Command:
-    body = MarkBody("p", {endpoint: AdminOverride("drain")}, 5.0)
+    body = OverrideBody("p", {endpoint: AdminOverride("drain")}, 5.0)
     return Command(f"a-{number}", "mark", write_body(body), "operator")
 
 
@@ -40,7 +40,7 @@
     state = ReplicatedState({"a": "s0"})
     commit(view, state, drain("m1", 1))
     commit(view, state, Command("a-2", "freeze", write_body(FreezeBody("q", True))))
-    commit(view, state, Command("a-3", "mark", write_body(MarkBody("p", {"m1": None}))))
+    commit(view, state, Command("a-3", "mark", write_body(OverrideBody("p", {"m1": None}))))
     commit(view, state, drain("m2", 4))
     found = ReplicatedState({})
 
--- a/tests/daemon/test_send_guard.py
+++ b/tests/daemon/test_send_guard.py
@@ -30,7 +30,7 @@
     result = checks.for_pool("p", sticky_while_draining=False)("m1")
 
     assert result is None
-    assert (epoch.sends, epoch.last) == (1, NOW)
+    assert (epoch.sends, epoch.last_send_at) == (1, NOW)
 
 
 def test_nothing_is_sent_without_a_lease() -> None:
--- a/tests/fleet/orchestration/test_fleet_size.py
+++ b/tests/fleet/orchestration/test_fleet_size.py
@@ -16,8 +16,8 @@
 def test_configured_size_is_used_until_a_view_has_settled() -> None:
     size = FleetSize(8)
     assert size.step(1.0, 1, False).instances == 8
-    assert size.step(2.0, 1, False).standing == "configured"
-    assert size.step(3.0, 8, True).standing == "settled"
+    assert size.step(2.0, 1, False).basis == "configured"
+    assert size.step(3.0, 8, True).basis == "settled"
 
 
 def test_instance_that_is_cut_off_keeps_the_last_settled_size() -> None:
@@ -25,9 +25,9 @@
     now = observe(size, 5, 8, True, 0.0)
     now = observe(size, 60, 1, True, now)
     assert size.number == 8
-    assert size.standing == "cut off"
+    assert size.basis == "cut off"
     now = observe(size, 5, 8, True, now)
-    assert (size.number, size.standing) == (8, "settled")
+    assert (size.number, size.basis) == (8, "settled")
 
 
 def test_size_shrinks_in_steps_and_grows_at_once() -> None:
--- a/tests/fleet/orchestration/test_recovery.py
+++ b/tests/fleet/orchestration/test_recovery.py
@@ -21,8 +21,8 @@
     RecoveryObservation,
     RecoveryPhase,
     choose_survivors,
-    return_after,
-    turn,
+    retry_delay_s,
+    stagger_delay,
 )
 
 
@@ -149,9 +149,9 @@
 
 @given(st.sets(st.text(min_size=1, max_size=5), min_size=1, max_size=40))
 def test_start_delays_are_distinct_and_survivors_and_retry_delays_are_within_bounds(names: set[str]) -> None:
-    delays = [turn(name, sorted(names - {name}), 0.05) for name in names]
+    delays = [stagger_delay(name, sorted(names - {name}), 0.05) for name in names]
     interval_s = min(0.05, 1.0 / len(names))
     assert sorted(round(delay / interval_s) for delay in delays) == list(range(len(names)))
     assert max(delays) < 1.0
-    assert all(1 <= return_after(draw, len(names)) <= 10 for draw in (0.0, 0.5, 1.0))
+    assert all(1 <= retry_delay_s(draw, len(names)) <= 10 for draw in (0.0, 0.5, 1.0))
     assert len(set(choose_survivors("x", sorted(names)))) == min(MAX_ASKED_SURVIVORS, len(names))
--- a/tests/fleet/replication/replica_model.py
+++ b/tests/fleet/replication/replica_model.py
@@ -7,13 +7,13 @@
 
 from emulator.fleetstate import StateModel
 from loadbalancer.discovery.overrides import AdminOverride
-from loadbalancer.fleet.replication.commands import Command, MarkBody, write_body
+from loadbalancer.fleet.replication.commands import Command, OverrideBody, write_body
 from loadbalancer.fleet.replication.lease import MAX_CLOCK_DRIFT
 
 
 def override_command(number: int, member: str = "m", word: Any = "cordon") -> Command:
     """Return the command `c<number>`, which sets an override, or lifts it if `word` is None."""
-    body = MarkBody("p", {member: AdminOverride(word=word) if word else None})
+    body = OverrideBody("p", {member: AdminOverride(word=word) if word else None})
     return Command(f"c{number}", "mark", write_body(body), "test")
 
 
--- a/tests/fleet/replication/test_replica_schedules.py
+++ b/tests/fleet/replication/test_replica_schedules.py
@@ -78,7 +78,7 @@
                 for part in StateSender(self.all[action.source]).answer(
                     messages.StateRequest(replica.state.version)
                 ):
-                    received, _ = StateReceiver().take(part)
+                    received, _ = StateReceiver().receive(part)
                     if received is not None:
                         self.handle(name, received)
             elif isinstance(action, CommandCompleted):
--- a/tests/fleet/replication/test_state_transfer.py
+++ b/tests/fleet/replication/test_state_transfer.py
@@ -28,7 +28,7 @@
                 interruptions += 1
                 break  # the connection is interrupted; received chunks are kept
             assert len(msgspec.msgpack.encode(part)) < CHUNK_BYTES + 2048
-            received, _ = receiver.take(part)
+            received, _ = receiver.receive(part)
             if received is not None:
                 behind.handle(1.0, received)
     assert behind.state.digest() == ahead.state.digest()
@@ -45,7 +45,7 @@
         for number, part in enumerate(parts):
             assert isinstance(part, messages.SnapshotChunk)
             data = part.data[:-1] + b"x" if number == 1 else part.data
-            receiver.take(msgspec.structs.replace(part, data=data))
+            receiver.receive(msgspec.structs.replace(part, data=data))
     with pytest.raises(ValueError, match="follow"):
-        receiver.take(parts[1])
+        receiver.receive(parts[1])
     assert receiver.next_request(0).offset == 0
