--- a/loadbalancer/fleet/replication/replicated_state.py
+++ b/loadbalancer/fleet/replication/replicated_state.py
@@ -2,13 +2,14 @@
 
 Rules:
 
-1. A version is the number of commands applied; the same commands in the same order make the same state, byte for byte.
-2. A command that this build can't read is not applied: the instance stays behind from there on, and never skips or
-   guesses one.
+1. A version is the number of commands applied; the same commands in the same order produce the same state, byte for
+   byte.
+2. A command that this build can't read is not applied: the instance stays at the version before it, and never skips or
+   guesses a command.
 3. The voters, with the store that holds each one's votes, are part of the state. One command changes one voter, so that
-   a majority before and a majority after it always share a voter.
-4. Durations, not points in time, say when an item ends: each instance counts from when it applied the command, and the
-   end is a command of its own, so that a clock that is hours off ends nothing early.
+   every majority before it and every majority after it share a voter.
+4. Durations, not points in time, say when an item expires: each instance counts from when it applied the command, and
+   the expiry is a separate command, so that a clock that is hours off ends nothing early.
 """
 
 from __future__ import annotations
@@ -21,15 +22,21 @@
 from msgspec import Struct
 
 from loadbalancer.discovery.overrides import AdminOverride
-from loadbalancer.fleet.orchestration.rollout import OPEN, PlanBody, RolloutPlan, RolloutStage, StageBody
+from loadbalancer.fleet.orchestration.rollout import (
+    ACTIVE_STAGES,
+    PlanBody,
+    RolloutPlan,
+    RolloutStage,
+    StageBody,
+)
 from loadbalancer.fleet.replication.commands import (
     Command,
     CommandBody,
     FreezeBody,
-    MarkBody,
-    MoveBody,
+    MigrationBody,
+    OverrideBody,
     RecoverBody,
-    RosterBody,
+    VoterBody,
     read_body,
 )
 from loadbalancer.fleet.replication.errors import StateError
@@ -51,13 +58,13 @@
     "VersionedOverride",
 ]
 
-#: Overrides and voters that a state holds at most; a command for more is rejected.
+#: Maximum numbers of overrides and voters in a state; a command that exceeds them is rejected.
 MAX_OVERRIDES = 200_000
 MAX_VOTERS = 64
 
 
 class VersionedOverride(NamedTuple):
-    """An override with its duration in seconds (0 for no end) and the version that has set it."""
+    """An override with its duration in seconds (0 for unlimited) and the version that has set it."""
 
     override: AdminOverride
     duration: float
@@ -65,7 +72,7 @@
 
 
 class VersionedMigration(NamedTuple):
-    """A migration with its duration in seconds (0 for no end) and the version that has set it."""
+    """A migration with its duration in seconds (0 for unlimited) and the version that has set it."""
 
     migration: Migration
     duration: float
@@ -73,7 +80,7 @@
 
 
 class ItemKind(StrEnum):
-    """Kinds of items of the state."""
+    """Kinds of items in the replicated state."""
 
     OVERRIDE = "mark"
     MIGRATION = "move"
@@ -98,7 +105,7 @@
 
 
 class TouchedFreeze(NamedTuple):
-    """A pool was frozen or released."""
+    """A pool was frozen or unfrozen."""
 
     kind: Literal[ItemKind.FREEZE]
     pool: str
@@ -112,24 +119,24 @@
 
 
 class TouchedPlan(NamedTuple):
-    """The rollout plan was replaced, or has reached another stage."""
+    """The rollout plan was replaced, or has entered another stage."""
 
     kind: Literal[ItemKind.PLAN]
 
 
-#: One item of the state that a command has changed. The kind comes first in each, and tells them apart.
+#: One item of the state that a command has changed. The kind is the first field of each, and distinguishes them.
 TouchedItem = Union[TouchedOverride, TouchedMigration, TouchedFreeze, TouchedVoter, TouchedPlan]
 
 
 class Snapshot(Struct, array_like=True):
-    """The state in one piece; its bytes are the same at all instances of one version.
+    """The complete replicated state; its encoding is identical at all instances of one version.
 
     Attributes:
-        version: Commands applied.
-        overrides: By pool and endpoint.
-        migrations: By pool.
-        frozen: Frozen pools, sorted.
-        voters: Store by voter; empty accepts the voter's first store.
+        version: Number of commands applied.
+        overrides: Overrides by pool and endpoint.
+        migrations: Migrations by pool.
+        frozen: Names of frozen pools, sorted.
+        voters: Store identity by voter; empty accepts the first store that the voter presents.
         rollout_plan: The latest plan.
     """
 
@@ -142,7 +149,7 @@
 
 
 class ReplicatedState:
-    """The replicated state of one instance; attributes as in `Snapshot`."""
+    """The replicated state of one instance; the attributes are those of `Snapshot`."""
 
     def __init__(self, voters: Mapping[str, str]) -> None:
         self.version = 0
@@ -155,7 +162,7 @@
 
     @property
     def majority(self) -> int:
-        """Voters that make a quorum."""
+        """Number of voters in a quorum."""
         return len(self.voters) // 2 + 1
 
     def apply(self, command: Command) -> tuple[TouchedItem, ...]:
@@ -165,7 +172,7 @@
             The items that it has changed.
 
         Raises:
-            StateError: This build can't read the command; nothing has changed.
+            StateError: This build can't read the command; the state is unchanged.
         """
         body = read_body(command)
         self.version += 1
@@ -173,13 +180,13 @@
 
     def _apply_body(self, body: CommandBody) -> tuple[TouchedItem, ...]:
         match body:
-            case MarkBody():
+            case OverrideBody():
                 return self._apply_overrides(body)
-            case MoveBody():
+            case MigrationBody():
                 return self._apply_migration(body)
             case FreezeBody():
                 return self._apply_freeze(body)
-            case RosterBody():
+            case VoterBody():
                 return self._apply_voter(body)
             case RecoverBody():
                 self.voters = dict(body.voters)
@@ -189,14 +196,14 @@
             case StageBody():
                 return self._apply_stage(body)
 
-    def _apply_overrides(self, body: MarkBody) -> tuple[TouchedItem, ...]:
+    def _apply_overrides(self, body: OverrideBody) -> tuple[TouchedItem, ...]:
         endpoints = [endpoint for endpoint in body.overrides if self._is_expected(body, endpoint)]
         for endpoint in endpoints:
             self._set_override(body.pool, endpoint, body.overrides[endpoint], body.duration)
         return tuple(TouchedOverride(ItemKind.OVERRIDE, body.pool, endpoint) for endpoint in endpoints)
 
-    def _is_expected(self, body: MarkBody, endpoint: str) -> bool:
-        """Whether the endpoint's override is still the one that the command is about."""
+    def _is_expected(self, body: OverrideBody, endpoint: str) -> bool:
+        """Return whether the endpoint's override is still the one that the command expects."""
         current = self.overrides.get(body.pool, {}).get(endpoint)
         return not body.expected_version or (current is not None and current.version == body.expected_version)
 
@@ -212,7 +219,7 @@
         elif not overrides:
             del self.overrides[pool]
 
-    def _apply_migration(self, body: MoveBody) -> tuple[TouchedItem, ...]:
+    def _apply_migration(self, body: MigrationBody) -> tuple[TouchedItem, ...]:
         current = self.migrations.get(body.pool)
         current_version = current.version if current is not None else 0
         if body.expected_version and current_version != body.expected_version:
@@ -229,7 +236,7 @@
             self.frozen.discard(body.pool)
         return (TouchedFreeze(ItemKind.FREEZE, body.pool),)
 
-    def _apply_voter(self, body: RosterBody) -> tuple[TouchedItem, ...]:
+    def _apply_voter(self, body: VoterBody) -> tuple[TouchedItem, ...]:
         if body.store:
             self.voters[body.name] = body.store
         else:
@@ -243,7 +250,7 @@
     def _apply_stage(self, body: StageBody) -> tuple[TouchedItem, ...]:
         plan = self.rollout_plan
         if plan is None or plan.id != body.id or plan.stage != body.frm:
-            return ()  # another instance has moved the plan on first
+            return ()  # another instance has advanced the plan already
         plan.stage = body.to
         plan.why = body.why
         plan.old_bad = body.old_bad
@@ -254,26 +261,26 @@
         """Check a command before it is proposed.
 
         Raises:
-            StateError: It may not be proposed now.
+            StateError: It must not be proposed in the current state.
         """
         match read_body(command):
-            case MarkBody() as body:
+            case OverrideBody() as body:
                 self._check_overrides(body)
             case PlanBody():
                 self._check_plan()
-            case RosterBody() as body:
+            case VoterBody() as body:
                 self._check_voter(body)
 
-    def _check_overrides(self, body: MarkBody) -> None:
+    def _check_overrides(self, body: OverrideBody) -> None:
         if self._override_count + len(body.overrides) > MAX_OVERRIDES:
             raise StateError(f"{self._override_count} marks stand; at most {MAX_OVERRIDES}")
 
     def _check_plan(self) -> None:
         plan = self.rollout_plan
-        if plan is not None and plan.stage in (*OPEN, RolloutStage.HALTED):
+        if plan is not None and plan.stage in (*ACTIVE_STAGES, RolloutStage.HALTED):
             raise StateError(f"roll-out {plan.id} is under way ({plan.stage}); take it back first")
 
-    def _check_voter(self, body: RosterBody) -> None:
+    def _check_voter(self, body: VoterBody) -> None:
         is_voter = body.name in self.voters
         if body.store:
             if not is_voter and len(self.voters) >= MAX_VOTERS:
@@ -287,7 +294,7 @@
     # Snapshots.
 
     def encode(self) -> bytes:
-        """The state as the bytes of a `Snapshot`."""
+        """Return the state as an encoded `Snapshot`."""
         snapshot = Snapshot(
             version=self.version,
             overrides={pool: dict(sorted(items.items())) for pool, items in sorted(self.overrides.items())},
@@ -299,14 +306,14 @@
         return msgspec.msgpack.encode(snapshot)
 
     def digest(self) -> str:
-        """BLAKE3 of the encoded state, 16 bytes as hexadecimal digits."""
+        """Return the BLAKE3 digest of the encoded state: 16 bytes as hexadecimal digits."""
         return blake3(self.encode()).hexdigest(16)
 
     def install_snapshot(self, data: bytes) -> None:
-        """Replace the whole state.
+        """Replace the whole state by an encoded snapshot.
 
         Raises:
-            StateError: The bytes are no snapshot; nothing has changed.
+            StateError: The bytes are not a valid snapshot; the state is unchanged.
         """
         try:
             snapshot = msgspec.msgpack.decode(data, type=Snapshot)
