--- a/loadbalancer/admission/__init__.py
+++ b/loadbalancer/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who may connect, and for how long a connection may stay. Decisions alone: no I/O, clock or random source."""
+"""Decides which clients may connect and how long their connections stay open. No I/O, clock or random source."""
--- a/loadbalancer/admission/admission.py
+++ b/loadbalancer/admission/admission.py
@@ -1,7 +1,8 @@
-"""Who may connect: caps for each address and prefix, and a floor for known depots. No I/O, clock or random source.
+"""Decides on new connections and requests: caps for each address and prefix, and slots reserved for known networks.
 
-The listener tells what comes, goes and is seen; `connect` and `request` say what may be. Numbers of slots come in with
-each question, so one Admission outlasts a reload that divides them anew.
+No I/O, clock or random source. The listener reports connections, requests and how clients behave; `connect` and
+`request` decide. The numbers of slots are passed with each call, so that an Admission stays valid when a reload changes
+them.
 """
 
 from __future__ import annotations
@@ -9,146 +10,169 @@
 import math
 from typing import Iterable, NamedTuple
 
-from loadbalancer.admission.addresses import GOOD_KNOWN, Entry, Table, prefix_of
+from loadbalancer.admission.addresses import TRUSTED_SCORE, AddressTable, Entry, prefix_of
 from loadbalancer.admission.networks import Network, Networks
 from loadbalancer.admission.rulings import ADMIT, ONCE, REFUSE, RETURN_S, SWAP, Ruling
 
-#: Part of the unused floor that is never lent, so that a known client finds a slot at once. What is lent comes back
-#: when its answer is written, which can take as long as the slowest request.
-FLOOR_KEPT = 0.5
-#: A prefix may hold so many times what one of its addresses may.
-PREFIX_TIMES = 4.0
-TIMES = (1.0, PREFIX_TIMES)
-#: Entries of an address: its own and that of its prefix, or none.
+#: Share of the unused reserved slots that other clients never get, so that a known client finds a slot at once. A slot
+#: lent to another client is free again once its answer is written, which can take as long as the slowest request.
+RESERVE_KEPT_SHARE = 0.5
+#: The caps of a prefix are those of a single address times this.
+PREFIX_CAP_FACTOR = 4.0
+CAP_FACTORS = (1.0, PREFIX_CAP_FACTOR)
+#: The entries of an address and of its prefix; empty for an address without caps.
 Rows = tuple[Entry, ...]
-#: Marks for what a client does. One whole request that has its answer earns one.
+# Changes of an address's score for what its clients do.
+#: A whole request was answered.
 GOOD = 1.0
-#: A connection that was kept and not used again takes back what its one request has earned.
+#: A connection that was kept open was not used again; this takes back what its single request has earned.
 WASTED = -1.0
-#: No request on a connection, or not the whole of one in its time.
+#: A connection carried no request, or did not deliver a whole one before its timeout.
 SILENT = -4.0
-#: What no server could read, or an answer that was not taken.
+#: The input was malformed, or the client did not read its answer.
 GARBAGE = -8.0
 
 
 class Slots(NamedTuple):
-    """A listener's connections now."""
+    """Holds the current numbers of a listener's connection slots."""
 
-    most: int
-    taken: int  # all of them
-    known: int  # of these, of known networks
+    limit: int
+    used: int
+    used_by_known: int  # of those in use, the connections of known networks
 
 
 class Caps(NamedTuple):
-    """For an address of which nothing is known."""
+    """Holds the caps of an address without a score, and how they grow."""
 
     connections: float = math.inf  # open at once
-    per_s: float = math.inf  # new ones
+    per_s: float = math.inf  # new connections per second
     requests: float = math.inf  # open at once
-    growth: float = 16.0  # a trusted address may have so many times as much
-    entries: int = 16384  # addresses that are remembered
+    growth: float = 16.0  # factor of the caps of an address with the maximum score
+    entries: int = 16384  # addresses that are tracked
 
 
 class Admission:
-    """One listener's addresses and rules."""
+    """Holds the admission rules of one listener and the state of its clients' addresses."""
 
     def __init__(
         self, caps: Caps, known: Iterable[Network] = (), floor: float = 0.0, exempt: Iterable[Network] = ()
     ) -> None:
-        """`floor`: share of the slots for addresses in `known`, which strangers can't take. `exempt`: networks of
-        fronts that speak for many clients; no caps hold for them."""
+        """Start without any tracked address.
+
+        Args:
+            caps: The caps of each address.
+            known: Networks that the reserved slots are for; no caps apply to them.
+            floor: Share of the slots that is reserved for `known`.
+            exempt: Networks of front proxies that connect for many clients; no caps apply to them.
+        """
         self.caps, self.floor = caps, floor
         self.known, self.exempt = Networks(known), Networks(exempt)
-        self.addresses = Table(caps.entries)
-        self.prefixes = Table(max(16, caps.entries // 4))
+        self.addresses = AddressTable(caps.entries)
+        self.prefixes = AddressTable(max(16, caps.entries // 4))
 
     def is_known(self, address: str) -> bool:
-        """Whether the floor is for this address."""
+        """Return whether the reserved slots are for this address."""
         return address in self.known
 
     def is_free(self, address: str) -> bool:
-        """Whether no cap holds for this address: a depot's, a front's, or the peer of a Unix socket."""
+        """Return whether no cap applies to this address: a known network's, an exempt one's, or a Unix socket's."""
         return ("." not in address and ":" not in address) or address in self.exempt or self.is_known(address)
 
     def connect(self, address: str, now: float, slots: Slots, rows: Rows | None = None) -> Ruling:
-        """Whether a new connection may be. It holds nothing yet: `opened` follows. `rows`: of the address, where the
-        caller has them."""
+        """Decide on a new connection. Does not count it: the caller calls `opened` once it is admitted.
+
+        Args:
+            address: The client's address.
+            now: Monotonic seconds.
+            slots: The listener's slots.
+            rows: The entries of the address, if the caller has them already.
+        """
         if self.is_known(address):
             return Ruling(ADMIT)
-        refused = self._over(self.rows(address, now) if rows is None else rows, now)
-        return self._within(slots) if refused is None else refused
-
-    def _within(self, slots: Slots) -> Ruling:
-        """Guards the floor. Its unused part is lent, but for FLOOR_KEPT: such connections end after one answer, and
-        those on which no request is open make room for a known client at once. Harm: while depots are away, strangers
-        past the rest of the slots pay for a handshake a request."""
-        floor = math.ceil(slots.most * self.floor)
-        unused = max(0, floor - slots.known)
-        free = slots.most - slots.taken
+        refused = self._check_caps(self.rows(address, now) if rows is None else rows, now)
+        return self._check_reserve(slots) if refused is None else refused
+
+    def _check_reserve(self, slots: Slots) -> Ruling:
+        """Protect the slots reserved for known networks.
+
+        The unused ones, except RESERVE_KEPT_SHARE of them, are lent to other clients: such a connection ends after one
+        answer, and is closed at once for a known client while no request is open on it. The drawback: while known
+        clients are absent, the others pay for one handshake per request once the remaining slots are full.
+        """
+        reserved = math.ceil(slots.limit * self.floor)
+        unused = max(0, reserved - slots.used_by_known)
+        free = slots.limit - slots.used
         if not unused or free > unused:
             return Ruling(ADMIT)
-        if free > math.ceil(unused * FLOOR_KEPT):
+        if free > math.ceil(unused * RESERVE_KEPT_SHARE):
             return Ruling(ONCE)
         return Ruling(SWAP, "what is left is for known networks", RETURN_S)
 
-    def _over(self, rows: Rows, now: float) -> Ruling | None:
-        """Guards against an address that takes the slots of all others; should also catch one prefix whose addresses
-        change. Harm: many honest clients behind one address, until they have shown themselves: each refused one is
-        told when to return, and each served one raises the cap."""
+    def _check_caps(self, rows: Rows, now: float) -> Ruling | None:
+        """Refuse a connection past the caps of its address or prefix; return None if it is within them.
+
+        Prevents one address, or one prefix with changing addresses, from taking the slots of all other clients. The
+        drawback: many honest clients behind one address are refused until some of them have been served. Each refused
+        one is told when to retry, and each served one raises the cap.
+        """
         caps = self.caps
-        factors = [entry.factor(now, caps.growth) * times for entry, times in zip(rows, TIMES, strict=False)]
+        factors = [
+            entry.cap_factor(now, caps.growth) * scale
+            for entry, scale in zip(rows, CAP_FACTORS, strict=False)
+        ]
         for entry, factor in zip(rows, factors, strict=True):
-            if entry.open + 1 > max(1.0, caps.connections * factor):
+            if entry.connections + 1 > max(1.0, caps.connections * factor):
                 return Ruling(REFUSE, "too many connections from this address", RETURN_S)
         if caps.per_s < math.inf:
             for entry, factor in zip(rows, factors, strict=True):
-                if not entry.take_room(now, caps.per_s * factor):
+                if not entry.try_take_token(now, caps.per_s * factor):
                     return Ruling(REFUSE, "too many new connections from this address", RETURN_S)
         return None
 
     def request(self, rows: Rows, now: float) -> bool:
-        """Whether one more request of this address may be open."""
+        """Return whether the address with these entries may open one more request."""
         caps = self.caps
         return caps.requests == math.inf or all(
-            entry.requests + 1 <= max(1.0, caps.requests * entry.factor(now, caps.growth) * times)
-            for entry, times in zip(rows, TIMES, strict=False)
+            entry.requests + 1 <= max(1.0, caps.requests * entry.cap_factor(now, caps.growth) * scale)
+            for entry, scale in zip(rows, CAP_FACTORS, strict=False)
         )
 
-    # What comes and goes. `rows` are good while something of the address is held: held entries are not pushed out.
+    # The entries stay valid while a connection or request of the address is open: such entries are not evicted.
 
     def rows(self, address: str, now: float) -> Rows:
-        """The address and its prefix; none for those that no cap holds for."""
+        """Return the entries of an address and its prefix; empty for an address without caps."""
         if self.is_free(address):
             return ()
-        return self.addresses.find(address, now), self.prefixes.find(prefix_of(address), now)
+        return self.addresses.get_or_add(address, now), self.prefixes.get_or_add(prefix_of(address), now)
 
     def mark(self, rows: Rows, change: float, now: float) -> None:
-        """What a client of this address has done: GOOD, WASTED, SILENT or GARBAGE. A prefix earns and loses by its
-        share: one address must not speak for all the others."""
-        for entry, table, times in zip(rows, (self.addresses, self.prefixes), TIMES, strict=False):
-            entry.mark(change / times, now)
-            if entry.marks >= GOOD_KNOWN and not entry.known:
-                table.settle(entry, now)
+        """Change the score of an address by GOOD, WASTED, SILENT or GARBAGE. The score of its prefix changes by less,
+        as the caps of a prefix are larger: one address must not decide the score for all others."""
+        for entry, table, scale in zip(rows, (self.addresses, self.prefixes), CAP_FACTORS, strict=False):
+            entry.add_score(change / scale, now)
+            if entry.score >= TRUSTED_SCORE and not entry.trusted:
+                table.promote_if_trusted(entry, now)
 
 
 def opened(rows: Rows) -> None:
-    """A connection."""
+    """Count a connection that was admitted."""
     for entry in rows:
-        entry.open += 1
+        entry.connections += 1
 
 
 def closed(rows: Rows) -> None:
+    """Stop counting a connection that has ended."""
     for entry in rows:
-        entry.open -= 1
+        entry.connections -= 1
 
 
 def began(rows: Rows) -> None:
-    """A request is open."""
+    """Count a request that was received."""
     for entry in rows:
         entry.requests += 1
 
 
 def ended(rows: Rows) -> None:
-    """And is no more."""
+    """Stop counting a request that has ended."""
     for entry in rows:
         entry.requests -= 1
--- a/loadbalancer/admission/networks.py
+++ b/loadbalancer/admission/networks.py
@@ -1,7 +1,7 @@
-"""Sets of IP networks, asked for an address: trusted fronts, known depots, exempt ones. Pure: nothing is looked up.
+"""Sets of IP networks that can be tested for an address: trusted front proxies, known networks, exempt ones.
 
-A radix tree of the py-radix library: one question costs the same with two networks and with 4,096, where going through
-them costs as many comparisons (benchmarks/networks.py).
+No I/O: no name is resolved. The set is a radix tree of the py-radix library: a test costs the same with two networks
+and with 4,096, whereas a linear search makes one comparison per network (benchmarks/networks.py).
 """
 
 from __future__ import annotations
@@ -15,12 +15,16 @@
 
 
 class Networks:
-    """A set; two are equal that name the same networks."""
+    """A set of networks. Two sets are equal if they contain the same networks."""
 
     __slots__ = ("names", "_tree")
 
     def __init__(self, networks: Iterable[Network | str] = ()) -> None:
-        """ValueError for what is no network, such as one with host bits set."""
+        """Build the set.
+
+        Raises:
+            ValueError: A text is not a network, for example because host bits are set.
+        """
         found = {ipaddress.ip_network(network) for network in networks}
         self.names = frozenset(map(str, found))
         self._tree = radix.Radix()
@@ -37,8 +41,8 @@
         return hash(self.names)
 
     def __contains__(self, address: str) -> bool:
-        """Whether an address is in any of them: without its zone, and an IPv4 one that is mapped into IPv6 as itself.
-        Anything else, such as the peer of a Unix socket, is in none."""
+        """Return whether any of the networks contains an address. The zone of an address is ignored, and an IPv4-mapped
+        IPv6 address counts as IPv4. Any other text, such as the peer of a Unix socket, is in none of them."""
         if not self.names:
             return False
         try:
--- a/loadbalancer/admission/rulings.py
+++ b/loadbalancer/admission/rulings.py
@@ -1,18 +1,20 @@
-"""What may be said of a connection that has come."""
+"""The possible decisions on a new connection."""
 
 from __future__ import annotations
 
 from enum import Enum, auto
 from typing import NamedTuple
 
-#: Seconds for which a client that is refused should stay away.
+#: Seconds after which a client that was refused may retry.
 RETURN_S = 1.0
 
 
 class Verdict(Enum):
+    """Whether and how a connection is admitted."""
+
     ADMIT = auto()
-    ONCE = auto()  # admit, and end it after one answer
-    SWAP = auto()  # as ONCE, if a stranger's connection on which no request is open makes room; else refuse
+    ONCE = auto()  # admit, and close the connection after one answer
+    SWAP = auto()  # as ONCE if another connection, with no request open, can be evicted for it; else refuse
     REFUSE = auto()
 
 
@@ -20,6 +22,8 @@
 
 
 class Ruling(NamedTuple):
+    """Holds the decision on a connection; a refusal has a reason and a retry time."""
+
     verdict: Verdict
     why: str = ""
-    retry_after: float = 0.0  # seconds; 0 for none
+    retry_after: float = 0.0  # seconds; 0 if the client is not told one
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -13,20 +13,20 @@
 from hypothesis import strategies as st
 
 from loadbalancer.admission.addresses import (
-    BAD_FULL,
-    FADE_S,
-    GOOD_FULL,
-    GOOD_KNOWN,
     LEAST_SHARE,
+    MAX_SCORE,
+    MIN_CAP_PENALTY,
+    SCORE_HALF_LIFE_S,
+    TRUSTED_SCORE,
+    AddressTable,
     Entry,
-    Table,
     prefix_of,
 )  # fmt: skip
 from loadbalancer.admission.admission import (
-    FLOOR_KEPT,
     GARBAGE,
     GOOD,
-    PREFIX_TIMES,
+    PREFIX_CAP_FACTOR,
+    RESERVE_KEPT_SHARE,
     SILENT,
     WASTED,
     Admission,
@@ -69,45 +69,45 @@
 
 
 def test_any_number_of_addresses_takes_no_more_memory_than_the_table_holds() -> None:
-    table = Table(1000)
+    table = AddressTable(1000)
     for number in range(2000):
-        table.find(f"a{number}", 0.0)
+        table.get_or_add(f"a{number}", 0.0)
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     for number in range(100_000):
-        table.find(f"b{number}", 0.0)
+        table.get_or_add(f"b{number}", 0.0)
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert len(table) == 1000 and table.forgotten == 101_000
+    assert len(table) == 1000 and table.evicted == 101_000
     assert after - before < 1 << 20
 
 
 def test_what_is_held_is_never_forgotten() -> None:
-    table = Table(10)
+    table = AddressTable(10)
     held = []
     for number in range(50):
-        held.append(table.find(f"h{number}", 0.0))
-        held[-1].open = 1
+        held.append(table.get_or_add(f"h{number}", 0.0))
+        held[-1].connections = 1
     for number in range(1000):
-        table.find(f"s{number}", 0.0)
-    assert all(table.find(f"h{number}", 0.0) is entry for number, entry in enumerate(held))
+        table.get_or_add(f"s{number}", 0.0)
+    assert all(table.get_or_add(f"h{number}", 0.0) is entry for number, entry in enumerate(held))
     for entry in held:
-        entry.open = 0
+        entry.connections = 0
     for number in range(1000):
-        table.find(f"t{number}", 0.0)
+        table.get_or_add(f"t{number}", 0.0)
     assert len(table) == 10
 
 
 def test_strangers_by_the_million_push_out_nobody_who_has_earned_trust() -> None:
     admission = Admission(Caps(connections=4, entries=256))
     for number in range(50):
-        for _ in range(int(GOOD_KNOWN) + 5):
+        for _ in range(int(TRUSTED_SCORE) + 5):
             admission.mark(admission.rows(f"10.0.{number}.1", 0.0), GOOD, 0.0)
     for number in range(20_000):
         admission.connect(f"11.{number >> 16}.{number >> 8 & 255}.{number & 255}", 0.0, FREE)
     assert len(admission.addresses) <= 256
     for number in range(50):
-        assert admission.addresses.find(f"10.0.{number}.1", 0.0).marks >= GOOD_KNOWN
+        assert admission.addresses.get_or_add(f"10.0.{number}.1", 0.0).score >= TRUSTED_SCORE
 
 
 @EVERY
@@ -115,19 +115,19 @@
 def test_the_table_stays_within_its_bound_and_loses_nothing_that_is_held(
     steps: list[tuple[int, str]],
 ) -> None:
-    table, held = Table(16), dict[int, int]()
+    table, held = AddressTable(16), dict[int, int]()
     for key, step in steps:
-        entry = table.find(str(key), 0.0)
-        assert entry.open == held.get(key, 0)
+        entry = table.get_or_add(str(key), 0.0)
+        assert entry.connections == held.get(key, 0)
         if step == "o":
-            entry.open += 1
+            entry.connections += 1
             held[key] = held.get(key, 0) + 1
         elif step == "c" and held.get(key):
-            entry.open -= 1
+            entry.connections -= 1
             held[key] -= 1
         elif step == "m":
-            entry.mark(GOOD_KNOWN, 0.0)
-            table.settle(entry, 0.0)
+            entry.add_score(TRUSTED_SCORE, 0.0)
+            table.promote_if_trusted(entry, 0.0)
         assert len(table) <= 16 + sum(count > 0 for count in held.values()) + 1
 
 
@@ -136,20 +136,20 @@
 
 def test_marks_fade_by_half() -> None:
     entry = Entry("a", 0.0)
-    entry.mark(100.0, 0.0)
-    assert entry.standing(FADE_S) == pytest.approx(50.0)
-    entry.mark(0.0, FADE_S)
-    assert entry.standing(2 * FADE_S) == pytest.approx(25.0)
+    entry.add_score(100.0, 0.0)
+    assert entry.current_score(SCORE_HALF_LIFE_S) == pytest.approx(50.0)
+    entry.add_score(0.0, SCORE_HALF_LIFE_S)
+    assert entry.current_score(2 * SCORE_HALF_LIFE_S) == pytest.approx(25.0)
 
 
 def test_marks_are_bounded_both_ways() -> None:
     entry = Entry("a", 0.0)
     for _ in range(10_000):
-        entry.mark(GOOD, 0.0)
-    assert entry.standing(0.0) == GOOD_FULL and entry.factor(0.0, 16.0) == 16.0
+        entry.add_score(GOOD, 0.0)
+    assert entry.current_score(0.0) == MAX_SCORE and entry.cap_factor(0.0, 16.0) == 16.0
     for _ in range(10_000):
-        entry.mark(GARBAGE, 0.0)
-    assert entry.standing(0.0) == -2 * BAD_FULL and entry.factor(0.0, 16.0) == LEAST_SHARE
+        entry.add_score(GARBAGE, 0.0)
+    assert entry.current_score(0.0) == -2 * MIN_CAP_PENALTY and entry.cap_factor(0.0, 16.0) == LEAST_SHARE
 
 
 @EVERY
@@ -157,18 +157,18 @@
 def test_whatever_the_clock_does_marks_and_rooms_stay_in_bounds(steps: list[tuple[float, float]]) -> None:
     entry = Entry("a", 0.0)
     for now, change in steps:
-        entry.mark(change, now)
-        entry.take_room(now, 3.0)
-        assert -2 * BAD_FULL <= entry.standing(now) <= GOOD_FULL
-        assert 0.0 <= entry.room <= 6.0 and LEAST_SHARE <= entry.factor(now, 4.0) <= 4.0
+        entry.add_score(change, now)
+        entry.try_take_token(now, 3.0)
+        assert -2 * MIN_CAP_PENALTY <= entry.current_score(now) <= MAX_SCORE
+        assert 0.0 <= entry.tokens <= 6.0 and LEAST_SHARE <= entry.cap_factor(now, 4.0) <= 4.0
 
 
 def test_a_clock_that_steps_back_holds_nobody_up() -> None:
     entry = Entry("a", 1000.0)
-    while entry.take_room(1000.0, 2.0):
+    while entry.try_take_token(1000.0, 2.0):
         pass
-    assert not entry.take_room(0.0, 2.0)
-    assert entry.take_room(0.5, 2.0) and not entry.take_room(0.5, 2.0)
+    assert not entry.try_take_token(0.0, 2.0)
+    assert entry.try_take_token(0.5, 2.0) and not entry.try_take_token(0.5, 2.0)
 
 
 # Caps.
@@ -196,7 +196,7 @@
 @pytest.mark.parametrize("form", ["10.0.0.{}", "2001:db8:0:1::{}"])
 def test_addresses_that_rotate_within_a_prefix_share_its_cap(form: str) -> None:
     admission = Admission(Caps(connections=8))
-    assert sum(fill(admission, form.format(number)) for number in range(100)) == 8 * PREFIX_TIMES
+    assert sum(fill(admission, form.format(number)) for number in range(100)) == 8 * PREFIX_CAP_FACTOR
 
 
 def test_new_connections_a_second() -> None:
@@ -243,7 +243,12 @@
     for _ in range(50):
         admission.mark(admission.rows("10.0.0.1", 0.0), bad, 0.0)
     assert fill(admission, "10.0.0.1") == 32 * LEAST_SHARE
-    assert admission.addresses.find("10.0.0.1", 20 * FADE_S).factor(20 * FADE_S, 16.0) > 0.99
+    assert (
+        admission.addresses.get_or_add("10.0.0.1", 20 * SCORE_HALF_LIFE_S).cap_factor(
+            20 * SCORE_HALF_LIFE_S, 16.0
+        )
+        > 0.99
+    )
 
 
 def test_asking_once_and_staying_earns_nothing() -> None:
@@ -251,7 +256,7 @@
     for _ in range(500):
         admission.mark(admission.rows("10.0.0.1", 0.0), GOOD, 0.0)
         admission.mark(admission.rows("10.0.0.1", 0.0), WASTED, 0.0)
-    assert admission.addresses.find("10.0.0.1", 0.0).factor(0.0, 16.0) == pytest.approx(1.0)
+    assert admission.addresses.get_or_add("10.0.0.1", 0.0).cap_factor(0.0, 16.0) == pytest.approx(1.0)
 
 
 def test_no_cap_holds_for_fronts_known_networks_and_unix_sockets_by_choice() -> None:
@@ -269,7 +274,7 @@
 def test_strangers_are_lent_the_unused_floor_but_for_what_is_kept() -> None:
     admission = Admission(Caps(), DEPOTS, 0.4)
     rulings = [admission.connect("9.9.9.9", 0.0, Slots(100, taken, 0)).verdict for taken in range(101)]
-    kept = math.ceil(40 * FLOOR_KEPT)
+    kept = math.ceil(40 * RESERVE_KEPT_SHARE)
     assert rulings[:60] == [ADMIT] * 60
     assert rulings[60 : 100 - kept] == [ONCE] * (40 - kept)
     assert rulings[100 - kept :] == [SWAP] * (kept + 1)
@@ -295,7 +300,7 @@
     """Nobody leaves, and lent slots can't be taken back: what is kept must do for the first known clients."""
     admission = Admission(Caps(), DEPOTS, floor)
     taken = known = 0
-    kept = math.ceil(math.ceil(most * floor) * FLOOR_KEPT)
+    kept = math.ceil(math.ceil(most * floor) * RESERVE_KEPT_SHARE)
     for is_known in arrivals:
         verdict = admission.connect(
             "10.1.0.1" if is_known else "9.9.9.9", 0.0, Slots(most, taken, known)
@@ -326,7 +331,7 @@
         ended(admission.rows(address, 2000.0))
         closed(admission.rows(address, 2000.0))
     for table in (admission.addresses, admission.prefixes):
-        assert all(not entry.held for rows in (table._strangers, table._known) for entry in rows.values())
+        assert all(not entry.in_use for rows in (table._untrusted, table._trusted) for entry in rows.values())
 
 
 # Sets of networks.
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 
 from peers import OK, Client, ScriptedBackend, World, answering, play, request, world
 
-from loadbalancer.admission.pressure import STEPS, TRIAL
+from loadbalancer.admission.pressure import STEPS, TRIAL_INTERVAL
 from loadbalancer.frontends import listener as listener_module
 
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -92,7 +92,7 @@
             await full(here, 0.95)
             note(here, False)
             assert here.server.pressure.number == len(STEPS) - 1
-            for _ in range(TRIAL * 3):
+            for _ in range(TRIAL_INTERVAL * 3):
                 status, head = await heard(good)
                 assert status == 200 and b"Connection: close" not in head
 
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -22,7 +22,7 @@
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
 from peers import PATIENCE, Call, Client, ScriptedBackend, answering, play, read_message
 
-from loadbalancer.admission.admission import FLOOR_KEPT, GARBAGE, SILENT
+from loadbalancer.admission.admission import GARBAGE, RESERVE_KEPT_SHARE, SILENT
 from loadbalancer.frontends.admission_gate import AdmissionGate
 from loadbalancer.frontends.reserve_descriptors import ReserveDescriptors
 from standins.fastcgi import WebServer
@@ -92,7 +92,7 @@
 
 
 def held_of(here: Ground, source: str) -> int:
-    return gate(here).admission.addresses.find(source, 0.0).open
+    return gate(here).admission.addresses.get_or_add(source, 0.0).connections
 
 
 # In one process.
@@ -164,12 +164,12 @@
         rules = LISTENER + admission(connections_per_address=8)
         async with behind(tmp_path, member, rules) as here:
             address = here.daemon.listeners["main"].address
-            entry = gate(here).admission.addresses.find(FLOOD, 0.0)
-            while entry.marks > -50:
+            entry = gate(here).admission.addresses.get_or_add(FLOOD, 0.0)
+            while entry.score > -50:
                 client = await connect(address, FLOOD)
                 await asyncio.wait_for(client.reader.read(), PATIENCE)
                 client.writer.close()
-            assert entry.factor(entry.marked_at, 16.0) < 0.3
+            assert entry.cap_factor(entry.scored_at, 16.0) < 0.3
 
     play(scene)
 
@@ -195,8 +195,8 @@
             assert (await over.ask(requests_to("/", "POST", b"x")))[0] == 200
             for client in [*busy, over]:
                 client.writer.close()
-            entry = gate(here).admission.addresses.find(FLOOD, 0.0)
-            await here.until(lambda: not entry.held)
+            entry = gate(here).admission.addresses.get_or_add(FLOOD, 0.0)
+            await here.until(lambda: not entry.in_use)
 
     play(scene)
 
@@ -221,7 +221,7 @@
             address, most = listener.address, listener.most
             listener.pressure.reuse.chance = 1.0  # no answer closes but where the slot is lent
             floor = math.ceil(most * 0.5)
-            kept = math.ceil(floor * FLOOR_KEPT)
+            kept = math.ceil(floor * RESERVE_KEPT_SHARE)
             strangers = []
             for number in range(most - kept):
                 strangers.append(client := await connect(address, f"127.{number + 10}.0.1"))
@@ -288,8 +288,8 @@
             assert gate(here) is not before
             for client in flood:
                 client.writer.close()
-            entry = before.admission.addresses.find(FLOOD, 0.0)
-            await here.until(lambda: not entry.held)  # each gives back where it was let in
+            entry = before.admission.addresses.get_or_add(FLOOD, 0.0)
+            await here.until(lambda: not entry.in_use)  # each gives back where it was let in
 
     play(scene)
 
@@ -586,7 +586,7 @@
             listener = here.daemon.listeners["main"]
             address, table = listener.address, gate(here).admission.addresses
             assert (await once(address, "127.11.0.1", b"no request at all\r\n\r\n"))[0] == 400
-            assert table.find("127.11.0.1", 0.0).marks == GARBAGE
+            assert table.get_or_add("127.11.0.1", 0.0).score == GARBAGE
 
             half = await connect(address, "127.12.0.1")
             await half.send(requests_to()[:-4])
@@ -594,7 +594,7 @@
             (connection,) = (c for c in listener.connections if c.phase == 1)
             connection.sweep(connection.since + 100.0)
             assert (await half.read())[0] == 408
-            assert table.find("127.12.0.1", 0.0).marks == SILENT
+            assert table.get_or_add("127.12.0.1", 0.0).score == SILENT
 
             reader = await connect(address, "127.13.0.1")
             reader.writer.transport.get_extra_info("socket").setsockopt(
@@ -605,7 +605,7 @@
             await here.until(lambda: any(c.blocked for c in listener.connections))
             (stalled,) = (c for c in listener.connections if c.blocked)
             stalled.sweep(stalled.blocked + 100.0)
-            assert table.find("127.13.0.1", 0.0).marks <= GARBAGE + 8
+            assert table.get_or_add("127.13.0.1", 0.0).score <= GARBAGE + 8
             await here.until(lambda: stalled not in listener.connections)
             for client in (half, reader):
                 client.writer.close()
@@ -615,7 +615,7 @@
 
 def has_read(connection: Any, count: int) -> bool:
     """Whether so much of a PROXY header has come."""
-    return len(connection.visit.header._held) == count
+    return len(connection.visit.header._buffer) == count
 
 
 def test_a_proxy_header_that_stalls_is_silence_and_holds_nothing(tmp_path: Path) -> None:
--- a/tests/test_pressure.py
+++ b/tests/test_pressure.py
@@ -6,7 +6,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.admission.pressure import REUSE_WEIGHT, STEPS, TRIAL, TRIAL_STEP, Pressure, Reuse
+from loadbalancer.admission.pressure import (
+    REUSE_WEIGHT,
+    STEPS,
+    TRIAL_INTERVAL,
+    TRIAL_INTERVAL_GROWTH,
+    Pressure,
+    Reuse,
+)
 
 EVERY = settings(derandomize=True, max_examples=200, deadline=None)
 
@@ -15,7 +22,7 @@
     assert STEPS[0].enter == STEPS[0].leave == 0.0
     for low, high in zip(STEPS, STEPS[1:], strict=False):
         assert low.enter < high.enter and low.leave < high.leave < high.enter
-        assert low.idle_s > high.idle_s and low.worth < high.worth and low.accepts >= high.accepts
+        assert low.idle_s > high.idle_s and low.min_reuse < high.min_reuse and low.accepts >= high.accepts
     assert STEPS[-1].idle_s >= 2.0  # no sooner may the platform's connections be closed
 
 
@@ -88,7 +95,7 @@
     for _ in range(200):
         pressure.reuse.note(False)
     pressure.measure(50, 100)
-    kept = sum(pressure.keeps(1) for _ in range(TRIAL * 50))
+    kept = sum(pressure.keeps(1) for _ in range(TRIAL_INTERVAL * 50))
     assert kept == 50
 
 
@@ -110,8 +117,8 @@
     kept = []
     for taken in (0, 50, 70, 100):
         pressure.measure(taken, 100)
-        kept.append(sum(pressure.keeps(1) for _ in range(TRIAL)))
-    assert kept == [TRIAL, TRIAL, TRIAL, 0]
+        kept.append(sum(pressure.keeps(1) for _ in range(TRIAL_INTERVAL)))
+    assert kept == [TRIAL_INTERVAL, TRIAL_INTERVAL, TRIAL_INTERVAL, 0]
 
 
 def test_questions_to_the_proxy_itself_keep_no_slot_that_is_short() -> None:
@@ -128,8 +135,8 @@
     for taken in (50, 70, 100):
         pressure = Pressure()
         pressure.measure(taken, 100)
-        counts.append(sum(pressure.keeps(1) for _ in range(TRIAL * TRIAL_STEP**2)))
-    assert counts == [TRIAL_STEP**2, TRIAL_STEP, 1]
+        counts.append(sum(pressure.keeps(1) for _ in range(TRIAL_INTERVAL * TRIAL_INTERVAL_GROWTH**2)))
+    assert counts == [TRIAL_INTERVAL_GROWTH**2, TRIAL_INTERVAL_GROWTH, 1]
 
 
 def test_a_change_of_clients_is_found_out_by_the_trials() -> None:
@@ -139,12 +146,12 @@
         pressure.reuse.note(False)
     pressure.measure(50, 100)
     answers = 0
-    while not pressure.reuse.is_worth(STEPS[1].worth):
+    while not pressure.reuse.is_worth_keeping(STEPS[1].min_reuse):
         answers += 1
-        assert answers < TRIAL * 60
+        assert answers < TRIAL_INTERVAL * 60
         if pressure.keeps(1):
             pressure.reuse.note(True)
-    assert pressure.reuse.chance >= STEPS[1].worth
+    assert pressure.reuse.chance >= STEPS[1].min_reuse
 
 
 def test_the_measure_of_reuse_forgets() -> None:
--- a/tests/test_proxyprotocol.py
+++ b/tests/test_proxyprotocol.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from loadbalancer.admission.proxyprotocol import (
-    FIXED,
-    LINE_MOST,
-    REST_MOST,
+    FIXED_PART,
+    MAX_LINE_BYTES,
+    MAX_REST_BYTES,
     SIGNATURE,
     ProxyHeader,
     ProxyHeaderError,
@@ -39,7 +39,7 @@
     (binary(0x21, 0x00, b""), None),
     (binary(0x20, 0x00, b""), None),
     (binary(0x20, 0x11, V4), None),  # LOCAL: the addresses are to be ignored
-    (binary(0x21, 0x11, V4 + bytes(REST_MOST - len(V4))), "192.0.2.7"),
+    (binary(0x21, 0x11, V4 + bytes(MAX_REST_BYTES - len(V4))), "192.0.2.7"),
 ]
 
 
@@ -74,10 +74,10 @@
     b"PROXY TCP4 1.2.3.4 1.2.3.4 -1 2\r\n",
     b"PROXY TCP4 1.2.3.4 1.2.3.4 01 2\r\n",
     b"PROXY TCP4 1.2.3.4 1.2.3.4 1 65536\r\n",
-    b"PROXY TCP4 1.2.3.4 1.2.3.4 1 2\n" + b" " * LINE_MOST,
+    b"PROXY TCP4 1.2.3.4 1.2.3.4 1 2\n" + b" " * MAX_LINE_BYTES,
     b"PROXY TCP5 1.2.3.4 1.2.3.4 1 2\r\n",
     b"PROXY \r\n",
-    b"PROXY UNKNOWN" + b" " * LINE_MOST,
+    b"PROXY UNKNOWN" + b" " * MAX_LINE_BYTES,
     binary(0x11, 0x11, V4),
     binary(0x22, 0x11, V4),
     binary(0x21, 0x41, V4),
@@ -85,7 +85,7 @@
     binary(0x21, 0x11, V4[:11]),
     binary(0x21, 0x21, V6[:35]),
     binary(0x21, 0x31, bytes(215)),
-    binary(0x21, 0x11, b"", REST_MOST + 1),
+    binary(0x21, 0x11, b"", MAX_REST_BYTES + 1),
     binary(0x21, 0x11, b"", 65535),
     SIGNATURE[:11] + b"X" + bytes(20),
 ]
@@ -105,7 +105,7 @@
     header = ProxyHeader()
     with pytest.raises(ProxyHeaderError):
         header.feed(b"PROXY TCP4 " + b"1" * (10 << 20))
-    assert len(header._held) <= FIXED.size + REST_MOST + 1
+    assert len(header._buffer) <= FIXED_PART.size + MAX_REST_BYTES + 1
     header = ProxyHeader()
     data = b"\x00" * (10 << 20)
     assert header.feed(binary(0x21, 0x11, V4) + data) == data
@@ -121,6 +121,6 @@
     try:
         for part in [start, *parts]:
             header.feed(part)
-            assert len(header._held) <= FIXED.size + REST_MOST + 1
+            assert len(header._buffer) <= FIXED_PART.size + MAX_REST_BYTES + 1
     except ProxyHeaderError:
         pass
