--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,4 +1,4 @@
-"""micastand: a load-balancing proxy. `Balancer` is its policy, usable without the network code."""
+"""micastand: a load-balancing proxy. `Balancer` is its policy, which can be used without the network code."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -10,7 +10,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Load the policy when it is first asked for: a starting proxy paces what it loads."""
+    """Import the policy on first use, since a starting proxy paces its imports."""
     if name == "Balancer":
         from loadbalancer.policy.balancer import Balancer
 
--- a/loadbalancer/deployment.py
+++ b/loadbalancer/deployment.py
@@ -1,7 +1,7 @@
-"""The settings object that an instance starts with, as the policy's own settings.
+"""Reads the settings object that an instance starts with, and converts it to the policy's own settings.
 
-The simulator sends it in its first message and a platform's configuration holds it, with the same names and units; both
-read it here. This is the one place where the names on the wire are mapped to those of the code.
+The simulator sends the object in its first message, and a platform's configuration contains it, with the same names and
+units. Only this module maps the names on the wire to those of the code.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 }
 SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 LIST_ON_REQUEST_MODE = "subscribe"
-"""The mode in which endpoint lists are asked for; in the other one they are pushed."""
+"""The mode in which the proxy requests endpoint lists; in the other one they are pushed."""
 DEFAULT_IDLE_TIMEOUT_S = 15.0
-"""Where the settings do not say it: short, since a request that crosses a close ends as a reset."""
+"""Used if the settings have none: short, since a request that is sent while the endpoint closes ends as a reset."""
 
 ValueT = TypeVar("ValueT")
 SettingsObject = Mapping[str, Any]
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """The settings, and what sockets need beside them."""
+    """Holds the policy's settings, and those that the network code needs beside them."""
 
     settings: PolicySettings
-    """What the policy is told."""
+    """The settings of the policy."""
     zones: Mapping[str, int]
     """Numbers of zones by name."""
     kinds: Mapping[str, int]
@@ -52,14 +52,14 @@
     idle_timeout: float
     """Seconds after which an endpoint closes an idle connection."""
     max_idle_connections: int | None = None
-    """Idle connections kept to one endpoint; None for the platform's number."""
+    """Maximum idle connections to one endpoint; None for the platform's default."""
 
 
 def read_deployment(box: SettingsObject) -> Deployment:
     """Read the settings object of a platform's configuration.
 
     Raises:
-        ValueError: A setting is missing or has no value that it may have; names it.
+        ValueError: A setting is missing or has an invalid value; the message names it.
     """
     settings = read_settings(box)
     return Deployment(
@@ -73,10 +73,10 @@
 
 
 def read_settings(box: SettingsObject) -> PolicySettings:
-    """Read what the policy is told.
+    """Read the settings of the policy.
 
     Raises:
-        ValueError: A setting is missing or has no value that it may have; names it.
+        ValueError: A setting is missing or has an invalid value; the message names it.
     """
     limits = _require(box, "policy-limits")
     rules = _require(box, "rules")
@@ -148,19 +148,19 @@
 
 
 def _require(box: SettingsObject, key: str, where: str = "") -> Any:
-    """The value of a setting that must be there."""
+    """Return the value of a required setting."""
     if key not in box:
         raise ValueError(f"{where}{key}: missing")
     return box[key]
 
 
 def _translate(table: Mapping[str, ValueT], value: object, key: str) -> ValueT:
-    """The code's name for one on the wire."""
+    """Convert a name on the wire to the code's value for it."""
     if not isinstance(value, str) or value not in table:
         raise ValueError(f"{key}: {value!r} is not one of {', '.join(table)}")
     return table[value]
 
 
 def _number(names: Iterable[Any]) -> dict[str, int]:
-    """Numbers of names, in their order."""
+    """Return the numbers of names, in their order."""
     return {str(name): number for number, name in enumerate(names)}
--- a/loadbalancer/discovery/endpoint_source.py
+++ b/loadbalancer/discovery/endpoint_source.py
@@ -1,4 +1,4 @@
-"""What a source of endpoints and the one who takes its lists know of each other."""
+"""The interfaces between a source of endpoints and the receiver of its lists."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 Address = tuple[str, int]
 """Host and port."""
 Entry = tuple[EndpointEntry, Address]
-"""An entry for the policy, and where the endpoint listens."""
+"""An entry for the policy, and the address that the endpoint listens on."""
 
 
 class EndpointListener(Protocol):
-    """Who is notified of endpoints."""
+    """Receives the lists of a source."""
 
     def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
-        """Take a list.
+        """Apply a list.
 
         Args:
             entries: The endpoints.
-            whole: Whether these are all endpoints; otherwise they change the list that is held.
+            whole: Whether these are all endpoints; otherwise they are changes to the current list.
             stale: Whether the list is from before a restart.
         """
 
     def list_failed(self, busy: bool = False) -> None:
-        """Hear that a call to the source has failed; the list that is held stands.
+        """Handle a failed call to the source; the current list stays in use.
 
         Args:
-            busy: Whether the call had waited in line behind others' calls.
+            busy: Whether the call had waited in the service's queue behind the calls of other clients.
         """
 
 
 class EndpointSource(Protocol):
-    """Where a pool's endpoints come from."""
+    """Provides the endpoints of a pool."""
 
     def watch(self, on: bool) -> None:
-        """Begin or end notifying of changes."""
+        """Start or stop notifying the listener of changes."""
 
     def close(self) -> None:
-        """Notify of nothing any more, and release what is open."""
+        """Stop notifying the listener, and release all connections, files and timers."""
--- a/loadbalancer/discovery/entry_conversion.py
+++ b/loadbalancer/discovery/entry_conversion.py
@@ -1,4 +1,4 @@
-"""Endpoints as configuration files list them, as entries for the policy."""
+"""Converts the endpoints that configuration files list to entries for the policy."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from loadbalancer.policy.events import STICKY_DOMAIN_PREFIX, EndpointEntry, EndpointState
 
 STANDBY_PRIORITY = 1_000_000
-"""Priority of the standby endpoints of set 0: behind every set that serves."""
+"""Priority of the standby endpoints of set 0: after every set of serving endpoints."""
 LONG_AGO = 0.0
 """Start time of an endpoint that does not count as just started."""
 
 
 class NameNumbering:
-    """Numbers for names, in the order in which they are met."""
+    """Assigns numbers to names, in the order of their first use."""
 
     def __init__(self, names: Iterable[str]) -> None:
         self._numbers = {name: number for number, name in enumerate(names)}
 
     def __call__(self, name: str) -> int:
-        """The number of a name, the next one where it is new."""
+        """Return the number of a name; a new name gets the next number."""
         return self._numbers.setdefault(name, len(self._numbers))
 
 
 class EntryConverter:
-    """Converts the lists of one pool; it remembers the endpoints of the last one, to tell which are new."""
+    """Converts the lists of one pool, and tracks the endpoints of the previous list to find out which are new."""
 
     def __init__(
         self, zones: Iterable[str], new_are_cold: bool, clock: Callable[[], float] = time.time
     ) -> None:
-        """Begin without a list.
+        """Start without a list.
 
         Args:
             zones: Names of zones; their order gives their numbers.
             new_are_cold: Whether an endpoint that was not in the first list counts as started when it appeared,
-                unless it says when it started.
+                unless its entry has a start time.
             clock: Unix seconds.
         """
         self._zone_number = NameNumbering(zones)
@@ -48,7 +48,7 @@
         self._redirects: dict[str, str] = {}
 
     def entries(self, members: Sequence[MemberTable]) -> list[Entry]:
-        """The endpoints that may serve or finish; a stopped one is not listed at all."""
+        """Return the endpoints that may serve new requests or finish open ones; stopped ones are left out."""
         before = self._started or {}
         new_started = LONG_AGO
         if self._started is not None and self._new_are_cold:
@@ -81,9 +81,9 @@
 
 
 def session_names(members: Iterable[MemberTable]) -> dict[str, str]:
-    """Endpoint ids by the names that sticky sessions have for them; domains, marked as such, by theirs.
+    """Map the names that sticky sessions use to endpoint ids, or to domains with STICKY_DOMAIN_PREFIX.
 
-    A stopped endpoint has a name only where its sessions are redirected.
+    A stopped endpoint has a name only if its sessions are redirected.
     """
     members = list(members)
     serving = [member for member in members if member.state != "stopped"]
--- a/loadbalancer/discovery/errors.py
+++ b/loadbalancer/discovery/errors.py
@@ -1,19 +1,19 @@
-"""Errors of endpoint lists and overrides."""
+"""Errors in endpoint lists and overrides."""
 
 from __future__ import annotations
 
 
 class DiscoveryError(ValueError):
-    """A list or an override cannot be read; names the field and the value seen."""
+    """Raised when a list or an override cannot be read; names the field and the value found."""
 
 
 class ListError(DiscoveryError):
-    """What came is no list of endpoints."""
+    """Raised for a value that is not a list of endpoints."""
 
 
 class EntryError(DiscoveryError):
-    """An entry of a list lacks a field, or has a value that it may not have."""
+    """Raised for an entry of a list with a missing field or an invalid value."""
 
 
 class OverridesError(DiscoveryError):
-    """The file of overrides is cut, damaged, foreign or of a later form."""
+    """Raised for a file of overrides that is truncated, corrupt, of another kind or of an unsupported version."""
--- a/loadbalancer/discovery/json_stream.py
+++ b/loadbalancer/discovery/json_stream.py
@@ -1,8 +1,8 @@
-"""Complete JSON values out of a stream that is cut anywhere. No I/O.
+"""Extracts complete JSON values from a stream that arrives in arbitrary chunks. No I/O.
 
-A value stands on one line, or is spread over lines by indentation. A string holds no line end (RFC 8259, section 7), so
-each line is judged by itself: its brackets outside of strings are counted, and a value is complete where the count is
-back at zero.
+A value is on one line, or spread over several lines by indentation. A string contains no line end (RFC 8259, section
+7), so each line can be examined on its own: its brackets outside of strings are counted, and a value is complete when
+the count is back at zero.
 """
 
 from __future__ import annotations
@@ -13,40 +13,40 @@
 import orjson
 
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-"""A string, also one with escaped quotes or backslashes."""
+"""Matches a string, with or without escaped quotes and backslashes."""
 CONTINUED_ENDINGS = b"{[,:"
-"""What a line may end with where the next one continues the value."""
+"""Characters that end a line whose value continues on the next line."""
 CONTINUING_STARTS = b"}],:"
-"""What a line may begin with where it continues the value of a line with any other ending."""
+"""Characters that begin a line which continues a value, whatever the previous line ended with."""
 
 
 class JsonValues:
-    """Collects complete values.
+    """Collects the bytes of a stream until values are complete.
 
     Args:
-        most: Bytes that a value may have; bounds what is held.
+        max_bytes: Maximum size of a value; bounds the memory.
     """
 
-    def __init__(self, most: int) -> None:
-        self.max_bytes = most
-        self._line = bytearray()  # the line that has not ended
-        self._lines: list[bytes] = []  # of the value that is not complete
-        self._held_bytes = 0  # of these lines
-        self._depth = 0  # brackets open at their end
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self._line = bytearray()  # the current line, without its line end so far
+        self._lines: list[bytes] = []  # the lines of the incomplete value
+        self._held_bytes = 0  # size of these lines
+        self._depth = 0  # open brackets at their end
 
     @property
     def is_inside(self) -> bool:
-        """Whether a value has begun and is not complete."""
+        """Return whether a value has begun and is incomplete."""
         return bool(self._lines) or bool(self._line.strip())
 
     def feed(self, data: bytes) -> list[object]:
-        """Take more bytes.
+        """Parse more bytes.
 
         Returns:
-            The values that are complete by now.
+            The values that these bytes complete.
 
         Raises:
-            ValueError: What came is no value, or is too long.
+            ValueError: The bytes are not a JSON value, or the value is too long.
         """
         values: list[object] = []
         *lines, rest = data.split(b"\n")
@@ -56,8 +56,8 @@
             values += self._end_line(complete_line)
         self._line += rest
         if self._held_bytes + len(self._line) > self.max_bytes:
-            raise ValueError(f"a value of over {self.max_bytes} bytes")
-        # A value may be complete though no line end has come behind it.
+            raise ValueError(f"expected a value of at most {self.max_bytes} bytes, found a longer one")
+        # A value may be complete before its line end arrives.
         if rest.rstrip()[-1:] in (b"}", b"]") and self._completes_value(self._line):
             complete_line = bytes(self._line)
             self._line.clear()
@@ -71,22 +71,22 @@
     def _end_line(self, line: bytes) -> list[object]:
         line = line.strip()
         if not line:
-            if self._lines:  # an empty line is a heartbeat between values
-                raise ValueError("a value without its end")
+            if self._lines:  # an empty line is a heartbeat, which is sent between values only
+                raise ValueError("expected the rest of a value, found an empty line")
             return []
         if not self._lines:
-            values = _decode_one(line)  # the usual form needs no brackets counted
+            values = _decode_one(line)  # the usual case, a value on one line, needs no count of brackets
             if values:
                 return values
         elif self._lines[-1][-1] not in CONTINUED_ENDINGS and line[0] not in CONTINUING_STARTS:
-            raise ValueError("another value inside of one")
+            raise ValueError("expected the rest of a value, found the start of another one")
         return self._add_line(line)
 
     def _add_line(self, line: bytes) -> list[object]:
-        """Add a line to the value that is not complete; that value where the line completes it."""
+        """Add a line to the incomplete value; return the value if this completes it."""
         outside_strings = STRING.sub(b"", line)
         if b'"' in outside_strings:
-            raise ValueError("a string without its end")
+            raise ValueError("expected the end of a string, found a line end")
         self._depth += _count_open_brackets(outside_strings)
         self._lines.append(line)
         self._held_bytes += len(line) + 1
@@ -100,13 +100,13 @@
 
 
 def _count_open_brackets(outside_strings: bytes) -> int:
-    """Brackets that a line without its strings leaves open; negative where it closes more."""
+    """Return how many brackets a line, given without its strings, opens minus how many it closes."""
     opened = outside_strings.count(b"{") + outside_strings.count(b"[")
     return opened - outside_strings.count(b"}") - outside_strings.count(b"]")
 
 
 def _decode_one(text: bytes) -> list[object]:
-    """The value, in a list; an empty list where the text is not one value."""
+    """Return the value in a list, or an empty list if the text is not exactly one value."""
     try:
         return [orjson.loads(text)]
     except ValueError:
@@ -114,7 +114,7 @@
 
 
 def _decode_several(text: str) -> list[object]:
-    """Several values on one line."""
+    """Return the values of a text that holds several of them."""
     values = []
     try:
         while text:
@@ -122,5 +122,5 @@
             values.append(value)
             text = text[end:].lstrip()
     except RecursionError:
-        raise ValueError("nested too deep") from None
+        raise ValueError("a value is nested too deeply") from None
     return values
--- a/loadbalancer/discovery/list_decoding.py
+++ b/loadbalancer/discovery/list_decoding.py
@@ -1,4 +1,4 @@
-"""Lists of endpoints as the platform's discovery service writes them."""
+"""Decodes the endpoint lists of the platform's discovery service."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 from loadbalancer.resource_limits import RateLimitedLogger
 
 STATES = {"SERVING": EndpointState.READY, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
-"""States by the service's names."""
+"""Endpoint states by the names that the service uses."""
 UNKNOWN_NUMBER = -1
-"""Number that all zones and kinds share which the settings do not name."""
+"""Number of all zones and kinds that the settings do not name."""
 NO_ADDRESS: Address = ("", 0)
-"""Of an endpoint that is gone."""
+"""Address of an endpoint that is gone."""
 MS_PER_S = 1000
 
 
 class ListUpdate(NamedTuple):
-    """A list, or a change to one."""
+    """Holds a decoded list, or changes to one."""
 
     version: int
     """The service's version of the list."""
     full: bool
-    """Whether these are all endpoints."""
+    """Whether these are all endpoints; otherwise they are changes to the current list."""
     entries: list[Entry]
-    """The entries that could be read."""
+    """The valid entries."""
 
 
 def read_list(value: object, deployment: Deployment, logger: RateLimitedLogger) -> ListUpdate:
     """Decode a list.
 
-    Entries that cannot be read are logged and left out, so that one bad entry does not hide the others.
+    Invalid entries are logged and left out, so that one of them does not hide the others.
 
     Raises:
-        ListError: The value is no list.
+        ListError: The value is not a list of endpoints.
     """
     if not isinstance(value, dict) or not isinstance(value.get("servers"), list):
-        raise ListError("not a list of servers")
+        raise ListError("expected an object with a list of servers")
     version = value.get("version", 0)
     if isinstance(version, bool) or not isinstance(version, int):
-        raise ListError(f"version: {version!r}")
+        raise ListError(f"version: {version!r} is not an integer")
     entries = []
     for item in value["servers"]:
         try:
@@ -58,16 +58,16 @@
     """Decode one entry; unknown fields are skipped.
 
     Raises:
-        EntryError: A field is missing or has no value that it may have.
+        EntryError: A field is missing or has an invalid value.
     """
     if not isinstance(value, dict):
-        raise EntryError("not an object")
+        raise EntryError(f"{value!r} is not an object")
     endpoint = value.get("id")
     if not isinstance(endpoint, str) or not endpoint:
-        raise EntryError("id: missing")
+        raise EntryError("id: missing, empty or not a string")
     name = value.get("state", "SERVING")
     if name not in STATES:
-        raise EntryError(f"state: {name!r}")
+        raise EntryError(f"state: {name!r} is not one of {', '.join(STATES)}")
     state = STATES[name]
     entry = EndpointEntry(
         endpoint=endpoint,
@@ -87,11 +87,11 @@
     try:
         return str(ipaddress.IPv4Address(host)), int(port)
     except ValueError:
-        raise EntryError(f"addr: {value.get('addr')!r}") from None
+        raise EntryError(f"addr: {value.get('addr')!r} is not an IPv4 address with a port") from None
 
 
 def _read_number(value: Mapping[str, Any], key: str, default: float) -> float:
     number = value.get(key, default)
     if isinstance(number, bool) or not isinstance(number, (int, float)) or not math.isfinite(number):
-        raise EntryError(f"{key}: {number!r}")
+        raise EntryError(f"{key}: {number!r} is not a finite number")
     return number
--- a/loadbalancer/discovery/list_handoff.py
+++ b/loadbalancer/discovery/list_handoff.py
@@ -1,6 +1,6 @@
-"""A list of endpoints as one instance hands it to another. No I/O.
+"""Encodes and decodes the endpoint list that one instance hands to another. No I/O.
 
-Zones and kinds go by name, since each instance numbers them by its own configuration.
+Zones and kinds are written by name, since each instance numbers them by its own configuration.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from loadbalancer.policy.events import EndpointEntry, EndpointState
 
 AGE_MOST = 10.0
-"""Seconds since the source was last heard after which a list is neither handed on nor taken."""
+"""Maximum seconds since the last message of the source for a list to be handed on or accepted."""
 MAX_ENDPOINTS = 50_000
 UNKNOWN_NUMBER = -1
 """Number of a zone or kind that this instance's configuration does not name."""
@@ -22,35 +22,35 @@
 
 
 class HandedEndpoint(Struct, array_like=True):
-    """One endpoint."""
+    """Holds one endpoint of a list."""
 
     endpoint: Annotated[str, Meta(min_length=1, max_length=400)]
     """Its id."""
     zone: Text
-    """Name of its zone; empty where it is not known."""
+    """Name of its zone; empty if unknown."""
     cell: int
     """Number of its cell."""
     kind: Text
-    """Name of its kind; empty where it is not known."""
+    """Name of its kind; empty if unknown."""
     state: EndpointState
-    """What the source says of it."""
+    """Its state according to the source."""
     weight: float
     """Its share of the traffic, relative to the others."""
     started: float
     """When it started, in Unix seconds; 0 for long ago."""
     host: Text
-    """Where it listens."""
+    """Host that it listens on."""
     port: Annotated[int, Meta(ge=0, le=65535)]
-    """Where it listens."""
+    """Port that it listens on."""
 
 
 class HandedList(Struct, array_like=True):
-    """A list."""
+    """Holds a list of endpoints."""
 
     version: int | None
-    """As the source has it; None where it says none."""
+    """The source's version of the list; None if it has none."""
     age: Annotated[float, Meta(ge=0, le=1e9)]
-    """Seconds since the source was last heard."""
+    """Seconds since the last message of the source."""
     endpoints: Annotated[list[HandedEndpoint], Meta(max_length=MAX_ENDPOINTS)]
     """All endpoints."""
 
@@ -66,8 +66,8 @@
 
     Args:
         entries: All endpoints.
-        version: As the source has it.
-        age: Seconds since the source was last heard.
+        version: The source's version of the list; None if it has none.
+        age: Seconds since the last message of the source.
         zones: This instance's numbers of zones, by name.
         kinds: This instance's numbers of kinds, by name.
     """
@@ -94,22 +94,22 @@
     """Decode a list.
 
     Args:
-        data: What `write` has made.
+        data: A list that `write` has encoded.
         zones: This instance's numbers of zones, by name.
         kinds: This instance's numbers of kinds, by name.
 
     Returns:
-        The endpoints that exist, and the list as it came.
+        The endpoints except those that are gone, and the list as it was decoded.
 
     Raises:
-        ValueError: The bytes are no list, or the list is too old.
+        ValueError: The bytes are not a list, or the list is too old.
     """
     try:
         handed = msgspec.msgpack.decode(data, type=HandedList)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
-        raise ValueError(f"no list: {problem}") from None
+        raise ValueError(f"not a list of endpoints: {problem}") from None
     if handed.age > AGE_MOST:
-        raise ValueError(f"heard {handed.age:.0f} s ago; at most {AGE_MOST:.0f}")
+        raise ValueError(f"the list is {handed.age:.0f} s old; expected at most {AGE_MOST:.0f} s")
     entries: list[Entry] = []
     for endpoint in handed.endpoints:
         if endpoint.state == EndpointState.GONE:
--- a/loadbalancer/discovery/overrides.py
+++ b/loadbalancer/discovery/overrides.py
@@ -1,17 +1,18 @@
-"""Administrative overrides of one pool, above what its source lists. No I/O, no clock but the one handed in.
+"""Administrative overrides of one pool, applied over the list of its source. No I/O; the clock is passed in.
 
-The order of the two layers, from what counts most:
+Rules of precedence, the highest first:
 
-1. An endpoint that no source lists and no operator has added gets nothing, whatever its override; the override stays
-   for its return.
-2. An operator's `cordon` (nothing at all), then `drain` (its sessions go on where the pool says so), stand above the
-   source's state; `weight` above the source's. `drain` does not lift a stop of the source.
-3. An endpoint that an operator has added stands beside the source's. Once the source lists its id, the source counts
-   and the addition is over.
-4. A frozen source is heard and not followed: its last list counts from the thaw on.
+1. An endpoint that neither the source lists nor an operator has added gets no requests, whatever its override. The
+   override is kept in case the endpoint returns.
+2. An operator's `cordon` (no requests at all), then `drain` (its sessions continue if the pool allows that), take
+   precedence over the source's state, and `weight` over the source's weight. `drain` does not undo a stop by the
+   source.
+3. An endpoint that an operator has added is used in addition to those of the source. Once the source lists its id, the
+   source's entry is used instead.
+4. While the source is frozen, its lists are received and not applied; the last one is applied when it is thawed.
 
-An override ends by its time, by `uncordon`, or by being set anew: of two operators the later counts, and who it was is
-kept.
+An override ends when it expires, by `uncordon`, or when it is replaced: the later of two operators wins, and the
+override records who set it.
 """
 
 from __future__ import annotations
@@ -27,81 +28,86 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminOverride:
-    """What operators say of one endpoint of a pool. Its fields' names are keys in the store and on the wire."""
+    """Holds the override of one endpoint of a pool. The names of its fields are keys in the store and on the wire."""
 
     word: OverrideState | None = None
-    """The state; None for that of the source."""
+    """The state; None to use that of the source."""
     weight: float | None = None
-    """The weight; None for that of the source."""
+    """The weight; None to use that of the source."""
     until: float = 0.0
     """When it ends, in Unix seconds; 0 for never."""
     by: str = ""
-    """Which operator has set it."""
+    """The operator who set it."""
     reason: str = ""
-    """Why, in the operator's words."""
+    """The operator's reason."""
     at: float = 0.0
     """When it was set, in Unix seconds."""
     address: tuple[str, int] | None = None
-    """Where an added endpoint listens."""
+    """Address of an endpoint that an operator has added."""
     since: float = 0.0
-    """When it was added, in Unix seconds; it counts as started then."""
+    """When the endpoint was added, in Unix seconds; used as its start time."""
 
     def is_over(self, now: float) -> bool:
-        """Whether it has ended by this Unix time, in seconds."""
+        """Return whether it has expired at this Unix time in seconds."""
         return 0 < self.until <= now
 
     def says_nothing(self) -> bool:
-        """Whether it changes nothing."""
+        """Return whether it overrides nothing."""
         return self.word is None and self.weight is None and self.address is None
 
 
 class OverriddenListListener(EndpointListener, Protocol):
-    """Who gets the list that both layers make."""
+    """Receives the source's list with the overrides applied."""
 
     def cordon(self, server: str, out: bool) -> None:
-        """Leave this endpoint out, or use it again."""
+        """Send the endpoint no requests if `out`, else use it again."""
 
 
 @dataclass(slots=True)
 class _Layers:
     listed: dict[str, Entry] = field(default_factory=dict)
-    """As the source listed them last."""
+    """The source's entries that are in use, by endpoint."""
     overrides: dict[str, AdminOverride] = field(default_factory=dict)
-    """By endpoint."""
+    """The overrides, by endpoint."""
 
 
 class EndpointOverrides:
-    """Both layers of one pool, between its source and its policy; it takes the source's lists."""
+    """Receives the lists of a pool's source, applies the overrides, and passes the result to the pool's policy."""
 
     def __init__(
-        self, told: OverriddenListListener, marks: Mapping[str, AdminOverride], now: Callable[[], float]
+        self,
+        listener: OverriddenListListener,
+        overrides: Mapping[str, AdminOverride],
+        now: Callable[[], float],
     ) -> None:
-        """Begin without a list.
+        """Start without a list.
 
         Args:
-            told: Gets the list that both layers make.
-            marks: Overrides from before, by endpoint; those that have ended are dropped.
+            listener: Receives the lists with the overrides applied.
+            overrides: Stored overrides by endpoint; expired ones are dropped.
             now: Unix seconds.
         """
         self.frozen = False
-        self._listener = told
+        self._listener = listener
         self._now = now
-        current = {endpoint: override for endpoint, override in marks.items() if not override.is_over(now())}
+        current = {
+            endpoint: override for endpoint, override in overrides.items() if not override.is_over(now())
+        }
         self._layers = _Layers(overrides=current)
-        self._cordoned: set[str] = set()  # as the listener knows it
-        self._heard: dict[str, Entry] | None = None  # the list of a frozen source
+        self._cordoned: set[str] = set()  # as last reported to the listener
+        self._deferred: dict[str, Entry] | None = None  # last list of the source while it is frozen
 
     @property
     def marks(self) -> Mapping[str, AdminOverride]:
-        """The overrides, by endpoint."""
+        """Return the overrides by endpoint."""
         return self._layers.overrides
 
     def listed(self) -> Mapping[str, Entry]:
-        """The source's list, as it is followed."""
+        """Return the source's entries that are in use, by endpoint."""
         return self._layers.listed
 
     def knows(self, member: str) -> bool:
-        """Whether the source lists this endpoint, or an operator has added it."""
+        """Return whether the source lists this endpoint, or an operator has added it."""
         return member in self._layers.listed or self._is_added(member)
 
     def _is_added(self, endpoint: str) -> bool:
@@ -111,49 +117,49 @@
     # Called by the source.
 
     def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
-        """Take a list of the source, or a change to it; see `EndpointListener`."""
-        listed = {} if whole else dict(self._layers.listed if self._heard is None else self._heard)
+        """Apply a list of the source, or changes to it; see `EndpointListener`."""
+        listed = {} if whole else dict(self._layers.listed if self._deferred is None else self._deferred)
         for entry, address in entries:
             if entry.state == EndpointState.GONE:
                 listed.pop(entry.endpoint, None)
             else:
                 listed[entry.endpoint] = entry, address
         if self.frozen:
-            self._heard = listed
+            self._deferred = listed
             return
         self._layers.listed = listed
         self._notify(stale)
 
     def list_failed(self, busy: bool = False) -> None:
-        """Pass a failure of the source on."""
+        """Report a failed call of the source to the listener."""
         self._listener.list_failed(busy)
 
     # Called for operators.
 
-    def mark(self, member: str, mark: AdminOverride) -> None:
-        """Set an endpoint's override, in place of the one before; one that says nothing removes it."""
-        if mark.says_nothing():
+    def mark(self, member: str, override: AdminOverride) -> None:
+        """Replace an endpoint's override; an empty one removes it."""
+        if override.says_nothing():
             self._layers.overrides.pop(member, None)
         else:
-            self._layers.overrides[member] = mark
+            self._layers.overrides[member] = override
         self._notify()
 
     def freeze(self, on: bool) -> None:
-        """Stop following the source, or follow it again."""
+        """Stop applying the lists of the source, or start again with its last list."""
         if on == self.frozen:
             return
         self.frozen = on
-        heard = self._heard
-        self._heard = None
-        if not on and heard is not None:
-            self._layers.listed = heard
+        deferred = self._deferred
+        self._deferred = None
+        if not on and deferred is not None:
+            self._layers.listed = deferred
             self._notify()
 
     def expire(self) -> list[str]:
-        """Remove the overrides that have ended by now.
+        """Remove the overrides that have expired.
 
         Returns:
-            Their endpoints.
+            The endpoints that had them.
         """
         now = self._now()
         ended = [endpoint for endpoint, override in self._layers.overrides.items() if override.is_over(now)]
@@ -164,7 +170,7 @@
         return ended
 
     def entries(self) -> list[Entry]:
-        """The list that both layers make."""
+        """Return the source's list with the overrides applied."""
         layers = self._layers
         merged = {
             endpoint: (_override_entry(entry, layers.overrides.get(endpoint)), address)
@@ -177,7 +183,7 @@
         return list(merged.values())
 
     def _notify(self, stale: bool = False) -> None:
-        """The listener first hears who is cordoned, so that a new list brings nothing to them."""
+        """Notify the listener: new cordons before the list, so that the list sends no requests to those endpoints."""
         cordoned = {
             endpoint for endpoint, override in self._layers.overrides.items() if override.word == "cordon"
         }
@@ -190,7 +196,7 @@
 
 
 def _override_entry(entry: EndpointEntry, override: AdminOverride | None) -> EndpointEntry:
-    """A source's entry with the override's weight and state."""
+    """Return a source's entry with the override's weight and state applied."""
     if override is None:
         return entry
     if override.weight is not None:
@@ -212,18 +218,18 @@
     address: Address | None = None,
     lift: bool = False,
 ) -> AdminOverride:
-    """An endpoint's override after one more change; what the change does not say stays as it was.
+    """Return an endpoint's override after a change; fields that the change does not set keep their values.
 
     Args:
-        before: The override so far.
+        before: The current override, if there is one.
         now: Unix seconds.
-        by: Which operator.
-        reason: Why.
+        by: The operator.
+        reason: The operator's reason.
         until: When it ends, in Unix seconds; 0 for never.
         word: The new state.
         weight: The new weight.
-        address: Where an added endpoint listens.
-        lift: Whether cordon and drain end.
+        address: Address of an added endpoint.
+        lift: Whether a cordon or drain is removed.
     """
     base = before or AdminOverride()
     added_at = now if address is not None else 0.0
--- a/loadbalancer/discovery/platform_overrides.py
+++ b/loadbalancer/discovery/platform_overrides.py
@@ -1,7 +1,7 @@
 """Administrative overrides on the platform: which endpoints are cordoned, by id. No I/O.
 
-Whoever stores the overrides hands over an `OverrideStore`, and calls `follow` when another process has changed them.
-The policy is notified of each change.
+The overrides are stored through an `OverrideStore`. The owner of the store calls `follow` when another process has
+changed them. The policy is notified of each change.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from loadbalancer.discovery.errors import OverridesError
 
 MAX_LISTED_IDS = 20_000
-"""Ids that were listed once and are remembered, the latest ones: a long day brings new ones without end."""
-FORM_VERSION = 1
-"""Version of the file's form; another one is refused as a whole."""
+"""Maximum number of ids of listed endpoints that are remembered, the latest ones: new ids keep arriving over time."""
+FORMAT_VERSION = 1
+"""Version of the file format; a file of another version is rejected."""
 
 CordonTimes = Mapping[str, float]
 """When each endpoint was cordoned, in Unix seconds, by id."""
 
 
-def encode(marks: CordonTimes) -> bytes:
-    """The file's content: a JSON object with a checksum over what it holds."""
-    body = orjson.dumps(dict(marks), option=orjson.OPT_SORT_KEYS)
-    content = {"version": FORM_VERSION, "sum": hashlib.sha256(body).hexdigest(), "out": dict(marks)}
+def encode(overrides: CordonTimes) -> bytes:
+    """Return the content of the file: a JSON object with a checksum of the overrides."""
+    body = orjson.dumps(dict(overrides), option=orjson.OPT_SORT_KEYS)
+    content = {"version": FORMAT_VERSION, "sum": hashlib.sha256(body).hexdigest(), "out": dict(overrides)}
     return orjson.dumps(content, option=orjson.OPT_SORT_KEYS) + b"\n"
 
 
@@ -33,52 +33,52 @@
     """Read the file's content.
 
     Raises:
-        OverridesError: Anything is not as `encode` wrote it: cut, damaged, foreign, of a later form.
+        OverridesError: The content is not what `encode` writes: truncated, corrupt, of another kind or version.
     """
     try:
         content = orjson.loads(data)
     except ValueError:
-        raise OverridesError("not JSON; cut or foreign") from None
+        raise OverridesError("not JSON: the file is truncated or of another kind") from None
     if not isinstance(content, dict) or "version" not in content:
-        raise OverridesError("not a file of marks")
-    if content["version"] != FORM_VERSION:
-        raise OverridesError(f"of version {content['version']!r}; this program knows {FORM_VERSION}")
+        raise OverridesError("not a file of overrides: expected a JSON object with a version")
+    if content["version"] != FORMAT_VERSION:
+        raise OverridesError(f"expected version {FORMAT_VERSION}, found {content['version']!r}")
     out = content.get("out")
     if not isinstance(out, dict) or not all(isinstance(at, (int, float)) for at in out.values()):
-        raise OverridesError("its marks are no times by id")
+        raise OverridesError("expected an object of times by endpoint id under the key out")
     cordoned = {str(endpoint): float(at) for endpoint, at in out.items()}
     if encode(cordoned) != data:
-        raise OverridesError("its check sum does not fit")
+        raise OverridesError("the checksum does not match the content")
     return cordoned
 
 
 class OverrideListener(Protocol):
-    """Who is notified of each change."""
+    """Is notified of each change."""
 
     def cordon(self, server: str, out: bool) -> None:
-        """Leave an endpoint out, or use it again."""
+        """Send the endpoint no requests if `out`, else use it again."""
 
 
 Change = Callable[[dict[str, float]], None]
 """Applies a change to the stored overrides."""
-Kept = CordonTimes | OSError | None
-"""What became of a change: all overrides as they are stored now, why they could not be, or None while it takes long."""
+StoreResult = CordonTimes | OSError | None
+"""Result of a change: all overrides as stored now, the error, or None if storing takes long and has not ended."""
 
 
 class OverrideStore(Protocol):
-    """Where overrides outlive the process."""
+    """Stores overrides beyond the life of the process."""
 
-    def keep(self, change: Change, done: Callable[[Kept], None]) -> None:
+    def save_change(self, change: Change, done: Callable[[StoreResult], None]) -> None:
         """Change the stored overrides, in the order of the calls.
 
         Args:
             change: Applies the change.
-            done: Gets the result once, and None before it where it takes long.
+            done: Called with the result once, and before that with None if storing takes long.
         """
 
 
 class _PendingChange:
-    """A change that is in force and not known to be stored."""
+    """Holds a change that is in effect and not confirmed as stored."""
 
     __slots__ = ("answered", "at", "cordoned", "endpoint")
 
@@ -86,10 +86,10 @@
         self.endpoint = endpoint
         self.cordoned = cordoned
         self.at = at  # Unix seconds
-        self.answered = False  # the caller has had an answer
+        self.answered = False  # whether the caller has been answered
 
     def apply(self, overrides: dict[str, float]) -> None:
-        """Change these overrides."""
+        """Apply the change to these overrides."""
         if self.cordoned:
             overrides.setdefault(self.endpoint, self.at)
         else:
@@ -97,35 +97,35 @@
 
 
 def _log_nothing(event: str, problem: object) -> None:
-    """Drop an event."""
+    """Discard an event."""
 
 
 class PlatformOverrides:
-    """The endpoints that are cordoned, and the ids that may be.
+    """Holds the endpoints that are cordoned, and the ids that may be cordoned.
 
-    In force is what is stored and, over it, in their order, the changes asked for since: a call counts at once, and no
-    wait for a disk holds anything up. A change that cannot be stored is taken back, unless its caller has had its
-    answer because storing took long; then it stays in force here.
+    The stored overrides are in effect, with the pending changes applied over them in their order: a change takes effect
+    at once, and nothing waits for the disk. A change that cannot be stored is undone, unless its caller was answered
+    already because storing took long; then it stays in effect in this process.
     """
 
     def __init__(
         self,
-        told: OverrideListener,
-        keeper: OverrideStore | None,
+        listener: OverrideListener,
+        store: OverrideStore | None,
         clock: Callable[[], float],
         logger: Callable[[str, object], None] = _log_nothing,
     ) -> None:
-        """Begin without overrides.
+        """Start without overrides.
 
         Args:
-            told: Is notified of each change.
-            keeper: Stores changes; None where overrides end with the process.
+            listener: Is notified of each change.
+            store: Stores changes; None if overrides end with the process.
             clock: Unix seconds.
-            logger: Gets events.
+            logger: Receives log events.
         """
-        self.out: dict[str, float] = {}  # in force: when each was cordoned, Unix seconds
-        self._listener = told
-        self._store = keeper
+        self.out: dict[str, float] = {}  # in effect: when each endpoint was cordoned, in Unix seconds
+        self._listener = listener
+        self._store = store
         self._clock = clock
         self._logger = logger
         self._stored: dict[str, float] = {}
@@ -133,7 +133,7 @@
         self._listed: dict[str, None] = {}  # ids, the oldest first
 
     def listed(self, members: Iterable[str]) -> None:
-        """Note that these endpoints are on a list."""
+        """Remember the ids of listed endpoints: these may be cordoned."""
         for endpoint in members:
             if endpoint not in self._listed:
                 self._listed[endpoint] = None
@@ -141,16 +141,16 @@
                     del self._listed[next(iter(self._listed))]
 
     def mark(self, member: str, out: bool, done: Callable[[str | None], None]) -> None:
-        """Cordon an endpoint, or use it again; it is so at once. Calls may come twice.
+        """Cordon an endpoint, or use it again. This takes effect at once, and is idempotent.
 
         Args:
             member: Its id.
             out: Whether it is cordoned.
-            done: Gets None once that is stored or storing it takes long, or why it could not be stored and is taken
-                back.
+            done: Called with None once the change is stored or storing it takes long, or with the reason why it could
+                not be stored and was undone.
 
         Raises:
-            LookupError: No endpoint of this id was ever listed.
+            LookupError: No endpoint with this id was ever listed.
         """
         if member not in self._listed and member not in self.out:
             raise LookupError(member)
@@ -160,39 +160,41 @@
             self._apply()
             done(None)
             return
-        # An answered change of the same endpoint that could not be stored ends with this one.
+        # An earlier change of the endpoint that was answered and could not be stored is superseded by this one.
         self._pending = [
             pending for pending in self._pending if pending.endpoint != member or not pending.answered
         ]
         self._pending.append(change)
         self._apply()
-        self._store.keep(change.apply, lambda kept: self._on_result(change, kept, done))
+        self._store.save_change(change.apply, lambda result: self._on_result(change, result, done))
 
-    def _on_result(self, change: _PendingChange, kept: Kept, done: Callable[[str | None], None]) -> None:
-        if isinstance(kept, OSError) and change.answered:
-            self._logger("a mark is in force here and not kept", f"{change.endpoint}: {kept}")
+    def _on_result(
+        self, change: _PendingChange, result: StoreResult, done: Callable[[str | None], None]
+    ) -> None:
+        if isinstance(result, OSError) and change.answered:
+            self._logger("a mark is in force here and not kept", f"{change.endpoint}: {result}")
             return
         problem = None
-        if kept is None:
+        if result is None:
             self._logger("marks are kept late", change.endpoint)
-        elif isinstance(kept, OSError):
-            self._forget(change)
-            problem = f"the mark could not be kept, so nothing has changed: {kept}"
+        elif isinstance(result, OSError):
+            self._discard(change)
+            problem = f"the mark could not be kept, so nothing has changed: {result}"
             self._apply()
         else:
-            self._forget(change)
-            self.follow(kept)
+            self._discard(change)
+            self.follow(result)
         if not change.answered:
             change.answered = True
             done(problem)
 
-    def _forget(self, change: _PendingChange) -> None:
+    def _discard(self, change: _PendingChange) -> None:
         if change in self._pending:
             self._pending.remove(change)
 
-    def follow(self, marks: CordonTimes) -> None:
-        """Take these overrides as stored, whoever made them; the listener is notified of what differs."""
-        self._stored = dict(marks)
+    def follow(self, overrides: CordonTimes) -> None:
+        """Adopt overrides that were stored by any process; the listener is notified of the differences."""
+        self._stored = dict(overrides)
         self._apply()
 
     def _apply(self) -> None:
--- a/loadbalancer/discovery/watch.py
+++ b/loadbalancer/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The client of the platform's discovery service: keeps one watch on the list of endpoints."""
+"""The client of the platform's discovery service, which keeps one watch on the list of endpoints."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 from loadbalancer.discovery.watch_connection import WatchConnection
 from loadbalancer.resource_limits import RateLimitedLogger
 
-CONNECT_S = 1.0
-"""Seconds after which a connect to discovery fails.
+CONNECT_TIMEOUT_S = 1.0
+"""Connect timeout for the discovery service.
 
-With the policy's wait before the next call, a list is known within 6 s of when it can be had (docs/standing-test.md).
+With the policy's delay before the next call, a list is received within 6 s of when the service can provide it
+(docs/standing-test.md).
 """
 REOPEN_DELAY_S = 0.1
-"""Seconds, times a random factor up to 1, after which a failed watch is opened anew where lists are pushed."""
+"""Delay, with full jitter, before a failed watch is reopened if lists are pushed."""
 ADDRESS_CHANGE_SPREAD_S = 1.8
-"""Seconds over which all proxies call another service that they are told of at the same time.
+"""Seconds over which all proxies spread their first calls to a new service, of which they learn at the same time.
 
-What they wait in line there comes on top, and the list has to be known 4 s after the move.
+The time in that service's queue comes on top, and the list has to be received 4 s after the change of address.
 """
 
 
 class DiscoveryClient:
-    """Keeps one watch, where it is wanted; owns its connection and timers until `close`."""
+    """Keeps one watch open while it is wanted. Owns its connection and timers until `close`."""
 
     def __init__(
         self,
@@ -37,34 +38,36 @@
         address: Address,
         logger: RateLimitedLogger,
     ) -> None:
-        """Begin without a watch; see `start`.
+        """Start without a watch; `start` opens it.
 
         Args:
             proxy: Is notified of lists and failures.
             deployment: Numbers of zones and kinds, and whether lists are pushed.
-            address: Where the service listens.
-            logger: Gets events.
+            address: Address of the service.
+            logger: Receives log events.
         """
         self.proxy = proxy
         self.deployment = deployment
         self.address = address
         self.logger = logger
         self.pushed = not deployment.settings.list_on_request
-        self.version: int | None = None  # of the list that is held
+        self.version: int | None = None  # of the current list
         self.current: WatchConnection | None = None
         self.wanted = False
-        self.heard_at = -math.inf  # when the service last sent a list, in seconds of the loop
-        self._held: asyncio.TimerHandle | None = None  # delays the first watch
+        self.last_list_at = -math.inf  # when the service last sent a list, on the clock of the event loop
+        self._first_watch_timer: asyncio.TimerHandle | None = (
+            None  # while the first watch waits for `release`
+        )
         self._loop = asyncio.get_running_loop()
         self._opening: asyncio.Task[None] | None = None
 
     def start(self, known: object, held: float = 0.0) -> None:
-        """Begin with the list from before.
+        """Start with a stored list.
 
         Args:
-            known: That list, as the service has written it.
-            held: Seconds that the first watch waits for `release`, at most; it begins here where lists are pushed, and
-                is otherwise asked for by the policy.
+            known: The list in the service's format.
+            held: Maximum seconds that the first watch waits for `release`. This applies if lists are pushed; otherwise
+                the policy requests the watch.
         """
         try:
             update = read_list(known, self.deployment, self.logger)
@@ -75,29 +78,29 @@
             self.version = update.version
             self.proxy.take_list(update.entries, whole=True, stale=True)
         if self.pushed and held:
-            self._held = self._loop.call_later(held, self.release)
+            self._first_watch_timer = self._loop.call_later(held, self.release)
         elif self.pushed:
             self.watch(True)
 
     def release(self, after: float = 0.0) -> None:
-        """Let the first watch begin, now or so many seconds later."""
-        if self._held is None:
+        """Open the first watch, now or after this many seconds."""
+        if self._first_watch_timer is None:
             return
-        self._held.cancel()
-        self._held = None
+        self._first_watch_timer.cancel()
+        self._first_watch_timer = None
         if after > 0:
-            self._held = self._loop.call_later(after, self.release)
+            self._first_watch_timer = self._loop.call_later(after, self.release)
         else:
             self.watch(True)
 
     def age(self) -> float:
-        """Seconds since the service was last heard; 0 while a watch stands."""
-        if self.current is not None and self.heard_at > 0:
+        """Return the seconds since the last list of the service; 0 while a watch is open."""
+        if self.current is not None and self.last_list_at > 0:
             return 0.0
-        return self._loop.time() - self.heard_at
+        return self._loop.time() - self.last_list_at
 
     def watch(self, on: bool) -> None:
-        """Open a watch, or close it; one that stands or is being opened is kept."""
+        """Open a watch, or close it; one that is open or being opened is kept."""
         self.wanted = on
         if not on:
             self.close()
@@ -105,10 +108,10 @@
             self._opening = self._loop.create_task(self._open())
 
     def move(self, address: Address) -> None:
-        """Use another service from now on.
+        """Switch to another service.
 
-        Its whole list is asked for, since versions are of one service. The old watch ends at once, so that no drain is
-        missed; what it had listed stands until the new service has sent its list.
+        Its whole list is requested, since versions are only valid within one service. The old watch is closed at once,
+        so that no drain is missed; its list stays in use until the new service has sent one.
         """
         if address == self.address:
             return
@@ -123,10 +126,10 @@
             self._loop.call_later(wait, self._reopen)
 
     def close(self) -> None:
-        """Close the watch, or stop opening it."""
-        if self._held is not None:
-            self._held.cancel()
-            self._held = None
+        """Close the watch, or cancel opening it."""
+        if self._first_watch_timer is not None:
+            self._first_watch_timer.cancel()
+            self._first_watch_timer = None
         if self._opening is not None:
             self._opening.cancel()
             self._opening = None
@@ -137,7 +140,7 @@
 
     async def _open(self) -> None:
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, watch = await self._loop.create_connection(lambda: WatchConnection(self), *self.address)
         except (OSError, TimeoutError) as problem:
             self._opening = None
@@ -153,11 +156,11 @@
     # Called by the watch.
 
     def watch_opened(self, watch: WatchConnection) -> None:
-        """The connection is up; values may come before `create_connection` returns."""
+        """Use a watch as soon as it is connected: values may arrive before `create_connection` returns."""
         self.current = watch
 
     def watch_failed(self, watch: WatchConnection | None, reason: object, busy: bool = False) -> None:
-        """The watch has ended, whatever the reason; the list that is held stands."""
+        """Handle the end of a watch for any reason; the current list stays in use."""
         if watch is not self.current or not self.wanted:
             return
         self.logger("watch failed", reason)
@@ -167,24 +170,24 @@
         else:
             self.proxy.list_failed(busy)
 
-    def watch_missed(self, watch: WatchConnection, reason: str) -> None:
-        """What it sent cannot be taken, so the whole list is asked for."""
+    def watch_out_of_sync(self, watch: WatchConnection, reason: str) -> None:
+        """Reopen the watch and request the whole list, since a message could not be used."""
         if watch is self.current:
             self.version = None
             self.watch_failed(watch, reason)
 
-    def take_value(self, watch: WatchConnection, value: object) -> None:
-        """A list, or a change to one, has come."""
+    def apply_value(self, watch: WatchConnection, value: object) -> None:
+        """Apply a list, or changes to one, that the watch received."""
         if watch is not self.current:
             return
         try:
             update = read_list(value, self.deployment, self.logger)
         except ListError as problem:
-            self.watch_missed(watch, f"unreadable list: {problem}")
+            self.watch_out_of_sync(watch, f"unreadable list: {problem}")
             return
         if not update.full and self.version is not None and update.version < self.version:
-            self.watch_missed(watch, f"version {update.version} after a newer one")
+            self.watch_out_of_sync(watch, f"expected version {self.version} or later, found {update.version}")
             return
         self.version = update.version
-        self.heard_at = self._loop.time()
+        self.last_list_at = self._loop.time()
         self.proxy.take_list(update.entries, update.full)
--- a/loadbalancer/discovery/watch_connection.py
+++ b/loadbalancer/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""One watch on the discovery service: a response that stays open, one JSON value behind another."""
+"""One watch on the discovery service: a response that stays open and carries a sequence of JSON values."""
 
 from __future__ import annotations
 
@@ -10,75 +10,76 @@
 from loadbalancer.discovery.endpoint_source import Address
 from loadbalancer.discovery.json_stream import JsonValues
 
-SILENT_S = 2.5
-"""Seconds without a byte after which a watch is dead, though its connection may stay open.
+IDLE_TIMEOUT_S = 2.5
+"""Idle timeout: seconds without a byte after which a watch has failed, even if its connection stays open.
 
-The service sends at least an empty line every 2 s. No longer than needed, since drains wait behind it.
+The service sends a heartbeat, an empty line, at least every 2 s. The timeout is no longer than needed, since drains are
+not received until the watch is reopened.
 """
-DOUBT_S = 0.05
-"""Seconds in which bytes are read, after a silence, that came while this process itself stood still."""
-FIRST_S = 2.8
-"""Seconds until the first byte; it may wait 2 s in line behind other callers."""
+LATE_READ_S = 0.05
+"""Seconds after the idle timeout in which bytes are read that arrived while this process itself was suspended."""
+FIRST_BYTE_TIMEOUT_S = 2.8
+"""Timeout for the first byte; the request may wait 2 s in the service's queue."""
 MAX_LIST_BYTES = 4 << 20
-"""Bytes of a list, some twenty thousand entries; bounds the memory."""
-IN_LINE_S = 0.5
-"""A refusal after more seconds than this has waited in line."""
+"""Maximum size of a list, some twenty thousand entries; bounds the memory."""
+MIN_QUEUED_S = 0.5
+"""A request that is rejected after more seconds than this had waited in the service's queue."""
 STATUS_OK = 200
 FIRST_ERROR_STATUS = 300
 
 
 class WatchOwner(Protocol):
-    """Who keeps the watch."""
+    """Owns the watch and handles its events."""
 
     address: Address
     version: int | None
 
     def watch_opened(self, watch: WatchConnection) -> None:
-        """The connection is up."""
+        """Handle the established connection."""
 
-    def take_value(self, watch: WatchConnection, value: object) -> None:
-        """A list, or a change to one, has come."""
+    def apply_value(self, watch: WatchConnection, value: object) -> None:
+        """Apply a list, or changes to one."""
 
-    def watch_missed(self, watch: WatchConnection, reason: str) -> None:
-        """What came cannot be read."""
+    def watch_out_of_sync(self, watch: WatchConnection, reason: str) -> None:
+        """Handle a message that can't be used."""
 
     def watch_failed(self, watch: WatchConnection | None, reason: object, busy: bool = False) -> None:
-        """The watch has ended; `busy`: it had waited in line."""
+        """Handle the end of the watch; `busy`: the request had waited in the service's queue."""
 
 
 class WatchConnection(asyncio.Protocol):
-    """The connection of one watch. It owns the transport and the timer of silence until `close`."""
+    """Holds the connection of one watch. Owns the transport and the idle timer until `close`."""
 
     def __init__(self, owner: WatchOwner) -> None:
         self.ended = False
         self._owner = owner
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._body: list[bytes] = []  # found by the parser and not read yet
+        self._body: list[bytes] = []  # chunks that the HTTP parser has found and that are not decoded yet
         self._values = JsonValues(MAX_LIST_BYTES)
         self._status = 0
-        self._silence: asyncio.TimerHandle | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
-        self._asked_at = self._loop.time()
+        self._requested_at = self._loop.time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask for the list from the version on that is held."""
+        """Request the changes since the current version, or the whole list if there is none."""
         self._transport = cast(asyncio.Transport, transport)
         owner = self._owner
         owner.watch_opened(self)
         start = b"" if owner.version is None else b"&from=%d" % owner.version
         host = "{}:{}".format(*owner.address).encode()
         self._transport.write(b"GET /v1/endpoints?watch=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (start, host))
-        self._expect_bytes(FIRST_S)
+        self._expect_bytes(FIRST_BYTE_TIMEOUT_S)
 
     def _expect_bytes(self, timeout: float) -> None:
-        if self._silence is not None:
-            self._silence.cancel()
-        self._silence = self._loop.call_later(timeout, self._on_silence)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        self._idle_timer = self._loop.call_later(timeout, self._on_idle)
 
-    def _on_silence(self) -> None:
-        """Read once more before giving up: where this process stood still, bytes wait in the kernel."""
-        self._silence = self._loop.call_later(DOUBT_S, self._fail, "silent")
+    def _on_idle(self) -> None:
+        """Read once more before failing: if this process was suspended, bytes may wait in the kernel."""
+        self._idle_timer = self._loop.call_later(LATE_READ_S, self._fail, "silent")
 
     def on_headers_complete(self) -> None:
         """Called by the parser."""
@@ -95,16 +96,16 @@
             self.ended = True
 
     def data_received(self, data: bytes) -> None:
-        """Read what has come; a value that trickles in has the time of one silence to be complete."""
+        """Parse received bytes. The idle timer is not restarted inside of a value, so a slow one has to end in time."""
         if not self._values.is_inside:
-            self._expect_bytes(SILENT_S)
+            self._expect_bytes(IDLE_TIMEOUT_S)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as problem:
             self._fail(f"malformed: {problem}")
             return
         if self._status >= FIRST_ERROR_STATUS:
-            waited = self._loop.time() - self._asked_at > IN_LINE_S
+            waited = self._loop.time() - self._requested_at > MIN_QUEUED_S
             self._fail(f"status {self._status}", busy=waited)
             return
         self._read_values()
@@ -117,13 +118,13 @@
         try:
             values = self._values.feed(body)
         except ValueError as problem:
-            self._owner.watch_missed(self, f"unreadable list: {problem}")
+            self._owner.watch_out_of_sync(self, f"unreadable list: {problem}")
             return
         for value in values:
-            self._owner.take_value(self, value)
+            self._owner.apply_value(self, value)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The service has closed the connection."""
+        """Fail the watch: the connection was closed."""
         self._fail("connection ended" if exc is None else exc)
 
     def _fail(self, reason: object, busy: bool = False) -> None:
@@ -132,8 +133,8 @@
 
     def close(self) -> None:
         """Release the connection and the timer."""
-        if self._silence is not None:
-            self._silence.cancel()
-            self._silence = None
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+            self._idle_timer = None
         if self._transport is not None:
             self._transport.abort()
--- a/loadbalancer/event_loop_lag.py
+++ b/loadbalancer/event_loop_lag.py
@@ -1,7 +1,7 @@
-"""How long the event loop of this process did not run, for all that judges peers by durations.
+"""Measures how long the event loop of this process did not run, to correct the measured durations of peers.
 
-A process that was held up (by a busy machine, a stop, a long callback) reads late what arrived meanwhile. Counted as
-the time of a peer, that would make the peer look slow.
+A process that was blocked (by a busy machine, a stop signal, a long callback) reads late what arrived meanwhile. If
+that time counted as the response time of a peer, the peer would look slow.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 from typing import Callable, NamedTuple
 
 TICK_INTERVAL_S = 0.05
-"""Seconds between two looks at the clock while anything is measured."""
+"""Interval of the timer that checks the clock while enough measurements are open."""
 MIN_OPEN = 4
-"""Measurements that have to be open: fewer, and a timer would cost a small proxy more than a hold-up does."""
+"""Open measurements from which the timer runs: with fewer, it would cost a small proxy more than the lag does."""
 MIN_LAG_S = 0.03
-"""A tick that is late by less is none of a process that was held up."""
+"""Delay of a tick from which it counts as lag."""
 MAX_ALLOWANCE_S = 0.5
-"""Seconds of lag that may be left out of durations at once."""
+"""Maximum seconds of lag that may be subtracted at once."""
 ALLOWANCE_PER_SECOND = 0.1
-"""Seconds of allowance that a second brings back.
+"""Seconds of allowance regained per second.
 
-A process that is late all the time is short of processor time itself, and has to hear of it by what it measures.
+A process that lags all the time is itself short of processor time, and this has to show in its measurements.
 """
 MAX_INTERVALS = 16
-"""Intervals that are remembered; attempts that are older than all of them are rare."""
+"""Maximum number of intervals that are stored; attempts that are older than all of them are rare."""
 REPORTED_LAG_S = 0.1
-"""Lag from which on it is reported."""
+"""Lag from which it is reported."""
 
 
 class Interval(NamedTuple):
-    """A time in which the loop did not run, on the monotonic clock."""
+    """Holds a time span in which the event loop did not run, on the monotonic clock."""
 
     start: float
     end: float
 
 
 class EventLoopLag:
-    """Measures the lag of the loop while enough measurements are open. It owns its timer until `close`."""
+    """Measures the lag of the event loop while enough measurements are open. Owns its timer until `close`."""
 
     def __init__(
         self,
@@ -46,11 +46,11 @@
         report: Callable[[float], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Begin with no measurement open.
+        """Start with no measurement open.
 
         Args:
-            loop: The loop.
-            report: Called with the seconds of a long lag, once it is over.
+            loop: The event loop.
+            report: Called with the seconds of a long lag once it is over.
             clock: The clock of all durations.
         """
         self._loop = loop
@@ -74,24 +74,24 @@
         self._open -= 1
 
     def close(self) -> None:
-        """Measure no more."""
+        """Stop measuring."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def between(self, start: float, end: float) -> float:
-        """Return the seconds of a duration that are this process's lag, as far as they may be left out.
+        """Return the seconds of lag within a duration that may be subtracted from it.
 
         Args:
-            start: Beginning of the duration, on the monotonic clock.
-            end: Its end, now or before.
+            start: Start of the duration, on the monotonic clock.
+            end: Its end, now or earlier.
         """
         lag_s = sum(_overlap(interval, start, end) for interval in self._intervals)
         current = self._current(self._clock())
         return lag_s if current is None else lag_s + _overlap(current, start, end)
 
     def _current(self, now: float) -> Interval | None:
-        """The lag that is going on: the timer is due and has not been called, since the loop reads first."""
+        """Return the current lag, if any: the timer is overdue, as the loop reads sockets before it calls timers."""
         late_s = now - self._due
         if self._timer is None or late_s < MIN_LAG_S:
             return None
--- a/loadbalancer/hot_restart/__init__.py
+++ b/loadbalancer/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Replacing a process while it serves: how two of them meet, what they share, and who owns what until when."""
+"""Hot restart: how an old and a new process find each other, what they share, and which of them owns what."""
--- a/loadbalancer/hot_restart/phases.py
+++ b/loadbalancer/hot_restart/phases.py
@@ -1,14 +1,14 @@
-"""What a process is while another one of the same proxy lives, and what it may do and hold.
+"""Phases of a process during a hot restart, and what a process may do in each of them.
 
-The processes count as one proxy, with one set of limits between them.
+The processes of a proxy count as one, and share one set of limits.
 
-| phase | it is that | accepts | is ready | holds descriptors |
+| phase | meaning | accepts | is ready | descriptors |
 | --- | --- | --- | --- | --- |
-| ALONE | no other process lives | yes | yes | all |
-| NEW | an older one lives, and this one has no list of its own | no | no | a reserve |
-| NEXT | an older one lives, and this one can serve | yes | yes | what the older one does not claim |
-| OLD | a newer one has come | yes | yes | what it uses and some more |
-| LEAVING | it was told to end | no | no | what it still uses |
+| ALONE | no other process is running | yes | yes | all |
+| NEW | an older one is running, and this one has no list of its own | no | no | a reserve |
+| NEXT | an older one is running, and this one can serve | yes | yes | those that the older one does not claim |
+| OLD | a newer one has started | yes | yes | those in use and some more |
+| LEAVING | it was told to end | no | no | those still in use |
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from enum import IntEnum
 from typing import NamedTuple, Sequence
 
-#: Descriptors that a process needs to start beside another: its listeners, discovery, operators, a few connections.
+#: Descriptors that a process needs to start beside another: for listeners, discovery, operators and some connections.
 START_SOCKETS = 64
-#: And at most this share of all, where there are few.
+#: Maximum of these as a share of all descriptors, for a small limit.
 MAX_START_SHARE = 0.2
-#: For so long a new process waits for a list from discovery; then it serves with the one that it was given, since it
-#: must be ready within 6 s.
+#: Seconds that a new process waits for a list from discovery. After that it serves with the list that it was started
+#: with, since it must be ready within 6 s.
 LIST_TIMEOUT_S = 3.0
 #: Descriptors beyond those in use that a leaving process may need: each open request may be retried.
 LEAVING_SPARE_SOCKETS = 16
-#: Descriptors by which an old process may grow.
+#: Descriptors beyond those in use that an old process may still open.
 OLD_SPARE_SOCKETS = 32
 
 
 class Phase(IntEnum):
-    """What a process is beside others; see the table above."""
+    """Phase of a process beside others; see the table above."""
 
     ALONE = 0
     NEW = 1
@@ -44,14 +44,14 @@
 
 
 class Observation(NamedTuple):
-    """What a process knows of itself and of the others.
+    """Holds what a process knows about itself and the others.
 
     Attributes:
         age: Seconds since its start.
         listed: Whether it has an endpoint list.
-        fresh: Whether it has a list from discovery itself.
-        elders: Whether a process that lived at its start lives still.
-        others: Descriptors that each other living process claims.
+        fresh: Whether it has received a list from discovery itself.
+        elders: Whether a process that was running when this one started is still running.
+        others: Descriptors that each other running process claims.
         ending: Whether it was told to end.
         used: Descriptors in use.
     """
@@ -66,7 +66,7 @@
 
 
 def phase(observation: Observation) -> Phase:
-    """The phase of a process. One whose elder or successor has died is alone again."""
+    """Return the phase of a process. If all others have ended it is ALONE again."""
     if observation.ending:
         return Phase.LEAVING
     if not observation.others:
@@ -78,15 +78,15 @@
 
 
 def start_sockets(sockets: int) -> int:
-    """Descriptors that a new process has in any case, of so many for all."""
+    """Return the descriptors that a new process may use in any case, out of `sockets` for all processes."""
     return min(START_SOCKETS, int(sockets * MAX_START_SHARE))
 
 
 def share(current: Phase, observation: Observation, sockets: int) -> int:
-    """Descriptors that a process may hold, of so many for all processes.
+    """Return the descriptors that a process may use, out of `sockets` for all processes.
 
-    No process takes what another one claims. The sum is within `sockets` but for what a process held already when
-    another one came; that shrinks as requests end.
+    No process takes those that another one claims. The sum stays within `sockets`, except for descriptors that a
+    process had open already when another one started; these are released as requests end.
     """
     if not observation.others:
         return sockets
--- a/loadbalancer/hot_restart/shared_files.py
+++ b/loadbalancer/hot_restart/shared_files.py
@@ -1,7 +1,7 @@
-"""Files that the processes of one proxy share: the overrides, and one file for each living process.
+"""Files that the processes of one proxy share: the overrides, and one file for each running process.
 
-A process holds a lock on its file for as long as it lives. The kernel releases the lock however the process ends, so a
-file that can be locked is of a dead one. The file says how many descriptors its process may come to hold.
+A process holds a lock on its file while it runs. The kernel releases the lock however the process ends, so a file that
+can be locked belongs to a process that has ended. The file contains the number of descriptors that its process claims.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 OVERRIDES_FILE = "micastand-marks"
 LOCK_FILE = "micastand-marks.lock"
-#: Together some 2 s: the lock is held while a busy disk renames a file. Waited for on the writer's thread.
+#: All tries take some 2 s: the lock is held while a busy disk renames a file. They block the writer's thread only.
 MAX_LOCK_TRIES = 400
 LOCK_RETRY_INTERVAL_S = 0.005
-#: Of the file of overrides that is read.
+#: Maximum bytes that are read of the file of overrides.
 MAX_OVERRIDES_BYTES = 4 << 20
 
 
 class _FileStamp(NamedTuple):
-    """By which a change of a file shows."""
+    """Identifies one state of a file, to detect changes."""
 
     modified_ns: int
     size: int
@@ -41,21 +41,21 @@
 
 
 class OverridesFile:
-    """The overrides, where the next process finds them: written to a new file that is renamed over the old one.
+    """Stores the overrides for the next process, by writing a new file and renaming it over the old one.
 
     Attributes:
-        path: Of the file.
+        path: Path of the file.
     """
 
     def __init__(self, folder: Path, logger: RateLimitedLogger) -> None:
-        """Use the file of a folder; nothing is opened yet."""
+        """Use the file in a folder, without opening it yet."""
         self.path = folder / OVERRIDES_FILE
         self._lock_path = folder / LOCK_FILE
         self._logger = logger
-        self._stamp: _FileStamp | None = None  # of the file as it was last read or written
+        self._stamp: _FileStamp | None = None  # state of the file when it was last read or written
 
     def read(self) -> dict[str, float] | None:
-        """The overrides; None where there is no file, or none that can be used, which is logged."""
+        """Return the overrides; None if there is no file, or if it can't be used, which is logged."""
         try:
             with open(self.path, "rb") as file:
                 status = os.fstat(file.fileno())
@@ -73,7 +73,7 @@
             return None
 
     def changed(self) -> dict[str, float] | None:
-        """The overrides if another process has written them since, else None."""
+        """Return the overrides if another process has written them since the last read or write, else None."""
         try:
             status = os.stat(self.path)
         except OSError:
@@ -81,7 +81,7 @@
         return None if _FileStamp.of(status) == self._stamp else self.read()
 
     def save(self, change: Callable[[dict[str, float]], None]) -> Mapping[str, float]:
-        """Change what the file holds and return it; OSError where that fails, and then nothing has changed."""
+        """Change the overrides in the file and return them; OSError if that fails, and then the file is unchanged."""
         with self._locked():
             overrides = self.read() or {}
             change(overrides)
@@ -120,31 +120,31 @@
 
 
 class ProcessFile:
-    """This process's file among those of the same proxy. It owns the file and its lock until `close`.
+    """Holds the file of this process among those of the same proxy. Owns the file and its lock until `close`.
 
     Attributes:
-        path: Of the file.
+        path: Path of the file.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Make the file; OSError where the folder takes none."""
+        """Create the file; OSError if that fails."""
         self._folder = folder
         self.path = folder / f"{PROCESS_FILE_PREFIX}{os.getpid()}-{secrets.token_hex(4)}"
         self._claimed = -1
-        # Locked before it has its name: nobody can take it for the file of a dead process.
+        # Locked before it gets its name, so that no process takes it for the file of one that has ended.
         unnamed = self.path.with_name("." + self.path.name)
         self._descriptor = os.open(unnamed, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         fcntl.flock(self._descriptor, fcntl.LOCK_EX)
         os.rename(unnamed, self.path)
 
     def claim(self, sockets: int) -> None:
-        """Say how many descriptors this process may come to hold."""
+        """Write how many descriptors this process may come to use."""
         if sockets != self._claimed:
             self._claimed = sockets
             os.pwrite(self._descriptor, b"%-8d" % sockets, 0)
 
     def others(self) -> dict[str, int]:
-        """Descriptors that each other living process claims, by its file's name; files of dead ones are removed."""
+        """Return the descriptors that each other running process claims, by file name; remove files of ended ones."""
         claims = {}
         for name in os.listdir(self._folder):
             path = self._folder / name
@@ -157,14 +157,14 @@
         return claims
 
     def close(self) -> None:
-        """Remove the file: the process is no longer one of them."""
+        """Remove the file: the process no longer counts as running."""
         with suppress(OSError):
             os.unlink(self.path)
         os.close(self._descriptor)
 
 
 def _read_claim(path: Path) -> int | None:
-    """What a process claims; None, and the file is removed, if it is dead."""
+    """Return the descriptors that a process claims; if it has ended, remove its file and return None."""
     descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/loadbalancer/line_writer.py
+++ b/loadbalancer/line_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines from a thread of its own, so that the event loop never waits for a disk or a terminal."""
+"""Writes log lines in a separate thread, so that the event loop never waits for a disk or a terminal."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from typing import Protocol
 
 MAX_QUEUED_LINES = 4096
-"""Lines that wait to be written; some 300 bytes each."""
+"""Maximum lines that wait to be written, of some 300 bytes each."""
 CLOSE_TIMEOUT_S = 2.0
-"""Seconds that `close` waits for the last lines."""
+"""Seconds that `close` waits until the last lines are written."""
 
 
 class LineOutput(Protocol):
-    """Where lines go: a text file, or what is used like one."""
+    """The output of log lines: a text file, or an object with the same methods."""
 
     def write(self, text: str, /) -> object:
-        """Write all of a text; OSError or ValueError where that can't be."""
+        """Write a whole text; OSError or ValueError if that fails."""
 
     def flush(self) -> object:
-        """Leave nothing in a buffer of this process."""
+        """Flush the buffers of this process."""
 
 
 class DescriptorOutput:
-    """A descriptor, written to without the interpreter's buffer, whose lock the interpreter takes as it ends."""
+    """Writes to a descriptor without the interpreter's buffer, whose lock the interpreter takes at exit."""
 
     def __init__(self, descriptor: int) -> None:
-        """Write to a descriptor, which stays its owner's."""
+        """Use a descriptor without owning it."""
         self._descriptor = descriptor
 
     def write(self, text: str) -> None:
-        """Write all of a text."""
+        """Write a whole text."""
         data = memoryview(text.encode(errors="backslashreplace"))
         while data:
             data = data[os.write(self._descriptor, data) :]
@@ -42,22 +42,22 @@
 
 
 def standard_error() -> LineOutput:
-    """Standard error as an output: its descriptor, where it has one."""
+    """Return standard error as an output: its descriptor, if it has one."""
     try:
         return DescriptorOutput(sys.stderr.fileno())
-    except OSError:  # a file in memory took its place
+    except OSError:  # it was replaced by a file in memory
         return sys.stderr
 
 
 class LineWriter:
-    """A bounded queue and its thread; `close` writes what waits, and ends the thread.
+    """Holds a bounded queue of lines and the thread that writes them; `close` writes the rest and ends the thread.
 
     Attributes:
-        lost: Lines that found no room, or could not be written.
+        lost: Number of lines that were dropped from a full queue or could not be written.
     """
 
     def __init__(self, out: LineOutput) -> None:
-        """Start the thread, which writes to `out`."""
+        """Start the thread that writes to `out`."""
         self.lost = 0
         self._reported_lost = 0
         self._out = out
@@ -77,11 +77,11 @@
             self._changed.notify()
 
     def has_room(self) -> bool:
-        """Whether a further line would be queued."""
+        """Return whether the queue has room for another line."""
         return len(self._lines) < MAX_QUEUED_LINES
 
     def take_lost(self) -> int:
-        """How many lines were lost since the last call; 0 while there is no room for a line that says so."""
+        """Return how many lines were lost since the last call; 0 while the queue has no room to report it."""
         if not self.has_room():
             return 0
         lost = self.lost
@@ -93,12 +93,12 @@
             try:
                 self._out.write("\n".join(lines) + "\n")
                 self._out.flush()
-            except (OSError, ValueError):  # a full disk, or a reader that has gone: the proxy goes on
+            except (OSError, ValueError):  # a full disk or a closed pipe must not stop the proxy
                 with self._changed:
                     self.lost += len(lines)
 
     def _take(self) -> deque[str]:
-        """Wait for lines, and take all that are queued; empty once the writer is closed."""
+        """Wait for lines and return all that are queued; empty once the writer is closed."""
         with self._changed:
             while not self._lines and not self._closing:
                 self._changed.wait()
@@ -106,7 +106,7 @@
             return lines
 
     def close(self) -> None:
-        """Write what waits, for CLOSE_TIMEOUT_S at most."""
+        """Write the queued lines, for at most CLOSE_TIMEOUT_S, and end the thread."""
         with self._changed:
             self._closing = True
             self._changed.notify()
--- a/loadbalancer/management/__init__.py
+++ b/loadbalancer/management/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: calls, what they mean, and the platform's words for them."""
+"""The management address for operators: its server, its calls, and the platform's names for them."""
--- a/loadbalancer/management/caller.py
+++ b/loadbalancer/management/caller.py
@@ -1,4 +1,4 @@
-"""One connection of an operator, with the one call on it."""
+"""One connection of an operator, which carries one call."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 from loadbalancer.management.calls import Response
 
-#: For so long a call may take to arrive; callers may take 4 s over one.
+#: Timeout for receiving a call; callers may take 4 s to send one.
 CALL_TIMEOUT_S = 6.0
-#: And for so long what it asks for, of which some waits for other instances.
+#: Timeout for answering a call; some calls wait for other instances.
 ANSWER_TIMEOUT_S = 90.0
-#: For so long an answered connection is read, so that what still arrives does not reset it before the caller has read
-#: the answer.
+#: Seconds for which a connection is still read after its answer, so that bytes which arrive late do not reset it before
+#: the caller has read the answer.
 LINGER_S = 1.0
-#: Head and body together.
+#: Maximum size of a call, head and body together.
 MAX_CALL_BYTES = 8 << 10
-#: What is read of a connection in all, the part after the answer included.
+#: Maximum bytes read from a connection, including those after the answer.
 MAX_READ_BYTES = 2 * MAX_CALL_BYTES
 
 REASONS = {
@@ -30,45 +30,45 @@
 
 
 class CallHandler(Protocol):
-    """What calls mean."""
+    """Carries out calls."""
 
     def answer(self, method: str, path: str, say: Callable[[Response], None], body: bytes = b"") -> None:
-        """Answer a call; `say` gets the answer once, now or later."""
+        """Answer a call; `say` is called with the answer once, now or later."""
 
 
 class CallerOwner(Protocol):
     """The server that a connection belongs to."""
 
     def handler(self, authorization: str | None) -> CallHandler | Response:
-        """What answers a call with this Authorization header, or the answer that rejects it."""
+        """Return the handler for a call with this Authorization header, or the response that rejects it."""
 
     def closed(self, caller: CallerConnection) -> None:
-        """The connection has ended."""
+        """Release a connection that was closed."""
 
 
 class CallState(IntEnum):
-    """How far a call has come."""
+    """Progress of a call."""
 
-    ARRIVING = 0
-    HANDLED = 1  # it has arrived whole, and its handler has it
+    RECEIVING = 0
+    HANDLED = 1  # it was received whole and passed to its handler
     ANSWERED = 2
 
 
 class CallerConnection(asyncio.Protocol):
-    """Reads one call and writes its answer; nothing after that is looked at.
+    """Reads one call and writes its answer; further calls on the connection are ignored.
 
     Attributes:
-        transport: None until the connection is made.
-        state: How far the call has come.
+        transport: The transport; None until the connection is made.
+        state: Progress of the call.
     """
 
     def __init__(self, owner: CallerOwner) -> None:
-        """Make a connection for a server."""
+        """Create a connection of a server."""
         self.transport: asyncio.Transport | None = None
-        self.state = CallState.ARRIVING
+        self.state = CallState.RECEIVING
         self._owner = owner
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self._is_whole = False
+        self._is_complete = False
         self._method = ""
         self._url = b""
         self._body = b""
@@ -77,7 +77,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the call, for CALL_TIMEOUT_S at most."""
+        """Wait for the call, at most CALL_TIMEOUT_S."""
         self.transport = cast(asyncio.Transport, transport)
         self._set_timer(CALL_TIMEOUT_S, self._time_out)
 
@@ -89,31 +89,31 @@
     # Called by the parser.
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request's target."""
-        if not self._is_whole:  # a further call on the connection is not looked at
+        """Append a part of the request's target."""
+        if not self._is_complete:  # a further call on the connection is ignored
             self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header."""
-        if not self._is_whole and name.lower() == b"authorization":
+        """Store the Authorization header; others are ignored."""
+        if not self._is_complete and name.lower() == b"authorization":
             self._authorization = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
-        if not self._is_whole:
+        """Append a part of the body."""
+        if not self._is_complete:
             self._body += data
 
     def on_message_complete(self) -> None:
-        """The call has arrived whole."""
-        if not self._is_whole:
+        """Mark the call as complete."""
+        if not self._is_complete:
             assert self._parser is not None
-            self._is_whole = True
+            self._is_complete = True
             self._method = self._parser.get_method().decode()
 
     # Called by the transport.
 
     def data_received(self, data: bytes) -> None:
-        """Read on, and hand the call to its handler once it is whole."""
+        """Parse received bytes, and pass the call to its handler once it is complete."""
         self._received_bytes += len(data)
         if self.state == CallState.ANSWERED:
             if self._received_bytes > MAX_READ_BYTES:
@@ -123,11 +123,11 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self._is_whole:
+            if not self._is_complete:
                 self._say(Response(400, b"this is not HTTP/1.1\n"))
                 return
-        if self._is_whole:
-            if self.state == CallState.ARRIVING:
+        if self._is_complete:
+            if self.state == CallState.RECEIVING:
                 self.state = CallState.HANDLED
                 self._set_timer(ANSWER_TIMEOUT_S, self._time_out)
                 self._handle()
@@ -150,10 +150,10 @@
         self._say(Response(408, b"the call did not come to its end\n"))
 
     def _say(self, response: Response) -> None:
-        """Write the answer, and end the connection a little later."""
+        """Write the answer, and close the connection after LINGER_S."""
         assert self.transport is not None
         self.state = CallState.ANSWERED
-        if self.transport.is_closing():  # the caller has gone while its change was being stored
+        if self.transport.is_closing():  # the caller has disconnected while its change was being stored
             return
         content_type = b"application/json" if response.json else b"text/plain"
         self.transport.write(
@@ -170,17 +170,17 @@
         self._set_timer(LINGER_S, self.abort)
 
     def eof_received(self) -> None:
-        """The caller sends no more: the transport closes, and a call that is not whole gets no answer."""
+        """Let the transport close when the caller sends no more; an incomplete call gets no answer."""
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
         """Release the timer and the parser."""
         self._owner.closed(self)
-        self._parser = None  # it refers to this connection, as this one to it
+        self._parser = None  # breaks the reference cycle between the parser and this connection
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
--- a/loadbalancer/management/calls.py
+++ b/loadbalancer/management/calls.py
@@ -1,6 +1,6 @@
-"""Calls of the platform's operators: which path reads or changes what, and how that is answered.
+"""Calls of the platform's operators: what each path reads or changes, and its answer.
 
-The paths are handed in as `CallPaths`.
+The paths are passed in as `CallPaths`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Response(NamedTuple):
-    """An answer to a call; `json` says what its body is."""
+    """Holds the answer to a call; `json` tells whether its body is JSON, else it is text."""
 
     status: int
     body: bytes
@@ -18,7 +18,7 @@
 
 
 class CallPaths(NamedTuple):
-    """Paths of the calls; an endpoint's id follows the last two."""
+    """Holds the paths of the calls; the last two are followed by an endpoint's id."""
 
     health: str
     stats: str
@@ -27,38 +27,38 @@
 
 
 class ManagedProcess(Protocol):
-    """What calls are about."""
+    """The process that calls read and change."""
 
     def serves(self) -> bool:
-        """Whether this process can serve."""
+        """Return whether this process can serve."""
 
     def stats(self) -> bytes:
-        """The counts, as JSON."""
+        """Return the counts as JSON."""
 
     def mark(self, member: str, out: bool, done: Callable[[str | None], None]) -> None:
-        """Take an endpoint out of use, or use it again.
+        """Cordon an endpoint, or use it again.
 
         Args:
             member: The endpoint's id.
-            out: Whether it is taken out of use.
-            done: Gets None, or why that can't be done.
+            out: Whether it is cordoned.
+            done: Called with None, or with the reason why that failed.
 
         Raises:
-            LookupError: The id was never listed.
+            LookupError: No endpoint with this id was ever listed.
         """
 
 
 class ManagementSession:
-    """Answers calls."""
+    """Answers calls for one process."""
 
     def __init__(self, paths: CallPaths, managed: ManagedProcess) -> None:
-        """Answer calls at these paths about a process."""
+        """Answer calls at these paths for a process."""
         self._managed = managed
         self._reads: dict[str, Callable[[], Response]] = {
             paths.health: self._health,
             paths.stats: self._stats,
         }
-        self._takes_out_of_use = {paths.cordon: True, paths.uncordon: False}
+        self._cordons_by_path = {paths.cordon: True, paths.uncordon: False}
 
     def answer(
         self,
@@ -67,20 +67,20 @@
         say: Callable[[Response], None],
         body: bytes = b"",  # noqa: ARG002
     ) -> None:
-        """Answer a call; one that does not exist gets a 4xx that names those that do.
+        """Answer a call; an unknown one gets a 4xx status and the paths that can be read.
 
         Args:
             method: GET or PUT.
-            path: Without its query, as it came.
-            say: Gets the answer, once: at once, but for changes that have to be stored.
-            body: Of no meaning here.
+            path: The path as received, without the query.
+            say: Called with the answer once: at once, except for changes that have to be stored first.
+            body: Not used.
         """
         read = self._reads.get(path)
         if read is not None:
             say(read() if method == "GET" else Response(405, b"this is read by GET\n"))
             return
         prefix, _, endpoint = path.rpartition("/")
-        out = self._takes_out_of_use.get(prefix)
+        out = self._cordons_by_path.get(prefix)
         if out is None:
             say(Response(404, b"no such call; " + " ".join(self._reads).encode() + b" are read\n"))
         elif method != "PUT":
--- a/loadbalancer/management/server.py
+++ b/loadbalancer/management/server.py
@@ -1,6 +1,6 @@
-"""The listening socket of a management address: HTTP/1.1, one call a connection, within its own descriptors.
+"""The server of a management address: HTTP/1.1, one call per connection, within its own limit of descriptors.
 
-What a call means is said by a `CallHandler`. Nothing here waits for a client's request, an endpoint or a file.
+A `CallHandler` carries out the calls. Nothing here waits for a client's request, an endpoint or a file.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from loadbalancer.management.calls import Response
 from loadbalancer.resource_limits import RateLimitedLogger
 
-#: Connections at once. Past it the oldest that has not sent a whole call is closed, so that callers that send nothing
-#: hold no descriptors.
+#: Maximum open connections. Beyond it the oldest one without a complete call is closed, so that callers that send
+#: nothing do not use up the descriptors.
 MAX_CALLERS = 16
-#: How long nothing is accepted after the kernel had no descriptor to give.
+#: Seconds without accepting after accept failed for lack of descriptors.
 ACCEPT_RETRY_INTERVAL_S = 0.05
 
 Authenticate = Callable[[str | None], CallHandler | Response]
 
 
 class ManagementServer:
-    """Owns the listening socket and its callers; `close` releases them."""
+    """Owns the listening socket and the connections of callers until `close`."""
 
     def __init__(
         self, handler: CallHandler, logger: RateLimitedLogger, authenticate: Authenticate | None = None
     ) -> None:
-        """Make a server; nothing is open yet.
+        """Create a server without opening its socket.
 
         Args:
             handler: Answers the calls.
-            logger: Gets what fails at accepting.
-            authenticate: What answers a call with an Authorization header, in place of `handler`, or the answer that
-                rejects it.
+            logger: Receives errors of accept.
+            authenticate: Returns, for a call's Authorization header, the handler to use instead of `handler`, or the
+                response that rejects the call.
         """
         self._handler = handler
         self._logger = logger
@@ -43,19 +43,19 @@
         self._loop = asyncio.get_running_loop()
         self._socket: socket.socket | None = None
         self._callers: dict[CallerConnection, None] = {}  # the oldest first
-        self._starting: set[asyncio.Task[None]] = set()  # the loop alone would not keep them
+        self._starting: set[asyncio.Task[None]] = set()  # the event loop holds weak references only
 
     @property
     def listening(self) -> socket.socket | None:
-        """The listening socket, for a process that takes over; None while there is none."""
+        """Return the listening socket, for a process that takes over; None if there is none."""
         return self._socket
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Bind and accept; OSError where the address can't be had."""
+        """Bind an address and start accepting; OSError if it can't be bound."""
         return self.start(bind(address))
 
     def start(self, sock: socket.socket) -> tuple[str, int]:
-        """Accept on a listening socket, which the server owns from here on; its address."""
+        """Accept on a listening socket, which the server owns from now on; return its address."""
         self._socket = sock
         self._loop.add_reader(sock, self._accept)
         name = sock.getsockname()
@@ -88,11 +88,11 @@
             self.closed(caller)
 
     def _make_room(self) -> None:
-        """Past MAX_CALLERS close one that is answered, or else the oldest whose call has not arrived."""
+        """At MAX_CALLERS, close one: an answered one, else the oldest whose call is incomplete, else the oldest."""
         if len(self._callers) < MAX_CALLERS:
             return
         connected = [caller for caller in self._callers if caller.transport is not None]
-        for states in ((CallState.ANSWERED,), (CallState.ARRIVING,), tuple(CallState)):
+        for states in ((CallState.ANSWERED,), (CallState.RECEIVING,), tuple(CallState)):
             for caller in connected:
                 if caller.state in states:
                     caller.abort()
@@ -100,7 +100,7 @@
                     return
 
     def _pause(self) -> None:
-        """Accept nothing for a moment: without a descriptor the socket would be readable all the time."""
+        """Stop accepting for a moment: without a free descriptor the socket would stay readable in a busy loop."""
         assert self._socket is not None
         self._loop.remove_reader(self._socket)
         self._loop.call_later(ACCEPT_RETRY_INTERVAL_S, self._resume)
@@ -110,15 +110,15 @@
             self._loop.add_reader(self._socket, self._accept)
 
     def handler(self, authorization: str | None) -> CallHandler | Response:
-        """What answers a call with this Authorization header, or the answer that rejects it."""
+        """Return the handler for a call with this Authorization header, or the response that rejects it."""
         return self._handler if self._authenticate is None else self._authenticate(authorization)
 
     def closed(self, caller: CallerConnection) -> None:
-        """A connection has ended."""
+        """Forget a connection that was closed."""
         self._callers.pop(caller, None)
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; calls that have come are answered."""
+        """Close the listening socket; calls on open connections are still answered."""
         if self._socket is not None:
             self._loop.remove_reader(self._socket)
             self._socket.close()
--- a/loadbalancer/platform/__init__.py
+++ b/loadbalancer/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy as the operators' platform starts it: `run` (main, node) and `sim` (simulator)."""
+"""The commands that the operators' platform starts: `run` (main, node) and `sim` (simulator)."""
--- a/loadbalancer/platform/configuration.py
+++ b/loadbalancer/platform/configuration.py
@@ -12,7 +12,7 @@
 from loadbalancer.management import platform_names as names
 from loadbalancer.resource_limits import RateLimitedLogger, ResourceLimits
 
-#: What a file that is no configuration raises when it is read.
+#: Exceptions raised when a file is read that is not a valid configuration.
 CONFIGURATION_ERRORS = (OSError, ValueError, TypeError, KeyError, AttributeError)
 
 DEFAULT_MEMORY_MB = 128
@@ -23,18 +23,18 @@
 
 
 class NodeConfiguration(NamedTuple):
-    """What one proxy on the platform is told.
+    """Holds the configuration of one proxy on the platform.
 
     Attributes:
         deployment: The policy's settings, zones, classes and kinds.
         listen: Address for clients.
         discovery: Address of the source of the endpoint list.
-        seed: Of all random choices.
-        limits: What the process may hold.
-        known: An endpoint list to begin with, as discovery words it; None for none.
-        limits_as_given: The limits as the file words them, for the log.
+        seed: Seed of all random choices.
+        limits: Resource limits of the process.
+        known: An initial endpoint list in the format of discovery; None if there is none.
+        limits_as_given: The limits as written in the file, for the log.
         management: Address for operators.
-        accept_fd: The descriptor of the clients' listening socket, where the platform holds it.
+        accept_fd: The descriptor of the listening socket for clients, if the platform has opened it.
     """
 
     deployment: Deployment
@@ -52,12 +52,13 @@
     """Read and check the file and the variables.
 
     Raises:
-        OSError, ValueError, TypeError, KeyError, AttributeError: The file can't be read, or is no configuration.
+        OSError, ValueError, TypeError, KeyError, AttributeError: The file can't be read, or is not a valid
+            configuration.
     """
     with open(path, "rb") as file:
         fields = orjson.loads(file.read())
     if not isinstance(fields, dict):
-        raise ValueError("not an object")  # noqa: TRY004  # a fault of the file, not of the caller
+        raise ValueError("expected a JSON object")  # noqa: TRY004  # an error in the file, not of the caller
     for key in ("settings", "listen", "discovery"):
         if key not in fields:
             raise ValueError(f"{key}: missing")
@@ -95,29 +96,31 @@
 
 
 class ConfigurationReloader:
-    """Takes over, at SIGHUP, what a running proxy can: where discovery is.
+    """Applies, at SIGHUP, the one setting that a running proxy can change: the address of discovery.
 
-    The file is read and checked whole first; where it can't be used that is logged, and what runs stays as it is.
+    The whole file is read and checked first. If it is invalid, that is logged, and the running configuration stays.
     """
 
     def __init__(
         self, path: str, running: NodeConfiguration, discovery: DiscoveryClient, logger: RateLimitedLogger
     ) -> None:
-        """Make a reloader of the file at `path` for a proxy that was started from it."""
+        """Create a reloader of the file at `path` for a proxy that was started with it."""
         self._path = path
         self._running = running
         self._discovery = discovery
         self._logger = logger
 
     def __call__(self) -> None:
-        """Read the file again."""
+        """Read the file again, and apply it if it is valid."""
         try:
             configuration = read_configuration(self._path)
         except CONFIGURATION_ERRORS as problem:
             self._logger("new configuration not taken", problem)
             return
         if self._needs_restart(configuration):
-            self._logger("new configuration", "settings, listen and limits count from the next start")
+            self._logger(
+                "new configuration", "changes of settings, listen and limits take effect at the next start"
+            )
         self._discovery.move(configuration.discovery)
         host, port = configuration.discovery
         self._logger("new configuration taken", f"discovery at {host}:{port}")
--- a/loadbalancer/platform/main.py
+++ b/loadbalancer/platform/main.py
@@ -1,4 +1,4 @@
-"""The platform's `run`: reads the configuration, runs one proxy until a signal, and lets it finish its requests."""
+"""The platform's `run` command: reads the configuration, runs one proxy until a signal, and drains its requests."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from loadbalancer.platform.process_exit import stop
 from loadbalancer.resource_limits import RateLimitedLogger
 
-#: Variable with the path of the configuration.
+#: Environment variable with the path of the configuration file.
 CONFIGURATION_VARIABLE = "GW_CONFIG"
-#: New objects between two garbage collections. What the proxy drops has no cycles, so few are needed, and each one
-#: holds up all requests.
+#: New objects between two garbage collections. The objects that the proxy releases form no reference cycles, so few
+#: collections are needed, and each one delays all requests.
 OBJECTS_PER_COLLECTION = 50_000
 
 
 async def serve(configuration: NodeConfiguration, path: str) -> None:
-    """Run one proxy until it is told to end; OSError where a socket can't be had.
+    """Run one proxy until it is told to end; OSError if a socket can't be opened.
 
     Args:
-        configuration: What it is told.
-        path: Of the configuration's file, for reloads.
+        configuration: Its configuration.
+        path: Path of the configuration file, for reloads.
     """
     writer = LineWriter(standard_error())
     try:
@@ -44,10 +44,10 @@
     node = Node(configuration, logger)
     upgrade = None
     if configuration.management is not None or configuration.accept_fd is not None:
-        from loadbalancer.platform.upgrade import PlatformUpgrade  # loaded where it is configured
+        from loadbalancer.platform.upgrade import PlatformUpgrade  # loaded only if it is configured
 
         upgrade = PlatformUpgrade(node, os.environ)
-    node.take_signals(ConfigurationReloader(path, configuration, node.discovery, logger))
+    node.handle_signals(ConfigurationReloader(path, configuration, node.discovery, logger))
     node.discovery.start(configuration.known)
     if upgrade is None:
         node.accept()
@@ -74,7 +74,9 @@
     """Run the proxy that the environment's configuration file describes."""
     path = os.environ.get(CONFIGURATION_VARIABLE)
     if not path:
-        stop(f"{CONFIGURATION_VARIABLE} names no configuration")
+        stop(
+            f"the environment variable {CONFIGURATION_VARIABLE} is not set to the path of a configuration file"
+        )
     try:
         configuration = read_configuration(path)
     except CONFIGURATION_ERRORS as problem:
--- a/loadbalancer/platform/node.py
+++ b/loadbalancer/platform/node.py
@@ -1,4 +1,4 @@
-"""One proxy on the platform: its listener, its proxy, its endpoint list, and the limits that they share."""
+"""One proxy on the platform: its listener, its requests, its endpoint list, and the limits that they share."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.resource_limits import RateLimitedLogger, ResourceLimits, describe_loop_context
 
-#: Descriptors that a process uses whatever its load: the loop's, standard streams, both listeners, discovery.
+#: Descriptors that a process uses at any load: those of the event loop, standard streams, both listeners, discovery.
 RESERVED_DESCRIPTORS = 16
 
 
 def inherit_listener(descriptor: int) -> socket.socket:
-    """A listening socket that another process has opened; OSError where the descriptor is none."""
+    """Return the listening socket that another process has opened; OSError if the descriptor is not one."""
     sock = socket.socket(fileno=descriptor)
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         sock.detach()
-        raise OSError(f"descriptor {descriptor} is no socket that listens")
+        raise OSError(f"descriptor {descriptor} is not a listening socket")
     sock.set_inheritable(False)
     sock.setblocking(False)
     return sock
 
 
 class Node:
-    """One proxy on the platform. It lives as long as its process, whose end releases its sockets.
+    """Holds one proxy on the platform. It exists as long as its process, whose exit releases its sockets.
 
     Attributes:
-        configuration: What it was told.
+        configuration: Its configuration.
         logger: Its log.
-        proxy: Open requests and connections to endpoints.
-        discovery: Source of the endpoint list.
-        listener: Clients.
+        proxy: The open requests and the connections to endpoints.
+        discovery: The source of the endpoint list.
+        listener: The connections of clients.
         stopping: Set once the process was told to end.
     """
 
     def __init__(self, configuration: NodeConfiguration, logger: RateLimitedLogger) -> None:
-        """Make it; clients are accepted from `accept` on. OSError where the inherited descriptor is no socket."""
+        """Create the proxy without accepting clients; OSError if the inherited descriptor is not a listening socket."""
         deployment = configuration.deployment
         limits = configuration.limits
         self.configuration = configuration
@@ -58,8 +58,8 @@
             self._inherited = inherit_listener(configuration.accept_fd)
         self.stopping = asyncio.Event()
 
-    def take_signals(self, reload: Callable[[], None]) -> None:
-        """Handle signals from now on: SIGTERM and SIGINT end the process, SIGHUP reloads."""
+    def handle_signals(self, reload: Callable[[], None]) -> None:
+        """Install signal handlers: SIGTERM and SIGINT end the process, SIGHUP reloads the configuration."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: self.logger("defect", describe_loop_context(context)))
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -68,7 +68,7 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP,))  # blocked since the start (__main__.py)
 
     def accept(self) -> None:
-        """Accept clients from now on; OSError where the address can't be had."""
+        """Start accepting clients; OSError if the address can't be bound."""
         if self._inherited is not None:
             host, port = self.listener.start(self._inherited)
         else:
@@ -77,20 +77,20 @@
         self.logger.write_line(f"listening on {host}:{port}, limits {limits}")
 
     def serves(self) -> bool:
-        """Whether new clients are accepted, and there are endpoints for their requests."""
+        """Return whether new clients are accepted, and there are endpoints for their requests."""
         return self.listener.accepting and bool(self.proxy.listed)
 
     def used(self) -> int:
-        """Descriptors in use."""
+        """Return the number of descriptors in use."""
         connections = self.listener.taken + self.listener.overflowing
         return connections + self.proxy.upstreams.open + RESERVED_DESCRIPTORS
 
     def resize(self, limits: ResourceLimits) -> None:
-        """Hold to other limits from now on.
+        """Apply new limits.
 
-        Idle connections to endpoints past them are closed. Those of clients stay, and become fewer as they end: to
-        close one costs a request whenever the client sends it at that moment. Whatever the limits, each open request
-        finds a connection to an endpoint, since it was accepted.
+        Idle connections to endpoints beyond the limits are closed. Connections of clients are not, and their number
+        falls as they end: closing one would lose a request that the client sends at that moment. Each open request can
+        get a connection to an endpoint at any limits, since it was accepted.
         """
         self.proxy.resize(limits)
         self.proxy.upstreams.sockets = max(
--- a/loadbalancer/platform/operations.py
+++ b/loadbalancer/platform/operations.py
@@ -1,4 +1,4 @@
-"""What the platform's operators read and change of one proxy, in the platform's form."""
+"""The statistics that the platform's operators read and the changes that they make, in the platform's format."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from loadbalancer.proxy.proxy import Proxy
 
 PATHS = CallPaths(names.HEALTH, names.STATS, names.CORDON, names.UNCORDON)
-#: For so long a read gets the counts of the one before: they may be half a second old, and counting takes a pass over
-#: the endpoints.
+#: Seconds for which the counts of a read are cached: they may be half a second old, and counting iterates over all
+#: endpoints.
 MAX_COUNTS_AGE_S = 0.1
 
 
 class HandledRequests(TypedDict):
-    """Requests of one class by their end."""
+    """Holds the numbers of requests of one class by their result."""
 
     passed: int
     dropped: int
@@ -28,7 +28,7 @@
 
 
 class Counts(TypedDict):
-    """The answer to a read; the keys are the platform's."""
+    """Holds the answer to a read; the platform defines the keys."""
 
     handled: dict[str, HandledRequests]
     upstream_tries: int
@@ -38,7 +38,7 @@
 
 
 def counts_of(proxy: Proxy, classes: Mapping[str, int]) -> Counts:
-    """All counts of a proxy, with its request classes by name and number."""
+    """Return all counts of a proxy; `classes` maps the names of its request classes to their numbers."""
     ended = proxy.metrics.ended
     handled: dict[str, HandledRequests] = {
         name: {
@@ -58,7 +58,7 @@
 
 
 class PlatformOperations:
-    """One proxy as `management.calls.ManagedProcess` describes it."""
+    """Implements `management.calls.ManagedProcess` for one proxy."""
 
     def __init__(
         self,
@@ -67,13 +67,13 @@
         overrides: PlatformOverrides,
         serves: Callable[[], bool],
     ) -> None:
-        """Make the operations of a proxy.
+        """Create the operations of a proxy.
 
         Args:
             proxy: The proxy.
             classes: Numbers of request classes by name.
-            overrides: Which endpoints operators have taken out of use.
-            serves: Whether the process can serve.
+            overrides: The endpoints that operators have cordoned.
+            serves: Returns whether the process can serve.
         """
         self._proxy = proxy
         self._classes = classes
@@ -83,11 +83,11 @@
         self._answer = b""
 
     def serves(self) -> bool:
-        """Whether the process can serve."""
+        """Return whether the process can serve."""
         return self._serves()
 
     def stats(self) -> bytes:
-        """The counts as JSON."""
+        """Return the counts as JSON, cached for MAX_COUNTS_AGE_S."""
         now = time.monotonic()
         if now - self._read_at >= MAX_COUNTS_AGE_S:
             self._read_at = now
@@ -95,5 +95,5 @@
         return self._answer
 
     def mark(self, member: str, out: bool, done: Callable[[str | None], None]) -> None:
-        """Take an endpoint out of use, or use it again; `done` gets None, or why that can't be done."""
+        """Cordon an endpoint, or use it again; `done` is called with None, or with the reason why that failed."""
         self._overrides.mark(member, out, done)
--- a/loadbalancer/platform/simulator.py
+++ b/loadbalancer/platform/simulator.py
@@ -1,6 +1,6 @@
-"""The policy on the simulator's wire: batches of JSON on standard input, answers on standard output.
+"""Runs the policy for the simulator: reads batches of JSON from standard input, writes answers to standard output.
 
-A batch has a time and events for any number of instances; each instance is one Balancer. No decision is made here.
+A batch has a time and events for any number of instances; each instance is one Balancer. This module only translates.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 
 class SimulatorSession:
-    """The instances that this process hosts, and the tables of endpoints that lists refer to."""
+    """Holds the instances that this process hosts, and the tables of endpoints that lists refer to."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Balancer] = {}
         self._tables: dict[int, tuple[EndpointEntry, ...]] = {}
 
     def reply(self, batch: JsonObject) -> JsonObject:
-        """Hand the events of a batch to their instances, and answer with the actions.
+        """Pass the events of a batch to their instances, and return their actions.
 
-        An event that can't be handled is answered by a `fault`, so that the simulation ends with the reason.
+        An event that can't be handled is answered with a `fault`, so that the simulation ends with the reason.
         """
         pending: dict[int, list[Event]] = {}
         try:
@@ -48,7 +48,7 @@
         return {"seq": batch["seq"], "output": output}
 
     def _handle(self, proxy: int, now: float, events: list[Event], output: list[JsonObject]) -> None:
-        """Put an instance's actions into `output`."""
+        """Append an instance's actions to `output`."""
         try:
             for action in self._instances[proxy].handle(now, events):
                 output.append(write_action(proxy, action))
@@ -56,7 +56,7 @@
             output.append(write_fault(proxy, problem))
 
     def _sort(self, event: JsonObject, pending: dict[int, list[Event]]) -> None:
-        """Put an event of the policy with those of its instance; carry out any other."""
+        """Add an event of the policy to the pending ones of its instance; apply any other event."""
         verb = event["verb"]
         reader = EVENT_READERS.get(verb)
         if reader is not None:
@@ -69,7 +69,7 @@
             settings = read_settings(event["boot-info"])
             self._instances[event["proxy"]] = Balancer(settings, event["nonce64"])
             pending[event["proxy"]] = []
-        elif verb == "killed":  # what it had pending dies with it
+        elif verb == "killed":  # its pending events are dropped
             self._instances.pop(event["proxy"], None)
             pending.pop(event["proxy"], None)
 
@@ -94,7 +94,7 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches, one a line, until the input ends."""
+    """Answer batches, one per line, until the input ends."""
     session = SimulatorSession()
     for line in source:
         if line.strip():
@@ -103,7 +103,7 @@
 
 
 def main() -> None:
-    """Answer on standard output what comes on standard input."""
+    """Answer the batches of standard input on standard output."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except BrokenPipeError:
--- a/loadbalancer/platform/simulator_wire.py
+++ b/loadbalancer/platform/simulator_wire.py
@@ -1,6 +1,7 @@
-"""The simulator's words for events and actions; on its wire each is a JSON object with a `verb`.
+"""The simulator's wire format of events and actions; each is a JSON object with a `verb`.
 
-The words stand here alone. A reader makes a policy's event of an object, a writer makes an object of an action.
+The names of the wire format are defined only here. A reader converts an object to an event of the policy, a writer
+converts an action to an object.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
     TimerFired,
 )
 
-#: An object as JSON has it.
+#: A JSON object.
 JsonObject = Mapping[str, Any]
 
 STATES = {
@@ -57,7 +58,7 @@
 
 
 def read_endpoint(host: JsonObject) -> EndpointEntry:
-    """One entry of a table of endpoints."""
+    """Convert one entry of a table of endpoints."""
     return EndpointEntry(
         endpoint=host["backend"],
         zone=host.get("area", 0),
@@ -116,7 +117,7 @@
     return PeerMessage(event["sender"], base64.b64decode(event["octets"]))
 
 
-#: Readers of the events that a policy takes as they are, by verb.
+#: Readers of the events that are passed to the policy, by verb.
 EVENT_READERS: Mapping[str, Callable[[JsonObject], Event]] = {
     "response": _read_outcome,
     "ingress": _read_request,
@@ -179,7 +180,7 @@
     return {"verb": "remark", "proxy": proxy, "text": action.text}
 
 
-#: Each writer takes the type that it stands for.
+#: The writers of actions, by the type that each one accepts.
 _ACTION_WRITERS: Mapping[type[Action], Callable[[int, Any], JsonObject]] = {
     Send: _write_send,
     SetTimer: _write_set_timer,
@@ -196,10 +197,10 @@
 
 
 def write_action(proxy: int, action: Action) -> JsonObject:
-    """An action of the instance of this number."""
+    """Convert an action of the instance with this number."""
     return _ACTION_WRITERS[type(action)](proxy, action)
 
 
 def write_fault(proxy: int, problem: Exception) -> JsonObject:
-    """What is answered for an instance whose event could not be handled."""
+    """Return the answer for an instance whose event could not be handled."""
     return {"verb": "fault", "proxy": proxy, "text": f"{type(problem).__name__}: {problem}"}
--- a/loadbalancer/platform/upgrade.py
+++ b/loadbalancer/platform/upgrade.py
@@ -1,6 +1,6 @@
-"""Where operators reach the platform's `run`: their address, overrides, and hot restart. Loaded only there.
+"""The management address, overrides and hot restart of the platform's `run`. Loaded only if they are configured.
 
-What a process may do beside another one of the same proxy is decided in `hot_restart/phases.py`; this carries it out.
+`hot_restart/phases.py` decides what a process may do beside another one of the same proxy; this module applies it.
 """
 
 from __future__ import annotations
@@ -21,39 +21,39 @@
 from loadbalancer.platform.operations import PATHS, PlatformOperations
 from loadbalancer.resource_limits import ResourceLimits
 
-#: Between two looks at the folder: what another process says counts within this.
-LOOK_INTERVAL_S = 0.1
+#: Interval at which the shared folder is polled: what another process writes takes effect within it.
+POLL_INTERVAL_S = 0.1
 
 
 class PlatformUpgrade:
     """Owns the management address, the overrides, and this process's file among those of one proxy.
 
     Attributes:
-        phase: What this process is beside others.
-        overrides: Which endpoints operators have taken out of use.
+        phase: Phase of this process.
+        overrides: The endpoints that operators have cordoned.
     """
 
     def __init__(self, node: Node, environment: Mapping[str, str]) -> None:
-        """Open the folder that processes share, and the operators' address; OSError where that can't be had."""
+        """Open the shared folder and the management address; OSError if the address can't be bound."""
         configuration = node.configuration
         self.phase = Phase.ALONE
         self._node = node
         self._logger = node.logger
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._overrides_file: OverridesFile | None = None
         self._process_file: ProcessFile | None = None
-        self._elders: frozenset[str] = frozenset()  # names of files of older processes
+        self._elders: frozenset[str] = frozenset()  # file names of older processes that still run
         self._open_folder(environment.get(names.FOLDER_VARIABLE), configuration.accept_fd is not None)
         self._writer: OverrideWriter | None = None
-        self._sockets = configuration.limits.sockets  # that this process may hold
+        self._sockets = configuration.limits.sockets  # descriptors that this process may use
         self._processes = 1
         self.overrides = self._make_overrides()
         self._server = self._open_server()
 
     def _open_folder(self, folder: str | None, shared: bool) -> None:
-        """Use the folder; where it takes no file the process runs as if it were alone."""
+        """Use the folder; if no file can be created in it, the process runs as if it were alone."""
         if not folder:
             return
         self._overrides_file = OverridesFile(Path(folder), self._logger)
@@ -86,26 +86,26 @@
         return server
 
     def start(self) -> None:
-        """Accept clients, unless an older process does for now; OSError where the address can't be had."""
-        self._look()
+        """Accept clients, if the phase allows it, and start polling; OSError if the address can't be bound."""
+        self._poll()
         self._accept_if_due()
-        self._timer = self._loop.call_later(LOOK_INTERVAL_S, self._tick)
+        self._timer = self._loop.call_later(POLL_INTERVAL_S, self._tick)
 
     def _accept_if_due(self) -> None:
         if self.phase in ACCEPTING and not self._node.listener.accepting:
             self._node.accept()
 
     def serves(self) -> bool:
-        """Whether this process is one that clients should come to."""
+        """Return whether this process accepts clients and can serve them."""
         return self.phase in ACCEPTING and self._node.serves()
 
     def succeeded(self) -> bool:
-        """Whether another process accepts the clients from now on."""
+        """Return whether another process is running, which accepts clients from now on."""
         return self._processes > 1
 
     def end(self) -> None:
-        """The process was told to end: give up the descriptors that it does not need."""
-        self._look()
+        """Release the descriptors that are not needed any more, after the process was told to end."""
+        self._poll()
 
     def close(self) -> None:
         """Release the address, the writer's thread, and the process's file."""
@@ -119,15 +119,15 @@
             self._process_file.close()
 
     def _tick(self) -> None:
-        self._timer = self._loop.call_later(LOOK_INTERVAL_S, self._tick)
+        self._timer = self._loop.call_later(POLL_INTERVAL_S, self._tick)
         if self._overrides_file is not None:
             overrides = self._overrides_file.changed()
             if overrides is not None:
                 self.overrides.follow(overrides)
-        self._look()
+        self._poll()
 
-    def _look(self) -> None:
-        """See which other processes live, decide what this one is beside them, and carry it out."""
+    def _poll(self) -> None:
+        """Find the other running processes, determine this one's phase, and apply it."""
         if self._process_file is None:
             return
         try:
@@ -138,7 +138,7 @@
         self._elders &= others.keys()
         proxy = self._node.proxy
         observation = Observation(
-            age=time.monotonic() - self._began,
+            age=time.monotonic() - self._started_at,
             listed=bool(proxy.listed),
             fresh=proxy.has_fresh_list,
             elders=bool(self._elders),
--- a/loadbalancer/read_first_timer.py
+++ b/loadbalancer/read_first_timer.py
@@ -1,7 +1,7 @@
-"""Timers that end what somebody else may have answered already.
+"""Timeouts that read pending input before they expire.
 
-A process that was held up finds its timers due before it has read what arrived meanwhile. A timer that judged then
-would count its own lateness as the silence of a peer.
+After a process was blocked, its timers are due before it has read what arrived meanwhile. A timeout that expired then
+would treat an answer that has already arrived as missing.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 import asyncio
 from typing import Any, Callable
 
-#: Passes of the event loop between the expiry and the call: in one the loop reads, in the other tasks take that up.
+#: Iterations of the event loop between the expiry and the callback: one to read, one for tasks to process the input.
 PASSES = 2
-#: Seconds that a pass is put off by, so that the loop polls its sockets in between.
+#: Delay of each iteration, so that the event loop polls its sockets in between.
 PASS_INTERVAL_S = 0.001
 
 
 class ReadFirstTimer:
-    """Calls back once after a delay, when the event loop has read what had arrived by then. `cancel` releases it."""
+    """Calls back once after a delay, after the event loop has read the input that had arrived by then."""
 
     __slots__ = ("_arguments", "_callback", "_handle", "_loop", "_passes_left")
 
@@ -41,11 +41,11 @@
         self._callback(*self._arguments)
 
     def cancel(self) -> None:
-        """Do not call back any more."""
+        """Cancel the callback."""
         self._handle.cancel()
 
 
 async def read_what_has_arrived() -> None:
-    """Return once the event loop has read what had arrived, and tasks have taken it up."""
+    """Return once the event loop has read the input that had arrived, and tasks have processed it."""
     for _ in range(PASSES):
         await asyncio.sleep(PASS_INTERVAL_S)
--- a/loadbalancer/resource_limits.py
+++ b/loadbalancer/resource_limits.py
@@ -1,4 +1,4 @@
-"""What the process may hold at once, and the log that cannot be flooded."""
+"""Limits on the resources of the process, and the rate-limited log."""
 
 from __future__ import annotations
 
@@ -12,63 +12,64 @@
 
 BYTES_PER_MB = 1 << 20
 MAX_JUDGED_BODY_BYTES = 64 << 10
-"""An answer up to this is judged whole before a byte of it is passed on."""
+"""An answer up to this size is received whole and checked before any byte of it is passed on."""
 MAX_HELD_BODY_BYTES = 4 << 20
-"""A request's body up to this is held whole, as far as there is room."""
+"""A request body up to this size is buffered whole, if the buffer budget allows it."""
 MAX_STREAMED_BODY_BYTES = 32 << 20
-"""The largest body of the platform's protocol, either way; one longer than the above is passed on as it comes."""
+"""Maximum body size of the platform's protocol in both directions; a body above the limits above is streamed."""
 BASE_MB = 27.0
 """Memory of the interpreter, its libraries and the objects of connections and requests."""
 BUFFER_SHARE = 0.5
-"""Share of the rest of the memory limit for buffered bytes; the slack of growing buffers needs the other part."""
+"""Share of the remaining memory for buffered bytes; the rest is for the slack of growing buffers."""
 MIN_BUFFER_MB = 1.5
-"""Room for buffered bytes in any case: a proxy that could hold none would serve nothing."""
+"""Minimum memory for buffered bytes: a proxy that could buffer none would serve nothing."""
 RESPONSE_BUFFER_SHARE = 0.2
-"""Share of the buffered bytes that uploads may not take, so that answers always find room."""
+"""Share of the buffered bytes that uploads may not use, so that there is always room for answers."""
 RESERVED_DESCRIPTORS = 20
 """Descriptors for the listener, discovery, standard streams and the event loop's own."""
 MIN_DIVIDED_DESCRIPTORS = 16
 OVERFLOW_SHARE = 0.08
-"""Share of the other descriptors for connections past the limit, which are accepted only to be answered."""
+"""Share of the other descriptors for connections beyond the limit, which are accepted only to be rejected."""
 BACKEND_SHARE = 0.47
 """Share of them for connections to endpoints.
 
-Clients hold a third of all for requests, and each of those may have a second attempt out or leave a connection idle.
+Clients use a third of all for requests, and each request may have a second attempt in flight or leave an idle
+connection.
 """
 LOG_INTERVAL_S = 5.0
-"""Seconds in which one line of each event is written at most."""
+"""Interval in which at most one line of each event is written."""
 MAX_LOG_TEXT = 200
-"""Characters of a line's text."""
+"""Maximum characters of a line's text."""
 LOG_TEXT_CODEC = codecs.lookup("unicode_escape").name
-"""How a line's text is written; looked up here, as the first use reads the codec from the disk."""
+"""Codec of a line's text; looked up at import, since the first use loads the codec from the disk."""
 
 
 class PoolLimits(Protocol):
-    """What one pool may hold."""
+    """The limits of one pool."""
 
     @property
     def buffered(self) -> int:
-        """Bytes of requests and answers."""
+        """Maximum buffered bytes of requests and answers."""
 
     @property
     def backend_sockets(self) -> int:
-        """Descriptors for connections to endpoints."""
+        """Maximum descriptors for connections to endpoints."""
 
     @property
     def max_open_requests(self) -> int:
-        """Requests at once."""
+        """Maximum open requests."""
 
 
 class ResourceLimits:
-    """The deployment's limits on one process, divided among what needs them."""
+    """Divides the deployment's limits on one process among its uses."""
 
     def __init__(self, memory_mb: float, sockets: int, kept: int = 0) -> None:
-        """Divide.
+        """Divide the limits.
 
         Args:
             memory_mb: Memory of the process.
             sockets: Descriptors of the process.
-            kept: Descriptors, beside the usual ones, that neither clients nor endpoints may have.
+            kept: Descriptors, in addition to RESERVED_DESCRIPTORS, that are not for clients or endpoints.
         """
         self.memory_mb = memory_mb
         self.sockets = sockets
@@ -79,27 +80,27 @@
         self.overflow_sockets = int(divided * OVERFLOW_SHARE)
         self.backend_sockets = int(divided * BACKEND_SHARE)
         self.client_sockets = divided - self.overflow_sockets - self.backend_sockets
-        self.max_open_requests = sockets  # one for each connection of a client, of which there are fewer
+        self.max_open_requests = sockets  # one per connection of a client, and there are fewer of these
 
 
 class BufferBudget:
-    """Bytes buffered for all requests and answers of a pool together."""
+    """Counts the bytes that are buffered for all requests and answers of a pool."""
 
     def __init__(self, most: int) -> None:
-        """Begin empty; `most`: bytes that may be buffered."""
+        """Start empty; `most`: maximum buffered bytes."""
         self.held_bytes = 0
         self.resize(most)
 
     def resize(self, most: int) -> None:
-        """Take another bound, in bytes."""
+        """Set another maximum, in bytes."""
         self.max_bytes = most
         self.max_upload_bytes = int(most * (1 - RESPONSE_BUFFER_SHARE))
 
     def try_acquire_upload(self, count: int) -> bool:
-        """Take bytes for an upload, or for what is as dispensable.
+        """Acquire bytes for an upload, or for data that can be dropped in the same way.
 
         Returns:
-            Whether there was room; otherwise nothing is taken.
+            Whether there was room; otherwise nothing is acquired.
         """
         if self.held_bytes + count > self.max_upload_bytes:
             return False
@@ -107,50 +108,50 @@
         return True
 
     def release(self, count: int) -> None:
-        """Give bytes back."""
+        """Release bytes."""
         self.held_bytes -= count
 
 
 def describe_exception(problem: BaseException) -> str:
-    """A defect in a line: what it is, and where it came from."""
+    """Return an exception in one line: its type, its message, and where it was raised."""
     frames = traceback.extract_tb(problem.__traceback__)
     where = f" at {frames[-1].name}:{frames[-1].lineno}" if frames else ""
     return f"{type(problem).__name__}: {problem}{where}"
 
 
 def describe_loop_context(context: Mapping[str, Any]) -> str:
-    """What has escaped a callback or a task of the event loop, in a line."""
+    """Return an unhandled exception of a callback or task of the event loop in one line."""
     problem = context.get("exception")
     return str(context.get("message")) + (f": {describe_exception(problem)}" if problem else "")
 
 
 class _EventLimit(NamedTuple):
-    """The rate limit of one event."""
+    """Holds the state of the rate limit of one event."""
 
     written_at: float
-    """When its last line was written, in monotonic seconds."""
+    """Time of its last written line, in monotonic seconds."""
     left_out: int
-    """Lines since."""
+    """Number of lines left out since then."""
 
 
 class RateLimitedLogger:
-    """The log on standard error: one line of each event in `LOG_INTERVAL_S`, with how many were left out."""
+    """Logs to standard error, at most one line per event in `LOG_INTERVAL_S`, with the number of lines left out."""
 
     def __init__(self, writer: LineWriter | None = None) -> None:
-        """Make the log.
+        """Create the log.
 
         Args:
-            writer: Writes the lines; without one the caller waits until standard error has taken them.
+            writer: Writes the lines; without one the caller blocks until they are written to standard error.
         """
         self._line_writer = writer
         self._limits: dict[str, _EventLimit] = {}
 
     def bind(self, **_fields: Any) -> RateLimitedLogger:
-        """The same log for one part of the program; where lines have fields, with these."""
+        """Return the log for one part of the program. The fields are ignored here; structured logs add them."""
         return self
 
     def _left_out(self, kind: str) -> int | None:
-        """How many lines of an event were left out since its last one; None where this one is left out too."""
+        """Return how many lines of an event were left out since its last one, or None if this one is left out too."""
         now = time.monotonic()
         limit = self._limits.get(kind)
         if limit is not None and now - limit.written_at < LOG_INTERVAL_S:
@@ -160,7 +161,7 @@
         return limit.left_out if limit is not None else 0
 
     def __call__(self, kind: str, text: object = "") -> None:
-        """Write an event and its text, which may come from peers: it is cut, and cannot write lines of its own."""
+        """Log an event and its text. The text may come from peers, so it is truncated and its line ends are escaped."""
         left_out = self._left_out(kind)
         if left_out is None:
             return
@@ -169,7 +170,7 @@
         self.write_line(f"{kind}: {line}{more}")
 
     def write_line(self, text: str) -> None:
-        """Write a line that has no limit."""
+        """Write a line without a rate limit."""
         writer = self._line_writer
         if writer is None:
             sys.stderr.write(f"micastand: {text}\n")
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch: what discovery says, how it fails, and what the module and the pools are told."""
+"""The watch on discovery: its lists, its failures, and the events that the policy and the pools receive."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     EndpointState,
 )
 
-ASKED = {**SETTINGS, "registry-mode": "subscribe"}
+REQUESTED = {**SETTINGS, "registry-mode": "subscribe"}
 
 
 def entry(name: str, **other: Any) -> dict[str, Any]:
@@ -47,7 +47,7 @@
     }
 
 
-def test_an_entry_in_the_modules_form() -> None:
+def test_list_is_converted_to_entries_of_the_policy() -> None:
     async def scene() -> None:
         async with world() as here:
             await here.discovery.until_watched()
@@ -61,7 +61,7 @@
     play(scene)
 
 
-def test_the_list_from_before_is_stale_and_the_watch_begins_after_it() -> None:
+def test_initial_list_is_stale_and_the_watch_starts_at_its_version() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
             assert lists(here)[0].stale and lists(here)[0].entries[0].endpoint == "s"
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
-def test_a_drain_ends_what_goes_to_a_backend(state: str) -> None:
+def test_draining_or_deleted_backend_gets_no_new_requests(state: str) -> None:
     async def scene() -> None:
         a, b = ScriptedBackend("a", answering(OK)), ScriptedBackend("b", answering(OK))
         async with world(a, b) as here:
@@ -94,7 +94,7 @@
     play(scene)
 
 
-def test_a_whole_list_that_shrinks() -> None:
+def test_backend_missing_from_a_full_list_is_removed() -> None:
     async def scene() -> None:
         a, b = ScriptedBackend("a", answering(OK)), ScriptedBackend("b", answering(OK))
         async with world(a, b) as here:
@@ -128,7 +128,7 @@
     play(scene)
 
 
-async def end(here: World) -> None:
+async def close_watch(here: World) -> None:
     here.discovery.writers[-1].close()
 
 
@@ -137,47 +137,47 @@
     here.discovery.writers[-1].transport.abort()
 
 
-async def garbage(here: World) -> None:
+async def send_malformed(here: World) -> None:
     await here.discovery.raw(b"{nonsense}\n")
 
 
-async def go_back(here: World) -> None:
+async def send_older_version(here: World) -> None:
     await here.discovery.line(0)
 
 
-BREAKS = {
-    "end": (end, True),
+FAILURES = {
+    "end": (close_watch, True),
     "cut": (cut_in_mid_line, True),
-    "garbage": (garbage, False),
-    "old": (go_back, False),
+    "garbage": (send_malformed, False),
+    "old": (send_older_version, False),
 }
 
 
-@pytest.mark.parametrize("how", BREAKS)
-@pytest.mark.parametrize("settings", [SETTINGS, ASKED], ids=["pushed", "asked"])
-def test_a_watch_that_breaks_is_begun_again(how: str, settings: dict[str, Any]) -> None:
-    """Where lists are asked for, the module is told and asks; where they are pushed it is not."""
-    break_it, same_version = BREAKS[how]
+@pytest.mark.parametrize("failure", FAILURES)
+@pytest.mark.parametrize("settings", [SETTINGS, REQUESTED], ids=["pushed", "asked"])
+def test_broken_watch_is_reopened(failure: str, settings: dict[str, Any]) -> None:
+    """If lists are requested, the policy is notified of the failure and requests a watch; if pushed, it is not."""
+    fail_watch, same_version = FAILURES[failure]
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), settings=settings) as here:
             await here.discovery.until_watched()
-            await break_it(here)
+            await fail_watch(here)
             await here.discovery.until_watched(2)
             assert (b"from=1" in here.discovery.asked[1]) == same_version
-            assert [e.failed for e in lists(here)[1:]] == ([True] if settings is ASKED else [])
+            assert [e.failed for e in lists(here)[1:]] == ([True] if settings is REQUESTED else [])
             client = await here.connect()
             assert (await client.ask(request()))[0] == 200
 
     play(scene)
 
 
-def test_a_silent_watch_is_dead_and_heartbeats_keep_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_connection, "SILENT_S", 0.05)
-    monkeypatch.setattr(watch_connection, "FIRST_S", 0.05)
+def test_silent_watch_fails_and_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(watch_connection, "IDLE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(watch_connection, "FIRST_BYTE_TIMEOUT_S", 0.05)
 
     async def scene() -> None:
-        async with world(settings=ASKED) as here:
+        async with world(settings=REQUESTED) as here:
             await here.discovery.until_watched()
             event = await until_lists(here, 2)
             assert event.failed
@@ -186,36 +186,36 @@
     play(scene)
 
 
-def test_a_silence_of_our_own_is_not_the_services(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process stands still for longer than a silence; what came meanwhile waits in the kernel."""
-    monkeypatch.setattr(watch_connection, "SILENT_S", 0.2)
+def test_suspension_of_the_process_does_not_fail_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The process is suspended for longer than the idle timeout, while bytes wait in the kernel."""
+    monkeypatch.setattr(watch_connection, "IDLE_TIMEOUT_S", 0.2)
 
     async def scene() -> None:
-        async with world(settings=ASKED) as here:
+        async with world(settings=REQUESTED) as here:
             await here.discovery.until_watched()
             await here.discovery.line(2, entry("s"))
             await until_lists(here, 2)
             loop = asyncio.get_running_loop()
-            stand_still(loop, here, 0.5)
-            for version in range(3, 13):  # behind it
+            suspend(loop, here, 0.5)
+            for version in range(3, 13):  # after the suspension
                 await here.discovery.line(version, entry("s"))
                 await until_lists(here, version)
             assert not any(e.failed for e in lists(here)) and len(here.discovery.asked) == 1
 
-    def stand_still(loop: asyncio.AbstractEventLoop, here: World, for_s: float) -> None:
-        """As after SIGSTOP: the bytes are there, and so is the end of the silence."""
-        asked = here.proxy.source.current  # type: ignore[union-attr]
-        assert asked is not None and asked._silence is not None
+    def suspend(loop: asyncio.AbstractEventLoop, here: World, for_s: float) -> None:
+        """Act as after SIGSTOP and SIGCONT: bytes have arrived, and the idle timer has expired."""
+        watch = here.proxy.source.current  # type: ignore[union-attr]
+        assert watch is not None and watch._idle_timer is not None
         here.discovery.writers[-1].write(b"1\r\n\n\r\n")
         time.sleep(for_s)
-        asked._silence.cancel()
-        asked._on_silence()  # whatever the order in which a loop looks at timers and sockets
+        watch._idle_timer.cancel()
+        watch._on_idle()  # independent of the order in which the loop handles timers and sockets
         time.sleep(for_s)
 
     play(scene)
 
 
-def test_lists_come_indented_and_in_pieces() -> None:
+def test_lists_are_parsed_with_any_indentation_and_chunks() -> None:
     async def scene() -> None:
         async with world() as here:
             await here.discovery.until_watched()
@@ -238,15 +238,15 @@
     play(scene)
 
 
-async def next_before_the_end(here: World) -> None:
+async def start_another_before_the_end(here: World) -> None:
     await here.discovery.raw(b'{"version":2,"servers":[\n{"id":"s"\n{"version":3,"servers":[]}\n')
 
 
-async def rest_before_the_end(here: World) -> None:
+async def send_heartbeat_before_the_end(here: World) -> None:
     await here.discovery.raw(b'{"version":2,"servers":[\n\n')
 
 
-async def trickle(here: World) -> None:
+async def send_slowly(here: World) -> None:
     await here.discovery.raw(b'{"version":2,"servers":[')
     with suppress(ConnectionError):
         while len(here.discovery.writers) == 1:
@@ -254,25 +254,27 @@
             await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("how", [next_before_the_end, rest_before_the_end, trickle])
-def test_a_list_that_does_not_come_to_its_end_is_asked_for_anew(
-    how: Callable[[World], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(
+    "failure", [start_another_before_the_end, send_heartbeat_before_the_end, send_slowly]
+)
+def test_incomplete_list_is_requested_again(
+    failure: Callable[[World], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_connection, "SILENT_S", 0.2)
+    monkeypatch.setattr(watch_connection, "IDLE_TIMEOUT_S", 0.2)
 
     async def scene() -> None:
-        async with world(settings=ASKED) as here:
+        async with world(settings=REQUESTED) as here:
             await here.discovery.until_watched()
-            await how(here)
+            await failure(here)
             await here.discovery.until_watched(2)
 
     play(scene)
 
 
-def test_discovery_down_at_the_start() -> None:
+def test_requests_are_served_when_discovery_fails() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
-        async with world(backend, settings=ASKED) as here:
+        async with world(backend, settings=REQUESTED) as here:
             assert here.discovery.server is not None
             here.discovery.server.close()
             await here.discovery.server.wait_closed()
@@ -283,7 +285,7 @@
     play(scene)
 
 
-def test_bad_entries_are_skipped_and_good_ones_kept() -> None:
+def test_invalid_entries_are_skipped_and_valid_ones_kept() -> None:
     async def scene() -> None:
         async with world() as here:
             await here.discovery.until_watched()
@@ -302,7 +304,7 @@
     play(scene)
 
 
-def test_thousands_of_entries() -> None:
+def test_list_of_5000_entries_is_applied_and_emptied() -> None:
     async def scene() -> None:
         async with world() as here:
             await here.discovery.until_watched()
@@ -317,7 +319,7 @@
     play(scene)
 
 
-def test_an_empty_line_says_nothing() -> None:
+def test_empty_line_is_a_heartbeat_without_a_list() -> None:
     async def scene() -> None:
         async with world() as here:
             await here.discovery.until_watched()
@@ -330,15 +332,13 @@
     play(scene)
 
 
-@pytest.mark.parametrize("how", ["moved", "silent"])
-def test_a_late_line_of_an_old_watch_says_nothing_beside_the_new_one(
-    how: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """In both orders: while the new watch opens, and once it stands."""
+@pytest.mark.parametrize("failure", ["moved", "silent"])
+def test_late_data_of_a_closed_watch_is_ignored(failure: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Both while the new watch is being opened and once it is open."""
     monkeypatch.setattr(discovery_module, "ADDRESS_CHANGE_SPREAD_S", 0.0)
 
     async def scene() -> None:
-        async with world(settings=SETTINGS if how == "silent" else ASKED) as here:
+        async with world(settings=SETTINGS if failure == "silent" else REQUESTED) as here:
             source = here.proxy.source
             assert isinstance(source, discovery_module.DiscoveryClient)
             source.watch(True)
@@ -350,14 +350,14 @@
             line = json.dumps({"version": 6, "full": True, "servers": [entry("late")]}).encode() + b"\n"
             late = b"%x\r\n%b\r\n" % (len(line), line)
             count = len(lists(here))
-            if how == "silent":
+            if failure == "silent":
                 old._fail("silent")
             else:
                 other = ScriptedDiscovery()
                 source.move(await other.start())
-            old.data_received(late)  # read in the turn in which it was given up
+            old.data_received(late)  # read in the iteration of the loop in which the watch was closed
             assert source.version != 6
-            await (here.discovery.until_watched(2) if how == "silent" else other.until_watched())
+            await (here.discovery.until_watched(2) if failure == "silent" else other.until_watched())
             while source.current is None:
                 await asyncio.sleep(0)
             old.data_received(late)
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -1,4 +1,4 @@
-"""The operators' address: calls, figures against what clients and members saw, members taken out."""
+"""The management address: its calls, its statistics against what clients and members observed, and cordons."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 from loadbalancer.resource_limits import RateLimitedLogger
 
 
-class Desked:
-    """A world, and its operators' address."""
+class ManagedWorld:
+    """A proxy with its peers, and its management address."""
 
     def __init__(self, here: World, address: tuple[str, int], operations: PlatformOperations) -> None:
         self.here, self.address, self.operations = here, address, operations
@@ -45,13 +45,13 @@
     async def raw(self, data: bytes) -> tuple[int, bytes]:
         reader, writer = await asyncio.open_connection(*self.address)
         writer.write(data)
-        said = await asyncio.wait_for(reader.read(), PATIENCE)
+        answer = await asyncio.wait_for(reader.read(), PATIENCE)
         writer.close()
-        head, _, body = said.partition(b"\r\n\r\n")
+        head, _, body = answer.partition(b"\r\n\r\n")
         return int(head.split(b" ")[1]), body
 
-    async def figures(self) -> dict[str, Any]:
-        self.operations._read_at = -1e9  # not those of a moment ago
+    async def stats(self) -> dict[str, Any]:
+        self.operations._read_at = -1e9  # ignore the cached counts
         status, body = await self.call("GET", "/admin/stats")
         assert status == 200
         box: dict[str, Any] = json.loads(body)
@@ -59,16 +59,16 @@
 
 
 @asynccontextmanager
-async def desk(*backends: ScriptedBackend) -> AsyncIterator[Desked]:
+async def managed_world(*backends: ScriptedBackend) -> AsyncIterator[ManagedWorld]:
     async with world(*backends) as here:
-        marks = PlatformOverrides(here.proxy, None, time.time)
-        here.proxy.overrides = marks
-        marks.listed(here.proxy.listed)
+        overrides = PlatformOverrides(here.proxy, None, time.time)
+        here.proxy.overrides = overrides
+        overrides.listed(here.proxy.listed)
         classes = read_deployment(SETTINGS).classes
-        operations = PlatformOperations(here.proxy, classes, marks, lambda: True)
+        operations = PlatformOperations(here.proxy, classes, overrides, lambda: True)
         server = ManagementServer(ManagementSession(PATHS, operations), RateLimitedLogger())
         try:
-            yield Desked(here, server.listen(("127.0.0.1", 0)), operations)
+            yield ManagedWorld(here, server.listen(("127.0.0.1", 0)), operations)
         finally:
             server.close()
 
@@ -88,24 +88,24 @@
         (b"GET /admin/health HTTP/1.1\r\nX-A: " + b"a" * 20_000, 413),
     ],
 )
-def test_each_call_gets_one_clear_answer(call: bytes, status: int) -> None:
+def test_call_gets_its_status(call: bytes, status: int) -> None:
     async def scene() -> None:
-        async with desk(ScriptedBackend("a", answering(OK))) as here:
+        async with managed_world(ScriptedBackend("a", answering(OK))) as here:
             assert (await here.raw(call))[0] == status
 
     play(scene)
 
 
-def test_callers_who_say_nothing_give_way_to_one_who_calls() -> None:
+def test_incomplete_calls_are_closed_for_a_complete_one() -> None:
     async def scene() -> None:
-        async with desk(ScriptedBackend("a", answering(OK))) as here:
+        async with managed_world(ScriptedBackend("a", answering(OK))) as here:
             held = []
             for _ in range(3 * MAX_CALLERS):
                 reader, writer = await asyncio.open_connection(*here.address)
                 writer.write(b"GET /admin/health HTTP/1.1\r\nHo")
                 held.append((reader, writer))
                 assert (await here.call("GET", "/admin/health"))[0] == 200
-            reader, writer = held[-1]  # the youngest may still end its call
+            reader, writer = held[-1]  # the newest one may still complete its call
             writer.write(b"st: a\r\n\r\n")
             assert (await asyncio.wait_for(reader.read(), PATIENCE)).startswith(b"HTTP/1.1 200")
             for _, writer in held:
@@ -119,8 +119,8 @@
     call.reset()
 
 
-def test_figures_are_what_clients_and_members_saw() -> None:
-    """Answers good and bad, refusals, resets, time-outs, an answer that breaks off, a client that leaves."""
+def test_stats_match_what_clients_and_members_observed() -> None:
+    """Successful answers, errors, rejections, resets, and answers that are cut off."""
     scripts = [
         answering(OK),
         answering(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
@@ -133,8 +133,8 @@
 
     async def scene() -> None:
         backends = [ScriptedBackend(name, *scripts) for name in "ab"]
-        async with desk(*backends) as here:
-            seen = {"passed": 0, "dropped": 0, "bad_gateway": 0}
+        async with managed_world(*backends) as here:
+            observed = {"passed": 0, "dropped": 0, "bad_gateway": 0}
             for number in range(60):
                 client = await here.here.connect()
                 try:
@@ -142,43 +142,43 @@
                 except (ConnectionError, asyncio.IncompleteReadError):
                     status = 0
                 key = {200: "passed", 503: "dropped"}.get(status, "bad_gateway")
-                seen[key] += 1
-            box = await here.figures()
-            for key, count in seen.items():
+                observed[key] += 1
+            box = await here.stats()
+            for key, count in observed.items():
                 assert sum(box["handled"][cls][key] for cls in ("safe", "keyed", "unsafe")) == count, key
-            assert seen["passed"] and seen["bad_gateway"]
+            assert observed["passed"] and observed["bad_gateway"]
             assert box["upstream_tries"] == sum(len(backend.calls) for backend in backends)
             assert box["in_progress"] == 0 and box["known_backends"] == 2
 
     play(scene)
 
 
-def test_what_is_open_is_counted_as_open_and_its_attempt_as_written() -> None:
+def test_open_requests_and_their_attempts_are_counted() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("a", silent)
-        async with desk(backend) as here:
+        async with managed_world(backend) as here:
             clients = [await here.here.connect() for _ in range(5)]
             for client in clients:
                 await client.send(request("unsafe"))
             await backend.until_called(5)
             await here.here.proxy.until(lambda: here.here.proxy.metrics.open == 5)
-            box = await here.figures()
+            box = await here.stats()
             assert box["in_progress"] == 5
             assert box["upstream_tries"] == sum(here.here.proxy.attempt_counts()) == 5
 
     play(scene)
 
 
-def test_a_member_taken_out_gets_nothing_until_it_is_put_back_whatever_lists_say() -> None:
+def test_cordoned_member_gets_no_requests_until_uncordoned_whatever_lists_contain() -> None:
     async def scene() -> None:
         a, b = ScriptedBackend("a", answering(OK)), ScriptedBackend("b", answering(OK))
-        async with desk(a, b) as here:
+        async with managed_world(a, b) as here:
             discovery = here.here.discovery
             await discovery.until_watched()
             client = await here.here.connect()
             for _ in range(2):
                 assert (await here.call("PUT", "/admin/cordon/a"))[0] == 200
-            assert (await here.figures())["skipped_backends"] == 1
+            assert (await here.stats())["skipped_backends"] == 1
             lists = [(b.entry(),), (a.entry(state="DRAINING"), b.entry()), (a.entry(started_ms=9), b.entry())]
             for version, entries in enumerate(lists, 2):
                 await discovery.line(version, *entries, full=True)
@@ -189,7 +189,7 @@
                 assert len(a.calls) == before == 0
             assert (await here.call("PUT", "/admin/uncordon/a"))[0] == 200
             assert (await client.ask(request()))[0] == 200
-            assert len(a.calls) == 1  # the very next request
-            assert (await here.figures())["skipped_backends"] == 0
+            assert len(a.calls) == 1  # the next request
+            assert (await here.stats())["skipped_backends"] == 0
 
     play(scene)
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in bounded memory, caps that are earned and lost, and the floor for known networks."""
+"""Address tables with bounded memory, caps that depend on the score, and slots reserved for known networks."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
 from loadbalancer.admission.networks import Networks
 from loadbalancer.admission.rulings import ADMIT, ONCE, REFUSE, SWAP
 
-EVERY = settings(derandomize=True, max_examples=100, deadline=None)
-FREE = Slots(1000, 0, 0)
-DEPOTS = [ipaddress.ip_network("10.1.0.0/16"), ipaddress.ip_network("2001:db8::/32")]
+DERANDOMIZED = settings(derandomize=True, max_examples=100, deadline=None)
+FREE_SLOTS = Slots(1000, 0, 0)
+KNOWN_NETWORKS = [ipaddress.ip_network("10.1.0.0/16"), ipaddress.ip_network("2001:db8::/32")]
 
 
 @pytest.mark.parametrize(
@@ -61,14 +61,14 @@
         ("", ""),
     ],
 )
-def test_prefixes(address: str, prefix: str) -> None:
+def test_prefix_of_an_address(address: str, prefix: str) -> None:
     assert prefix_of(address) == prefix
 
 
 # The table.
 
 
-def test_any_number_of_addresses_takes_no_more_memory_than_the_table_holds() -> None:
+def test_table_memory_is_bounded_for_any_number_of_addresses() -> None:
     table = AddressTable(1000)
     for number in range(2000):
         table.get_or_add(f"a{number}", 0.0)
@@ -82,7 +82,7 @@
     assert after - before < 1 << 20
 
 
-def test_what_is_held_is_never_forgotten() -> None:
+def test_entries_in_use_are_never_evicted() -> None:
     table = AddressTable(10)
     held = []
     for number in range(50):
@@ -98,21 +98,21 @@
     assert len(table) == 10
 
 
-def test_strangers_by_the_million_push_out_nobody_who_has_earned_trust() -> None:
+def test_untrusted_addresses_never_evict_trusted_ones() -> None:
     admission = Admission(Caps(connections=4, entries=256))
     for number in range(50):
         for _ in range(int(TRUSTED_SCORE) + 5):
             admission.mark(admission.rows(f"10.0.{number}.1", 0.0), GOOD, 0.0)
     for number in range(20_000):
-        admission.connect(f"11.{number >> 16}.{number >> 8 & 255}.{number & 255}", 0.0, FREE)
+        admission.connect(f"11.{number >> 16}.{number >> 8 & 255}.{number & 255}", 0.0, FREE_SLOTS)
     assert len(admission.addresses) <= 256
     for number in range(50):
         assert admission.addresses.get_or_add(f"10.0.{number}.1", 0.0).score >= TRUSTED_SCORE
 
 
-@EVERY
+@DERANDOMIZED
 @given(st.lists(st.tuples(st.integers(0, 40), st.sampled_from("oOcm")), max_size=300))
-def test_the_table_stays_within_its_bound_and_loses_nothing_that_is_held(
+def test_table_stays_within_its_bound_and_keeps_entries_in_use(
     steps: list[tuple[int, str]],
 ) -> None:
     table, held = AddressTable(16), dict[int, int]()
@@ -131,10 +131,10 @@
         assert len(table) <= 16 + sum(count > 0 for count in held.values()) + 1
 
 
-# Trust.
+# The score.
 
 
-def test_marks_fade_by_half() -> None:
+def test_score_halves_within_its_half_life() -> None:
     entry = Entry("a", 0.0)
     entry.add_score(100.0, 0.0)
     assert entry.current_score(SCORE_HALF_LIFE_S) == pytest.approx(50.0)
@@ -142,7 +142,7 @@
     assert entry.current_score(2 * SCORE_HALF_LIFE_S) == pytest.approx(25.0)
 
 
-def test_marks_are_bounded_both_ways() -> None:
+def test_score_is_bounded_both_ways() -> None:
     entry = Entry("a", 0.0)
     for _ in range(10_000):
         entry.add_score(GOOD, 0.0)
@@ -152,9 +152,9 @@
     assert entry.current_score(0.0) == -2 * MIN_CAP_PENALTY and entry.cap_factor(0.0, 16.0) == LEAST_SHARE
 
 
-@EVERY
+@DERANDOMIZED
 @given(st.lists(st.tuples(st.floats(-1e6, 1e6), st.floats(-10, 10)), max_size=50))
-def test_whatever_the_clock_does_marks_and_rooms_stay_in_bounds(steps: list[tuple[float, float]]) -> None:
+def test_score_and_tokens_stay_in_bounds_with_any_clock(steps: list[tuple[float, float]]) -> None:
     entry = Entry("a", 0.0)
     for now, change in steps:
         entry.add_score(change, now)
@@ -163,7 +163,7 @@
         assert 0.0 <= entry.tokens <= 6.0 and LEAST_SHARE <= entry.cap_factor(now, 4.0) <= 4.0
 
 
-def test_a_clock_that_steps_back_holds_nobody_up() -> None:
+def test_token_bucket_refills_after_the_clock_steps_back() -> None:
     entry = Entry("a", 1000.0)
     while entry.try_take_token(1000.0, 2.0):
         pass
@@ -175,31 +175,31 @@
 
 
 def fill(admission: Admission, address: str, now: float = 0.0, most: int = 10_000) -> int:
-    """How many connections of an address are let in."""
+    """Open connections of an address until one is not admitted; return how many were."""
     for count in range(most):
-        if admission.connect(address, now, FREE).verdict != ADMIT:
+        if admission.connect(address, now, FREE_SLOTS).verdict != ADMIT:
             return count
         opened(admission.rows(address, now))
     return most
 
 
-def test_one_address_gets_its_cap_and_is_told_when_to_return() -> None:
+def test_address_at_its_cap_is_refused_with_a_retry_time() -> None:
     admission = Admission(Caps(connections=8))
     assert fill(admission, "10.0.0.1") == 8
-    ruling = admission.connect("10.0.0.1", 0.0, FREE)
+    ruling = admission.connect("10.0.0.1", 0.0, FREE_SLOTS)
     assert ruling.verdict == REFUSE and ruling.retry_after > 0 and "address" in ruling.why
     assert fill(admission, "10.0.1.1") == 8
     closed(admission.rows("10.0.0.1", 0.0))
-    assert admission.connect("10.0.0.1", 0.0, FREE).verdict == ADMIT
+    assert admission.connect("10.0.0.1", 0.0, FREE_SLOTS).verdict == ADMIT
 
 
 @pytest.mark.parametrize("form", ["10.0.0.{}", "2001:db8:0:1::{}"])
-def test_addresses_that_rotate_within_a_prefix_share_its_cap(form: str) -> None:
+def test_addresses_of_one_prefix_share_its_cap(form: str) -> None:
     admission = Admission(Caps(connections=8))
     assert sum(fill(admission, form.format(number)) for number in range(100)) == 8 * PREFIX_CAP_FACTOR
 
 
-def test_new_connections_a_second() -> None:
+def test_new_connections_are_rate_limited() -> None:
     admission = Admission(Caps(per_s=5.0))
     assert fill(admission, "10.0.0.1") == 10
     assert fill(admission, "10.0.0.1", 1.0) == 5
@@ -207,7 +207,7 @@
     assert fill(admission, "10.0.0.1", 100.0) == 10
 
 
-def test_requests_open_at_once() -> None:
+def test_open_requests_of_an_address_are_capped() -> None:
     admission = Admission(Caps(requests=3))
     rows, other = admission.rows("10.0.0.1", 0.0), admission.rows("10.0.9.1", 0.0)
     for _ in range(3):
@@ -218,25 +218,25 @@
     assert admission.request(rows, 0.0)
 
 
-def test_a_nat_with_honest_screens_earns_its_way_past_the_cap_of_a_flooder() -> None:
-    """400 screens behind one address, each with a connection of its own; beside it one that asks nothing."""
+def test_cap_of_a_nat_with_honest_clients_grows_and_that_of_an_idle_flood_does_not() -> None:
+    """400 clients behind one address with one connection each; another address opens connections without requests."""
     admission = Admission(Caps(connections=32, growth=16.0))
     nat, flood, now = "10.0.0.1", "10.0.1.1", 0.0
     assert fill(admission, flood) == 32
-    waiting, rounds = 400, 0
-    while waiting and rounds < 20:
+    remaining, rounds = 400, 0
+    while remaining and rounds < 20:
         rounds += 1
         now += 1.0
-        let_in = fill(admission, nat, now, waiting)
-        waiting -= let_in
-        for _ in range(400 - waiting):  # each that is in asks once a second
+        admitted = fill(admission, nat, now, remaining)
+        remaining -= admitted
+        for _ in range(400 - remaining):  # each admitted client sends one request per second
             admission.mark(admission.rows(nat, now), GOOD, now)
-    assert waiting == 0 and rounds <= 8
+    assert remaining == 0 and rounds <= 8
     assert fill(admission, flood, now) == 0
 
 
 @pytest.mark.parametrize("bad", [SILENT, GARBAGE])
-def test_a_flooder_that_says_nothing_or_garbage_loses_most_of_its_cap_and_time_gives_it_back(
+def test_cap_shrinks_after_silent_or_malformed_connections_and_recovers_with_time(
     bad: float,
 ) -> None:
     admission = Admission(Caps(connections=32))
@@ -251,7 +251,7 @@
     )
 
 
-def test_asking_once_and_staying_earns_nothing() -> None:
+def test_single_request_on_an_unused_connection_does_not_raise_the_cap() -> None:
     admission = Admission(Caps(connections=32))
     for _ in range(500):
         admission.mark(admission.rows("10.0.0.1", 0.0), GOOD, 0.0)
@@ -259,20 +259,20 @@
     assert admission.addresses.get_or_add("10.0.0.1", 0.0).cap_factor(0.0, 16.0) == pytest.approx(1.0)
 
 
-def test_no_cap_holds_for_fronts_known_networks_and_unix_sockets_by_choice() -> None:
+def test_no_cap_applies_to_exempt_networks_known_networks_and_unix_sockets() -> None:
     exempt = [ipaddress.ip_network("192.168.0.0/24")]
-    admission = Admission(Caps(connections=1, per_s=0.1, requests=1), DEPOTS, 0.1, exempt)
+    admission = Admission(Caps(connections=1, per_s=0.1, requests=1), KNOWN_NETWORKS, 0.1, exempt)
     assert fill(admission, "192.168.0.9", most=200) == 200
     assert fill(admission, "::ffff:10.1.9.9", most=200) == 200
     assert fill(admission, "local", most=200) == 200
     assert all(admission.request(admission.rows("10.1.9.9", 0.0), 0.0) for _ in range(10))
 
 
-# The floor.
+# The reserved slots.
 
 
-def test_strangers_are_lent_the_unused_floor_but_for_what_is_kept() -> None:
-    admission = Admission(Caps(), DEPOTS, 0.4)
+def test_unused_reserved_slots_are_lent_except_for_the_kept_share() -> None:
+    admission = Admission(Caps(), KNOWN_NETWORKS, 0.4)
     rulings = [admission.connect("9.9.9.9", 0.0, Slots(100, taken, 0)).verdict for taken in range(101)]
     kept = math.ceil(40 * RESERVE_KEPT_SHARE)
     assert rulings[:60] == [ADMIT] * 60
@@ -280,25 +280,25 @@
     assert rulings[100 - kept :] == [SWAP] * (kept + 1)
 
 
-def test_the_floor_is_for_known_networks_whatever_strangers_hold() -> None:
-    admission = Admission(Caps(connections=1), DEPOTS, 0.4)
+def test_known_networks_are_admitted_when_all_slots_are_used() -> None:
+    admission = Admission(Caps(connections=1), KNOWN_NETWORKS, 0.4)
     for address in ("10.1.2.3", "2001:db8::7", "::ffff:10.1.0.1"):
         assert admission.connect(address, 0.0, Slots(100, 100, 0)).verdict == ADMIT
 
 
-def test_a_floor_in_use_takes_no_more_from_strangers() -> None:
-    admission = Admission(Caps(), DEPOTS, 0.4)
+def test_fully_used_reserve_takes_no_further_slots_from_other_clients() -> None:
+    admission = Admission(Caps(), KNOWN_NETWORKS, 0.4)
     assert admission.connect("9.9.9.9", 0.0, Slots(100, 99, 40)).verdict == ADMIT
     assert admission.connect("9.9.9.9", 0.0, Slots(100, 99, 39)).verdict == SWAP
 
 
-@EVERY
+@DERANDOMIZED
 @given(st.integers(1, 500), st.floats(0.0, 0.9), st.lists(st.booleans(), max_size=800))
-def test_a_known_client_always_finds_a_slot_within_the_floor(
+def test_known_client_always_finds_a_slot_within_the_reserve(
     most: int, floor: float, arrivals: list[bool]
 ) -> None:
-    """Nobody leaves, and lent slots can't be taken back: what is kept must do for the first known clients."""
-    admission = Admission(Caps(), DEPOTS, floor)
+    """No connection ends and no lent slot is recovered: the kept share must suffice for the first known clients."""
+    admission = Admission(Caps(), KNOWN_NETWORKS, floor)
     taken = known = 0
     kept = math.ceil(math.ceil(most * floor) * RESERVE_KEPT_SHARE)
     for is_known in arrivals:
@@ -313,13 +313,13 @@
             known += is_known
 
 
-def test_random_comings_and_goings_leave_no_count_behind() -> None:
+def test_random_connects_and_closes_leave_no_counts() -> None:
     randoms = random.Random(7)
     admission = Admission(Caps(connections=5, requests=5, entries=256))
     held: list[str] = []
     for step in range(20_000):
         address = f"10.0.{randoms.randrange(300)}.{randoms.randrange(4)}"
-        if randoms.random() < 0.5 and admission.connect(address, step / 10, FREE).verdict == ADMIT:
+        if randoms.random() < 0.5 and admission.connect(address, step / 10, FREE_SLOTS).verdict == ADMIT:
             opened(admission.rows(address, step / 10))
             began(admission.rows(address, step / 10))
             held.append(address)
@@ -336,7 +336,9 @@
 
 # Sets of networks.
 
-OCTETS = st.lists(st.integers(0, 3), min_size=4, max_size=4)  # few values, so that many are inside
+OCTETS = st.lists(
+    st.integers(0, 3), min_size=4, max_size=4
+)  # few values, so that many addresses are in one of the networks
 
 
 @st.composite
@@ -349,9 +351,7 @@
 
 
 @given(st.lists(networks(), max_size=8), OCTETS, st.booleans())
-def test_a_set_of_networks_is_what_going_through_them_says(
-    those: list[Any], octets: list[int], six: bool
-) -> None:
+def test_set_of_networks_matches_a_linear_search(those: list[Any], octets: list[int], six: bool) -> None:
     address: Any = ipaddress.IPv4Address(".".join(map(str, octets)))
     if six:
         address = ipaddress.IPv6Address(int(address) << 96)
@@ -360,7 +360,7 @@
     assert found == Networks(reversed(those)) and bool(found) == bool(those)
 
 
-def test_addresses_in_other_forms_and_what_is_none() -> None:
+def test_networks_match_mapped_and_scoped_addresses_and_no_other_text() -> None:
     found = Networks(["10.0.0.0/8", "fe80::/10"])
     assert "::ffff:10.1.2.3" in found and "fe80::1%eth0" in found
     for other in ("local", "", "10.1", "example.test", "0a00::1", "::a00:1"):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Slots of clients' connections under load: who stays, who is closed, and that each request is answered once."""
+"""Connection slots under load: which connections stay open, which are closed, and one answer to each request."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-async def full(here: Any, share: float) -> list[Client]:
-    """Connections that have been answered once, so many that the share of the slots is taken."""
+async def fill_slots(here: Any, share: float) -> list[Client]:
+    """Open connections, each with one answered request, until they use this share of the slots."""
     clients = []
     while len(here.server.connections) < share * here.server.most:
         clients.append(client := await here.connect())
@@ -22,21 +22,21 @@
     return clients
 
 
-async def heard(client: Client) -> tuple[int, bytes]:
-    """Status and head of the answer to one request."""
+async def send_request(client: Client) -> tuple[int, bytes]:
+    """Send a request; return the status and head of its answer."""
     await client.send(request())
     status, head, _ = await client.read()
     return status, head
 
 
-def note(here: Any, used: bool) -> None:
-    """Clients have shown for a while what they do."""
+def record_reuse(here: Any, used: bool) -> None:
+    """Record for many connections that they were reused, or that they were not."""
     for _ in range(200):
         here.server.pressure.reuse.note(used)
 
 
-def test_clients_that_ask_once_and_stay_never_fill_the_slots() -> None:
-    """One half of the incident: each asked once and kept its connection, until nobody else could get one."""
+def test_unused_connections_of_single_request_clients_never_fill_the_slots() -> None:
+    """Guards against a fault where clients with one request each kept their connections until all slots were used."""
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=256) as here:
@@ -44,7 +44,7 @@
             clients, closed = [], 0
             for _ in range(5 * most):
                 client = await here.connect()
-                status, head = await heard(client)
+                status, head = await send_request(client)
                 assert status == 200
                 clients.append(client)
                 closed += b"Connection: close" in head
@@ -57,8 +57,8 @@
     play(scene)
 
 
-def test_a_burst_that_asks_ready_and_stays_leaves_room_for_requests() -> None:
-    """The other half: hundreds at once ask whether the proxy is ready, and keep their connections."""
+def test_burst_of_idle_readiness_checks_leaves_slots_for_requests() -> None:
+    """Guards against the same fault with hundreds of concurrent readiness checks that keep their connections."""
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=256) as here:
@@ -82,85 +82,85 @@
     play(scene)
 
 
-def test_a_client_that_has_come_back_keeps_its_connection_whatever_presses() -> None:
+def test_reused_connection_stays_open_at_the_highest_pressure() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
-            note(here, True)
+            record_reuse(here, True)
             good = await here.connect()
             for _ in range(2):
-                assert b"Connection: close" not in (await heard(good))[1]
-            await full(here, 0.95)
-            note(here, False)
+                assert b"Connection: close" not in (await send_request(good))[1]
+            await fill_slots(here, 0.95)
+            record_reuse(here, False)
             assert here.server.pressure.number == len(STEPS) - 1
             for _ in range(TRIAL_INTERVAL * 3):
-                status, head = await heard(good)
+                status, head = await send_request(good)
                 assert status == 200 and b"Connection: close" not in head
 
     play(scene)
 
 
-def test_no_answer_closes_while_slots_are_free() -> None:
+def test_no_answer_closes_its_connection_while_slots_are_free() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=256) as here:
-            note(here, False)
+            record_reuse(here, False)
             for _ in range(10):
                 client = await here.connect()
-                assert b"Connection: close" not in (await heard(client))[1]
+                assert b"Connection: close" not in (await send_request(client))[1]
             assert len(here.server.connections) == 10 and here.server.pressure.number == 0
 
     play(scene)
 
 
-def test_what_was_used_once_makes_room_before_what_was_used_again() -> None:
+def test_connection_used_once_is_evicted_before_a_reused_one() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
-            note(here, True)
-            proven = await here.connect()
+            record_reuse(here, True)
+            reused = await here.connect()
             for _ in range(2):
-                assert (await proven.ask(request()))[0] == 200
-            once = await full(here, 1.0)
+                assert (await reused.ask(request()))[0] == 200
+            used_once = await fill_slots(here, 1.0)
             new = await here.connect()
             assert (await new.ask(request()))[0] == 200
-            assert await once[0].ended() == b""
-            assert (await proven.ask(request()))[0] == 200
+            assert await used_once[0].ended() == b""
+            assert (await reused.ask(request()))[0] == 200
 
     play(scene)
 
 
-def test_one_that_has_just_connected_makes_room_last_but_for_what_was_used_again() -> None:
-    """Its first request may be on the way: closing it would lose that one."""
+def test_new_connection_is_evicted_after_idle_ones_used_once() -> None:
+    """Its first request may be in flight, and closing the connection would lose it."""
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
-            note(here, True)
-            young = await here.connect()
-            (connection,) = [await first(here)]
-            once = await full(here, 1.0)
+            record_reuse(here, True)
+            new_client = await here.connect()
+            (connection,) = [await first_connection(here)]
+            used_once = await fill_slots(here, 1.0)
             connection.since = (
                 asyncio.get_running_loop().time() + listener_module.SILENT_S
             )  # as if just connected
             new = await here.connect()
             assert (await new.ask(request()))[0] == 200
-            assert await once[0].ended() == b""
-            assert (await young.ask(request()))[0] == 200
+            assert await used_once[0].ended() == b""
+            assert (await new_client.ask(request()))[0] == 200
 
     play(scene)
 
 
-async def first(here: World) -> Any:
+async def first_connection(here: World) -> Any:
     while not here.server.connections:
         await asyncio.sleep(0)
     return next(iter(here.server.connections))
 
 
-def test_an_answer_with_a_request_behind_it_does_not_close() -> None:
-    """Closing would lose what has come whole already."""
+def test_answer_does_not_close_a_connection_with_pipelined_requests() -> None:
+    """Closing would lose requests that were received whole."""
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
-            note(here, True)
-            await full(here, 0.95)
-            note(here, False)
+            record_reuse(here, True)
+            await fill_slots(here, 0.95)
+            record_reuse(here, False)
             client = await here.connect()
             await client.send(request() * 5)
             answers = [await client.read() for _ in range(5)]
@@ -170,13 +170,13 @@
     play(scene)
 
 
-def test_idle_times_shrink_with_the_steps_and_reuse_is_measured() -> None:
+def test_idle_timeout_shrinks_with_the_steps_and_lack_of_reuse_is_recorded_once() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             client = await here.connect()
             assert (await client.ask(request()))[0] == 200
-            connection = await first(here)
-            note(here, True)
+            connection = await first_connection(here)
+            record_reuse(here, True)
             before = here.server.pressure.reuse.chance
             connection.sweep(connection.since + 1.0)
             connection.sweep(connection.since + 1.1)
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -1,4 +1,4 @@
-"""The lag of the event loop: what is left out of durations, on a clock that the test moves."""
+"""The lag of the event loop that is subtracted from durations, measured on a simulated clock."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 )
 
 
-class MovedLoop:
-    """A clock, and the one timer that is set on it."""
+class SimulatedLoop:
+    """A simulated event loop with a clock and one timer."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -29,11 +29,11 @@
         self.lag = EventLoopLag(cast(asyncio.AbstractEventLoop, self), self.reports.append, lambda: self.now)
 
     def begin(self) -> None:
-        """Open as many measurements as it takes."""
+        """Open as many measurements as the timer needs."""
         for _ in range(MIN_OPEN):
             self.lag.begin()
 
-    def call_later(self, delay_s: float, callback: Callable[[], None]) -> MovedLoop:
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> SimulatedLoop:
         self.timer = (self.now + delay_s, callback)
         return self
 
@@ -41,15 +41,15 @@
         self.timer = None
 
     def run_for(self, seconds: float) -> None:
-        """Let time pass with the timer called when it is due."""
+        """Advance the clock, and call the timer when it is due."""
         end = self.now + seconds
         while self.timer is not None and self.timer[0] <= end:
             self.now = self.timer[0]
             self.call_timer()
         self.now = end
 
-    def hold_up(self, seconds: float) -> None:
-        """Let time pass in which nothing runs; the timer is due and not called yet."""
+    def block_for(self, seconds: float) -> None:
+        """Advance the clock without calling the timer, which is overdue afterwards."""
         self.run_for(TICK_INTERVAL_S / 2)
         self.now += seconds
 
@@ -59,12 +59,12 @@
         timer[1]()
 
 
-# Guards against a hold-up that is counted as the time of an endpoint, before and after the timer was called.
-def test_a_hold_up_is_left_out_but_for_a_tick() -> None:
-    loop = MovedLoop()
+# Guards against lag that counts as the response time of an endpoint, before and after the timer was called.
+def test_lag_is_measured_up_to_one_tick() -> None:
+    loop = SimulatedLoop()
     loop.begin()
     began = loop.now
-    loop.hold_up(0.3)
+    loop.block_for(0.3)
     before = loop.lag.between(began, loop.now)
     assert 0.3 - TICK_INTERVAL_S <= before <= 0.3
     loop.call_timer()
@@ -74,9 +74,9 @@
     assert loop.reports == [pytest.approx(before)]
 
 
-# Guards against decisions that differ though nothing was held up.
-def test_nothing_is_left_out_where_the_loop_runs() -> None:
-    loop = MovedLoop()
+# Guards against lag that is measured although the loop was not blocked.
+def test_no_lag_while_the_loop_runs() -> None:
+    loop = SimulatedLoop()
     loop.begin()
     began = loop.now
     loop.run_for(1.0)
@@ -85,36 +85,36 @@
     assert loop.reports == []
 
 
-# Guards against a hold-up before or after a duration that shortens it.
-def test_only_the_lag_within_a_duration_is_left_out() -> None:
-    loop = MovedLoop()
+# Guards against lag before or after a duration that is subtracted from it.
+def test_only_lag_within_the_duration_counts() -> None:
+    loop = SimulatedLoop()
     loop.begin()
-    loop.hold_up(0.2)
+    loop.block_for(0.2)
     loop.call_timer()
     after = loop.now
     loop.run_for(0.2)
     assert loop.lag.between(after, loop.now) == 0.0
     until = loop.now
-    loop.hold_up(0.2)
+    loop.block_for(0.2)
     assert loop.lag.between(after, until) == 0.0
 
 
-# Guards against a process short of processor time that takes all its queues for hold-ups, and sheds no load.
-def test_a_process_that_is_always_late_leaves_out_little() -> None:
-    loop = MovedLoop()
+# Guards against a process short of processor time that counts all its queueing delay as lag, and sheds no load.
+def test_permanent_lag_is_limited_by_the_allowance() -> None:
+    loop = SimulatedLoop()
     loop.begin()
     began = loop.now
     for _ in range(100):
-        loop.hold_up(0.1)
+        loop.block_for(0.1)
         loop.call_timer()
     spent = loop.lag.between(loop.now - 1.0, loop.now)
     assert spent <= 2 * ALLOWANCE_PER_SECOND
     assert loop.lag.between(began, loop.now) <= MAX_ALLOWANCE_S + ALLOWANCE_PER_SECOND * (loop.now - began)
 
 
-# Guards against a proxy at rest that wakes up for nothing.
-def test_the_timer_rests_while_nothing_is_measured() -> None:
-    loop = MovedLoop()
+# Guards against an idle proxy that wakes up without need.
+def test_timer_stops_without_open_measurements() -> None:
+    loop = SimulatedLoop()
     loop.begin()
     loop.lag.end()
     loop.run_for(2 * TICK_INTERVAL_S)
@@ -125,8 +125,8 @@
     assert loop.timer is None
 
 
-# Guards against a proxy that measures, and does not tell its policy.
-def test_the_outcome_tells_the_hold_up_of_its_attempt() -> None:
+# Guards against a proxy that measures lag and does not pass it to its policy.
+def test_outcome_contains_the_lag_of_its_attempt() -> None:
     async def scene() -> None:
         peer = Answering("a")
         async with world(peer.backend) as here:
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which connection makes room for a new one where all slots are taken."""
+"""Which connection is evicted for a new one when all slots are used."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from loadbalancer.frontends import listener as listener_module
 
-#: Seconds for which a connection counts as new, or as just answered, in these scenes: longer than any of them.
+#: Seconds for which a connection counts as new or as just answered in these tests: longer than any of them runs.
 LONG_S = 600.0
 SOCKETS = 96
 
 
-async def answered(here: World, times: int) -> Client:
-    """A client with so many answers on one connection, that keeps it."""
+async def connect_and_request(here: World, times: int) -> Client:
+    """Return a client whose open connection has carried this many requests and answers."""
     client = await here.connect()
     for _ in range(times):
         assert (await client.ask(request()))[0] == 200
@@ -24,18 +24,18 @@
 
 
 def connect_silently(here: World, count: int) -> list[socket.socket]:
-    """So many connections that say nothing, all in the kernel before the listener accepts the first one."""
+    """Open connections that send nothing, all of them before the listener accepts the first one."""
     return [socket.create_connection(here.address) for _ in range(count)]
 
 
-def close_all(crowd: list[socket.socket]) -> None:
-    for sock in crowd:
+def close_all(silent_sockets: list[socket.socket]) -> None:
+    for sock in silent_sockets:
         sock.close()
 
 
-# Guards against a request that is lost as its connection makes room for one that has said nothing.
+# Guards against a request that is lost because its connection is evicted for one that has sent nothing.
 @pytest.mark.parametrize("times", [1, 2])
-def test_a_client_that_was_just_answered_outlasts_a_crowd_that_says_nothing(
+def test_just_answered_connection_is_not_evicted_for_silent_ones(
     times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener_module, "SILENT_S", LONG_S)
@@ -43,7 +43,7 @@
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
-            client = await answered(here, times)
+            client = await connect_and_request(here, times)
             for _ in range(2 * here.server.most):
                 await here.connect()
             assert here.server.taken <= here.server.most
@@ -52,20 +52,20 @@
     play(scene)
 
 
-# Guards against a request that is lost as its connection makes room for one of many that connect in the same moment.
+# Guards against a request that is lost because its connection is evicted for one of many that connect at the same time.
 @pytest.mark.parametrize("times", [1, 2])
-def test_a_client_that_was_just_answered_outlasts_a_crowd_that_is_accepted_at_one_go(
+def test_just_answered_connection_is_not_evicted_for_silent_ones_accepted_in_one_pass(
     times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener_module, "RECENT_S", LONG_S, raising=False)
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
-            client = await answered(here, times)
-            crowd = connect_silently(here, 2 * here.server.most)
+            client = await connect_and_request(here, times)
+            silent_sockets = connect_silently(here, 2 * here.server.most)
             while here.server.taken < here.server.most:
                 await asyncio.sleep(0)
             assert (await client.ask(request()))[0] == 200
-            close_all(crowd)
+            close_all(silent_sockets)
 
     play(scene)
