--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -1,4 +1,4 @@
-"""Floods against a listener with rules: known clients get through, what was taken is answered once, nobody hangs."""
+"""Floods against a listener with rules: known clients are served, each request is answered once, no client hangs."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 KNOWN, FLOOD, NAT = "127.1.0.1", "127.2.0.1", "127.3.0.1"
 
 
-class Held:
-    """A script that answers when the test says so."""
+class HeldAnswer:
+    """A script that answers once the test sets its event."""
 
     def __init__(self) -> None:
         self.go = asyncio.Event()
@@ -43,7 +43,7 @@
 
 
 def admission(**keys: Any) -> str:
-    """The table of a listener that has just been opened."""
+    """Return the [listener.admission] table with these keys."""
     return "[listener.admission]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in keys.items())
 
 
@@ -51,8 +51,8 @@
     return Client(*await asyncio.open_connection(*address, local_addr=(source, 0)))
 
 
-async def ended(client: Client, data: bytes = b"") -> tuple[int, bytes]:
-    """Status (0 for a close without an answer) and head of what a connection gets for these bytes, and its end."""
+async def exchange(client: Client, data: bytes = b"") -> tuple[int, bytes]:
+    """Send the bytes and close; return the status (0 for a close without an answer) and the head of the answer."""
     try:
         if data:
             await client.send(data)
@@ -64,24 +64,26 @@
         client.writer.close()
 
 
-async def byte_by_byte(client: Client) -> None:
-    """The beginning of a request, and no more of it."""
+async def send_byte_by_byte(client: Client) -> None:
+    """Send the first bytes of a request one by one."""
     for byte in requests_to()[:20]:
         if not client.writer.transport.is_closing():
             client.writer.write(bytes((byte,)))
         await asyncio.sleep(0)
 
 
-async def once(address: tuple[str, int], source: str, data: bytes) -> tuple[int, bytes]:
+async def connect_and_exchange(address: tuple[str, int], source: str, data: bytes) -> tuple[int, bytes]:
     try:
         client = await connect(address, source)
     except ConnectionError:
         return 0, b""
-    return await ended(client, data)
+    return await exchange(client, data)
 
 
-def behind(folder: Path, member: ScriptedBackend, rules: str) -> AbstractAsyncContextManager[Ground]:
-    """A daemon with these lines ahead of one route to one member."""
+def daemon_with_rules(
+    folder: Path, member: ScriptedBackend, rules: str
+) -> AbstractAsyncContextManager[Ground]:
+    """Run a daemon with these lines before one route to one member."""
     return ground(folder, [member], lambda: rules + route("all", "a") + pool("a", [member]))
 
 
@@ -91,46 +93,48 @@
     return found
 
 
-def held_of(here: Ground, source: str) -> int:
+def open_connections(here: Ground, source: str) -> int:
     return gate(here).admission.addresses.get_or_add(source, 0.0).connections
 
 
 # In one process.
 
 
-def test_an_address_gets_its_cap_the_rest_are_told_and_others_do_not_notice(tmp_path: Path) -> None:
+def test_connections_above_the_cap_get_503_and_other_addresses_are_served(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
         rules = LISTENER + admission(connections_per_address=8)
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             address = here.daemon.listeners["main"].address
             silent = [await connect(address, FLOOD) for _ in range(8)]
-            await here.until(lambda: held_of(here, FLOOD) == 8)
+            await here.until(lambda: open_connections(here, FLOOD) == 8)
             for _ in range(50):
-                status, head = await once(address, FLOOD, requests_to())
+                status, head = await connect_and_exchange(address, FLOOD, requests_to())
                 assert status == 0 or (status == 503 and b"Retry-After: 1" in head)
-            assert held_of(here, FLOOD) == 8 and not member.calls
+            assert open_connections(here, FLOOD) == 8 and not member.calls
             for _ in range(20):
-                assert (await once(address, KNOWN, requests_to()))[0] == 200
+                assert (await connect_and_exchange(address, KNOWN, requests_to()))[0] == 200
             for client in silent:
                 client.writer.close()
-            await here.until(lambda: held_of(here, FLOOD) == 0)
-            assert (await once(address, FLOOD, requests_to()))[0] == 200
+            await here.until(lambda: open_connections(here, FLOOD) == 0)
+            assert (await connect_and_exchange(address, FLOOD, requests_to()))[0] == 200
 
     play(scene)
 
 
-def test_honest_screens_behind_one_address_get_past_the_cap_of_a_flooder(tmp_path: Path) -> None:
+def test_honest_clients_behind_one_address_exceed_the_initial_cap_and_a_flood_does_not(
+    tmp_path: Path,
+) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
         rules = LISTENER + admission(connections_per_address=8, growth=64)
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             address = here.daemon.listeners["main"].address
             flood = [await connect(address, FLOOD) for _ in range(8)]
             screens: list[Client] = []
 
             async def screen() -> int:
-                """Ask until served, then stay and come back."""
+                """Retry until served, then keep the connection and reuse it; return the number of tries."""
                 tries = 0
                 while True:
                     tries += 1
@@ -139,7 +143,7 @@
                         await client.send(requests_to())
                         if (await client.read())[0] == 200:
                             while (await client.ask(requests_to()))[0] != 200:
-                                pass  # the member is new, and gets its requests by and by
+                                pass  # the member is in slow start and takes few requests
                             screens.append(client)
                             return tries
                     except (ConnectionError, asyncio.IncompleteReadError):
@@ -148,21 +152,21 @@
 
             tries = await asyncio.gather(*(screen() for _ in range(150)))
             assert len(screens) == 150 and max(tries) > 1
-            assert held_of(here, NAT) == 150 and held_of(here, FLOOD) == 8
-            assert (await once(address, FLOOD, requests_to()))[0] in (0, 503)
+            assert open_connections(here, NAT) == 150 and open_connections(here, FLOOD) == 8
+            assert (await connect_and_exchange(address, FLOOD, requests_to()))[0] in (0, 503)
             for client in [*screens, *flood]:
                 client.writer.close()
 
     play(scene)
 
 
-def test_a_flood_of_silence_loses_its_cap(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_connections_reduce_the_cap(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.frontends.connection.REQUEST_S", 0.0)
 
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
         rules = LISTENER + admission(connections_per_address=8)
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             address = here.daemon.listeners["main"].address
             entry = gate(here).admission.addresses.get_or_add(FLOOD, 0.0)
             while entry.score > -50:
@@ -174,12 +178,12 @@
     play(scene)
 
 
-def test_requests_open_at_once_of_one_address(tmp_path: Path) -> None:
+def test_open_requests_of_one_address_are_capped_with_503(tmp_path: Path) -> None:
     async def scene() -> None:
-        held = Held()
+        held = HeldAnswer()
         member = ScriptedBackend("s", held)
         rules = LISTENER + admission(requests_per_address=3)
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             address = here.daemon.listeners["main"].address
             busy = [await connect(address, FLOOD) for _ in range(3)]
             for client in busy:
@@ -201,9 +205,9 @@
     play(scene)
 
 
-def test_known_clients_find_slots_whatever_strangers_hold(tmp_path: Path) -> None:
-    """Strangers fill all that they may, with an answer owed on each; what is kept of the reserve, and the slots past
-    the limit, are there all the same, and what was lent comes back with the answers."""
+def test_known_clients_find_slots_while_others_use_all_they_may(tmp_path: Path) -> None:
+    """Other clients use all slots that they may, with a request open on each. The kept share of the reserve and the
+    slots past the limit stay free, and the lent slots are free again once their requests are answered."""
 
     async def scene() -> None:
         go = asyncio.Event()
@@ -216,57 +220,57 @@
         member = ScriptedBackend("s", script)
         rules = "[process]\ndescriptors = 128\n" + LISTENER + admission(known=["127.1.0.0/16"], reserve=0.5)
 
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             listener = here.daemon.listeners["main"]
             address, most = listener.address, listener.most
-            listener.pressure.reuse.chance = 1.0  # no answer closes but where the slot is lent
+            listener.pressure.reuse.chance = 1.0  # answers close connections in lent slots only
             floor = math.ceil(most * 0.5)
             kept = math.ceil(floor * RESERVE_KEPT_SHARE)
-            strangers = []
+            others = []
             for number in range(most - kept):
-                strangers.append(client := await connect(address, f"127.{number + 10}.0.1"))
+                others.append(client := await connect(address, f"127.{number + 10}.0.1"))
                 await client.send(requests_to("/slow"))
             await here.until(lambda: len(here.daemon.pools["a"].proxy.open) == most - kept)
             for _ in range(5):
-                assert (await once(address, "127.2.0.1", requests_to()))[0] in (0, 503)
+                assert (await connect_and_exchange(address, "127.2.0.1", requests_to()))[0] in (0, 503)
             known = [await connect(address, KNOWN) for _ in range(kept + listener.overflow_most)]
             for client in known:
                 assert (await client.ask(requests_to()))[0] == 200
             go.set()
-            answers = [await client.read() for client in strangers]
-            assert [status for status, _, _ in answers] == [200] * len(strangers)
+            answers = [await client.read() for client in others]
+            assert [status for status, _, _ in answers] == [200] * len(others)
             lent = sum(b"Connection: close" in head for _, head, _ in answers)
             assert lent >= floor - kept
             while len(known) < floor:
                 known.append(await connect(address, KNOWN))
             for client in known:
                 assert (await client.ask(requests_to()))[0] == 200
-            for client in [*strangers, *known]:
+            for client in [*others, *known]:
                 client.writer.close()
 
     play(scene)
 
 
-def test_strangers_never_push_out_known_clients(tmp_path: Path) -> None:
+def test_known_clients_are_not_evicted_for_others(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
         rules = "[process]\ndescriptors = 128\n" + LISTENER + admission(known=["127.1.0.0/16"], reserve=0.5)
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             listener = here.daemon.listeners["main"]
             listener.pressure.reuse.chance = 1.0
             known = [await connect(listener.address, KNOWN) for _ in range(listener.most // 2)]
             for client in known:
                 assert (await client.ask(requests_to()))[0] == 200
-            strangers = [await connect(listener.address, f"127.2.{n}.1") for n in range(3 * listener.most)]
+            others = [await connect(listener.address, f"127.2.{n}.1") for n in range(3 * listener.most)]
             for client in known:
                 assert (await client.ask(requests_to()))[0] == 200
-            for client in [*strangers, *known]:
+            for client in [*others, *known]:
                 client.writer.close()
 
     play(scene)
 
 
-def test_a_reload_in_a_flood_keeps_what_is_known_of_addresses(tmp_path: Path) -> None:
+def test_reload_during_a_flood_keeps_the_address_state(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
         rules = LISTENER + admission(connections_per_address=8)
@@ -279,7 +283,8 @@
             before = gate(here)
             flood = [await connect(address, FLOOD) for _ in range(8)]
             asking = [
-                asyncio.ensure_future(once(address, f"127.{n}.0.1", requests_to())) for n in range(10, 50)
+                asyncio.ensure_future(connect_and_exchange(address, f"127.{n}.0.1", requests_to()))
+                for n in range(10, 50)
             ]
             await here.reload(text() + "\n")
             assert here.daemon.reloads == 1 and gate(here) is before
@@ -289,7 +294,9 @@
             for client in flood:
                 client.writer.close()
             entry = before.admission.addresses.get_or_add(FLOOD, 0.0)
-            await here.until(lambda: not entry.in_use)  # each gives back where it was let in
+            await here.until(
+                lambda: not entry.in_use
+            )  # each connection is counted off at the gate that admitted it
 
     play(scene)
 
@@ -297,50 +304,52 @@
 # The PROXY protocol.
 
 
-def line(source: str) -> bytes:
+def proxy_line(source: str) -> bytes:
     return f"PROXY TCP4 {source} 127.0.0.1 40000 80\r\n".encode()
 
 
-def test_behind_a_front_the_address_is_the_one_it_names(tmp_path: Path) -> None:
+def test_address_behind_a_front_proxy_is_that_of_the_proxy_header(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
         rules = LISTENER + 'proxy_protocol_from = ["127.4.0.0/16"]\n' + admission(connections_per_address=2)
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             address = here.daemon.listeners["main"].address
-            data = line("203.0.113.9") + requests_to()
+            data = proxy_line("203.0.113.9") + requests_to()
             flood = []
-            for cut in (5, len(line("203.0.113.9"))):
+            for cut in (5, len(proxy_line("203.0.113.9"))):
                 flood.append(client := await connect(address, "127.4.0.1"))
                 await client.send(data[:cut])
                 await asyncio.sleep(0)
                 assert (await client.ask(data[cut:]))[0] == 200
-            assert held_of(here, "203.0.113.9") == 2 and held_of(here, "127.4.0.1") == 0
-            status, head = await once(address, "127.4.0.1", data)
+            assert open_connections(here, "203.0.113.9") == 2 and open_connections(here, "127.4.0.1") == 0
+            status, head = await connect_and_exchange(address, "127.4.0.1", data)
             assert status == 503 and b"Retry-After" in head
-            other = line("203.0.114.9") + requests_to()
-            assert (await once(address, "127.4.0.1", other))[0] == 200
+            other = proxy_line("203.0.114.9") + requests_to()
+            assert (await connect_and_exchange(address, "127.4.0.1", other))[0] == 200
             seven = socket.inet_aton("203.0.115.9") + bytes(8)
             binary = b"\r\n\r\n\x00\r\nQUIT\n\x21\x11" + struct.pack("!H", 12) + seven
-            assert (await once(address, "127.4.0.1", binary + requests_to()))[0] == 200
+            assert (await connect_and_exchange(address, "127.4.0.1", binary + requests_to()))[0] == 200
             for client in flood:
                 client.writer.close()
-            await here.until(lambda: held_of(here, "203.0.113.9") == 0)
+            await here.until(lambda: open_connections(here, "203.0.113.9") == 0)
 
     play(scene)
 
 
-def test_a_front_must_write_the_header_and_nobody_else_may(tmp_path: Path) -> None:
+def test_proxy_header_is_required_from_trusted_sources_and_rejected_from_others(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
         rules = LISTENER + 'proxy_protocol_from = ["127.4.0.0/16"]\n'
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             address = here.daemon.listeners["main"].address
-            assert (await once(address, "127.4.0.1", requests_to()))[0] == 0
-            forged = line("203.0.113.9") + requests_to()
-            assert (await once(address, "127.5.0.1", forged))[0] == 400
-            assert (await once(address, "127.4.0.1", b"PROXY TCP4 " + b"1" * (10 << 20)))[0] == 0
+            assert (await connect_and_exchange(address, "127.4.0.1", requests_to()))[0] == 0
+            forged = proxy_line("203.0.113.9") + requests_to()
+            assert (await connect_and_exchange(address, "127.5.0.1", forged))[0] == 400
+            assert (await connect_and_exchange(address, "127.4.0.1", b"PROXY TCP4 " + b"1" * (10 << 20)))[
+                0
+            ] == 0
             assert not member.calls
-            assert (await once(address, "127.5.0.1", requests_to()))[0] == 200
+            assert (await connect_and_exchange(address, "127.5.0.1", requests_to()))[0] == 200
             await here.until(lambda: not here.daemon.listeners["main"].connections)
 
     play(scene)
@@ -349,20 +358,20 @@
 # FastCGI.
 
 
-def test_a_fastcgi_client_over_its_cap_is_closed_and_hears_no_http(tmp_path: Path) -> None:
+def test_fastcgi_connection_above_the_cap_is_closed_without_http(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
         rules = (
             LISTENER + 'protocol = "fastcgi"\n' + admission(connections_per_address=2, requests_per_address=1)
         )
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             listener = here.daemon.listeners["main"]
             first, second, third = [await WebServer.connect(listener.address) for _ in range(3)]
             await here.until(lambda: len(listener.connections) == 2)
             assert await asyncio.wait_for(third.reader.read(), PATIENCE) == b""
             await first.send(first.request(1, "GET", "/"))
             assert (await first.read(1)).status == 200
-            held = Held()
+            held = HeldAnswer()
             member.scripts = [held]
             await first.send(first.request(2, "GET", "/"))
             await member.until_called(2)
@@ -373,7 +382,7 @@
             for web in (first, second, third):
                 web.writer.close()
             await here.until(lambda: not listener.connections)
-            assert held_of(here, "127.0.0.1") == 0
+            assert open_connections(here, "127.0.0.1") == 0
 
     play(scene)
 
@@ -381,7 +390,7 @@
 # Descriptors.
 
 
-def test_spares_are_given_and_taken_back() -> None:
+def test_reserve_descriptors_are_released_and_refilled() -> None:
     spares = ReserveDescriptors(3)
     assert len(spares) == 3 and spares.take() and len(spares) == 2
     spares.refill()
@@ -390,7 +399,7 @@
     assert len(spares) == 0 and not spares.take()
 
 
-def test_spares_are_held_as_far_as_the_system_gives_them() -> None:
+def test_reserve_descriptors_are_limited_to_those_the_system_gives() -> None:
     given = iter([os.open(os.devnull, os.O_RDONLY)])
 
     def opening() -> int:
@@ -406,19 +415,19 @@
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE])
-def test_without_a_descriptor_those_who_wait_are_told_and_the_next_is_served(
+def test_without_descriptors_waiting_clients_get_503_and_later_ones_are_served(
     tmp_path: Path, number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The system gives none but where a spare has just been closed."""
+    """Accept fails unless a reserve descriptor has just been closed."""
 
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
-        async with behind(tmp_path, member, LISTENER) as here:
+        async with daemon_with_rules(tmp_path, member, LISTENER) as here:
             listener = here.daemon.listeners["main"]
             real = cast(socket.socket, listener._sock)
 
             class Short:
-                """The listening socket of a system that has run out."""
+                """The listening socket of a system without free descriptors."""
 
                 def accept(self) -> Any:
                     if len(here.daemon.spares) == here.daemon.spares.most:
@@ -430,20 +439,22 @@
 
             address = listener.address
             listener._sock = cast(socket.socket, Short())
-            answers = await asyncio.gather(*(once(address, KNOWN, requests_to()) for _ in range(30)))
+            answers = await asyncio.gather(
+                *(connect_and_exchange(address, KNOWN, requests_to()) for _ in range(30))
+            )
             assert {status for status, _ in answers} <= {0, 503} and not member.calls
             assert any(b"Retry-After: 1" in head for _, head in answers)
             assert len(here.daemon.spares) == here.daemon.spares.most
             listener._sock = real
-            assert (await once(address, KNOWN, requests_to()))[0] == 200
+            assert (await connect_and_exchange(address, KNOWN, requests_to()))[0] == 200
 
     play(scene)
 
 
-def test_a_member_is_reached_on_a_spare_descriptor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_member_is_reached_with_a_reserve_descriptor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
-        async with behind(tmp_path, member, LISTENER) as here:
+        async with daemon_with_rules(tmp_path, member, LISTENER) as here:
             spares, real = here.daemon.spares, socket.socket
 
             def short(*arguments: Any, **options: Any) -> socket.socket:
@@ -462,14 +473,14 @@
     play(scene)
 
 
-# In a process of its own, whose limit can be lowered.
+# In a separate process, whose limit can be lowered.
 
 
 @asynccontextmanager
 async def process(
     folder: Path, text: str, descriptors: int
 ) -> AsyncIterator[tuple[tuple[str, int], subprocess.Popen[bytes]]]:
-    """`serve` under a limit of descriptors: the address of its one listener."""
+    """Run `serve` under a limit of descriptors; yield the address of its listener and the process."""
     path = folder / "micastand.toml"
     path.write_text(text)
 
@@ -497,9 +508,9 @@
         child.stdout.close()
 
 
-def test_the_limit_lowered_to_64_under_40_requests_in_flight(tmp_path: Path) -> None:
+def test_descriptor_limit_lowered_to_64_loses_none_of_40_requests_in_flight(tmp_path: Path) -> None:
     async def scene() -> None:
-        held = Held()
+        held = HeldAnswer()
         member = ScriptedBackend("s", held)
         await member.start()
         text = LISTENER + route("all", "a") + pool("a", [member])
@@ -510,11 +521,13 @@
             await member.until_called(40)
             hard = resource.prlimit(child.pid, resource.RLIMIT_NOFILE)[1]
             resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (64, hard))
-            answers = await asyncio.gather(*(once(address, FLOOD, requests_to()) for _ in range(60)))
+            answers = await asyncio.gather(
+                *(connect_and_exchange(address, FLOOD, requests_to()) for _ in range(60))
+            )
             assert {status for status, _ in answers} <= {
                 0,
                 503,
-            }  # told, or closed: none hangs, none is served
+            }  # rejected or closed: none hangs, none is served
             assert len(member.calls) == 40
             child.send_signal(signal.SIGHUP)  # a reload needs descriptors too
             held.go.set()
@@ -523,7 +536,7 @@
                 client.writer.close()
             assert len(member.calls) == 40
             async with asyncio.timeout(PATIENCE):
-                while (await once(address, KNOWN, requests_to()))[0] != 200:
+                while (await connect_and_exchange(address, KNOWN, requests_to()))[0] != 200:
                     pass
                 while b"new configuration taken" not in (tmp_path / "log").read_bytes():
                     await asyncio.sleep(0)
@@ -532,8 +545,8 @@
     play(scene)
 
 
-def test_three_thousand_connections_of_one_address_and_known_clients_get_through(tmp_path: Path) -> None:
-    """Silent, asking whether the proxy is ready, asking once and staying, sending a byte at a time; 512 descriptors."""
+def test_known_clients_are_served_during_3000_connections_of_one_address(tmp_path: Path) -> None:
+    """They are silent, check readiness, send one request and stay, or send single bytes; with 512 descriptors."""
 
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
@@ -542,7 +555,7 @@
         text += admission(connections_per_address=64, known=["127.1.0.0/16"], reserve=0.25)
         text += route("all", "a") + pool("a", [member])
         async with process(tmp_path, text, 512) as (address, _):
-            told: list[int] = []
+            statuses: list[int] = []
             wave = asyncio.Semaphore(400)
 
             async def flood(number: int) -> None:
@@ -550,42 +563,44 @@
                     try:
                         client = await connect(address, FLOOD)
                     except ConnectionError:
-                        told.append(0)
+                        statuses.append(0)
                         return
                     if number % 4 == 3:
-                        await byte_by_byte(client)
+                        await send_byte_by_byte(client)
                     data = (b"", requests_to("/ready"), requests_to(), b"")[number % 4]
-                    told.append((await ended(client, data))[0])
+                    statuses.append((await exchange(client, data))[0])
 
             async def known() -> list[int]:
                 answers = []
-                while len(told) < 3000:
-                    answers.append((await once(address, KNOWN, requests_to()))[0])
+                while len(statuses) < 3000:
+                    answers.append((await connect_and_exchange(address, KNOWN, requests_to()))[0])
                 return answers
 
             results = await asyncio.gather(known(), known(), *(flood(number) for number in range(3000)))
             answers = [*cast("list[int]", results[0]), *cast("list[int]", results[1])]
             served = answers.count(200)
-            assert len(told) == 3000 and set(told) <= {0, 200, 408, 503}
+            assert len(statuses) == 3000 and set(statuses) <= {0, 200, 408, 503}
             assert len(answers) >= 20 and served >= 0.99 * len(answers)
-            asked = sum(number == 200 for number in told)
+            asked = sum(number == 200 for number in statuses)
             assert len(member.calls) <= served + asked
         await member.stop()
 
     play(scene)
 
 
-def test_what_clients_do_counts_for_their_address(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Garbage, half a request, and an answer that is not taken."""
+def test_malformed_and_incomplete_requests_and_unread_answers_lower_the_score(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A malformed request, half a request, and an answer that the client does not read."""
 
     async def scene() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + bytes(900_000)
         member = ScriptedBackend("s", answering(large))
         rules = LISTENER + admission(connections_per_address=8)
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             listener = here.daemon.listeners["main"]
             address, table = listener.address, gate(here).admission.addresses
-            assert (await once(address, "127.11.0.1", b"no request at all\r\n\r\n"))[0] == 400
+            assert (await connect_and_exchange(address, "127.11.0.1", b"no request at all\r\n\r\n"))[0] == 400
             assert table.get_or_add("127.11.0.1", 0.0).score == GARBAGE
 
             half = await connect(address, "127.12.0.1")
@@ -614,19 +629,19 @@
 
 
 def has_read(connection: Any, count: int) -> bool:
-    """Whether so much of a PROXY header has come."""
+    """Return whether this many bytes of a PROXY header were received."""
     return len(connection.visit.header._buffer) == count
 
 
-def test_a_proxy_header_that_stalls_is_silence_and_holds_nothing(tmp_path: Path) -> None:
+def test_stalled_proxy_header_times_out_and_holds_no_slot(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(GOOD))
         rules = LISTENER + 'proxy_protocol_from = ["127.4.0.0/16"]\n' + admission(connections_per_address=2)
-        async with behind(tmp_path, member, rules) as here:
+        async with daemon_with_rules(tmp_path, member, rules) as here:
             listener = here.daemon.listeners["main"]
-            for cut in range(1, len(line("203.0.113.9"))):
+            for cut in range(1, len(proxy_line("203.0.113.9"))):
                 client = await connect(listener.address, "127.4.0.1")
-                await client.send(line("203.0.113.9")[:cut])
+                await client.send(proxy_line("203.0.113.9")[:cut])
                 await here.until(lambda: len(listener.connections) == 1)
                 (connection,) = listener.connections
                 await here.until(partial(has_read, connection, cut))
@@ -634,6 +649,6 @@
                 assert await client.ended() == b""
                 client.writer.close()
                 await here.until(lambda: not listener.connections)
-            assert held_of(here, "203.0.113.9") == 0 and not member.calls
+            assert open_connections(here, "203.0.113.9") == 0 and not member.calls
 
     play(scene)
--- a/tests/test_line_writer.py
+++ b/tests/test_line_writer.py
@@ -1,4 +1,4 @@
-"""Log lines that a thread writes: a pipe that is full, whole lines, what is lost."""
+"""Log lines that a thread writes: a full pipe, complete lines, and the count of lost lines."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 LONG_TEXT = "x" * 200
 
 
-class NotedOutput(DescriptorOutput):
-    """Says when the first lines are on their way."""
+class SignallingOutput(DescriptorOutput):
+    """Sets an event when the first write begins."""
 
     def __init__(self, descriptor: int) -> None:
         super().__init__(descriptor)
@@ -24,10 +24,10 @@
         super().write(text)
 
 
-# Guards against a caller of the log that waits until somebody reads what was written before.
-def test_a_full_pipe_holds_up_no_caller_and_what_was_lost_is_told() -> None:
+# Guards against a caller of the log that blocks until earlier lines are read.
+def test_full_pipe_blocks_no_caller_and_lost_lines_are_counted() -> None:
     log = UnreadLog()
-    output = NotedOutput(log.write_end)
+    output = SignallingOutput(log.write_end)
     writer = LineWriter(output)
     logger = RateLimitedLogger(writer)
     logger("kind")
@@ -35,32 +35,32 @@
     for number in range(MAX_QUEUED_LINES + 100):
         logger(f"kind-{number}")
     assert writer.lost == 100
-    assert writer.take_lost() == 0  # no room to say so
+    assert writer.take_lost() == 0  # the queue has no room to report it
     log.end_reading()
     writer.close()
     assert writer.lost > 100 + MAX_QUEUED_LINES
     log.close()
 
 
-# Guards against lines that are cut where a pipe takes a part of them.
-def test_lines_that_a_pipe_takes_in_parts_come_out_whole() -> None:
+# Guards against truncated lines when a pipe accepts a part of a write.
+def test_lines_written_in_parts_arrive_whole() -> None:
     read_end, write_end = os.pipe()
     writer = LineWriter(DescriptorOutput(write_end))
     logger = RateLimitedLogger(writer)
-    wanted = [f"micastand: kind-{number}: {LONG_TEXT}" for number in range(1000)]
+    expected = [f"micastand: kind-{number}: {LONG_TEXT}" for number in range(1000)]
     for number in range(1000):
         logger(f"kind-{number}", LONG_TEXT)
     data = b""
-    while data.count(b"\n") < len(wanted):
+    while data.count(b"\n") < len(expected):
         data += os.read(read_end, 1 << 16)
     writer.close()
-    assert data.decode().splitlines() == wanted
+    assert data.decode().splitlines() == expected
     os.close(read_end)
     os.close(write_end)
 
 
-# Guards against a log that does not say that lines are missing.
-def test_lines_that_could_not_be_written_are_counted_once() -> None:
+# Guards against a log that does not report missing lines.
+def test_failed_lines_are_counted_once() -> None:
     read_end, write_end = os.pipe()
     os.close(read_end)
     writer = LineWriter(DescriptorOutput(write_end))
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The program: configuration, and its end."""
+"""The platform's `run` command as a process: its configuration, signals and exit."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize(
     "text", [None, "", "{", "[]", "{}", '{"settings":{},"listen":"a:1","discovery":"b:2"}']
 )
-def test_a_start_without_its_configuration_ends_with_one_line(text: str | None, tmp_path: Path) -> None:
+def test_invalid_configuration_file_ends_the_start_with_one_line(text: str | None, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -37,7 +37,7 @@
     assert done.stderr.count(b"\n") == 1 and b"Traceback" not in done.stderr
 
 
-def test_no_configuration_named() -> None:
+def test_missing_configuration_variable_ends_the_start() -> None:
     done = run(None)
     assert done.returncode == 2 and b"GW_CONFIG" in done.stderr
 
@@ -77,11 +77,11 @@
         process.communicate()
 
 
-def test_sigterm_ends_it_with_0(tmp_path: Path) -> None:
+def test_sigterm_ends_the_process_with_status_0(tmp_path: Path) -> None:
     with running(tmp_path) as (process, address):
         with socket.create_connection(address, 10) as sock:
             sock.sendall(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-            assert sock.recv(100).startswith(b"HTTP/1.1 503")  # no list is held
+            assert sock.recv(100).startswith(b"HTTP/1.1 503")  # there is no endpoint list
         process.send_signal(signal.SIGTERM)
         assert process.wait(30) == 0
 
@@ -90,15 +90,15 @@
 LIST = {"version": 1, "full": True, "servers": [ENTRY]}
 
 
-class Agent:
-    """Discovery in blocking calls: it takes the proxy's watch and writes a list of one backend."""
+class BlockingDiscovery:
+    """A discovery service with blocking calls that accepts the proxy's watch and sends a list of one endpoint."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.settimeout(10)
         self.address = "{}:{}".format(*self.sock.getsockname())
 
-    def watched(self) -> socket.socket:
+    def accept_watch(self) -> socket.socket:
         watch, _ = self.sock.accept()
         watch.settimeout(10)
         assert b"watch=1" in watch.recv(1000)
@@ -109,7 +109,7 @@
 
 
 def reload(process: subprocess.Popen[bytes], tmp_path: Path, text: str) -> bytes:
-    """Replace the file as a deployment does, signal, and wait for the line that tells what became of it."""
+    """Replace the file as a deployment does, send SIGHUP, and return the log line about the new configuration."""
     (tmp_path / "new").write_text(text)
     (tmp_path / "new").replace(tmp_path / "config.json")
     process.send_signal(signal.SIGHUP)
@@ -120,20 +120,20 @@
 
 
 def test_sighup_moves_the_watch_to_the_new_address(tmp_path: Path) -> None:
-    old, new = Agent(), Agent()
+    old, new = BlockingDiscovery(), BlockingDiscovery()
     with running(tmp_path, discovery=old.address) as (process, _):
-        before = old.watched()
+        before = old.accept_watch()
         box = json.loads((tmp_path / "config.json").read_text()) | {"discovery": new.address}
         assert b"taken" in reload(process, tmp_path, json.dumps(box))
-        with new.watched(), before:
+        with new.accept_watch(), before:
             assert before.recv(1) == b""  # the old watch has ended
             assert process.poll() is None
 
 
 @pytest.mark.parametrize("times", [1, 3])
-def test_a_sighup_that_comes_while_it_starts_is_heard_and_ends_nothing(times: int, tmp_path: Path) -> None:
-    """Between the loading of the program and the reading of its file, held there by a pipe in the file's place."""
-    old, new = Agent(), Agent()
+def test_sighup_during_the_start_reloads_and_does_not_end_the_process(times: int, tmp_path: Path) -> None:
+    """The signal arrives after the imports and before the file is read; a pipe in place of the file blocks the read."""
+    old, new = BlockingDiscovery(), BlockingDiscovery()
     box = configuration(discovery=old.address)
     path = tmp_path / "config.json"
     os.mkfifo(path)
@@ -149,7 +149,7 @@
             (tmp_path / "new").write_text(json.dumps(box | {"discovery": new.address}))
             (tmp_path / "new").replace(path)
             pipe.write(json.dumps(box))
-        new.watched()
+        new.accept_watch()
         assert process.poll() is None
         process.send_signal(signal.SIGTERM)
         assert process.wait(30) == 0
@@ -159,10 +159,10 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", '{"settings":{},"listen":"a:1","discovery":"b:2"}'])
-def test_a_bad_new_configuration_is_logged_and_the_old_one_stays(text: str, tmp_path: Path) -> None:
-    agent = Agent()
+def test_invalid_new_configuration_is_logged_and_not_applied(text: str, tmp_path: Path) -> None:
+    agent = BlockingDiscovery()
     with running(tmp_path, discovery=agent.address, known=LIST) as (process, address):
-        with agent.watched():
+        with agent.accept_watch():
             assert b"not taken" in reload(process, tmp_path, text)
             with socket.create_connection(address, 10) as sock:
                 sock.sendall(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -170,16 +170,16 @@
 
 
 def test_uploads_stay_under_the_memory_limit(tmp_path: Path) -> None:
-    """Sixty clients with 60 MB each against 128 MB: they are turned away, and memory stays where it was."""
+    """Sixty clients upload 60 MB each at a limit of 128 MB: they are rejected, and memory use does not grow."""
     with running(tmp_path) as (process, address):
-        socks = [socket.create_connection(address, 30) for _ in range(60)]
-        for sock in socks:
+        sockets = [socket.create_connection(address, 30) for _ in range(60)]
+        for sock in sockets:
             sock.sendall(request("unsafe").replace(b"Length: 0", b"Length: 60000000"))
-        for sock in socks:
-            with suppress(ConnectionError, TimeoutError):  # a refused one is not read to its end
+        for sock in sockets:
+            with suppress(ConnectionError, TimeoutError):  # the rest of a rejected upload is not read
                 sock.settimeout(0.05)
                 sock.sendall(bytes(4 << 20))
-        for sock in socks:
+        for sock in sockets:
             assert sock.recv(12).endswith(b"413")
         status = Path(f"/proc/{process.pid}/status").read_text()
         peak = int(next(line for line in status.splitlines() if line.startswith("VmHWM")).split()[1])
@@ -187,16 +187,16 @@
         with socket.create_connection(address, 10) as sock:
             sock.sendall(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
             assert sock.recv(100).startswith(b"HTTP/1.1 503")
-        for sock in socks:
+        for sock in sockets:
             sock.close()
 
 
-def test_the_platform_loads_no_rules_for_addresses() -> None:
-    words = "import sys, loadbalancer.platform.main; print(*(m for m in sys.modules if m.startswith('loadbalancer.')))"
-    said = subprocess.run(
-        [sys.executable, "-c", words], capture_output=True, text=True, check=True
+def test_platform_command_does_not_import_the_admission_rules() -> None:
+    code = "import sys, loadbalancer.platform.main; print(*(m for m in sys.modules if m.startswith('loadbalancer.')))"
+    imported = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
     ).stdout.split()
-    assert "loadbalancer.admission.pressure" in said
+    assert "loadbalancer.admission.pressure" in imported
     for name in (
         "admission.admission",
         "admission.addresses",
@@ -206,5 +206,5 @@
     ):
         assert (
             importlib.util.find_spec(f"loadbalancer.{name}") is not None
-        )  # a name that is gone checks nothing
-        assert f"loadbalancer.{name}" not in said
+        )  # a module that was renamed would make the check below void
+        assert f"loadbalancer.{name}" not in imported
--- a/tests/test_pressure.py
+++ b/tests/test_pressure.py
@@ -1,4 +1,4 @@
-"""Pressure on the connections of clients: the steps, their hysteresis, and what a kept connection is worth."""
+"""Steps of pressure on the connection slots, their hysteresis, and the estimate of reuse."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     Reuse,
 )
 
-EVERY = settings(derandomize=True, max_examples=200, deadline=None)
+DERANDOMIZED = settings(derandomize=True, max_examples=200, deadline=None)
 
 
-def test_the_steps_are_a_ladder() -> None:
+def test_steps_get_stricter_in_order() -> None:
     assert STEPS[0].enter == STEPS[0].leave == 0.0
     for low, high in zip(STEPS, STEPS[1:], strict=False):
         assert low.enter < high.enter and low.leave < high.leave < high.enter
         assert low.idle_s > high.idle_s and low.min_reuse < high.min_reuse and low.accepts >= high.accepts
-    assert STEPS[-1].idle_s >= 2.0  # no sooner may the platform's connections be closed
+    assert STEPS[-1].idle_s >= 2.0  # the platform's idle connections may not be closed sooner
 
 
 @pytest.mark.parametrize(
@@ -33,7 +33,7 @@
         ([40], 1),
         ([100], 3),
         ([100, 0], 0),
-        ([40, 35], 1),  # between leaving and entering: as it was
+        ([40, 35], 1),  # between the thresholds the step stays
         ([35], 0),
         ([40, 29], 0),
         ([60, 55, 49], 1),
@@ -41,16 +41,16 @@
         ([80, 45], 1),
     ],
 )
-def test_steps_come_and_go_with_a_gap(shares: list[int], wanted: int) -> None:
+def test_step_changes_with_hysteresis(shares: list[int], wanted: int) -> None:
     pressure = Pressure()
     for share in shares:
         pressure.measure(share, 100)
     assert pressure.number == wanted and pressure.step is STEPS[wanted]
 
 
-@EVERY
+@DERANDOMIZED
 @given(st.lists(st.integers(0, 120), min_size=1, max_size=200))
-def test_the_step_always_fits_the_share_and_one_connection_more_or_less_never_moves_it_to_and_fro(
+def test_step_fits_the_share_and_does_not_oscillate_by_one_connection(
     taken: list[int],
 ) -> None:
     pressure = Pressure()
@@ -69,13 +69,13 @@
         assert pressure.number == after
 
 
-def test_no_slots_at_all_is_the_last_step() -> None:
+def test_zero_slots_select_the_last_step() -> None:
     pressure = Pressure()
     pressure.measure(0, 0)
     assert pressure.number == len(STEPS) - 1
 
 
-def test_all_are_kept_where_slots_are_free() -> None:
+def test_all_connections_are_kept_while_slots_are_free() -> None:
     pressure = Pressure()
     for _ in range(100):
         pressure.reuse.note(False)
@@ -83,14 +83,14 @@
     assert all(pressure.keeps(1) for _ in range(1000))
 
 
-def test_what_is_used_again_is_kept_in_every_step() -> None:
+def test_reused_connection_is_kept_in_every_step() -> None:
     pressure = Pressure()
     for taken in range(0, 101, 10):
         pressure.measure(taken, 100)
         assert pressure.keeps(2)
 
 
-def test_clients_that_ask_once_lose_their_connections_but_for_one_in_a_few() -> None:
+def test_connections_without_reuse_are_closed_except_for_trials() -> None:
     pressure = Pressure()
     for _ in range(200):
         pressure.reuse.note(False)
@@ -99,7 +99,7 @@
     assert kept == 50
 
 
-def test_clients_that_come_back_keep_theirs_through_every_step() -> None:
+def test_connections_with_likely_reuse_are_kept_in_every_step() -> None:
     pressure = Pressure()
     for _ in range(200):
         pressure.reuse.note(True)
@@ -108,7 +108,7 @@
         assert all(pressure.keeps(1) for _ in range(100))
 
 
-def test_the_fuller_the_slots_the_more_a_connection_must_be_worth() -> None:
+def test_required_reuse_grows_with_the_share_of_used_slots() -> None:
     reuse = Reuse()
     while reuse.chance < 0.6:
         reuse.note(True)
@@ -121,7 +121,7 @@
     assert kept == [TRIAL_INTERVAL, TRIAL_INTERVAL, TRIAL_INTERVAL, 0]
 
 
-def test_questions_to_the_proxy_itself_keep_no_slot_that_is_short() -> None:
+def test_requests_to_the_proxy_itself_do_not_keep_a_connection_under_pressure() -> None:
     pressure = Pressure()
     for _ in range(200):
         pressure.reuse.note(True)
@@ -130,7 +130,7 @@
     assert not any(pressure.keeps(1, served=False) for _ in range(100)) and pressure.keeps(2, served=False)
 
 
-def test_the_fuller_the_slots_the_fewer_are_kept_for_trial() -> None:
+def test_trials_get_rarer_with_the_share_of_used_slots() -> None:
     counts = []
     for taken in (50, 70, 100):
         pressure = Pressure()
@@ -139,8 +139,8 @@
     assert counts == [TRIAL_INTERVAL_GROWTH**2, TRIAL_INTERVAL_GROWTH, 1]
 
 
-def test_a_change_of_clients_is_found_out_by_the_trials() -> None:
-    """All askers come once; then all come back. Those that are kept for trial alone must be enough."""
+def test_trials_detect_that_clients_start_to_reuse_connections() -> None:
+    """No client reuses its connection, then all do. The connections kept as trials must suffice to detect this."""
     pressure = Pressure()
     for _ in range(300):
         pressure.reuse.note(False)
@@ -154,7 +154,7 @@
     assert pressure.reuse.chance >= STEPS[1].min_reuse
 
 
-def test_the_measure_of_reuse_forgets() -> None:
+def test_reuse_estimate_follows_recent_connections() -> None:
     reuse = Reuse()
     for _ in range(int(8 / REUSE_WEIGHT)):
         reuse.note(True)
@@ -164,9 +164,9 @@
     assert reuse.chance < 0.4
 
 
-@EVERY
+@DERANDOMIZED
 @given(st.lists(st.booleans(), max_size=500))
-def test_the_chance_stays_one(used: list[bool]) -> None:
+def test_reuse_estimate_stays_a_probability(used: list[bool]) -> None:
     reuse = Reuse()
     for one in used:
         reuse.note(one)
--- a/tests/test_proxyprotocol.py
+++ b/tests/test_proxyprotocol.py
@@ -1,4 +1,4 @@
-"""PROXY headers of both versions: whole, cut at every byte, forged, and without end."""
+"""PROXY headers of both versions: whole, split at every byte, malformed, and endless."""
 
 from __future__ import annotations
 
@@ -18,11 +18,19 @@
     ProxyHeaderError,
 )
 
-EVERY = settings(derandomize=True, max_examples=300, deadline=None)
+DERANDOMIZED = settings(derandomize=True, max_examples=300, deadline=None)
 
 
-def binary(kind: int, way: int, rest: bytes, length: int | None = None) -> bytes:
-    return SIGNATURE + struct.pack("!BBH", kind, way, len(rest) if length is None else length) + rest
+def binary(
+    version_and_command: int, family_and_transport: int, rest: bytes, length: int | None = None
+) -> bytes:
+    return (
+        SIGNATURE
+        + struct.pack(
+            "!BBH", version_and_command, family_and_transport, len(rest) if length is None else length
+        )
+        + rest
+    )
 
 
 V4 = socket.inet_aton("192.0.2.7") + socket.inet_aton("192.0.2.1") + struct.pack("!HH", 5000, 80)
@@ -44,7 +52,7 @@
 
 
 @pytest.mark.parametrize("data, address", GOOD)
-def test_a_header_cut_at_every_byte_means_the_same(data: bytes, address: str | None) -> None:
+def test_header_split_at_any_byte_gives_the_same_address(data: bytes, address: str | None) -> None:
     for cut in range(len(data) + 1):
         header = ProxyHeader()
         rest = header.feed(data[:cut])
@@ -54,7 +62,7 @@
         assert header.feed(b"more") == b"more"
 
 
-def test_byte_by_byte() -> None:
+def test_header_fed_byte_by_byte_gives_the_address() -> None:
     for data, address in GOOD:
         header = ProxyHeader()
         assert b"".join(header.feed(bytes((byte,))) for byte in data) == b""
@@ -92,7 +100,7 @@
 
 
 @pytest.mark.parametrize("data", BAD)
-def test_what_is_no_header_is_said_to_be_none(data: bytes) -> None:
+def test_malformed_header_raises_an_error(data: bytes) -> None:
     for cut in (1, len(data) // 2, len(data)):
         header = ProxyHeader()
         with pytest.raises(ProxyHeaderError):
@@ -101,7 +109,7 @@
         assert not header.done and header.address is None
 
 
-def test_ten_megabytes_hold_nothing() -> None:
+def test_ten_megabytes_are_not_buffered() -> None:
     header = ProxyHeader()
     with pytest.raises(ProxyHeaderError):
         header.feed(b"PROXY TCP4 " + b"1" * (10 << 20))
@@ -111,12 +119,12 @@
     assert header.feed(binary(0x21, 0x11, V4) + data) == data
 
 
-@EVERY
+@DERANDOMIZED
 @given(
     st.lists(st.binary(max_size=60), max_size=60),
     st.sampled_from([b"", b"PROXY ", SIGNATURE, SIGNATURE + b"\x21"]),
 )
-def test_any_bytes_are_a_header_or_an_error_and_little_is_held(parts: list[bytes], start: bytes) -> None:
+def test_any_bytes_are_a_header_or_an_error_within_the_buffer_limit(parts: list[bytes], start: bytes) -> None:
     header = ProxyHeader()
     try:
         for part in [start, *parts]:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,5 +1,5 @@
-"""Two processes of one proxy: what each may do and hold, and requests counted at the clients while one replaces the
-other on a socket that a stand-in of the platform holds."""
+"""Two processes of one proxy: their phases and descriptors, and requests counted at the clients while one replaces the
+other on a listening socket that a stand-in of the platform has opened."""
 
 from __future__ import annotations
 
@@ -26,52 +26,52 @@
 ALL = 384
 
 
-def seen(**other: object) -> Observation:
+def observed(**other: object) -> Observation:
     return Observation(5.0, True, True, False, [], False, 100)._replace(**other)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
-    ("what", "now"),
+    ("observation", "expected"),
     [
-        (seen(), Phase.ALONE),
-        (seen(listed=False, fresh=False), Phase.ALONE),
-        (seen(elders=True, others=[ALL], fresh=False, age=0.1), Phase.NEW),
-        (seen(elders=True, others=[ALL], listed=False), Phase.NEW),
-        (seen(elders=True, others=[ALL]), Phase.NEXT),
+        (observed(), Phase.ALONE),
+        (observed(listed=False, fresh=False), Phase.ALONE),
+        (observed(elders=True, others=[ALL], fresh=False, age=0.1), Phase.NEW),
+        (observed(elders=True, others=[ALL], listed=False), Phase.NEW),
+        (observed(elders=True, others=[ALL]), Phase.NEXT),
         (
-            seen(elders=True, others=[ALL], fresh=False),
+            observed(elders=True, others=[ALL], fresh=False),
             Phase.NEXT,
-        ),  # discovery is silent: no longer waited for
-        (seen(others=[64]), Phase.OLD),
-        (seen(elders=True, others=[100, 64]), Phase.NEXT),  # a third one has come
-        (seen(others=[64], ending=True), Phase.LEAVING),
-        (seen(ending=True), Phase.LEAVING),
+        ),  # discovery does not answer within LIST_TIMEOUT_S
+        (observed(others=[64]), Phase.OLD),
+        (observed(elders=True, others=[100, 64]), Phase.NEXT),  # a third one has started
+        (observed(others=[64], ending=True), Phase.LEAVING),
+        (observed(ending=True), Phase.LEAVING),
     ],
 )
-def test_what_a_process_is(what: Observation, now: Phase) -> None:
-    assert phase(what) == now
+def test_phase_of_an_observation(observation: Observation, expected: Phase) -> None:
+    assert phase(observation) == expected
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256, 384, 1024])
 @pytest.mark.parametrize("used", [20, 60, 200])
-def test_two_processes_hold_no_more_than_one_may(sockets: int, used: int) -> None:
+def test_two_processes_share_the_descriptors_of_one(sockets: int, used: int) -> None:
     used = min(used, sockets // 2)
-    new = share(Phase.NEW, seen(others=[sockets]), sockets)
-    old = share(Phase.OLD, seen(others=[new], used=used), sockets)
+    new = share(Phase.NEW, observed(others=[sockets]), sockets)
+    old = share(Phase.OLD, observed(others=[new], used=used), sockets)
     assert old >= used and new == start_sockets(sockets) and old + new <= sockets
-    following = share(Phase.NEXT, seen(others=[old]), sockets)
+    following = share(Phase.NEXT, observed(others=[old]), sockets)
     assert old + following <= sockets
-    leaving = share(Phase.LEAVING, seen(others=[following], used=used), sockets)
+    leaving = share(Phase.LEAVING, observed(others=[following], used=used), sockets)
     assert leaving <= old or leaving <= used + 16
-    assert share(Phase.ALONE, seen(), sockets) == sockets
+    assert share(Phase.ALONE, observed(), sockets) == sockets
 
 
-def test_only_a_newcomer_and_a_leaving_process_take_nobody() -> None:
+def test_new_and_leaving_processes_accept_no_clients() -> None:
     assert set(Phase) - ACCEPTING == {Phase.NEW, Phase.LEAVING}
 
 
 class Member:
-    """Answers each request at once and counts it by its id; blocking, a thread a connection."""
+    """Answers each request at once and records its id; uses one blocking thread per connection."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -95,13 +95,13 @@
 
 
 class Platform:
-    """Holds the clients' socket, starts processes on it, and calls them."""
+    """Opens the listening socket for clients, starts processes on it, and calls their management addresses."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.member = folder, Member()
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.address: tuple[str, int] = self.sock.getsockname()
-        self.log = b""  # what the process that ended last has written
+        self.log = b""  # standard error of the process that ended last
         self.running: list[tuple[subprocess.Popen[bytes], tuple[str, int]]] = []
         host, port = self.member.sock.getsockname()
         entry = {
@@ -124,20 +124,20 @@
         }
 
     def start(self) -> tuple[str, int]:
-        """One more process; its operators' address, once it says yes."""
+        """Start another process; return its management address once it is healthy."""
         process, where = self.spawn()
-        self.listens(process)
+        self.wait_until_listening(process)
         assert self.call(where, "GET", "/admin/health") == 200
         return where
 
-    def listens(self, process: subprocess.Popen[bytes]) -> None:
-        """Wait until it takes clients."""
+    def wait_until_listening(self, process: subprocess.Popen[bytes]) -> None:
+        """Wait until the process accepts clients."""
         assert process.stderr is not None
         while b"listening" not in process.stderr.readline():
             assert process.poll() is None
 
     def spawn(self) -> tuple[subprocess.Popen[bytes], tuple[str, int]]:
-        """One more process, which has just begun."""
+        """Start another process without waiting for it; return it and its management address."""
         where = "127.0.0.1", kept_port()
         path = self.folder / f"config-{where[1]}.json"
         path.write_text(json.dumps(self.box))
@@ -157,8 +157,8 @@
         self.running.append((process, where))
         return process, where
 
-    def lives(self) -> int:
-        """Processes that have made themselves known in the folder."""
+    def count_process_files(self) -> int:
+        """Return how many processes have a file in the folder."""
         return sum(name.startswith(PROCESS_FILE_PREFIX) for name in os.listdir(self.folder))
 
     def call(self, where: tuple[str, int], method: str, path: str) -> int:
@@ -177,25 +177,25 @@
 
 @contextmanager
 def platform(folder: Path) -> Iterator[Platform]:
-    it = Platform(folder)
+    host = Platform(folder)
     try:
-        yield it
+        yield host
     finally:
-        for process, _ in it.running:
+        for process, _ in host.running:
             process.kill()
             process.communicate()
-        it.sock.close()
-        it.member.sock.close()
+        host.sock.close()
+        host.member.sock.close()
 
 
-class Load(threading.Thread):
-    """One client with a kept connection; counts what each request came to."""
+class LoadClient(threading.Thread):
+    """A client with a keep-alive connection that counts the results of its requests."""
 
     def __init__(self, number: int, address: tuple[str, int]) -> None:
         super().__init__(daemon=True)
         self.number, self.address = number, address
         self.stop, self.served, self.bad = False, 0, 0
-        self.ends: list[str] = []  # of those that were not served
+        self.ends: list[str] = []  # results of the requests that were not served
         self.ids: set[bytes] = set()
         self.start()
 
@@ -219,13 +219,13 @@
         connection.close()
 
 
-def test_twenty_upgrades_under_load_lose_nothing_and_repeat_nothing(tmp_path: Path) -> None:
-    with platform(tmp_path) as it:
-        it.start()
-        load = [Load(number, it.address) for number in range(8)]
+def test_twenty_upgrades_under_load_lose_and_repeat_no_request(tmp_path: Path) -> None:
+    with platform(tmp_path) as host:
+        host.start()
+        load = [LoadClient(number, host.address) for number in range(8)]
         for _ in range(20):
-            it.start()
-            assert it.end_oldest() == 0
+            host.start()
+            assert host.end_oldest() == 0
         for each in load:
             each.stop = True
         for each in load:
@@ -233,32 +233,32 @@
         sent = set().union(*(each.ids for each in load))
         assert sum(each.served for each in load) > 20 * len(load)
         assert [end for each in load for end in each.ends] == []
-        assert len(it.member.ids) == len(set(it.member.ids)) and set(it.member.ids) <= sent
-
-
-def test_a_mark_holds_over_upgrades_and_either_process_takes_it_back(tmp_path: Path) -> None:
-    with platform(tmp_path) as it:
-        first = it.start()
-        assert it.call(first, "PUT", "/admin/cordon/s") == 200
-        assert it.call(first, "PUT", "/admin/cordon/t") == 404
-        second = it.start()
-        it.end_oldest()
-        before = len(it.member.ids)
-        connection = http.client.HTTPConnection(*it.address, timeout=10)
+        assert len(host.member.ids) == len(set(host.member.ids)) and set(host.member.ids) <= sent
+
+
+def test_cordon_survives_an_upgrade_and_the_new_process_can_remove_it(tmp_path: Path) -> None:
+    with platform(tmp_path) as host:
+        first = host.start()
+        assert host.call(first, "PUT", "/admin/cordon/s") == 200
+        assert host.call(first, "PUT", "/admin/cordon/t") == 404
+        second = host.start()
+        host.end_oldest()
+        before = len(host.member.ids)
+        connection = http.client.HTTPConnection(*host.address, timeout=10)
         headers = {"X-Txn": "m1", "X-Lane": "unsafe"}
         connection.request("POST", "/api", headers=headers)
         assert connection.getresponse().status == 503  # there is no other member
         connection.close()
-        assert len(it.member.ids) == before
-        assert it.call(second, "PUT", "/admin/uncordon/s") == 200
+        assert len(host.member.ids) == before
+        assert host.call(second, "PUT", "/admin/uncordon/s") == 200
         connection.request("POST", "/api", headers={**headers, "X-Txn": "m2"})
         assert connection.getresponse().status == 200
         connection.close()
 
 
-def serves(it: Platform, number: int) -> None:
-    """Whoever connects from now on is served."""
-    load = Load(number, it.address)
+def check_served(host: Platform, number: int) -> None:
+    """Check that a new client is served."""
+    load = LoadClient(number, host.address)
     while load.served + load.bad < 20:
         load.join(0.01)
     load.stop = True
@@ -274,49 +274,51 @@
 def test_sigkill_of_either_process_at_any_step_leaves_the_other_serving(
     step: str, who: str, tmp_path: Path
 ) -> None:
-    with platform(tmp_path) as it:
-        first = it.start()
-        old, _ = it.running[0]
-        new, where = it.spawn()
+    with platform(tmp_path) as host:
+        first = host.start()
+        old, _ = host.running[0]
+        new, where = host.spawn()
         if step != "begun":
-            while it.lives() < 2:
+            while host.count_process_files() < 2:
                 assert new.poll() is None
                 time.sleep(0.01)
         if step in ("listening", "leaving"):
-            it.listens(new)
+            host.wait_until_listening(new)
         if step == "leaving":
             old.send_signal(signal.SIGTERM)
         killed = old if who == "old" else new
         killed.kill()
         killed.communicate()
-        it.running = [(process, at) for process, at in it.running if process is not killed]
-        if step == "leaving" and who == "new":  # nobody is left; the platform starts another
+        host.running = [(process, at) for process, at in host.running if process is not killed]
+        if step == "leaving" and who == "new":  # no process is left; the platform starts another
             old.communicate(timeout=30)
-            it.running.clear()
-            where = it.start()
+            host.running.clear()
+            where = host.start()
         elif who == "old" and step in ("begun", "known"):
-            it.listens(new)
+            host.wait_until_listening(new)
         left = where if who == "old" or step == "leaving" else first
-        assert it.call(left, "GET", "/admin/health") == 200
-        serves(it, 0)
-        assert it.call(left, "PUT", "/admin/cordon/s") == 200  # its id is known, and marks can be kept
-        assert len(it.member.ids) == len(set(it.member.ids))
-        while it.lives() > 1:  # the trace of the dead one goes
+        assert host.call(left, "GET", "/admin/health") == 200
+        check_served(host, 0)
+        assert (
+            host.call(left, "PUT", "/admin/cordon/s") == 200
+        )  # its id is known, and overrides can be stored
+        assert len(host.member.ids) == len(set(host.member.ids))
+        while host.count_process_files() > 1:  # the file of the killed process is removed
             time.sleep(0.01)
 
 
-def test_a_newcomer_that_is_killed_leaves_the_old_one_serving(tmp_path: Path) -> None:
-    with platform(tmp_path) as it:
-        first = it.start()
-        it.start()
-        process, _ = it.running.pop()
+def test_old_process_serves_after_the_new_one_is_killed(tmp_path: Path) -> None:
+    with platform(tmp_path) as host:
+        first = host.start()
+        host.start()
+        process, _ = host.running.pop()
         process.kill()
         process.communicate()
-        load = Load(0, it.address)
+        load = LoadClient(0, host.address)
         while load.served + load.bad < 20:
             load.join(0.01)
         load.stop = True
         load.join(30)
-        assert load.bad == 0 and it.call(first, "GET", "/admin/health") == 200
-        third = it.start()
-        assert it.end_oldest() == 0 and it.call(third, "GET", "/admin/health") == 200
+        assert load.bad == 0 and host.call(first, "GET", "/admin/health") == 200
+        third = host.start()
+        assert host.end_oldest() == 0 and host.call(third, "GET", "/admin/health") == 200
