--- a/loadbalancer/admission/admission.py
+++ b/loadbalancer/admission/admission.py
@@ -74,7 +74,7 @@
         """Return whether the reserved slots are for this address."""
         return address in self.known
 
-    def is_free(self, address: str) -> bool:
+    def has_no_caps(self, address: str) -> bool:
         """Return whether no cap applies to this address: a known network's, an exempt one's, or a Unix socket's."""
         return ("." not in address and ":" not in address) or address in self.exempt or self.is_known(address)
 
@@ -141,7 +141,7 @@
 
     def rows(self, address: str, now: float) -> Rows:
         """Return the entries of an address and its prefix; empty for an address without caps."""
-        if self.is_free(address):
+        if self.has_no_caps(address):
             return ()
         return self.addresses.get_or_add(address, now), self.prefixes.get_or_add(prefix_of(address), now)
 
--- a/loadbalancer/discovery/platform_overrides.py
+++ b/loadbalancer/discovery/platform_overrides.py
@@ -123,7 +123,7 @@
             clock: Unix seconds.
             logger: Receives log events.
         """
-        self.out: dict[str, float] = {}  # in effect: when each endpoint was cordoned, in Unix seconds
+        self.cordoned: dict[str, float] = {}  # in effect: when each endpoint was cordoned, in Unix seconds
         self._listener = listener
         self._store = store
         self._clock = clock
@@ -140,21 +140,21 @@
                 if len(self._listed) > MAX_LISTED_IDS:
                     del self._listed[next(iter(self._listed))]
 
-    def mark(self, member: str, out: bool, done: Callable[[str | None], None]) -> None:
+    def set_cordoned(self, member: str, cordoned: bool, done: Callable[[str | None], None]) -> None:
         """Cordon an endpoint, or use it again. This takes effect at once, and is idempotent.
 
         Args:
             member: Its id.
-            out: Whether it is cordoned.
+            cordoned: Whether it is cordoned.
             done: Called with None once the change is stored or storing it takes long, or with the reason why it could
                 not be stored and was undone.
 
         Raises:
             LookupError: No endpoint with this id was ever listed.
         """
-        if member not in self._listed and member not in self.out:
+        if member not in self._listed and member not in self.cordoned:
             raise LookupError(member)
-        change = _PendingChange(member, out, self._clock())
+        change = _PendingChange(member, cordoned, self._clock())
         if self._store is None:
             change.apply(self._stored)
             self._apply()
@@ -198,11 +198,11 @@
         self._apply()
 
     def _apply(self) -> None:
-        before = self.out
+        before = self.cordoned
         now = dict(self._stored)
         for change in self._pending:
             change.apply(now)
-        self.out = now
+        self.cordoned = now
         for endpoint in [endpoint for endpoint in before if endpoint not in now]:
             self._listener.cordon(endpoint, False)
         for endpoint in [endpoint for endpoint in now if endpoint not in before]:
--- a/loadbalancer/management/calls.py
+++ b/loadbalancer/management/calls.py
@@ -35,12 +35,12 @@
     def stats(self) -> bytes:
         """Return the counts as JSON."""
 
-    def mark(self, member: str, out: bool, done: Callable[[str | None], None]) -> None:
+    def set_cordoned(self, member: str, cordoned: bool, done: Callable[[str | None], None]) -> None:
         """Cordon an endpoint, or use it again.
 
         Args:
             member: The endpoint's id.
-            out: Whether it is cordoned.
+            cordoned: Whether it is cordoned.
             done: Called with None, or with the reason why that failed.
 
         Raises:
@@ -80,13 +80,13 @@
             say(read() if method == "GET" else Response(405, b"this is read by GET\n"))
             return
         prefix, _, endpoint = path.rpartition("/")
-        out = self._cordons_by_path.get(prefix)
-        if out is None:
+        cordoned = self._cordons_by_path.get(prefix)
+        if cordoned is None:
             say(Response(404, b"no such call; " + " ".join(self._reads).encode() + b" are read\n"))
         elif method != "PUT":
             say(Response(405, b"this is done by PUT\n"))
         else:
-            self._change(unquote(endpoint), out, say)
+            self._change(unquote(endpoint), cordoned, say)
 
     def _health(self) -> Response:
         return Response(200, b"serving\n") if self._managed.serves() else Response(503, b"not serving\n")
@@ -94,14 +94,14 @@
     def _stats(self) -> Response:
         return Response(200, self._managed.stats(), json=True)
 
-    def _change(self, endpoint: str, out: bool, say: Callable[[Response], None]) -> None:
+    def _change(self, endpoint: str, cordoned: bool, say: Callable[[Response], None]) -> None:
         def done(problem: str | None) -> None:
             if problem is not None:
                 say(Response(500, problem.encode() + b"\n"))
             else:
-                say(Response(200, b"left out\n" if out else b"in use\n"))
+                say(Response(200, b"left out\n" if cordoned else b"in use\n"))
 
         try:
-            self._managed.mark(endpoint, out, done)
+            self._managed.set_cordoned(endpoint, cordoned, done)
         except LookupError:
             say(Response(404, b"no member of this id was ever listed\n"))
--- a/loadbalancer/platform/operations.py
+++ b/loadbalancer/platform/operations.py
@@ -94,6 +94,6 @@
             self._answer = orjson.dumps(counts_of(self._proxy, self._classes))
         return self._answer
 
-    def mark(self, member: str, out: bool, done: Callable[[str | None], None]) -> None:
+    def set_cordoned(self, member: str, cordoned: bool, done: Callable[[str | None], None]) -> None:
         """Cordon an endpoint, or use it again; `done` is called with None, or with the reason why that failed."""
-        self._overrides.mark(member, out, done)
+        self._overrides.set_cordoned(member, cordoned, done)
--- a/tests/discovery/test_platform_overrides.py
+++ b/tests/discovery/test_platform_overrides.py
@@ -71,7 +71,7 @@
 def set_cordon(overrides: PlatformOverrides, member: str, out: bool) -> list[str | None]:
     """Cordon an endpoint or use it again; return the list that receives the answers, now or later."""
     answers: list[str | None] = []
-    overrides.mark(member, out, answers.append)
+    overrides.set_cordoned(member, out, answers.append)
     return answers
 
 
@@ -126,7 +126,7 @@
     assert files[1].changed() is None  # its own write does not count as a change
     for each, file in zip(overrides, files, strict=True):
         each.follow(file.read() or {})
-        assert each.out == {"a": 5.0, "b": 5.0}
+        assert each.cordoned == {"a": 5.0, "b": 5.0}
     assert set_cordon(overrides[0], "a", False) == [None]
     changed = files[1].changed()
     assert changed is not None
@@ -154,7 +154,7 @@
     overrides.listed(["a"])
     (problem,) = set_cordon(overrides, "a", True)
     assert problem is not None and "gone" in problem
-    assert not overrides.out and listener.calls in (
+    assert not overrides.cordoned and listener.calls in (
         [],
         [("a", True), ("a", False)],
     )  # in effect while storing it is tried
@@ -206,10 +206,10 @@
     overrides, disk, listener = make_stalled()
     set_cordon(overrides, "a", True)
     overrides.follow({"b": 2.0})  # another process has stored it
-    assert overrides.out == {"a": 1.0, "b": 2.0}
+    assert overrides.cordoned == {"a": 1.0, "b": 2.0}
     disk.stored["b"] = 2.0
     disk.write()
-    assert overrides.out == {"a": 1.0, "b": 2.0} and listener.calls == [("a", True), ("b", True)]
+    assert overrides.cordoned == {"a": 1.0, "b": 2.0} and listener.calls == [("a", True), ("b", True)]
 
 
 def test_pending_changes_apply_in_their_order() -> None:
@@ -219,21 +219,21 @@
         set_cordon(overrides, "a", False),
         set_cordon(overrides, "a", True),
     ]
-    assert overrides.out == {"a": 1.0}
+    assert overrides.cordoned == {"a": 1.0}
     disk.write()
     disk.write()
-    assert overrides.out == {"a": 1.0}
+    assert overrides.cordoned == {"a": 1.0}
     disk.write()
-    assert overrides.out == disk.stored == {"a": 1.0} and answers == [[None]] * 3
+    assert overrides.cordoned == disk.stored == {"a": 1.0} and answers == [[None]] * 3
 
 
 def test_failed_change_is_undone_and_later_ones_stay() -> None:
     overrides, disk, listener = make_stalled()
     first, second = set_cordon(overrides, "a", True), set_cordon(overrides, "b", True)
     disk.fail()
-    assert first != [None] and overrides.out == {"b": 1.0}
+    assert first != [None] and overrides.cordoned == {"b": 1.0}
     disk.write()
-    assert second == [None] and overrides.out == {"b": 1.0}
+    assert second == [None] and overrides.cordoned == {"b": 1.0}
     assert listener.calls == [("a", True), ("b", True), ("a", False)]
 
 
@@ -245,11 +245,11 @@
     assert answers == [None]
     disk.write() if stored else disk.fail()
     overrides.follow(disk.stored)
-    assert overrides.out == {"a": 1.0} and answers == [None] and listener.calls == [("a", True)]
+    assert overrides.cordoned == {"a": 1.0} and answers == [None] and listener.calls == [("a", True)]
     again = set_cordon(overrides, "a", False)  # the next change of the endpoint supersedes it
-    assert overrides.out == {} and again == []
+    assert overrides.cordoned == {} and again == []
     disk.write()
-    assert overrides.out == {} == disk.stored
+    assert overrides.cordoned == {} == disk.stored
 
 
 def test_hanging_disk_blocks_the_writer_thread_and_not_the_event_loop(
