--- a/loadbalancer/admission/addresses.py
+++ b/loadbalancer/admission/addresses.py
@@ -1,4 +1,4 @@
-"""Tracks the reputation and the open connections of client addresses, in bounded memory for any number of them.
+"""Tracks the score and the open connections of client addresses, in bounded memory for any number of them.
 
 There are two tables of the same kind, one for addresses and one for their prefixes (/24 of IPv4, /64 of IPv6). Each is
 a segmented LRU: addresses that have earned trust are in a segment of their own, so that millions of untrusted addresses
@@ -99,7 +99,7 @@
 
     @property
     def in_use(self) -> bool:
-        """Whether a connection or a request of this address is open."""
+        """Return whether a connection or a request of this address is open."""
         return self.connections > 0 or self.requests > 0
 
 
--- a/loadbalancer/admission/proxyprotocol.py
+++ b/loadbalancer/admission/proxyprotocol.py
@@ -14,9 +14,8 @@
 MAX_LINE_BYTES = 107
 #: First bytes of a version 2 header (section 2.2).
 SIGNATURE = b"\r\n\r\n\x00\r\nQUIT\n"
-FIXED_PART = struct.Struct(
-    "!12sBBH"
-)  # signature, version and command, family and transport, length of the rest
+#: Signature, version and command, family and transport, length of the rest.
+FIXED_PART = struct.Struct("!12sBBH")
 #: Maximum bytes of the addresses and extensions (TLVs) of a version 2 header; senders use some hundreds. Bounds the
 #: memory for headers that claim more.
 MAX_REST_BYTES = 2048
--- a/loadbalancer/discovery/watch_connection.py
+++ b/loadbalancer/discovery/watch_connection.py
@@ -82,16 +82,16 @@
         self._idle_timer = self._loop.call_later(LATE_READ_S, self._fail, "silent")
 
     def on_headers_complete(self) -> None:
-        """Called by the parser."""
+        """Store the status of the response; called by the parser."""
         self._status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Called by the parser."""
+        """Collect a chunk of a successful response; called by the parser."""
         if self._status == STATUS_OK:
             self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Record the end of the response; called by the parser."""
         if self._status >= STATUS_OK:
             self.ended = True
 
--- a/loadbalancer/hot_restart/__init__.py
+++ b/loadbalancer/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hot restart: how an old and a new process find each other, what they share, and which of them owns what."""
+"""Hot restart: how an old and a new process find each other, what they share, and which of them may use what."""
--- a/tests/discovery/test_overrides.py
+++ b/tests/discovery/test_overrides.py
@@ -76,9 +76,8 @@
     overrides, listener, _ = make_overrides(entry("a"))
     overrides.mark("new", merge_override(None, 100.0, "x", "", address=("127.0.0.1", 7)))
     assert listener.notifications[-1]["new"] == ("READY", 1.0, 7) and overrides.knows("new")
-    assert (
-        next(e.started for e, _ in overrides.entries() if e.endpoint == "new") == 100.0
-    )  # so that slow start may apply
+    # The time of the addition is the start time, so that slow start may apply.
+    assert next(e.started for e, _ in overrides.entries() if e.endpoint == "new") == 100.0
     overrides.take_list([entry("new", 9)], whole=False)
     assert listener.notifications[-1]["new"] == ("READY", 1.0, 9)
     overrides.take_list([entry("new", state=EndpointState.GONE)], whole=False)
--- a/tests/discovery/test_platform_overrides.py
+++ b/tests/discovery/test_platform_overrides.py
@@ -106,23 +106,22 @@
     with pytest.raises(OverridesError):
         decode(text)
     assert file.read() is None
-    assert file.save(lambda overrides: overrides.update(a=1.0)) == {
-        "a": 1.0
-    }  # the next change replaces the invalid file
+    # The next change replaces the invalid file.
+    assert file.save(lambda overrides: overrides.update(a=1.0)) == {"a": 1.0}
     assert decode(file.path.read_bytes()) == {"a": 1.0}
 
 
 def test_each_process_applies_the_cordons_of_the_other(tmp_path: Path) -> None:
-    listener = [RecordingListener(), RecordingListener()]
-    files = [OverridesFile(tmp_path, RateLimitedLogger()) for _ in listener]
+    listeners = [RecordingListener(), RecordingListener()]
+    files = [OverridesFile(tmp_path, RateLimitedLogger()) for _ in listeners]
     overrides = [
-        PlatformOverrides(t, ImmediateStore(f), lambda: 5.0) for t, f in zip(listener, files, strict=True)
+        PlatformOverrides(listener, ImmediateStore(file), lambda: 5.0)
+        for listener, file in zip(listeners, files, strict=True)
     ]
     for each in overrides:
         each.listed(["a", "b"])
-    assert (
-        set_cordon(overrides[0], "a", True) == [None] == set_cordon(overrides[1], "b", True)
-    )  # the second writer has read a before it added b
+    # The second writer reads a before it adds b.
+    assert set_cordon(overrides[0], "a", True) == [None] == set_cordon(overrides[1], "b", True)
     assert files[1].changed() is None  # its own write does not count as a change
     for each, file in zip(overrides, files, strict=True):
         each.follow(file.read() or {})
@@ -131,7 +130,7 @@
     changed = files[1].changed()
     assert changed is not None
     overrides[1].follow(changed)
-    assert sorted(listener[1].calls[:2]) == [("a", True), ("b", True)] and listener[1].calls[2:] == [
+    assert sorted(listeners[1].calls[:2]) == [("a", True), ("b", True)] and listeners[1].calls[2:] == [
         ("a", False)
     ]
 
@@ -154,10 +153,8 @@
     overrides.listed(["a"])
     (problem,) = set_cordon(overrides, "a", True)
     assert problem is not None and "gone" in problem
-    assert not overrides.cordoned and listener.calls in (
-        [],
-        [("a", True), ("a", False)],
-    )  # in effect while storing it is tried
+    # The cordon may be in effect while storing it is tried.
+    assert not overrides.cordoned and listener.calls in ([], [("a", True), ("a", False)])
 
 
 def test_lock_held_by_a_stopped_writer_fails_the_change(
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -148,13 +148,13 @@
 FAILURES = {
     "end": (close_watch, True),
     "cut": (cut_in_mid_line, True),
-    "garbage": (send_malformed, False),
+    "malformed": (send_malformed, False),
     "old": (send_older_version, False),
 }
 
 
 @pytest.mark.parametrize("failure", FAILURES)
-@pytest.mark.parametrize("settings", [SETTINGS, REQUESTED], ids=["pushed", "asked"])
+@pytest.mark.parametrize("settings", [SETTINGS, REQUESTED], ids=["pushed", "requested"])
 def test_broken_watch_is_reopened(failure: str, settings: dict[str, Any]) -> None:
     """If lists are requested, the policy is notified of the failure and requests a watch; if pushed, it is not."""
     fail_watch, same_version = FAILURES[failure]
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -336,9 +336,8 @@
 
 # Sets of networks.
 
-OCTETS = st.lists(
-    st.integers(0, 3), min_size=4, max_size=4
-)  # few values, so that many addresses are in one of the networks
+#: Few values, so that many addresses are in one of the networks.
+OCTETS = st.lists(st.integers(0, 3), min_size=4, max_size=4)
 
 
 @st.composite
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -294,9 +294,8 @@
             for client in flood:
                 client.writer.close()
             entry = before.admission.addresses.get_or_add(FLOOD, 0.0)
-            await here.until(
-                lambda: not entry.in_use
-            )  # each connection is counted off at the gate that admitted it
+            # Each connection is counted off at the gate that admitted it.
+            await here.until(lambda: not entry.in_use)
 
     play(scene)
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -160,9 +160,9 @@
 
 @pytest.mark.parametrize("text", ["", "{", "[]", '{"settings":{},"listen":"a:1","discovery":"b:2"}'])
 def test_invalid_new_configuration_is_logged_and_not_applied(text: str, tmp_path: Path) -> None:
-    agent = BlockingDiscovery()
-    with running(tmp_path, discovery=agent.address, known=LIST) as (process, address):
-        with agent.accept_watch():
+    discovery = BlockingDiscovery()
+    with running(tmp_path, discovery=discovery.address, known=LIST) as (process, address):
+        with discovery.accept_watch():
             assert b"not taken" in reload(process, tmp_path, text)
             with socket.create_connection(address, 10) as sock:
                 sock.sendall(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -204,7 +204,6 @@
         "frontends.admission_gate",
         "frontends.reserve_descriptors",
     ):
-        assert (
-            importlib.util.find_spec(f"loadbalancer.{name}") is not None
-        )  # a module that was renamed would make the check below void
+        # Without this a renamed module would make the check below void.
+        assert importlib.util.find_spec(f"loadbalancer.{name}") is not None
         assert f"loadbalancer.{name}" not in imported
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -38,10 +38,8 @@
         (observed(elders=True, others=[ALL], fresh=False, age=0.1), Phase.NEW),
         (observed(elders=True, others=[ALL], listed=False), Phase.NEW),
         (observed(elders=True, others=[ALL]), Phase.NEXT),
-        (
-            observed(elders=True, others=[ALL], fresh=False),
-            Phase.NEXT,
-        ),  # discovery does not answer within LIST_TIMEOUT_S
+        # Discovery has not answered within LIST_TIMEOUT_S.
+        (observed(elders=True, others=[ALL], fresh=False), Phase.NEXT),
         (observed(others=[64]), Phase.OLD),
         (observed(elders=True, others=[100, 64]), Phase.NEXT),  # a third one has started
         (observed(others=[64], ending=True), Phase.LEAVING),
@@ -299,9 +297,8 @@
         left = where if who == "old" or step == "leaving" else first
         assert host.call(left, "GET", "/admin/health") == 200
         check_served(host, 0)
-        assert (
-            host.call(left, "PUT", "/admin/cordon/s") == 200
-        )  # its id is known, and overrides can be stored
+        # The endpoint's id is known, and overrides can be stored.
+        assert host.call(left, "PUT", "/admin/cordon/s") == 200
         assert len(host.member.ids) == len(set(host.member.ids))
         while host.count_process_files() > 1:  # the file of the killed process is removed
             time.sleep(0.01)
