--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -131,7 +131,9 @@
     admission = Admission(Caps(connections=8, entries=entries))
     for number in range(SEEN):
         block, last = divmod(number, 250)
-        admission.connect(f"10.{block >> 8 & 255}.{block & 255}.{last}", number / 1000, Slots(1000, 0, 0))
+        admission.decide_connection(
+            f"10.{block >> 8 & 255}.{block & 255}.{last}", number / 1000, Slots(1000, 0, 0)
+        )
     held, most = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     rows = len(admission.addresses) + len(admission.prefixes)
--- a/loadbalancer/admission/addresses.py
+++ b/loadbalancer/admission/addresses.py
@@ -28,7 +28,7 @@
 #: Share of a table that is reserved for trusted entries.
 TRUSTED_SHARE = 0.5
 #: Minimum factor of a cap: an address with a bad score keeps this share, since another client may come to use it.
-LEAST_SHARE = 0.25
+MIN_CAP_FACTOR = 0.25
 #: Capacity of the token bucket for new connections, in seconds at its rate.
 BURST_S = 2.0
 #: Entries that are examined for eviction when an address is added; bounds the work for one new address.
@@ -79,11 +79,11 @@
         self.score = min(MAX_SCORE, max(-2 * MIN_CAP_PENALTY, self.score + change))
 
     def cap_factor(self, now: float, growth: float) -> float:
-        """Return the factor of a cap: LEAST_SHARE at the lowest scores, 1 at a score of 0, `growth` at the maximum."""
+        """Return the factor of a cap: MIN_CAP_FACTOR at low scores, 1 at a score of 0, `growth` at the maximum."""
         score = self.current_score(now)
         if score >= 0:
             return 1.0 + (growth - 1.0) * score / MAX_SCORE
-        return max(LEAST_SHARE, 1.0 + (1.0 - LEAST_SHARE) * score / MIN_CAP_PENALTY)
+        return max(MIN_CAP_FACTOR, 1.0 + (1.0 - MIN_CAP_FACTOR) * score / MIN_CAP_PENALTY)
 
     def try_take_token(self, now: float, per_s: float) -> bool:
         """Take a token for one new connection if there is one; `per_s` are added a second, up to BURST_S of them."""
--- a/loadbalancer/admission/pressure.py
+++ b/loadbalancer/admission/pressure.py
@@ -15,9 +15,9 @@
 
     enter: float  # share of used slots at which the step begins
     leave: float  # share below which it ends; the hysteresis prevents a change of step with each connection
-    idle_s: float  # idle timeout of a connection that has carried a request, in seconds
+    idle_timeout_s: float  # idle timeout of a connection that has carried a request, in seconds
     min_reuse: float  # probability of reuse from which a connection is kept open after an answer
-    accepts: int  # connections accepted in one pass, so that the accepted ones are served in between
+    max_accepts: int  # connections accepted in one pass, so that the accepted ones are served in between
 
 
 #: Step 0 applies while slots are free. No step has an idle timeout under 2 s: a client that has just been answered may
@@ -32,7 +32,7 @@
 REUSE_WEIGHT = 1 / 32
 #: A connection that has carried one request and then been idle for this long counts as not reused. If it carries
 #: another request later, it counts as reused too, so that clients with long pauses average one half.
-QUIET_S = 0.5
+UNUSED_AFTER_S = 0.5
 #: While reuse is too unlikely to keep connections, one in this many is kept as a trial; otherwise a change in the
 #: clients' behaviour would never be measured. Each step makes trials rarer by the factor `TRIAL_INTERVAL_GROWTH`.
 TRIAL_INTERVAL = 16
@@ -43,19 +43,19 @@
     """Estimates the probability that a connection carries a second request, as an exponential moving average."""
 
     def __init__(self) -> None:
-        # The initial value is low: reuse is recorded at once, a lack of it only after QUIET_S. While slots are free all
-        # connections are kept and measured, so a low start costs little to clients that reuse theirs.
-        self.chance = 0.0
+        # The initial value is low: reuse is recorded at once, a lack of it only after UNUSED_AFTER_S. While slots are
+        # free all connections are kept and measured, so a low start costs little to clients that reuse theirs.
+        self.probability = 0.0
         self._trials = 0
 
-    def note(self, used: bool) -> None:
-        """Record that a connection was reused, or has been idle for QUIET_S."""
-        self.chance += ((1.0 if used else 0.0) - self.chance) * REUSE_WEIGHT
+    def record(self, used: bool) -> None:
+        """Record that a connection was reused, or has been idle for UNUSED_AFTER_S."""
+        self.probability += ((1.0 if used else 0.0) - self.probability) * REUSE_WEIGHT
 
     def is_worth_keeping(self, min_probability: float, trial: int = TRIAL_INTERVAL) -> bool:
         """Return whether to keep a connection that has carried one request: if the estimate is at least
         `min_probability`, and else one in `trial`."""
-        if self.chance >= min_probability:
+        if self.probability >= min_probability:
             return True
         self._trials += 1
         return self._trials % trial == 0
@@ -75,7 +75,7 @@
         """Return the index of the current step, from 0."""
         return self._number
 
-    def measure(self, taken: int, most: int) -> None:
+    def update(self, taken: int, most: int) -> None:
         """Set the step for `taken` of `most` slots in use.
 
         Prevents unused connections from filling the slots, also those of clients that open many and use few. The
@@ -91,7 +91,7 @@
             self._number = number
             self.step = self._steps[number]
 
-    def keeps(self, requests: int, served: bool = True) -> bool:
+    def keeps_open(self, requests: int, served: bool = True) -> bool:
         """Return whether a connection stays open after an answer.
 
         Args:
--- a/loadbalancer/daemon/admin_notifications.py
+++ b/loadbalancer/daemon/admin_notifications.py
@@ -54,4 +54,4 @@
         return
     pool = pools.get(name)
     if pool is not None:
-        pool.overlay.mark(endpoint, override or AdminOverride())
+        pool.overlay.set_override(endpoint, override or AdminOverride())
--- a/loadbalancer/daemon/admin_queries.py
+++ b/loadbalancer/daemon/admin_queries.py
@@ -109,7 +109,7 @@
         return [
             endpoint_row(name, pool, endpoint)
             for name, pool in self._daemon.pools.items()
-            for endpoint in sorted(pool.overlay.listed().keys() | pool.overlay.marks.keys())
+            for endpoint in sorted(pool.overlay.listed().keys() | pool.overlay.overrides.keys())
         ]
 
     def keys(self) -> list[dict[str, object] | RefusedKeyRow]:
--- a/loadbalancer/daemon/admin_rows.py
+++ b/loadbalancer/daemon/admin_rows.py
@@ -158,7 +158,7 @@
 def endpoint_row(name: str, pool: RunningPool, endpoint_id: str) -> EndpointRow:
     """What can be read of one endpoint of a pool, listed or only overridden."""
     listed = pool.overlay.listed().get(endpoint_id)
-    override = pool.overlay.marks.get(endpoint_id)
+    override = pool.overlay.overrides.get(endpoint_id)
     endpoint = pool.proxy.balancer.endpoints.get(endpoint_id)
     address = override.address if override is not None else None
     weight = 1.0
--- a/loadbalancer/daemon/admin_state.py
+++ b/loadbalancer/daemon/admin_state.py
@@ -64,11 +64,11 @@
     def apply_override(self, name: str, pool: RunningPool, endpoint: str, override: AdminOverride) -> None:
         """Put an endpoint's override in force at a running pool; an empty one ends it."""
         overrides = self.pool_overrides(name)
-        if override.says_nothing():
+        if override.is_empty():
             overrides.pop(endpoint, None)
         else:
             overrides[endpoint] = override
-        pool.overlay.mark(endpoint, override)
+        pool.overlay.set_override(endpoint, override)
 
     def expire(self) -> None:
         """End the overrides and migrations whose time is over."""
--- a/loadbalancer/daemon/change_validation.py
+++ b/loadbalancer/daemon/change_validation.py
@@ -89,7 +89,7 @@
 
 def _check_one_remains(pool: RunningPool, change: Change) -> None:
     """Refuse to take a pool's last endpoint out of use; the request's `last` says that this is meant."""
-    overridden = {name for name, override in pool.overlay.marks.items() if override.word is not None}
+    overridden = {name for name, override in pool.overlay.overrides.items() if override.word is not None}
     ready = {entry.endpoint for entry, _ in pool.overlay.entries() if entry.state == EndpointState.READY}
     if ready and not ready - overridden - set(change.endpoints):
         raise CallError(
--- a/loadbalancer/daemon/pools.py
+++ b/loadbalancer/daemon/pools.py
@@ -12,7 +12,7 @@
 from loadbalancer.config.reader import read_address
 from loadbalancer.config.types import FastCgiTable, TunnelsTable
 from loadbalancer.discovery.entry_conversion import EntryConverter
-from loadbalancer.discovery.list_handoff import AGE_MOST, read, write
+from loadbalancer.discovery.list_handoff import MAX_AGE_S, read, write
 from loadbalancer.discovery.overrides import AdminOverride, EndpointOverrides
 from loadbalancer.discovery.static_list import MembersFile, StaticEndpoints
 from loadbalancer.discovery.watch import DiscoveryClient
@@ -157,7 +157,7 @@
             source = self._open_file(self._base / table.members_file)
         else:
             source = StaticEndpoints(self.overlay, self._note_sessions, self._convert)
-            source.take(table.member)
+            source.set_members(table.member)
         self.proxy.source = source
         return source
 
@@ -185,7 +185,7 @@
         before, after = old.table, plan.table
         if (before.discovery, before.members_file) == (after.discovery, after.members_file):
             if after.member and isinstance(self.source, StaticEndpoints) and before.member != after.member:
-                self.source.take(after.member)
+                self.source.set_members(after.member)
             return
         source_before = self.source
         try:
@@ -205,7 +205,7 @@
         if (
             not isinstance(self.source, DiscoveryClient)
             or not self.proxy.has_fresh_list
-            or self.source.age() > AGE_MOST
+            or self.source.age() > MAX_AGE_S
         ):
             return b""
         deployment = self.plan.deployment
--- a/loadbalancer/daemon/replicated_overrides.py
+++ b/loadbalancer/daemon/replicated_overrides.py
@@ -47,9 +47,7 @@
             endpoint: requested_override(change, before.get(endpoint), time.time(), 0.0)
             for endpoint in change.endpoints
         }
-        return {
-            endpoint: None if override.says_nothing() else override for endpoint, override in planned.items()
-        }
+        return {endpoint: None if override.is_empty() else override for endpoint, override in planned.items()}
 
     def planned_migration(self, change: Change) -> Migration | None:
         """The migration that a change would leave; its end is counted from when it is decided."""
--- a/loadbalancer/discovery/list_handoff.py
+++ b/loadbalancer/discovery/list_handoff.py
@@ -13,7 +13,7 @@
 from loadbalancer.discovery.endpoint_source import Entry
 from loadbalancer.policy.events import EndpointEntry, EndpointState
 
-AGE_MOST = 10.0
+MAX_AGE_S = 10.0
 """Maximum seconds since the last message of the source for a list to be handed on or accepted."""
 MAX_ENDPOINTS = 50_000
 UNKNOWN_NUMBER = -1
@@ -108,8 +108,8 @@
         handed = msgspec.msgpack.decode(data, type=HandedList)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as problem:
         raise ValueError(f"not a list of endpoints: {problem}") from None
-    if handed.age > AGE_MOST:
-        raise ValueError(f"the list is {handed.age:.0f} s old; expected at most {AGE_MOST:.0f} s")
+    if handed.age > MAX_AGE_S:
+        raise ValueError(f"the list is {handed.age:.0f} s old; expected at most {MAX_AGE_S:.0f} s")
     entries: list[Entry] = []
     for endpoint in handed.endpoints:
         if endpoint.state == EndpointState.GONE:
--- a/loadbalancer/discovery/overrides.py
+++ b/loadbalancer/discovery/overrides.py
@@ -51,7 +51,7 @@
         """Return whether it has expired at this Unix time in seconds."""
         return 0 < self.until <= now
 
-    def says_nothing(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether it overrides nothing."""
         return self.word is None and self.weight is None and self.address is None
 
@@ -98,7 +98,7 @@
         self._deferred: dict[str, Entry] | None = None  # last list of the source while it is frozen
 
     @property
-    def marks(self) -> Mapping[str, AdminOverride]:
+    def overrides(self) -> Mapping[str, AdminOverride]:
         """Return the overrides by endpoint."""
         return self._layers.overrides
 
@@ -136,9 +136,9 @@
 
     # Called for operators.
 
-    def mark(self, member: str, override: AdminOverride) -> None:
+    def set_override(self, member: str, override: AdminOverride) -> None:
         """Replace an endpoint's override; an empty one removes it."""
-        if override.says_nothing():
+        if override.is_empty():
             self._layers.overrides.pop(member, None)
         else:
             self._layers.overrides[member] = override
--- a/loadbalancer/discovery/platform_overrides.py
+++ b/loadbalancer/discovery/platform_overrides.py
@@ -132,7 +132,7 @@
         self._pending: list[_PendingChange] = []
         self._listed: dict[str, None] = {}  # ids, the oldest first
 
-    def listed(self, members: Iterable[str]) -> None:
+    def add_listed(self, members: Iterable[str]) -> None:
         """Remember the ids of listed endpoints: these may be cordoned."""
         for endpoint in members:
             if endpoint not in self._listed:
--- a/loadbalancer/discovery/static_list.py
+++ b/loadbalancer/discovery/static_list.py
@@ -32,7 +32,7 @@
 
 
 class StaticEndpoints:
-    """Provides the endpoints of the configuration; a reload passes the new list to `take`."""
+    """Provides the endpoints of the configuration; a reload passes the new list to `set_members`."""
 
     def __init__(
         self, listener: EndpointListener, sessions: SessionNamesListener, convert: EntryConverter
@@ -41,7 +41,7 @@
         self._sessions = sessions
         self._converter = convert
 
-    def take(self, members: Sequence[MemberTable]) -> None:
+    def set_members(self, members: Sequence[MemberTable]) -> None:
         """Notify the listener of this list."""
         self._sessions(session_names(members))
         self._listener.take_list(self._converter.entries(members), whole=True)
@@ -95,13 +95,13 @@
             ConfigError: The file is not a list of endpoints.
         """
         self._read_stamp = self._polled_stamp = stamp(self._path)
-        self.take(read_members_file(self._path))
+        self.set_members(read_members_file(self._path))
 
     def _tick(self) -> None:
-        self.look()
+        self.poll()
         self._timer = self._loop.call_later(POLL_INTERVAL_S, self._tick)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Start reading the file if it differs from the one last read and is unchanged since the last poll."""
         current = stamp(self._path)
         is_settled = current == self._polled_stamp
@@ -132,7 +132,7 @@
             self._read_stamp = None
         elif not self._closed:
             self._logger("members file taken", f"{self._path}: {len(members)} members")
-            self.take(members)
+            self.set_members(members)
 
     def close(self) -> None:
         """Stop polling the file."""
--- a/loadbalancer/frontends/connection.py
+++ b/loadbalancer/frontends/connection.py
@@ -12,7 +12,7 @@
 from enum import IntEnum
 from typing import TYPE_CHECKING, cast
 
-from loadbalancer.admission.pressure import QUIET_S
+from loadbalancer.admission.pressure import UNUSED_AFTER_S
 from loadbalancer.resource_limits import BufferBudget
 
 if TYPE_CHECKING:
@@ -181,7 +181,7 @@
         if self.asked == 1:
             self.listener.evictable.unused.pop(self, None)
         elif self.asked == 2:
-            self.listener.pressure.reuse.note(True)
+            self.listener.pressure.reuse.record(True)
 
     def rest(self) -> None:
         """No request is open on it; the next may come."""
@@ -193,13 +193,13 @@
 
     def idle_most(self) -> float:
         """Seconds that it may be idle, now."""
-        return self.listener.pressure.step.idle_s if self.asked and not self.overflow else REQUEST_S
+        return self.listener.pressure.step.idle_timeout_s if self.asked and not self.overflow else REQUEST_S
 
     def note_quiet(self, now: float) -> None:
         """For the measure of reuse; idle after its first request."""
-        if not self.quiet and self.asked == 1 and now - self.since > QUIET_S:
+        if not self.quiet and self.asked == 1 and now - self.since > UNUSED_AFTER_S:
             self.quiet = True
-            self.listener.pressure.reuse.note(False)
+            self.listener.pressure.reuse.record(False)
             if self.visit is not None:
                 self.visit.gate.wasted(self.visit)
 
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from loadbalancer.admission.rulings import RETURN_S
+from loadbalancer.admission.rulings import RETRY_AFTER_S
 from loadbalancer.frontends.connection import REQUEST_S, FrontConnection, Phase
 from loadbalancer.frontends.dialect import RejectError, Reply, RoutedRequest
 from loadbalancer.frontends.http1_answers import encode_answer, encode_stream_head, retry_after
@@ -349,7 +349,7 @@
             elif not item.proxy.has_room():
                 self._turn_away(item, 503, b"this pool has all it can hold\n", False)
             elif not self.may_ask():
-                lines = retry_after(RETURN_S)
+                lines = retry_after(RETRY_AFTER_S)
                 self._turn_away(item, 503, b"too many requests at once from this address\n", False, lines)
             else:
                 self.request = item.request
@@ -481,7 +481,7 @@
             return False
         if self.listener.draining:
             return not self._peek()
-        return self.is_once() or not self.listener.pressure.keeps(self.asked, served)
+        return self.is_once() or not self.listener.pressure.keeps_open(self.asked, served)
 
     def _after(self) -> None:
         """The answer is written: close, or wait for the next request."""
--- a/loadbalancer/frontends/listener.py
+++ b/loadbalancer/frontends/listener.py
@@ -11,8 +11,8 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, Mapping, Protocol, Sequence
 
-from loadbalancer.admission.pressure import QUIET_S, STEPS, Pressure
-from loadbalancer.admission.rulings import REFUSE, RETURN_S, SWAP, Ruling
+from loadbalancer.admission.pressure import STEPS, UNUSED_AFTER_S, Pressure
+from loadbalancer.admission.rulings import ADMIT_BY_EVICTION, REFUSE, RETRY_AFTER_S, AdmissionDecision
 from loadbalancer.frontends.connection import FrontConnection, Phase
 from loadbalancer.frontends.dialect import Reader
 from loadbalancer.frontends.evictable_connections import EvictableConnections
@@ -29,12 +29,12 @@
     from loadbalancer.frontends.tls_listener import TlsAcceptor
 
 #: New connections taken in one go at least, whatever presses: so many times `accept` empties the kernel's queue.
-ACCEPT_LEAST = STEPS[-1].accepts
+ACCEPT_LEAST = STEPS[-1].max_accepts
 #: A connection that has said nothing for this long is closed before all others to make room; until then its first
 #: bytes may be on their way, and one that has been answered and is idle makes room for it.
 SILENT_S = 0.1
 #: For this long after an answer the next request may be on its way.
-RECENT_S = QUIET_S
+RECENT_S = UNUSED_AFTER_S
 #: How long nothing is accepted after the kernel had no descriptor to give; trying on would take all the CPU.
 ACCEPT_REST_S = 0.05
 #: How often limits in time are looked at.
@@ -122,7 +122,7 @@
         """Take what has connected; False once nothing waits any more."""
         if self._sock is None:
             return False
-        for _ in range(self.pressure.step.accepts):
+        for _ in range(self.pressure.step.max_accepts):
             try:
                 sock, address = self._sock.accept()
             except BlockingIOError:
@@ -142,7 +142,7 @@
         must come back."""
         if self.spares is None or self._sock is None:
             return
-        for _ in range(self.pressure.step.accepts):
+        for _ in range(self.pressure.step.max_accepts):
             if not self.spares.take():
                 return
             try:
@@ -150,7 +150,7 @@
             except OSError:  # nobody waits any more, or somebody else has got the descriptor
                 self.spares.refill()
                 return
-            self._turn_away(sock, RETURN_S)
+            self._turn_away(sock, RETRY_AFTER_S)
             self.spares.refill()
 
     def _rest(self) -> None:
@@ -206,13 +206,13 @@
         """Slots, with those of connections that are being opened."""
         return len(self.connections) + self._opening - self.overflowing
 
-    def _obeys(self, visit: AdmittedConnection, ruling: Ruling) -> bool:
+    def _obeys(self, visit: AdmittedConnection, ruling: AdmissionDecision) -> bool:
         """Carry a ruling out as far as it can be: False where the connection is refused."""
-        if ruling.verdict == SWAP and not self._evict():
+        if ruling.verdict == ADMIT_BY_EVICTION and not self._evict():
             self._forget_visit(visit)
         elif ruling.verdict != REFUSE:
             return True
-        self.logger(f"refused: {ruling.why}", visit.address)
+        self.logger(f"refused: {ruling.reason}", visit.address)
         return False
 
     def _forget_visit(self, visit: AdmittedConnection | None) -> None:
@@ -276,7 +276,7 @@
         return False
 
     def _measure(self) -> None:
-        self.pressure.measure(self.taken, self.most)
+        self.pressure.update(self.taken, self.most)
 
     def resize(self, most: int, overflow_most: int) -> None:
         """Another number of slots; what is idle past it makes room."""
--- a/loadbalancer/proxy/endpoint_directory.py
+++ b/loadbalancer/proxy/endpoint_directory.py
@@ -41,7 +41,7 @@
         else:
             self.listed |= named
         if self.overrides is not None:
-            self.overrides.listed(named)
+            self.overrides.add_listed(named)
         if self._tunnels.open:
             self._leave_tunnels(entries, whole)
         self._post(EndpointList(tuple(entry for entry, _ in entries), whole, False, stale))
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -328,8 +328,8 @@
 
 async def looked(source: MembersFile) -> None:
     """Two looks, and what they lead to."""
-    source.look()
-    source.look()
+    source.poll()
+    source.poll()
     while source._reading is not None:
         await asyncio.sleep(0)
 
@@ -401,9 +401,9 @@
             source = file_of(here)
             for size in range(5):  # it grows between any two looks
                 file.write_text(members_text(b) + "#" * size)
-                source.look()
+                source.poll()
                 assert source._reading is None
-            source.look()
+            source.poll()
             assert source._reading is not None
 
     play(scene)
--- a/tests/daemon/test_hot_restart.py
+++ b/tests/daemon/test_hot_restart.py
@@ -300,10 +300,10 @@
             assert restart.replaced.is_set()
             way.sendall(b'["p","a",{"word":"cordon"}]\n["none","a",null]\nrubbish\n["p",')
             overlay = here.daemon.pools["p"].overlay
-            await here.until(lambda: overlay.marks.get("a") and here.heard.count("can't be read"))
+            await here.until(lambda: overlay.overrides.get("a") and here.heard.count("can't be read"))
             assert await served_by(here, 20) == {"b"}
             way.sendall(b'"a",null]\n')
-            await here.until(lambda: not overlay.marks)
+            await here.until(lambda: not overlay.overrides)
             way.close()
             await here.until(lambda: restart.offer is not None and not restart.offer.has_successor)
 
--- a/tests/discovery/test_platform_overrides.py
+++ b/tests/discovery/test_platform_overrides.py
@@ -119,7 +119,7 @@
         for listener, file in zip(listeners, files, strict=True)
     ]
     for each in overrides:
-        each.listed(["a", "b"])
+        each.add_listed(["a", "b"])
     # The second writer reads a before it adds b.
     assert set_cordon(overrides[0], "a", True) == [None] == set_cordon(overrides[1], "b", True)
     assert files[1].changed() is None  # its own write does not count as a change
@@ -138,7 +138,7 @@
 def test_calls_are_idempotent_and_ids_never_listed_raise_lookup_error() -> None:
     listener = RecordingListener()
     overrides = PlatformOverrides(listener, None, lambda: 1.0)
-    overrides.listed(["a"])
+    overrides.add_listed(["a"])
     for out in (True, True, False, False):
         assert set_cordon(overrides, "a", out) == [None]
     assert listener.calls == [("a", True), ("a", False)]
@@ -150,7 +150,7 @@
     listener = RecordingListener()
     file = OverridesFile(tmp_path / "gone", RateLimitedLogger())
     overrides = PlatformOverrides(listener, ImmediateStore(file), lambda: 1.0)
-    overrides.listed(["a"])
+    overrides.add_listed(["a"])
     (problem,) = set_cordon(overrides, "a", True)
     assert problem is not None and "gone" in problem
     # The cordon may be in effect while storing it is tried.
@@ -166,7 +166,7 @@
     overrides = PlatformOverrides(
         RecordingListener(), ImmediateStore(OverridesFile(tmp_path, RateLimitedLogger())), lambda: 1.0
     )
-    overrides.listed(["a"])
+    overrides.add_listed(["a"])
     assert "held by another" in (set_cordon(overrides, "a", True)[0] or "")
     os.close(holder)
     assert set_cordon(overrides, "a", True) == [None]
@@ -187,7 +187,7 @@
 def make_stalled() -> tuple[PlatformOverrides, StalledStore, RecordingListener]:
     listener, disk = RecordingListener(), StalledStore()
     overrides = PlatformOverrides(listener, disk, lambda: 1.0)
-    overrides.listed(["a", "b"])
+    overrides.add_listed(["a", "b"])
     return overrides, disk, listener
 
 
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -63,7 +63,7 @@
     async with world(*backends) as here:
         overrides = PlatformOverrides(here.proxy, None, time.time)
         here.proxy.overrides = overrides
-        overrides.listed(here.proxy.listed)
+        overrides.add_listed(here.proxy.listed)
         classes = read_deployment(SETTINGS).classes
         operations = PlatformOperations(here.proxy, classes, overrides, lambda: True)
         server = ManagementServer(ManagementSession(PATHS, operations), RateLimitedLogger())
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from loadbalancer.admission.addresses import (
-    LEAST_SHARE,
     MAX_SCORE,
+    MIN_CAP_FACTOR,
     MIN_CAP_PENALTY,
     SCORE_HALF_LIFE_S,
     TRUSTED_SCORE,
@@ -23,22 +23,22 @@
     prefix_of,
 )  # fmt: skip
 from loadbalancer.admission.admission import (
-    GARBAGE,
-    GOOD,
+    ANSWERED_SCORE,
+    MALFORMED_SCORE,
+    NO_REQUEST_SCORE,
     PREFIX_CAP_FACTOR,
     RESERVE_KEPT_SHARE,
-    SILENT,
-    WASTED,
+    UNUSED_SCORE,
     Admission,
     Caps,
     Slots,
-    began,
-    closed,
-    ended,
-    opened,
+    connection_closed,
+    connection_opened,
+    request_closed,
+    request_opened,
 )  # fmt: skip
 from loadbalancer.admission.networks import Networks
-from loadbalancer.admission.rulings import ADMIT, ONCE, REFUSE, SWAP
+from loadbalancer.admission.rulings import ADMIT, ADMIT_BY_EVICTION, ADMIT_ONCE, REFUSE
 
 DERANDOMIZED = settings(derandomize=True, max_examples=100, deadline=None)
 FREE_SLOTS = Slots(1000, 0, 0)
@@ -102,9 +102,9 @@
     admission = Admission(Caps(connections=4, entries=256))
     for number in range(50):
         for _ in range(int(TRUSTED_SCORE) + 5):
-            admission.mark(admission.rows(f"10.0.{number}.1", 0.0), GOOD, 0.0)
+            admission.add_score(admission.entries_of(f"10.0.{number}.1", 0.0), ANSWERED_SCORE, 0.0)
     for number in range(20_000):
-        admission.connect(f"11.{number >> 16}.{number >> 8 & 255}.{number & 255}", 0.0, FREE_SLOTS)
+        admission.decide_connection(f"11.{number >> 16}.{number >> 8 & 255}.{number & 255}", 0.0, FREE_SLOTS)
     assert len(admission.addresses) <= 256
     for number in range(50):
         assert admission.addresses.get_or_add(f"10.0.{number}.1", 0.0).score >= TRUSTED_SCORE
@@ -145,11 +145,11 @@
 def test_score_is_bounded_both_ways() -> None:
     entry = Entry("a", 0.0)
     for _ in range(10_000):
-        entry.add_score(GOOD, 0.0)
+        entry.add_score(ANSWERED_SCORE, 0.0)
     assert entry.current_score(0.0) == MAX_SCORE and entry.cap_factor(0.0, 16.0) == 16.0
     for _ in range(10_000):
-        entry.add_score(GARBAGE, 0.0)
-    assert entry.current_score(0.0) == -2 * MIN_CAP_PENALTY and entry.cap_factor(0.0, 16.0) == LEAST_SHARE
+        entry.add_score(MALFORMED_SCORE, 0.0)
+    assert entry.current_score(0.0) == -2 * MIN_CAP_PENALTY and entry.cap_factor(0.0, 16.0) == MIN_CAP_FACTOR
 
 
 @DERANDOMIZED
@@ -160,7 +160,7 @@
         entry.add_score(change, now)
         entry.try_take_token(now, 3.0)
         assert -2 * MIN_CAP_PENALTY <= entry.current_score(now) <= MAX_SCORE
-        assert 0.0 <= entry.tokens <= 6.0 and LEAST_SHARE <= entry.cap_factor(now, 4.0) <= 4.0
+        assert 0.0 <= entry.tokens <= 6.0 and MIN_CAP_FACTOR <= entry.cap_factor(now, 4.0) <= 4.0
 
 
 def test_token_bucket_refills_after_the_clock_steps_back() -> None:
@@ -177,20 +177,20 @@
 def fill(admission: Admission, address: str, now: float = 0.0, most: int = 10_000) -> int:
     """Open connections of an address until one is not admitted; return how many were."""
     for count in range(most):
-        if admission.connect(address, now, FREE_SLOTS).verdict != ADMIT:
+        if admission.decide_connection(address, now, FREE_SLOTS).verdict != ADMIT:
             return count
-        opened(admission.rows(address, now))
+        connection_opened(admission.entries_of(address, now))
     return most
 
 
 def test_address_at_its_cap_is_refused_with_a_retry_time() -> None:
     admission = Admission(Caps(connections=8))
     assert fill(admission, "10.0.0.1") == 8
-    ruling = admission.connect("10.0.0.1", 0.0, FREE_SLOTS)
-    assert ruling.verdict == REFUSE and ruling.retry_after > 0 and "address" in ruling.why
+    ruling = admission.decide_connection("10.0.0.1", 0.0, FREE_SLOTS)
+    assert ruling.verdict == REFUSE and ruling.retry_after > 0 and "address" in ruling.reason
     assert fill(admission, "10.0.1.1") == 8
-    closed(admission.rows("10.0.0.1", 0.0))
-    assert admission.connect("10.0.0.1", 0.0, FREE_SLOTS).verdict == ADMIT
+    connection_closed(admission.entries_of("10.0.0.1", 0.0))
+    assert admission.decide_connection("10.0.0.1", 0.0, FREE_SLOTS).verdict == ADMIT
 
 
 @pytest.mark.parametrize("form", ["10.0.0.{}", "2001:db8:0:1::{}"])
@@ -209,13 +209,13 @@
 
 def test_open_requests_of_an_address_are_capped() -> None:
     admission = Admission(Caps(requests=3))
-    rows, other = admission.rows("10.0.0.1", 0.0), admission.rows("10.0.9.1", 0.0)
+    rows, other = admission.entries_of("10.0.0.1", 0.0), admission.entries_of("10.0.9.1", 0.0)
     for _ in range(3):
-        assert admission.request(rows, 0.0)
-        began(rows)
-    assert not admission.request(rows, 0.0) and admission.request(other, 0.0)
-    ended(rows)
-    assert admission.request(rows, 0.0)
+        assert admission.may_open_request(rows, 0.0)
+        request_opened(rows)
+    assert not admission.may_open_request(rows, 0.0) and admission.may_open_request(other, 0.0)
+    request_closed(rows)
+    assert admission.may_open_request(rows, 0.0)
 
 
 def test_cap_of_a_nat_with_honest_clients_grows_and_that_of_an_idle_flood_does_not() -> None:
@@ -230,19 +230,19 @@
         admitted = fill(admission, nat, now, remaining)
         remaining -= admitted
         for _ in range(400 - remaining):  # each admitted client sends one request per second
-            admission.mark(admission.rows(nat, now), GOOD, now)
+            admission.add_score(admission.entries_of(nat, now), ANSWERED_SCORE, now)
     assert remaining == 0 and rounds <= 8
     assert fill(admission, flood, now) == 0
 
 
-@pytest.mark.parametrize("bad", [SILENT, GARBAGE])
+@pytest.mark.parametrize("bad", [NO_REQUEST_SCORE, MALFORMED_SCORE])
 def test_cap_shrinks_after_silent_or_malformed_connections_and_recovers_with_time(
     bad: float,
 ) -> None:
     admission = Admission(Caps(connections=32))
     for _ in range(50):
-        admission.mark(admission.rows("10.0.0.1", 0.0), bad, 0.0)
-    assert fill(admission, "10.0.0.1") == 32 * LEAST_SHARE
+        admission.add_score(admission.entries_of("10.0.0.1", 0.0), bad, 0.0)
+    assert fill(admission, "10.0.0.1") == 32 * MIN_CAP_FACTOR
     assert (
         admission.addresses.get_or_add("10.0.0.1", 20 * SCORE_HALF_LIFE_S).cap_factor(
             20 * SCORE_HALF_LIFE_S, 16.0
@@ -254,8 +254,8 @@
 def test_single_request_on_an_unused_connection_does_not_raise_the_cap() -> None:
     admission = Admission(Caps(connections=32))
     for _ in range(500):
-        admission.mark(admission.rows("10.0.0.1", 0.0), GOOD, 0.0)
-        admission.mark(admission.rows("10.0.0.1", 0.0), WASTED, 0.0)
+        admission.add_score(admission.entries_of("10.0.0.1", 0.0), ANSWERED_SCORE, 0.0)
+        admission.add_score(admission.entries_of("10.0.0.1", 0.0), UNUSED_SCORE, 0.0)
     assert admission.addresses.get_or_add("10.0.0.1", 0.0).cap_factor(0.0, 16.0) == pytest.approx(1.0)
 
 
@@ -265,7 +265,7 @@
     assert fill(admission, "192.168.0.9", most=200) == 200
     assert fill(admission, "::ffff:10.1.9.9", most=200) == 200
     assert fill(admission, "local", most=200) == 200
-    assert all(admission.request(admission.rows("10.1.9.9", 0.0), 0.0) for _ in range(10))
+    assert all(admission.may_open_request(admission.entries_of("10.1.9.9", 0.0), 0.0) for _ in range(10))
 
 
 # The reserved slots.
@@ -273,23 +273,25 @@
 
 def test_unused_reserved_slots_are_lent_except_for_the_kept_share() -> None:
     admission = Admission(Caps(), KNOWN_NETWORKS, 0.4)
-    rulings = [admission.connect("9.9.9.9", 0.0, Slots(100, taken, 0)).verdict for taken in range(101)]
+    rulings = [
+        admission.decide_connection("9.9.9.9", 0.0, Slots(100, taken, 0)).verdict for taken in range(101)
+    ]
     kept = math.ceil(40 * RESERVE_KEPT_SHARE)
     assert rulings[:60] == [ADMIT] * 60
-    assert rulings[60 : 100 - kept] == [ONCE] * (40 - kept)
-    assert rulings[100 - kept :] == [SWAP] * (kept + 1)
+    assert rulings[60 : 100 - kept] == [ADMIT_ONCE] * (40 - kept)
+    assert rulings[100 - kept :] == [ADMIT_BY_EVICTION] * (kept + 1)
 
 
 def test_known_networks_are_admitted_when_all_slots_are_used() -> None:
     admission = Admission(Caps(connections=1), KNOWN_NETWORKS, 0.4)
     for address in ("10.1.2.3", "2001:db8::7", "::ffff:10.1.0.1"):
-        assert admission.connect(address, 0.0, Slots(100, 100, 0)).verdict == ADMIT
+        assert admission.decide_connection(address, 0.0, Slots(100, 100, 0)).verdict == ADMIT
 
 
 def test_fully_used_reserve_takes_no_further_slots_from_other_clients() -> None:
     admission = Admission(Caps(), KNOWN_NETWORKS, 0.4)
-    assert admission.connect("9.9.9.9", 0.0, Slots(100, 99, 40)).verdict == ADMIT
-    assert admission.connect("9.9.9.9", 0.0, Slots(100, 99, 39)).verdict == SWAP
+    assert admission.decide_connection("9.9.9.9", 0.0, Slots(100, 99, 40)).verdict == ADMIT
+    assert admission.decide_connection("9.9.9.9", 0.0, Slots(100, 99, 39)).verdict == ADMIT_BY_EVICTION
 
 
 @DERANDOMIZED
@@ -302,13 +304,13 @@
     taken = known = 0
     kept = math.ceil(math.ceil(most * floor) * RESERVE_KEPT_SHARE)
     for is_known in arrivals:
-        verdict = admission.connect(
+        verdict = admission.decide_connection(
             "10.1.0.1" if is_known else "9.9.9.9", 0.0, Slots(most, taken, known)
         ).verdict
         if is_known:
             assert verdict == ADMIT
             assert taken < most or known >= kept
-        if verdict in (ADMIT, ONCE) and taken < most:
+        if verdict in (ADMIT, ADMIT_ONCE) and taken < most:
             taken += 1
             known += is_known
 
@@ -319,17 +321,20 @@
     held: list[str] = []
     for step in range(20_000):
         address = f"10.0.{randoms.randrange(300)}.{randoms.randrange(4)}"
-        if randoms.random() < 0.5 and admission.connect(address, step / 10, FREE_SLOTS).verdict == ADMIT:
-            opened(admission.rows(address, step / 10))
-            began(admission.rows(address, step / 10))
+        if (
+            randoms.random() < 0.5
+            and admission.decide_connection(address, step / 10, FREE_SLOTS).verdict == ADMIT
+        ):
+            connection_opened(admission.entries_of(address, step / 10))
+            request_opened(admission.entries_of(address, step / 10))
             held.append(address)
         elif held:
             gone = held.pop(randoms.randrange(len(held)))
-            ended(admission.rows(gone, step / 10))
-            closed(admission.rows(gone, step / 10))
+            request_closed(admission.entries_of(gone, step / 10))
+            connection_closed(admission.entries_of(gone, step / 10))
     for address in held:
-        ended(admission.rows(address, 2000.0))
-        closed(admission.rows(address, 2000.0))
+        request_closed(admission.entries_of(address, 2000.0))
+        connection_closed(admission.entries_of(address, 2000.0))
     for table in (admission.addresses, admission.prefixes):
         assert all(not entry.in_use for rows in (table._untrusted, table._trusted) for entry in rows.values())
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -32,7 +32,7 @@
 def record_reuse(here: Any, used: bool) -> None:
     """Record for many connections that they were reused, or that they were not."""
     for _ in range(200):
-        here.server.pressure.reuse.note(used)
+        here.server.pressure.reuse.record(used)
 
 
 def test_unused_connections_of_single_request_clients_never_fill_the_slots() -> None:
@@ -177,17 +177,17 @@
             assert (await client.ask(request()))[0] == 200
             connection = await first_connection(here)
             record_reuse(here, True)
-            before = here.server.pressure.reuse.chance
+            before = here.server.pressure.reuse.probability
             connection.sweep(connection.since + 1.0)
             connection.sweep(connection.since + 1.1)
-            after = here.server.pressure.reuse.chance
+            after = here.server.pressure.reuse.probability
             assert after < before
             connection.sweep(connection.since + 1.2)  # counted once
-            assert here.server.pressure.reuse.chance == after
-            here.server.pressure.measure(1, 1)
-            connection.sweep(connection.since + STEPS[-1].idle_s - 0.01)
+            assert here.server.pressure.reuse.probability == after
+            here.server.pressure.update(1, 1)
+            connection.sweep(connection.since + STEPS[-1].idle_timeout_s - 0.01)
             assert here.server.connections
-            connection.sweep(connection.since + STEPS[-1].idle_s + 0.01)
+            connection.sweep(connection.since + STEPS[-1].idle_timeout_s + 0.01)
             assert await client.ended() == b""
 
     play(scene)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -421,7 +421,7 @@
 def test_idle_connections_make_room_for_new_ones() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
-            here.server.pressure.reuse.chance = 1.0  # of clients that come back: no answer closes
+            here.server.pressure.reuse.probability = 1.0  # of clients that come back: no answer closes
             idle = [await here.connect() for _ in range(here.server.most)]
             for client in idle:
                 assert (await client.ask(request()))[0] == 200
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -22,7 +22,7 @@
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
 from peers import PATIENCE, Call, Client, ScriptedBackend, answering, play, read_message
 
-from loadbalancer.admission.admission import GARBAGE, RESERVE_KEPT_SHARE, SILENT
+from loadbalancer.admission.admission import MALFORMED_SCORE, NO_REQUEST_SCORE, RESERVE_KEPT_SHARE
 from loadbalancer.frontends.admission_gate import AdmissionGate
 from loadbalancer.frontends.reserve_descriptors import ReserveDescriptors
 from standins.fastcgi import WebServer
@@ -223,7 +223,7 @@
         async with daemon_with_rules(tmp_path, member, rules) as here:
             listener = here.daemon.listeners["main"]
             address, most = listener.address, listener.most
-            listener.pressure.reuse.chance = 1.0  # answers close connections in lent slots only
+            listener.pressure.reuse.probability = 1.0  # answers close connections in lent slots only
             floor = math.ceil(most * 0.5)
             kept = math.ceil(floor * RESERVE_KEPT_SHARE)
             others = []
@@ -257,7 +257,7 @@
         rules = "[process]\ndescriptors = 128\n" + LISTENER + admission(known=["127.1.0.0/16"], reserve=0.5)
         async with daemon_with_rules(tmp_path, member, rules) as here:
             listener = here.daemon.listeners["main"]
-            listener.pressure.reuse.chance = 1.0
+            listener.pressure.reuse.probability = 1.0
             known = [await connect(listener.address, KNOWN) for _ in range(listener.most // 2)]
             for client in known:
                 assert (await client.ask(requests_to()))[0] == 200
@@ -600,7 +600,7 @@
             listener = here.daemon.listeners["main"]
             address, table = listener.address, gate(here).admission.addresses
             assert (await connect_and_exchange(address, "127.11.0.1", b"no request at all\r\n\r\n"))[0] == 400
-            assert table.get_or_add("127.11.0.1", 0.0).score == GARBAGE
+            assert table.get_or_add("127.11.0.1", 0.0).score == MALFORMED_SCORE
 
             half = await connect(address, "127.12.0.1")
             await half.send(requests_to()[:-4])
@@ -608,7 +608,7 @@
             (connection,) = (c for c in listener.connections if c.phase == 1)
             connection.sweep(connection.since + 100.0)
             assert (await half.read())[0] == 408
-            assert table.get_or_add("127.12.0.1", 0.0).score == SILENT
+            assert table.get_or_add("127.12.0.1", 0.0).score == NO_REQUEST_SCORE
 
             reader = await connect(address, "127.13.0.1")
             reader.writer.transport.get_extra_info("socket").setsockopt(
@@ -619,7 +619,7 @@
             await here.until(lambda: any(c.blocked for c in listener.connections))
             (stalled,) = (c for c in listener.connections if c.blocked)
             stalled.sweep(stalled.blocked + 100.0)
-            assert table.get_or_add("127.13.0.1", 0.0).score <= GARBAGE + 8
+            assert table.get_or_add("127.13.0.1", 0.0).score <= MALFORMED_SCORE + 8
             await here.until(lambda: stalled not in listener.connections)
             for client in (half, reader):
                 client.writer.close()
