--- a/loadbalancer/routing/fair_shares.py
+++ b/loadbalancer/routing/fair_shares.py
@@ -1,29 +1,29 @@
-"""How pools and listeners divide what one process has: descriptors, buffered bytes, time on the processor.
+"""Division of the resources of one process between pools and listeners: descriptors, buffered bytes, processor time.
 
-Pure: no I/O, and no clock but the one that is handed in with each call.
+Pure: no I/O and no clock; the caller passes in each measurement.
 """
 
 from __future__ import annotations
 
 from typing import Mapping, NamedTuple
 
-#: What each pool and each listener gets in any case, however many there are.
-BACKEND_SOCKETS_LEAST = 4
-CLIENT_SOCKETS_LEAST = 8
-OVERFLOW_LEAST = 2
-BUFFERED_LEAST = 256 << 10  # bytes
-#: Part of a listener's connections that one pool may hold at most, where others share the listener. Less than all,
-#: so that clients of the others are still heard when one pool hangs.
-LISTENER_SHARE_MOST = 0.75
+#: Minimum that each pool and each listener gets, however many of them there are.
+MIN_BACKEND_SOCKETS = 4
+MIN_CLIENT_SOCKETS = 8
+MIN_OVERFLOW = 2
+MIN_BUFFERED = 256 << 10  # bytes
+#: Largest fraction of a listener's connections that one pool may hold if there are several pools. It is below 1 so
+#: that clients of the other pools can still connect when one pool hangs.
+MAX_LISTENER_SHARE = 0.75
 
-#: Length of the windows over which the use of the processor is measured, in seconds.
+#: Length of the windows over which processor utilization is measured, in seconds.
 WINDOW_S = 0.25
-#: A processor that is used more than this is full: what is over its share then waits no longer in line.
-FULL = 0.92
+#: Processor utilization from which on the process counts as saturated: pools are then limited to their fair share.
+SATURATED_UTILIZATION = 0.92
 
 
 class PoolAllocation(NamedTuple):
-    """What one pool may hold."""
+    """Upper limits on what one pool may hold."""
 
     buffered: int  # bytes
     backend_sockets: int
@@ -31,25 +31,29 @@
 
 
 class ListenerSlots(NamedTuple):
-    """What one listener may hold."""
+    """Upper limits on what one listener may hold."""
 
     connections: int
-    overflow: int  # more of them, held to be turned away
+    overflow: int  # further connections, accepted only to be rejected
 
 
-def divide(whole: int, weights: Mapping[str, float], least: int) -> dict[str, int]:
-    """Parts of `whole` by weight. Where the least parts alone come to more than the whole, each gets its least."""
+def divide(whole: int, weights: Mapping[str, float], minimum: int) -> dict[str, int]:
+    """Divide `whole` by weight, with at least `minimum` for each name.
+
+    If the minimums alone add up to more than `whole`, each name gets exactly its minimum.
+    """
     total = sum(weights.values()) or 1.0
-    spare = max(0, whole - least * len(weights))
-    return {name: least + int(spare * weight / total) for name, weight in weights.items()}
+    spare = max(0, whole - minimum * len(weights))
+    return {name: minimum + int(spare * weight / total) for name, weight in weights.items()}
 
 
 def divide_listeners(
     connections: int, overflow: int, weights: Mapping[str, float]
 ) -> dict[str, ListenerSlots]:
-    held = divide(connections, weights, CLIENT_SOCKETS_LEAST)
-    over = divide(overflow, weights, OVERFLOW_LEAST)
-    return {name: ListenerSlots(held[name], over[name]) for name in weights}
+    """Divide the connections and the overflow connections between listeners by weight."""
+    connection_parts = divide(connections, weights, MIN_CLIENT_SOCKETS)
+    overflow_parts = divide(overflow, weights, MIN_OVERFLOW)
+    return {name: ListenerSlots(connection_parts[name], overflow_parts[name]) for name in weights}
 
 
 def divide_pools(
@@ -59,58 +63,71 @@
     slots: Mapping[str, ListenerSlots],
     reached_by: Mapping[str, set[str]],
 ) -> dict[str, PoolAllocation]:
-    """Each pool's part. `reached_by`: the listeners from which requests come to it.
-
-    The bound on its open requests is against the listener with the fewest connections: a pool that hangs holds a
-    connection for each of them, and may not hold all that another pool's clients need."""
-    bytes_ = divide(buffered, weights, BUFFERED_LEAST)
-    backend = divide(sockets, weights, BACKEND_SOCKETS_LEAST)
+    """Return the allocation of each pool; `reached_by` maps a pool to the listeners that route requests to it.
+
+    A pool's limit on open requests is a fraction of the connections of the smallest listener that reaches it: each open
+    request of a pool that hangs holds a client connection, and such a pool must not use up the connections that
+    clients of other pools need.
+    """
+    buffer_parts = divide(buffered, weights, MIN_BUFFERED)
+    socket_parts = divide(sockets, weights, MIN_BACKEND_SOCKETS)
     total = sum(weights.values()) or 1.0
-    shares = {}
+    allocations = {}
     for name, weight in weights.items():
-        room = min((slots[listener].connections for listener in reached_by.get(name, ())), default=0)
-        part = 1.0 if len(weights) == 1 else min(LISTENER_SHARE_MOST, weight / total)
-        shares[name] = PoolAllocation(bytes_[name], backend[name], max(1, int(room * part)))
-    return shares
+        connections = min((slots[listener].connections for listener in reached_by.get(name, ())), default=0)
+        fraction = 1.0 if len(weights) == 1 else min(MAX_LISTENER_SHARE, weight / total)
+        allocations[name] = PoolAllocation(
+            buffer_parts[name], socket_parts[name], max(1, int(connections * fraction))
+        )
+    return allocations
 
 
 class WeightedTurns:
-    """Which pool may take one more request while the processor is full.
+    """Decides which pools may admit another request while the processor is saturated.
+
+    Guards against a pool whose flood of requests uses all processor time, so that the requests of other pools are late
+    although their members are healthy. While the processor is saturated, a pool that gets more than its weighted share
+    of the requests is limited to that share of the throughput measured in the last window. Its further requests are
+    rejected at once, before they have run; the limit also covers a pool whose rejected requests are retried at once.
 
-    Guards against a pool whose flood takes all the time of the process, so that the requests of the others come
-    late though their members are well. While the processor is full, a pool that takes more than its share of the
-    requests is held to that share of what the process has shown that it can do; the rest is turned away at once,
-    before it has run. It should also catch a pool whose requests are turned away and come again at once. Harm: work
-    is counted by requests, so a pool of few costly ones is not found out."""
+    Limitation: load is counted in requests, so a pool with few expensive requests is not detected.
+    """
 
     def __init__(self, weights: Mapping[str, float]) -> None:
         total = sum(weights.values()) or 1.0
-        self._part = {name: weight / total for name, weight in weights.items()}
-        self._taken = dict.fromkeys(weights, 0)  # in this window
-        self._room: dict[str, int] = {}  # for the pools that are held to their share, in this window
+        self._fraction = {name: weight / total for name, weight in weights.items()}
+        self._admitted = dict.fromkeys(weights, 0)  # in this window
+        self._limits: dict[
+            str, int
+        ] = {}  # requests in this window, for the pools that are limited to their share
 
     def admit(self, pool: str) -> bool:
-        room = self._room.get(pool)
-        if room is not None and self._taken[pool] >= room:
+        """Return whether the pool may admit one more request, and count the request if so."""
+        limit = self._limits.get(pool)
+        if limit is not None and self._admitted[pool] >= limit:
             return False
-        self._taken[pool] = self._taken.get(pool, 0) + 1
+        self._admitted[pool] = self._admitted.get(pool, 0) + 1
         return True
 
     def window(self, used: float) -> None:
-        """A window has ended, in which the processor was used for this share of the time."""
-        total = sum(self._taken.values())
-        room: dict[str, int] = {}
-        if used >= FULL and len(self._part) > 1:
-            # What pools under their share leave is the others' to divide.
-            over = {
-                n
-                for n, taken in self._taken.items()
-                if taken >= self._part.get(n, 0) * total and n in self._part
+        """End a window, and compute the limits of the next; `used` is the processor utilization, from 0 to 1."""
+        total = sum(self._admitted.values())
+        limits: dict[str, int] = {}
+        if used >= SATURATED_UTILIZATION and len(self._fraction) > 1:
+            # The pools over their share divide what the pools under their share leave unused.
+            over_share = {
+                name
+                for name, admitted in self._admitted.items()
+                if admitted >= self._fraction.get(name, 0) * total and name in self._fraction
             }
-            left = total - sum(taken for name, taken in self._taken.items() if name not in over)
-            parts = sum(self._part[name] for name in over)
-            # Where no other pool asks for anything, holding one back would spare nobody.
-            if left < total:
-                room = {name: max(1, int(left * self._part[name] / parts)) for name in over}
-        self._room = room
-        self._taken = dict.fromkeys(self._part, 0)
+            remaining = total - sum(
+                admitted for name, admitted in self._admitted.items() if name not in over_share
+            )
+            fractions = sum(self._fraction[name] for name in over_share)
+            # If the other pools got no requests, a limit would help none of them.
+            if remaining < total:
+                limits = {
+                    name: max(1, int(remaining * self._fraction[name] / fractions)) for name in over_share
+                }
+        self._limits = limits
+        self._admitted = dict.fromkeys(self._fraction, 0)
--- a/loadbalancer/routing/rewrites.py
+++ b/loadbalancer/routing/rewrites.py
@@ -1,8 +1,9 @@
-"""Paths and headers that a route rewrites on the way: prefix to prefix on the way in, and back on the way out.
+"""Rewriting of paths in requests, and of URLs and cookies in answers, as a route configures it.
 
-Pure: no I/O and no clock. The path is rewritten in its one form (targets.py), after the route was chosen by the form
-that the client sent. Answers name places of the member in Location, Content-Location and in cookies; what they name is
-turned back into what clients can reach (the meaning of httpd's ProxyPassReverse and its cookie kin).
+Pure: no I/O and no clock. The path is rewritten in its normal form (targets.py), after the route was chosen by the path
+that the client sent. A member's answer refers to the member's own URLs in Location, Content-Location and cookies; these
+are mapped back to URLs that clients can reach, as httpd does with ProxyPassReverse, ProxyPassReverseCookieDomain and
+ProxyPassReverseCookiePath.
 """
 
 from __future__ import annotations
@@ -10,21 +11,21 @@
 from dataclasses import dataclass
 from typing import Sequence
 
-#: Headers of an answer that name a place (RFC 9110, 10.2.2 and 8.7; URI is older, and httpd rewrites it too).
-PLACES = frozenset((b"location", b"content-location", b"uri"))
-COOKIE = b"set-cookie"
+#: Headers of an answer that hold a URL (RFC 9110, 10.2.2 and 8.7; URI is an older header that httpd rewrites too).
+URL_HEADERS = frozenset((b"location", b"content-location", b"uri"))
+COOKIE_HEADER = b"set-cookie"
 
 
 @dataclass(frozen=True, slots=True)
 class HeaderRewrite:
-    """What stands in a member's answer, and what clients get instead."""
+    """Maps a URL prefix, cookie path or cookie domain of a member's answer to the one that clients get."""
 
     old: bytes
     new: bytes
 
 
 def swap_prefix(path: str, prefix: str, to: str) -> str:
-    """`path`, which lies at or under `prefix` by whole segments, at the same place under `to`.
+    """Replace `prefix` of `path` by `to`; `path` must equal `prefix` or continue it with a whole segment.
 
     >>> swap_prefix("/shop/a", "/shop", "/v2/"), swap_prefix("/shop", "/shop", "/"), swap_prefix("/a", "/", "/b")
     ('/v2/a', '/', '/b/a')
@@ -37,57 +38,67 @@
 
 @dataclass(frozen=True, slots=True)
 class Rewrites:
-    """What one route rewrites. `to`: the prefix that takes the place of the route's own; None leaves the path."""
+    """Holds the rewrites of one route; `to` replaces its `prefix` in the path, None leaves the path as it is."""
 
     prefix: str = "/"
     to: str | None = None
-    places: tuple[HeaderRewrite, ...] = ()
+    urls: tuple[HeaderRewrite, ...] = ()
     cookie_paths: tuple[HeaderRewrite, ...] = ()
     cookie_domains: tuple[HeaderRewrite, ...] = ()
 
     def path(self, path: str) -> str:
+        """Return the path that the member gets for a request path in its normal form."""
         return path if self.to is None else swap_prefix(path, self.prefix, self.to)
 
     @property
     def changes_answers(self) -> bool:
-        return bool(self.places or self.cookie_paths or self.cookie_domains)
+        """Whether header lines of answers may be rewritten."""
+        return bool(self.urls or self.cookie_paths or self.cookie_domains)
 
     def answer(self, lines: Sequence[bytes], base: bytes) -> list[bytes]:
-        """The header lines of an answer as the client gets them. `base`: scheme and authority by which the client
-        reached us, such as `http://shop.test`, put before a path that takes the place of a whole address."""
-        return [self._line(line, base) for line in lines]
+        """Return the header lines of an answer as the client gets them.
 
-    def _line(self, line: bytes, base: bytes) -> bytes:
+        `base` is the scheme and authority of the client's request, such as `http://shop.test`. It is prepended where an
+        absolute URL is replaced by a path.
+        """
+        return [self._rewrite_line(line, base) for line in lines]
+
+    def _rewrite_line(self, line: bytes, base: bytes) -> bytes:
         name, _, value = line.partition(b":")
         key = name.lower()
-        if key in PLACES:
-            return b"%b: %b\r\n" % (name, self._place(value.strip(), base))
-        if key == COOKIE and (self.cookie_paths or self.cookie_domains):
-            return b"%b: %b\r\n" % (name, self._cookie(value.strip()))
+        if key in URL_HEADERS:
+            return b"%b: %b\r\n" % (name, self._rewrite_url(value.strip(), base))
+        if key == COOKIE_HEADER and (self.cookie_paths or self.cookie_domains):
+            return b"%b: %b\r\n" % (name, self._rewrite_cookie(value.strip()))
         return line
 
-    def _place(self, value: bytes, base: bytes) -> bytes:
-        """The first pair that fits, by whole segments: `http://b:8080/app` takes `.../app/x` and not `.../apple`."""
-        for pair in self.places:
-            if _starts(value, pair.old):
-                rest = value[len(pair.old.rstrip(b"/")) :]
-                new = pair.new.rstrip(b"/") + rest if rest[:1] in (b"/", b"?", b"#") else pair.new + rest
-                absolute = b"://" in pair.old[:12] and new.startswith(b"/")
+    def _rewrite_url(self, value: bytes, base: bytes) -> bytes:
+        """Apply the first rewrite that matches whole segments.
+
+        For example `http://b:8080/app` matches `.../app/x` and not `.../apple`.
+        """
+        for rewrite in self.urls:
+            if _has_path_prefix(value, rewrite.old):
+                rest = value[len(rewrite.old.rstrip(b"/")) :]
+                new = (
+                    rewrite.new.rstrip(b"/") + rest if rest[:1] in (b"/", b"?", b"#") else rewrite.new + rest
+                )
+                absolute = b"://" in rewrite.old[:12] and new.startswith(b"/")
                 return base + new if absolute else new
         return value
 
-    def _cookie(self, value: bytes) -> bytes:
-        """The first pair that fits Path, and the first that fits Domain; the rest stays to the letter."""
+    def _rewrite_cookie(self, value: bytes) -> bytes:
+        """Apply the first rewrite that matches Path and the first that matches Domain; the rest stays byte for byte."""
         parts = value.split(b";")
         for number, part in enumerate(parts[1:], 1):
-            name, found, text = part.partition(b"=")
+            name, separator, text = part.partition(b"=")
             key, text = name.strip().lower(), text.strip()
-            if not found:
+            if not separator:
                 continue
             if key == b"path":
-                new = _first(self.cookie_paths, text, prefix=True)
+                new = _rewrite_first_match(self.cookie_paths, text, prefix=True)
             elif key == b"domain":
-                new = _first(self.cookie_domains, text.lower(), prefix=False)
+                new = _rewrite_first_match(self.cookie_domains, text.lower(), prefix=False)
             else:
                 continue
             if new is not None:
@@ -95,17 +106,17 @@
         return b";".join(parts)
 
 
-def _starts(value: bytes, prefix: bytes) -> bool:
+def _has_path_prefix(value: bytes, prefix: bytes) -> bool:
     bare = prefix.rstrip(b"/")
     if value == bare or value == prefix:
         return True
     return value.startswith(bare) and value[len(bare) : len(bare) + 1] in (b"/", b"?", b"#")
 
 
-def _first(pairs: Sequence[HeaderRewrite], text: bytes, prefix: bool) -> bytes | None:
-    for pair in pairs:
-        if text == pair.old:
-            return pair.new
-        if prefix and _starts(text, pair.old):
-            return pair.new.rstrip(b"/") + text[len(pair.old.rstrip(b"/")) :]
+def _rewrite_first_match(rewrites: Sequence[HeaderRewrite], text: bytes, prefix: bool) -> bytes | None:
+    for rewrite in rewrites:
+        if text == rewrite.old:
+            return rewrite.new
+        if prefix and _has_path_prefix(text, rewrite.old):
+            return rewrite.new.rstrip(b"/") + text[len(rewrite.old.rstrip(b"/")) :]
     return None
--- a/loadbalancer/routing/targets.py
+++ b/loadbalancer/routing/targets.py
@@ -1,7 +1,7 @@
-"""The target of a request: which host and path it asks for, in one form whatever way it was written.
+"""Parsing of request targets: host and path in normal form.
 
-Pure: no I/O and no clock. What is matched is what goes on to the member, so that no spelling of a path can be
-routed as one thing and served as another.
+Pure: no I/O and no clock. The path that routes are matched against is the path that is sent to the member, so that no
+encoding of a path can be routed as one path and served as another.
 """
 
 from __future__ import annotations
@@ -9,27 +9,27 @@
 import re
 from typing import NamedTuple
 
-#: Characters of a path that have a meaning of their own nowhere (RFC 3986, 2.3): encoded or not is the same.
+#: Unreserved characters (RFC 3986, 2.3): they mean the same percent-encoded and plain.
 UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-#: What a path may hold (RFC 3986, 3.3), and what of it was seen to be sent unencoded by screens in use.
+#: Characters allowed in a path (RFC 3986, 3.3), and those that screens in use were seen to send unencoded.
 PATH = re.compile(r"[A-Za-z0-9\-._~!$&'()*+,;=:@%/|\[\]{}^\"<>`]*")
 QUERY = re.compile(r"[\x21-\x7e\x80-\xff]*")
-ENCODED = re.compile(r"%([0-9A-Fa-f]{2})?")
+PERCENT_ESCAPE = re.compile(r"%([0-9A-Fa-f]{2})?")
 #: A registered name, an IPv4 address or an IPv6 literal, and a port (RFC 9110, 7.2).
 AUTHORITY = re.compile(r"(\[[0-9A-Fa-f:.]+\]|[A-Za-z0-9\-._~]+)(?::(\d{0,5}))?")
-ABSOLUTE = re.compile(r"(?i)https?://([^/?#]*)([^#]*)")
-#: A path that is in its one form already, as nearly all are.
-PLAIN = re.compile(r"(?:/[A-Za-z0-9_~\-][A-Za-z0-9_~.\-]*)+/?|/")
-#: Segments of a path at most; guards the matching against paths made of slashes.
-SEGMENTS_MOST = 64
+ABSOLUTE_FORM = re.compile(r"(?i)https?://([^/?#]*)([^#]*)")
+#: Matches only paths that are already in normal form, as most are; a fast path of `normal_path`.
+ALREADY_NORMAL_PATH = re.compile(r"(?:/[A-Za-z0-9_~\-][A-Za-z0-9_~.\-]*)+/?|/")
+#: Limit on the slashes of a path; bounds the cost of matching paths that consist of slashes.
+MAX_SEGMENTS = 64
 
 
 class TargetError(ValueError):
-    """A target that can't be read, or that could be read in two ways."""
+    """Raised for a target that is malformed or ambiguous."""
 
 
 class Target(NamedTuple):
-    """`host` in lower case and without port, `authority` as it goes into Host, `path` in its one form."""
+    """A parsed target: `host` in lower case without port, `authority` as sent in Host, `path` in normal form."""
 
     host: str
     authority: str
@@ -38,16 +38,17 @@
 
     @property
     def segments(self) -> list[str]:
+        """The segments of the path; see `split`."""
         return split(self.path)
 
 
 def split(path: str) -> list[str]:
-    """Segments of a path: `/` has none, `/a/` has `a` and an empty one."""
+    """Split a path into segments: `/` has none, `/a/` has `a` and an empty one."""
     return path[1:].split("/") if path != "/" else []
 
 
 def read_authority(text: str) -> tuple[str, str]:
-    """Host in lower case without port, and the whole; TargetError where it is none."""
+    """Return the host in lower case without port, and `text` itself; raise TargetError if it is no authority."""
     match = AUTHORITY.fullmatch(text)
     if match is None or int(match[2] or 0) > 65535:
         raise TargetError("the host is no name or address with a port")
@@ -64,25 +65,28 @@
 
 
 def normal_path(path: str, keep_encoded_slashes: bool = False) -> str:
-    """The one form of a path (RFC 3986, 6.2.2): unreserved characters decoded, other escapes in upper case,
-    dot segments resolved, runs of slashes as one.
+    """Normalize a path (RFC 3986, 6.2.2).
 
-    TargetError for escapes that are broken or hide a control character, for a path that climbs over the root,
-    and, unless they are to be kept, for encoded slashes and backslashes: a member may read them as separators,
-    and then serve another path than the one that was matched."""
-    if PLAIN.fullmatch(path) and path.count("/") <= SEGMENTS_MOST:
+    Unreserved characters are decoded, other escapes are put in upper case, dot segments are resolved, and runs of
+    slashes become one.
+
+    Raises TargetError for a malformed escape, an encoded control character, and a path with more `..` than segments
+    before it. Encoded slashes and backslashes raise it too unless `keep_encoded_slashes` is set: a member may decode
+    them as separators, and then serve another path than the one that was matched.
+    """
+    if ALREADY_NORMAL_PATH.fullmatch(path) and path.count("/") <= MAX_SEGMENTS:
         return path
     if not path.startswith("/") or not PATH.fullmatch(path):
         raise TargetError("the path holds a character that it may not")
-    if path.count("/") > SEGMENTS_MOST:
-        raise TargetError(f"the path has more than {SEGMENTS_MOST} segments")
-    path = ENCODED.sub(_decode, path)
+    if path.count("/") > MAX_SEGMENTS:
+        raise TargetError(f"the path has more than {MAX_SEGMENTS} segments")
+    path = PERCENT_ESCAPE.sub(_decode, path)
     if not keep_encoded_slashes and ("%2F" in path or "%5C" in path):
         raise TargetError("an encoded slash or backslash")
-    return _resolve(path)
+    return _resolve_dot_segments(path)
 
 
-def _resolve(path: str) -> str:
+def _resolve_dot_segments(path: str) -> str:
     out: list[str] = []
     parts = path[1:].split("/")
     for number, part in enumerate(parts):
@@ -93,26 +97,27 @@
             out.pop()
         if part in ("", ".", ".."):
             if last and out:
-                out.append("")  # what ends with a slash, or with a dot segment, names a folder
+                out.append("")  # a trailing slash or dot segment denotes a directory
         else:
             out.append(part)
     return "/" + "/".join(out)
 
 
 def read_target(url: str, host: str | None, keep_encoded_slashes: bool = False) -> Target:
-    """The target of a request from its request line and its Host (RFC 9112, 3.2).
+    """Parse the target of a request from its request line and its Host header (RFC 9112, 3.2).
 
-    The host of an absolute form replaces Host, which then need not agree (3.2.2). TargetError, in words for the
-    client, for anything else than the origin and the absolute form."""
+    The host of a target in absolute form overrides the Host header, which may differ (3.2.2). Raises TargetError, whose
+    text is sent to the client, for a target in neither origin form nor absolute form.
+    """
     if not url.startswith("/"):
-        match = ABSOLUTE.fullmatch(url)
+        match = ABSOLUTE_FORM.fullmatch(url)
         if match is None:
             raise TargetError("the target is neither a path nor an http address")
         host, url = match[1], match[2] if match[2].startswith("/") else "/" + match[2]
     if host is None:
         raise TargetError("no host")
     name, authority = read_authority(host)
-    path, mark, query = url.partition("?")
+    path, question_mark, query = url.partition("?")
     if not QUERY.fullmatch(query) or "#" in query:
         raise TargetError("the query holds a character that it may not")
-    return Target(name, authority, normal_path(path, keep_encoded_slashes), mark + query)
+    return Target(name, authority, normal_path(path, keep_encoded_slashes), question_mark + query)
--- a/tests/test_import_samples.py
+++ b/tests/test_import_samples.py
@@ -107,7 +107,7 @@
 ) -> None:
     # Members, client and proxy share one process here: a full processor says nothing of the pools, and a pause of the
     # machine (one of 0.1 s moved a split by 3 points beside the whole suite) nothing of a member.
-    monkeypatch.setattr(shares, "FULL", 2.0)
+    monkeypatch.setattr(shares, "SATURATED_UTILIZATION", 2.0)
     monkeypatch.setattr(outlier_detection, "MIN_SLOW_OBJECTIVE_SHARE", 1.0)
     asyncio.run(played(Sample(path), tmp_path))
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from loadbalancer.routing.routes import ConflictError, Routes, Rule, RuleError
-from loadbalancer.routing.targets import SEGMENTS_MOST, TargetError, normal_path, read_target, split
+from loadbalancer.routing.targets import MAX_SEGMENTS, TargetError, normal_path, read_target, split
 
 
 def nothing(name: str) -> None:
@@ -169,7 +169,7 @@
         ("/a/b/..", "/a/"), ("/a/.", "/a/"), ("/%61pi", "/api"), ("/%2e%2E/a", None), ("/a/%2e%2e/b", "/b"),
         ("/a%2fb", None), ("/a%5cb", None), ("/..", None), ("/a/../../b", None), ("/%", None), ("/%zz", None),
         ("/%00", None), ("/a%0d%0ab", None), ("/a b", None), ("/a\\b", None), ("a", None), ("/é", None),
-        ("/a%c3%a9", "/a%C3%A9"), ("/a;v=1/b", "/a;v=1/b"), ("/a" * (SEGMENTS_MOST + 1), None),
+        ("/a%c3%a9", "/a%C3%A9"), ("/a;v=1/b", "/a;v=1/b"), ("/a" * (MAX_SEGMENTS + 1), None),
         ("/.well-known/x", "/.well-known/x"), ("/a/...", "/a/..."), ("///a", "/a"), ("/a///", "/a/"),
     ],
 )  # fmt: skip
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from loadbalancer.routing.fair_shares import (
-    BACKEND_SOCKETS_LEAST,
-    FULL,
+    MIN_BACKEND_SOCKETS,
+    SATURATED_UTILIZATION,
     ListenerSlots,
     WeightedTurns,
     divide,
@@ -44,7 +44,7 @@
     slots = divide_listeners(100, 10, {"a": 1.0, "b": 3.0})
     shares = divide_pools(1 << 30, 200, {"p": 99.0, "q": 1.0}, slots, {"p": {"a", "b"}, "q": {"b"}})
     assert shares["p"].max_open_requests < slots["a"].connections  # the smaller of the two that lead to it
-    assert shares["q"].max_open_requests >= 1 and shares["q"].backend_sockets >= BACKEND_SOCKETS_LEAST
+    assert shares["q"].max_open_requests >= 1 and shares["q"].backend_sockets >= MIN_BACKEND_SOCKETS
 
 
 def test_a_pool_that_nothing_leads_to_still_has_a_share() -> None:
@@ -61,7 +61,7 @@
 def test_with_room_on_the_processor_all_are_admitted() -> None:
     turns = WeightedTurns({"a": 1.0, "b": 1.0})
     for _ in range(5):
-        assert window(turns, FULL - 0.01, a=900, b=100) == {"a": 900, "b": 100}
+        assert window(turns, SATURATED_UTILIZATION - 0.01, a=900, b=100) == {"a": 900, "b": 100}
 
 
 def test_a_flood_is_held_to_its_share_and_the_other_pool_is_not() -> None:
