--- a/loadbalancer/proxy/answer_writer.py
+++ b/loadbalancer/proxy/answer_writer.py
@@ -1,4 +1,4 @@
-"""Final answers: what a client gets of a request that the policy rejects or fails, or that an endpoint has answered."""
+"""Writes the final answers of requests that an endpoint has answered or that the policy rejects or fails."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class AnswerWriter:
-    """Gives requests of one pool their final answers."""
+    """Writes the final answers of one pool's requests."""
 
     def __init__(
         self, table: RequestTable, budget: BufferBudget, dialect: Dialect, timeout_status: int
     ) -> None:
-        """Write for one pool.
+        """Create the writer of one pool.
 
         Args:
-            table: Where requests end.
-            budget: What kept answers are taken from.
-            dialect: What endpoints mean by their answers.
-            timeout_status: Of the answer to a request whose last attempt took too long.
+            table: The open requests.
+            budget: Budget that kept answers are charged to.
+            dialect: How answers of endpoints are interpreted.
+            timeout_status: Status of the answer to a request whose last attempt timed out.
         """
         self._table = table
         self._budget = budget
@@ -37,13 +37,13 @@
         self._timeout_status = timeout_status
 
     def serve(self, request: OpenRequest, response: UpstreamResponse) -> None:
-        """Pass an endpoint's answer on."""
+        """Answer a request with an endpoint's answer."""
         request.answered_by_endpoint = True
         self._table.finish(request, RequestResult.PASSED)
         self._pass_on(request, response)
 
     def reject(self, request: OpenRequest, retry_after: float) -> None:
-        """Answer that trying again is harmless; `retry_after`: seconds, 0 to say nothing."""
+        """Answer that a retry is safe; `retry_after` is in seconds, 0 for no Retry-After header."""
         lines = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after else []
         self._write(request, answer_rejected(request.kept_error, request.last_result), lines)
 
@@ -54,11 +54,11 @@
         )
         self._write(request, answer, [])
 
-    def take_error(self, request: OpenRequest, response: UpstreamResponse) -> None:
-        """An endpoint has answered with a failure of its own.
+    def handle_error(self, request: OpenRequest, response: UpstreamResponse) -> None:
+        """Handle an error answer of an endpoint.
 
-        It is kept for the client where it speaks of the way to the application, so that another attempt may do better;
-        otherwise it is the application's answer and is passed on.
+        If a retry may help, the answer is kept as a possible final answer while other attempts may follow. Otherwise it
+        is the application's answer, and the client gets it.
         """
         if self._is_retryable(request, response):
             self._keep_error(request, response)
@@ -82,7 +82,7 @@
         request.kept_error = response
 
     def _write(self, request: OpenRequest, answer: FinalAnswer, lines: list[bytes]) -> None:
-        """Answer a request; `lines`: header lines of the proxy's own answer."""
+        """Answer a request; `lines` are header lines for the proxy's own answer."""
         response = answer.endpoint_response
         status = answer.status if response is None else response.status
         self._table.finish(request, result_of_status(status))
--- a/loadbalancer/proxy/attempt_runner.py
+++ b/loadbalancer/proxy/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts: sent, timed, cancelled, and the one place where an attempt ends."""
+"""Sends, times out and cancels attempts; the only place where an attempt ends."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 
 class PolicyClock:
-    """The policy's time: Unix time at the start and monotonic time since.
+    """The policy's clock: Unix time at the start plus the monotonic time since.
 
-    It only advances, and compares with the start times of endpoints.
+    It never goes backwards, and can be compared with the start times of endpoints.
     """
 
     def __init__(self) -> None:
         self.epoch = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Seconds."""
+        """Return the time in seconds."""
         return self.epoch + time.monotonic()
 
 
 class AttemptRunner:
-    """Runs the attempts of one pool; each has exactly one outcome, which the policy is told."""
+    """Runs the attempts of one pool; each has exactly one outcome, which is posted to the policy."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._loop = asyncio.get_running_loop()
 
     def send(self, action: Send) -> None:
-        """Begin an attempt."""
+        """Start an attempt."""
         request = self._table.open[action.request]
         number = len(request.attempts)
         attempt = Attempt(request, number, action.endpoint, self._clock.now(), action.timeout)
@@ -74,7 +74,7 @@
         self._upstreams.send(attempt)
 
     def restart_clocks(self, request: OpenRequest) -> None:
-        """Count the time of its open attempts from now on: the request's last byte has come."""
+        """Restart the timeouts of a request's open attempts: its last byte has been received."""
         for attempt in request.attempts:
             if not attempt.ended:
                 attempt.began_at = self._clock.now()
@@ -84,9 +84,10 @@
         attempt.timer = self._loop.call_later(attempt.timeout, self.time_out, attempt)
 
     def time_out(self, attempt: Attempt) -> None:
-        """End an attempt that has taken too long.
+        """End an attempt that has timed out.
 
-        What has not left whole has not run, and says more of the way to the endpoint than of its load.
+        If its request was not written completely, the endpoint has not run it, and the timeout indicates a problem
+        of the connection rather than of the endpoint's load.
         """
         attempt.timer = None
         written = attempt.is_written()
@@ -96,9 +97,9 @@
         self.finish(attempt, AttemptResult.TIMEOUT if written else AttemptResult.NO_CONNECTION)
 
     def cancel(self, attempt: Attempt) -> None:
-        """End an attempt whose answer nobody wants any more.
+        """Cancel an attempt whose answer is no longer needed.
 
-        Where its request goes on, one that still waits for its connection counts as not sent.
+        If its request is still open and the attempt still waits for a connection, it counts as not sent.
         """
         if attempt.ended:
             return
@@ -108,7 +109,7 @@
         self.finish(attempt, AttemptResult.NOT_SENT if is_unsent else AttemptResult.CANCELLED)
 
     def cancel_all(self, request: OpenRequest) -> None:
-        """End all attempts of a request, also where the policy may not cancel: its body never becomes whole."""
+        """Cancel all attempts of a request whose body stays incomplete, also those that the policy may not cancel."""
         for attempt in list(request.attempts):
             self.cancel(attempt)
 
@@ -119,13 +120,13 @@
         report: Mapping[str, float] | None = None,
         response: UpstreamResponse | None = None,
     ) -> None:
-        """End an attempt: its request may get its answer, and the policy is told the outcome.
+        """End an attempt: answer its request if it brings the answer, and post the outcome to the policy.
 
         Args:
-            attempt: The attempt; one that has ended is passed over.
+            attempt: The attempt; ignored if it has ended already.
             result: How it ended.
-            report: The load that the endpoint reports of itself.
-            response: Its answer, where it is held whole.
+            report: The load report of the endpoint.
+            response: Its answer, if it is buffered completely.
         """
         if attempt.ended:
             return
@@ -153,14 +154,14 @@
         result: AttemptResult,
         response: UpstreamResponse | None,
     ) -> None:
-        """Give the request its answer, if this attempt brings it."""
+        """Answer the request if this attempt brings the answer."""
         if attempt.number == request.streaming_attempt and not request.done:
             self._streams.end(request, result)
         if result == AttemptResult.UNUSABLE:
             request.is_unusable = True
             self._ids.found_unusable(request.transaction)
         elif result == AttemptResult.ERROR and response is not None and not request.done:
-            self._answers.take_error(request, response)
+            self._answers.handle_error(request, response)
         if request.done:
             if request.open_attempts == 0 and not request.is_released:
                 self._table.release(request)
--- a/loadbalancer/proxy/decision_trace.py
+++ b/loadbalancer/proxy/decision_trace.py
@@ -1,7 +1,7 @@
-"""Why a request went where it went: the policy's decisions on the latest requests, in a bounded ring. No I/O.
+"""Traces the policy's decisions on the latest requests in a bounded ring buffer, to explain where they went. No I/O.
 
-Off unless it is configured. It is told each event and the actions on it, and describes them when somebody asks. Of what
-clients sent it keeps only the id under which they know the request.
+Off unless it is configured. It records each event with the resulting actions, and describes them on demand. Of the data
+that clients sent it keeps only the request id.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 )
 
 MAX_STEPS = 40
-"""Steps of one request that are kept."""
+"""Limit on the recorded steps of one request."""
 MS_PER_S = 1e3
 _REQUEST_ID = re.compile(rb"\r\nX-Request-Id: *([^\r\n]{1,200})\r\n", re.IGNORECASE)
 
 Step = Union[Event, Action]
 StepDescription = dict[str, Any]
-"""A step as operators read it: JSON, with a `what` and values."""
+"""A step as operators read it: a JSON object with a `what` and values."""
 
 
 class TraceObservation(NamedTuple):
-    """An endpoint as it stood when a request was sent to it. The fields' names are keys of the API."""
+    """State of an endpoint when a request was sent to it. The names of the fields are keys of the API."""
 
     in_flight: int
-    """Attempts of this proxy that it was working on."""
+    """Attempts of this proxy in flight to it."""
     errors: float
     """Its error rate, 0 to 1."""
     utilization: float
@@ -54,7 +54,7 @@
     step: Step
     """The event or action."""
     observation: TraceObservation | None
-    """The endpoint that a request was sent to."""
+    """The state of the endpoint that a request was sent to."""
     version: int | None = None
     """The version of the fleet's replicated state under which it was sent."""
 
@@ -67,10 +67,10 @@
     def __init__(self, name: str) -> None:
         self.id = name
         self.steps: list[TracedStep] = []
-        self.dropped = 0  # steps past `MAX_STEPS`
+        self.dropped = 0  # number of steps in excess of `MAX_STEPS`
 
-    def note(self, step: TracedStep) -> None:
-        """Add a step."""
+    def record(self, step: TracedStep) -> None:
+        """Add a step, or count it as dropped if the limit is reached."""
         if len(self.steps) < MAX_STEPS:
             self.steps.append(step)
         else:
@@ -78,39 +78,41 @@
 
 
 class DecisionTrace:
-    """The ring of one pool, owned by its `Proxy`."""
-
-    def __init__(self, most: int) -> None:
-        """Begin empty; `most`: requests that are kept, ended ones among them."""
-        self.max_requests = most
-        self.version: Callable[[], int] | None = None  # of the replicated state, where there is one
+    """The trace of one pool, owned by its `Proxy`."""
+
+    def __init__(self, max_requests: int) -> None:
+        """Start empty; `max_requests` limits the requests that are kept, including ended ones."""
+        self.max_requests = max_requests
+        self.version: Callable[[], int] | None = (
+            None  # returns the version of the replicated state, if there is one
+        )
         self._traces: OrderedDict[int, RequestTrace] = OrderedDict()  # by number, the oldest first
         self._numbers: dict[str, int] = {}  # by id
 
     def __len__(self) -> int:
         return len(self._traces)
 
-    def note(
+    def record(
         self, now: float, event: Event, actions: Sequence[Action], balancer: Balancer, head: bytes
     ) -> None:
-        """Add an event and the actions on it.
+        """Record an event and the resulting actions.
 
         Args:
             now: Seconds on the policy's clock.
-            event: What the policy was told.
-            actions: What it asked for.
+            event: The event that the policy was given.
+            actions: The actions that it returned.
             balancer: The policy.
-            head: The request's head, where the event is a request.
+            head: The request's head, if the event is a request.
         """
         if isinstance(event, Request):
             self._begin(event.request, head)
         trace = self._find(event)
         if trace is not None:
-            trace.note(TracedStep(now, event, None))
+            trace.record(TracedStep(now, event, None))
         for action in actions:
             trace = self._find(action)
             if trace is not None:
-                trace.note(self._trace_action(now, action, balancer))
+                trace.record(self._trace_action(now, action, balancer))
 
     def _find(self, step: Step) -> RequestTrace | None:
         number = getattr(step, "request", None)
@@ -139,7 +141,7 @@
             name: The id that its client or the proxy gave it.
 
         Returns:
-            None where it is not (any more) in the ring.
+            None if the request is not, or no longer, in the buffer.
         """
         number = self._numbers.get(name)
         if number is None:
@@ -155,7 +157,7 @@
 
 
 def observe(balancer: Balancer, action: Action) -> TraceObservation | None:
-    """The endpoint that an action sends a request to; None for other actions."""
+    """Return the state of the endpoint that an action sends a request to; None for other actions."""
     if not isinstance(action, Send):
         return None
     endpoint = balancer.endpoints.get(action.endpoint)
@@ -171,7 +173,7 @@
 
 
 def describe_step(traced: TracedStep) -> StepDescription:
-    """A step as operators read it; values that say nothing are left out."""
+    """Return a step as operators read it; values that are None are omitted."""
     step = traced.step
     if isinstance(step, Request):
         description = _describe_request(step)
--- a/loadbalancer/proxy/final_answers.py
+++ b/loadbalancer/proxy/final_answers.py
@@ -1,8 +1,8 @@
-"""What a client gets of a request that the policy rejects or fails: an endpoint's answer, or the proxy's own. No I/O.
+"""Selects the answer to a request that the policy rejects or fails: an endpoint's answer or the proxy's own. No I/O.
 
-The policy says whether trying again is harmless (a rejection) or nothing is promised (a failure); how the client is
-told is decided here, by one table. `python -m loadbalancer.proxy.final_answers` prints it for
-docs/operating/answers.md; a test compares the two, and plays each row.
+The policy decides whether a retry is safe (a rejection) or the request may have run (a failure); the table in this
+module maps that decision to an answer. `python -m loadbalancer.proxy.final_answers` prints the table for
+docs/operating/answers.md; tests compare the two and run the rows.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 from loadbalancer.upstreams.interfaces import UpstreamResponse
 
 STATUS_PREFERENCE = {501: 0, 500: 1, 502: 2, 504: 3, 503: 4}
-"""Which of two endpoints' failures is kept: what says most of the application comes first, then what says most of the
-way to it."""
+"""Preference between the error answers of several endpoints, the lowest first: answers of the application itself come
+before those about the path to it."""
 DEFAULT_PREFERENCE = STATUS_PREFERENCE[500]
 PROXY_STATUS_NAME = b"micastand"
-"""Name of the proxy in Proxy-Status (RFC 9209, 2)."""
+"""The proxy's name in Proxy-Status (RFC 9209, 2)."""
 TIMEOUT_STATUS = 0
-"""Stands for the status that the pool has for time-outs; 504 for ordinary clients."""
+"""Placeholder for the pool's status for timeouts, which is 504 for ordinary clients."""
 
 
 class FinalAnswerRule(NamedTuple):
-    """One row of the table."""
+    """One row of the table of final answers."""
 
     rejected: bool
-    """Whether the policy rejects the request; otherwise it fails it."""
+    """Whether the policy rejects the request, rather than failing it."""
     last: AttemptResult | None
-    """The result of the last attempt; None where there was none."""
+    """The result of the last attempt; None if there was none."""
     status: int
-    """What the client gets; `TIMEOUT_STATUS` for that of the pool."""
+    """The status that the client gets; `TIMEOUT_STATUS` for the pool's status for timeouts."""
     error: str
     """The error in Proxy-Status (RFC 9209, 2.3)."""
-    what: str
-    """The row in words, for operators."""
+    description: str
+    """Explains the row to operators."""
 
 
 FINAL_ANSWER_RULES = (
@@ -145,24 +145,24 @@
     501: "http_request_error",
     503: "connection_limit_reached",
 }
-"""Errors in Proxy-Status of what a front end answers before any pool has the request, by status."""
+"""Errors in Proxy-Status, by status, of answers that a front end gives before a pool has the request."""
 
 
 class FinalAnswer(NamedTuple):
-    """What the client gets: an endpoint's answer, or the proxy's own."""
+    """The answer that the client gets: an endpoint's answer or the proxy's own."""
 
     endpoint_response: UpstreamResponse | None
     """The endpoint's answer; None for the proxy's own."""
     status: int = 0
     """Status of the proxy's own answer."""
     close: bool = False
-    """Whether the client's connection ends with it."""
+    """Whether to close the client's connection after it."""
     error: str = ""
-    """Its error in Proxy-Status."""
+    """The error in Proxy-Status of the proxy's own answer."""
 
 
 def is_better(kept: UpstreamResponse | None, other: UpstreamResponse) -> bool:
-    """Whether another endpoint's failure is the one to keep; of two alike, the later."""
+    """Return whether another endpoint's error answer replaces the kept one; of two equal ones, the later is kept."""
     return kept is None or _preference(other.status) <= _preference(kept.status)
 
 
@@ -171,10 +171,12 @@
 
 
 def answer_rejected(kept: UpstreamResponse | None, last: AttemptResult | None = None) -> FinalAnswer:
-    """The policy has rejected the request: trying again is harmless, whoever says so.
+    """Return the answer to a request that the policy has rejected: a retry is safe.
+
+    A kept answer takes precedence whatever its status: if it promises that a retry is safe, that is true here.
 
     Args:
-        kept: An endpoint's answer to its own failure.
+        kept: The kept error answer of an endpoint.
         last: The result of the last attempt.
     """
     if kept is not None:
@@ -186,15 +188,16 @@
 def answer_failed(
     kept: UpstreamResponse | None, unusable: bool, last: AttemptResult | None, timeout_status: int
 ) -> FinalAnswer:
-    """The policy has failed the request: it may have run.
+    """Return the answer to a request that the policy has failed: it may have run.
 
-    An endpoint's answer counts more than all but a time-out, unless it would promise that trying again is harmless.
+    An endpoint's answer takes precedence unless the last attempt timed out, or the answer would promise that a retry is
+    safe.
 
     Args:
-        kept: An endpoint's answer to its own failure.
-        unusable: Whether an endpoint has found the request itself wrong.
+        kept: The kept error answer of an endpoint.
+        unusable: Whether an endpoint has found the request itself invalid.
         last: The result of the last attempt.
-        timeout_status: The pool's status for time-outs.
+        timeout_status: The pool's status for timeouts.
     """
     if unusable:
         rule = _RULES[False, AttemptResult.UNUSABLE]
@@ -206,28 +209,28 @@
 
 
 def proxy_status(error: str) -> bytes:
-    """The header line that names an answer as the proxy's own (RFC 9209)."""
+    """Return the header line that marks an answer as the proxy's own (RFC 9209)."""
     return b"Proxy-Status: %b; error=%b\r\n" % (PROXY_STATUS_NAME, error.encode())
 
 
 def frontend_proxy_status(status: int) -> list[bytes]:
-    """That header line of what a front end answers itself; none where the status has no error."""
+    """Return the Proxy-Status line of a front end's own answer; empty if its status has no error in the table."""
     return [proxy_status(FRONTEND_ERRORS[status])] if status in FRONTEND_ERRORS else []
 
 
 def document() -> str:
-    """The tables as they stand in docs/operating/answers.md."""
-    out = [
+    """Return the tables as Markdown, as in docs/operating/answers.md."""
+    rows = [
         "| the module's word | last attempt | the client hears | Proxy-Status error | |",
         "| --- | --- | --- | --- | --- |",
     ]
     for row in FINAL_ANSWER_RULES:
-        word = "refused" if row.rejected else "failed"
+        decision = "refused" if row.rejected else "failed"
         last = row.last.name.lower().replace("_", " ") if row.last is not None else "none"
-        out.append(f"| {word} | {last} | {row.status or 504} | `{row.error}` | {row.what} |")
-    out += ["", "| a front's own answer | error |", "| --- | --- |"]
-    out += [f"| {status} | `{error}` |" for status, error in sorted(FRONTEND_ERRORS.items())]
-    return "\n".join(out)
+        rows.append(f"| {decision} | {last} | {row.status or 504} | `{row.error}` | {row.description} |")
+    rows += ["", "| a front's own answer | error |", "| --- | --- |"]
+    rows += [f"| {status} | `{error}` |" for status, error in sorted(FRONTEND_ERRORS.items())]
+    return "\n".join(rows)
 
 
 if __name__ == "__main__":
--- a/loadbalancer/proxy/idempotent_requests.py
+++ b/loadbalancer/proxy/idempotent_requests.py
@@ -1,8 +1,9 @@
-"""Requests with idempotency keys, between a front end and a pool: the ledger's rulings carried out.
+"""Handles requests with idempotency keys, between a front end and a pool, as the ledger decides.
 
-A request waits here for the disk twice: before its first attempt may leave, and before its answer may reach the client.
-Neither wait outlasts the client's: an answer that the disk has not taken by then goes out, since the key stands as
-begun and no repeat of it is sent blindly. One handler for each such request, released with its answer or its client.
+A request waits for the disk twice: before its first attempt may be sent, and before its answer may reach the client.
+Neither wait goes beyond the client's deadline: an answer that is not on disk shortly before it is sent all the same,
+which is safe because the key is on disk as begun, so that no repeat of it is sent blindly. Each such request has one
+handler, which is released when the answer is sent or the client leaves.
 """
 
 from __future__ import annotations
@@ -32,48 +33,48 @@
 
 REPLAYED = b"Idempotent-Replayed: true\r\n"
 RETRY_AFTER = b"Retry-After: 1\r\n"
-SPARE_S = 0.02
-"""Seconds before its client's time is up at which an answer goes out that waits for the disk."""
+ANSWER_MARGIN_S = 0.02
+"""Seconds before the client's deadline at which an answer that waits for the disk is sent."""
 SERVICE_UNAVAILABLE = 503
-ELSEWHERE = Ruling(
+STORE_HANDED_OVER = Ruling(
     Disposition.REFUSED, status=SERVICE_UNAVAILABLE, reason="another process takes over; it has not run"
 )
-"""While the store passes to another process, which will know of the key."""
+"""Answer while the store is handed over to another process, which will know of the key."""
 IN_PROGRESS = Ruling(Disposition.REFUSED, status=409, reason="a request with the key is in progress")
 SENT = (Disposition.FIRST, Disposition.AGAIN)
-"""Dispositions of a request that goes to an endpoint."""
+"""Dispositions of requests that are sent to an endpoint."""
 
 
 class KeyTerms(NamedTuple):
-    """How a class of requests is remembered."""
+    """How the keys and answers of a class of requests are remembered."""
 
     cls: int
     """Number of the class."""
     again: int
-    """Number of the class by which a retry goes that must not be retried in turn."""
+    """Number of the class that a repeat is submitted under, whose attempts must not be retried in turn."""
     window: float
-    """Seconds in which endpoints drop repeats."""
+    """Seconds for which endpoints deduplicate repeats."""
     all_drop: bool
-    """Whether every endpoint drops the repeats of every other."""
+    """Whether every endpoint also deduplicates repeats of requests that another endpoint got."""
     remember: float
-    """Seconds for which an answer is kept."""
+    """Seconds for which an answer is stored."""
     most: int
-    """Bytes of an answer that is kept whole."""
+    """Limit on the size of an answer that is stored with its body, in bytes."""
 
 
-Take = Callable[[int, float], None]
-"""Hands a request to its pool: the number of its class, and the seconds that it has."""
+Submit = Callable[[int, float], None]
+"""Submits a request to its pool, with the number of its class and its remaining seconds."""
 
 
 class IdempotencyLedger:
-    """The ledger of one daemon, for all its pools."""
+    """The ledger of idempotency keys of one daemon, for all its pools."""
 
     def __init__(self, store: Store, logger: Callable[[str, object], None]) -> None:
         self.store = store
         self.logger = logger
-        self.in_progress: dict[bytes, object] = {}  # the handler that is open in this process, by key
-        self.open = 0  # requests that are held here
-        self.lent = False  # the store passes to another process
+        self.in_progress: dict[bytes, object] = {}  # handlers of open requests of this process, by key
+        self.open = 0  # number of requests that have a handler
+        self.lent = False  # whether the store is being handed over to another process
 
     def take(
         self,
@@ -83,24 +84,24 @@
         digest: bytes,
         terms: KeyTerms,
         deadline: float,
-        take: Take,
+        take: Submit,
     ) -> None:
         """Handle a request.
 
         Args:
             proxy: Its pool.
             request: The request.
-            key: Its key, as the store has it.
-            digest: Tells it from other requests with the key.
+            key: Its key in the store.
+            digest: Digest of the request; detects different requests with the same key.
             terms: How it is remembered.
             deadline: When its client gives up, in monotonic seconds.
-            take: Hands it to the pool.
+            take: Submits it to the pool.
         """
         IdempotentRequestHandler(self, proxy, request, key, digest, terms, deadline, take).begin()
 
 
 class IdempotentRequestHandler:
-    """One request: its client, as its pool sees it, and its owner, as its front end sees it."""
+    """Handles one request; it acts as the client towards the pool, and as the request's owner towards the front end."""
 
     def __init__(
         self,
@@ -111,9 +112,9 @@
         digest: bytes,
         terms: KeyTerms,
         deadline: float,
-        take: Take,
+        take: Submit,
     ) -> None:
-        """Stand between a request and its client; see `IdempotencyLedger.take`."""
+        """Take the place of the request's client and owner; see `IdempotencyLedger.take` for the arguments."""
         self.client: Client | None = request.client
         self._ledger = ledger
         self._proxy = proxy
@@ -122,66 +123,66 @@
         self._digest = digest
         self._terms = terms
         self._deadline = deadline
-        self._hand_over = take
-        self._pool: RequestOwner | None = None  # once a pool has the request
-        self._is_first = False  # the key was new
+        self._submit = take
+        self._pool: RequestOwner | None = None  # the pool's owner, once the request is submitted
+        self._is_first = False  # whether the key was new
         self._is_released = False
-        self._answer_timer: asyncio.TimerHandle | None = None  # while an answer waits for the disk
+        self._answer_timer: asyncio.TimerHandle | None = None  # set while an answer waits for the disk
         request.client = self
         request.owner = self
         ledger.open += 1
 
     def begin(self) -> None:
-        """Ask the ledger."""
+        """Look up the key in the store; continues in `_on_decision`."""
         if self._ledger.lent:
-            asyncio.get_running_loop().call_soon(self._on_ruling, ELSEWHERE, None)
+            asyncio.get_running_loop().call_soon(self._on_decision, STORE_HANDED_OVER, None)
             return
-        self._ledger.store.submit(self._rule, self._on_ruling)
+        self._ledger.store.submit(self._decide, self._on_decision)
 
-    def _rule(self, view: StoreView) -> Ruling:
-        """In the store's thread: read what is known of the key, and note that it begins.
+    def _decide(self, view: StoreView) -> Ruling:
+        """Decide on the request by the key's entry, and record a new key as begun; runs in the store's thread.
 
-        May run twice where a batch is tried again.
+        It may run twice, if the store retries a batch.
         """
         now = view.now()
         in_progress = self._ledger.in_progress.get(self._key, self) is not self
         entry = decode(view.get(self._key))
-        ruling = decide(entry, self._digest, now, in_progress, self._terms.all_drop)
-        if ruling.disposition == Disposition.FIRST:
-            if in_progress:  # the key was taken back, and its request has not ended yet
+        decision = decide(entry, self._digest, now, in_progress, self._terms.all_drop)
+        if decision.disposition == Disposition.FIRST:
+            if in_progress:  # the key was removed, but its request has not ended yet
                 return IN_PROGRESS
-            begun = Begun(self._digest, now, self._terms.window)
+            begun_entry = Begun(self._digest, now, self._terms.window)
             expires = now + max(self._terms.remember, self._terms.window)
-            view.put(self._key, encode(begun), expires)
-        if ruling.disposition in SENT:
+            view.put(self._key, encode(begun_entry), expires)
+        if decision.disposition in SENT:
             self._ledger.in_progress[self._key] = self
-        return ruling
+        return decision
 
-    def _on_ruling(self, ruling: Ruling, problem: StoreError | None) -> None:
+    def _on_decision(self, decision: Ruling, problem: StoreError | None) -> None:
         if problem is not None:
             self._ledger.logger("keyed work refused", problem)
             self._answer_self(SERVICE_UNAVAILABLE, [], b"the key can't be remembered now; it has not run\n")
             return
-        self._is_first = ruling.disposition == Disposition.FIRST
+        self._is_first = decision.disposition == Disposition.FIRST
         time_remaining = self._deadline - time.monotonic()
-        if ruling.disposition == Disposition.AGAIN:
-            time_remaining = min(time_remaining, ruling.time_remaining)
-        is_sent = ruling.disposition in SENT
+        if decision.disposition == Disposition.AGAIN:
+            time_remaining = min(time_remaining, decision.time_remaining)
+        is_sent = decision.disposition in SENT
         if self.client is None or (is_sent and time_remaining <= 0):
-            self._take_back()
+            self._remove_key()
             text = b"no time was left once the key was on disk; it has not run\n"
             self._answer_self(SERVICE_UNAVAILABLE, [], text)
         elif is_sent:
             self._send(time_remaining)
-        elif ruling.answer is not None:
-            self._replay(self.client, ruling.answer)
+        elif decision.answer is not None:
+            self._replay(self.client, decision.answer)
         else:
-            lines = [RETRY_AFTER] if ruling is ELSEWHERE else []
-            self._answer_self(ruling.status, lines, ruling.reason.encode() + b"\n")
+            lines = [RETRY_AFTER] if decision is STORE_HANDED_OVER else []
+            self._answer_self(decision.status, lines, decision.reason.encode() + b"\n")
 
     def _send(self, time_remaining: float) -> None:
         class_index = self._terms.cls if self._is_first else self._terms.again
-        self._hand_over(class_index, time_remaining)
+        self._submit(class_index, time_remaining)
         if self.client is not None:
             self._pool = self._request.owner
             self._request.owner = self
@@ -195,14 +196,14 @@
         client.answer(answer.status, lines, answer.body, False, None, answer.reason)
 
     def _answer_self(self, status: int, lines: list[bytes], body: bytes) -> None:
-        """Answer before any attempt has left."""
+        """Answer before the request is submitted to the pool."""
         client = self.client
         self._release()
         self._proxy.count_rejected(self._request, self._terms.cls, status)
         if client is not None:
             client.answer(status, lines, body)
 
-    # Called by the pool, for which this is the client.
+    # Called by the pool, which sees this handler as the client.
 
     def answer(
         self,
@@ -213,7 +214,7 @@
         length: int | None = None,
         reason: bytes = b"",
     ) -> None:
-        """Pass an answer on; an endpoint's once it is on disk, or its client's time is nearly up."""
+        """Pass an answer on to the client; an endpoint's once it is on disk, or just before the deadline."""
 
         def deliver() -> None:
             client = self.client
@@ -226,14 +227,14 @@
             return
         may_have_run = self._request.may_have_run or self._request.open_attempts > 0
         if status in RETRYABLE_STATUSES and not may_have_run:
-            self._take_back()
+            self._remove_key()
         deliver()
 
     def _remember(
         self, status: int, lines: list[bytes], body: bytes, reason: bytes, deliver: Callable[[], None]
     ) -> None:
-        """Store an answer, then deliver it."""
-        delay = max(0.0, self._deadline - SPARE_S - time.monotonic())
+        """Store an answer, then deliver it; it is delivered without waiting for the disk if the deadline is near."""
+        delay = max(0.0, self._deadline - ANSWER_MARGIN_S - time.monotonic())
         self._answer_timer = asyncio.get_running_loop().call_later(delay, self._deliver_late, deliver)
         terms = self._terms
 
@@ -255,7 +256,7 @@
         deliver()
 
     def has_left(self) -> bool:
-        """Whether the client has left; one that has withdrawn has."""
+        """Return whether the client has left; a request cancelled by its client counts too."""
         return self.client is None or self.client.has_left()
 
     def begin_answer(
@@ -266,25 +267,28 @@
         reason: bytes,  # noqa: ARG002
         stream: Stream,  # noqa: ARG002
     ) -> None:
-        """Not called: the configuration keeps pools that stream answers apart from remembered classes."""
-        raise AssertionError("an answer to a remembered key is judged whole")
+        """Not called: the configuration does not allow remembered classes in pools that stream answers."""
+        raise AssertionError("answers to remembered keys are buffered, not streamed")
 
     def take_part(self, data: bytes) -> None:  # noqa: ARG002
         """Not called; see `begin_answer`."""
-        raise AssertionError("an answer to a remembered key is judged whole")
+        raise AssertionError("answers to remembered keys are buffered, not streamed")
 
     def take_end(self) -> None:
         """Not called; see `begin_answer`."""
-        raise AssertionError("an answer to a remembered key is judged whole")
+        raise AssertionError("answers to remembered keys are buffered, not streamed")
 
     def break_off(self) -> None:
         """Not called; see `begin_answer`."""
-        raise AssertionError("an answer to a remembered key is judged whole")
+        raise AssertionError("answers to remembered keys are buffered, not streamed")
 
-    # Called by the front end, for which this is the owner.
+    # Called by the front end, which sees this handler as the owner.
 
     def cancel_by_client(self, request: OpenRequest) -> None:
-        """The client has gone. What a pool has may have run; the key stands as begun until its answer comes."""
+        """Cancel a request whose client has disconnected.
+
+        A submitted request may have run: its key stays stored as begun until an answer is stored.
+        """
         self.client = None
         if self._pool is not None:
             self._pool.cancel_by_client(request)
@@ -292,23 +296,23 @@
                 self._release()
 
     def uploaded(self, request: OpenRequest) -> None:  # noqa: ARG002
-        """Not called: a remembered request is held whole."""
-        raise AssertionError("a remembered request is held whole")
+        """Not called: remembered requests are buffered, not streamed."""
+        raise AssertionError("remembered requests are buffered, not streamed")
 
     def upload_lost(self, request: OpenRequest) -> None:  # noqa: ARG002
-        """Not called: a remembered request is held whole."""
-        raise AssertionError("a remembered request is held whole")
+        """Not called: remembered requests are buffered, not streamed."""
+        raise AssertionError("remembered requests are buffered, not streamed")
 
     def upload_failed(self, request: OpenRequest, status: int) -> None:  # noqa: ARG002
-        """Not called: a remembered request is held whole."""
-        raise AssertionError("a remembered request is held whole")
+        """Not called: remembered requests are buffered, not streamed."""
+        raise AssertionError("remembered requests are buffered, not streamed")
 
-    # The end.
+    # Completion.
 
-    def _take_back(self) -> None:
-        """Remove the key of a request that has not run, so that a repeat is a first one again.
+    def _remove_key(self) -> None:
+        """Remove the key of a request that has not run, so that a repeat counts as the first request again.
 
-        Nobody waits for the disk: until it has it, a repeat gets that the key is begun, which is safe.
+        This does not wait for the disk: until the removal is stored, a repeat finds the key as begun, which is safe.
         """
         if self._is_first:
             self._ledger.store.submit(lambda view: view.delete(self._key), _ignore_result)
@@ -326,4 +330,4 @@
 
 
 def _ignore_result(_result: None, _problem: StoreError | None) -> None:
-    """Do nothing with the result of a job."""
+    """Ignore the result of a job of the store."""
--- a/loadbalancer/proxy/interfaces.py
+++ b/loadbalancer/proxy/interfaces.py
@@ -1,4 +1,4 @@
-"""What a proxy needs of others: its share of the processor, and clients that may open tunnels."""
+"""Protocols that a proxy depends on: the processor's fair shares, and clients that can open tunnels."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class ProcessorShare(Protocol):
-    """Who says whether a pool may take one more request now, where several share the process."""
+    """Decides whether a pool may admit another request, if several pools share the process."""
 
     def admit(self, pool: str) -> bool:
-        """Whether the pool of this name may take one more."""
+        """Return whether the pool of this name may admit one more request."""
 
 
 class TunnelClient(Client, TunnelEnd, Protocol):
-    """A connection of a client that can go over to another protocol."""
+    """A client connection that can be upgraded to another protocol."""
 
     def begin_tunnel(self, lines: list[bytes], reason: bytes, tunnel: Tunnel) -> None:
-        """Write the head of the answer, and pass bytes on from here on."""
+        """Write the head of the answer, then forward bytes through the tunnel."""
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -1,4 +1,4 @@
-"""An open request, and the ids that clients give to requests."""
+"""Open requests, the interfaces of their clients and owners, and the transaction ids of clients."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from loadbalancer.upstreams.interfaces import UpstreamResponse
 
 MAX_UNUSABLE_IDS = 2000
-"""Ids of requests that endpoints could not use and that are remembered, the latest ones."""
+"""Limit on the remembered ids of unusable requests; the oldest ids are evicted."""
 NO_ATTEMPT = -1
-"""Number of no attempt."""
+"""Attempt number that stands for none."""
 NO_TRANSACTION = 0
-"""Hash of no transaction id."""
+"""Hash of a request without a transaction id."""
 
 HeaderEdit = Callable[[list[bytes]], list[bytes]]
 """Changes the header lines of an answer."""
 
 
 class Client(StreamConsumer, Protocol):
-    """What a request needs of the connection that it came on."""
+    """The client connection of a request."""
 
     def answer(
         self,
@@ -34,52 +34,52 @@
         length: int | None = None,
         reason: bytes = b"",
     ) -> None:
-        """Write a whole answer.
+        """Write a complete answer.
 
         Args:
-            status: Of the answer.
+            status: Its status.
             lines: Its header lines.
             body: Its body.
-            close: Whether the connection ends with it.
-            length: The length that the header states, where it is not that of the body.
+            close: Whether to close the connection after it.
+            length: The Content-Length, if it differs from the length of the body.
             reason: The reason phrase; empty for the usual one.
         """
 
     def has_left(self) -> bool:
-        """Whether it has ended its side, though that may not have been read yet; then the request is withdrawn."""
+        """Return whether the client has closed its side, even if that is not read yet; it then needs no answer."""
 
     def begin_answer(
         self, status: int, lines: list[bytes], length: int | None, reason: bytes, stream: Stream
     ) -> None:
-        """Write the head of an answer whose body comes by the stream, which this consumes.
+        """Write the head of an answer whose body is streamed to this client.
 
         Args:
-            status: Of the answer.
+            status: Its status.
             lines: Its header lines.
-            length: Bytes of the body; None where it is not known.
+            length: Bytes of the body; None if unknown.
             reason: The reason phrase; empty for the usual one.
-            stream: Brings the body.
+            stream: Delivers the body.
         """
 
 
 class RequestOwner(Protocol):
-    """Who has a request, as the connection knows it on which it came."""
+    """The component responsible for a request; its client connection reports to it."""
 
     def cancel_by_client(self, request: OpenRequest) -> None:
-        """The client has gone."""
+        """Cancel a request whose client has disconnected."""
 
     def uploaded(self, request: OpenRequest) -> None:
-        """The last byte of a body has come that is sent on as it comes."""
+        """Report that the last byte of a streamed body has been received."""
 
     def upload_lost(self, request: OpenRequest) -> None:
-        """A byte of such a body has left and is not kept."""
+        """Report that a streamed body can no longer be replayed: bytes were sent and are not buffered."""
 
     def upload_failed(self, request: OpenRequest, status: int) -> None:
-        """The client sends no more of such a body, and gets this status."""
+        """Report that a streamed body stays incomplete; the client gets this status."""
 
 
 class OpenRequest:
-    """A request that has been taken, until it is answered and all its attempts have ended."""
+    """A request, from its submission to a pool until it is answered and all its attempts have ended."""
 
     __slots__ = (
         "answered_by_endpoint",
@@ -116,14 +116,14 @@
     def __init__(
         self, client: Client, txn: int, head: bytes, body: bytearray | None, bodiless: bool = False
     ) -> None:
-        """Describe a request that no pool has yet.
+        """Create a request that no pool has yet.
 
         Args:
-            client: The connection that it came on.
-            txn: A hash of the client's transaction id, of one size whatever clients send; 0 for none.
-            head: As an endpoint gets it, all but the time remaining.
-            body: As an endpoint gets it; None where it is sent on as it comes, or there is none.
-            bodiless: Whether it asks for a head alone.
+            client: The connection that it was received on.
+            txn: A hash of the client's transaction id, of a fixed size whatever clients send; 0 for none.
+            head: The head as an endpoint gets it, without the header of the remaining time.
+            body: The body as an endpoint gets it; None if it is streamed, or there is none.
+            bodiless: Whether its answer has no body, as for HEAD.
         """
         self.client = client
         self.transaction = txn
@@ -132,63 +132,65 @@
         self.bodiless = bodiless
         self.owner: RequestOwner
         # Set by the front end, from the route.
-        self.max_attempts = 0  # 0: as the pool has it
-        self.retry_on: frozenset[AttemptResult] | None = None  # None: as the pool has it
-        self.retry_statuses: frozenset[int] | None = None  # None: as the pool has them
+        self.max_attempts = 0  # 0: the limit of the pool
+        self.retry_on: frozenset[AttemptResult] | None = None  # None: the results configured for the pool
+        self.retry_statuses: frozenset[int] | None = None  # None: the statuses configured for the pool
         self.edit_headers: HeaderEdit | None = None
-        self.upgrade = b""  # the protocol that it asks to go over to
-        self.upload: Upload | None = None  # its body, where that is too long to be held
-        # Set where it is taken.
+        self.upgrade = b""  # the protocol that it asks to upgrade to
+        self.upload: Upload | None = None  # its body, if it is streamed rather than buffered
+        # Set when it is submitted to a pool.
         self.id = 0
         self.class_index = 0
-        self.is_complete = True  # its last byte has come
+        self.is_complete = True  # its last byte has been received
         self.time_remaining = 0.0  # seconds from then until the client gives up
         self.timer: asyncio.TimerHandle | None = None
-        # What becomes of it.
+        # Progress.
         self.attempts: list[Attempt] = []
-        self.open_attempts = 0  # that have not ended
-        self.last_result: AttemptResult | None = None  # of its last attempt
-        self.may_have_run = False  # in an attempt that has ended
-        self.is_unusable = False  # so says an endpoint
-        self.kept_error: UpstreamResponse | None = None  # an endpoint's answer to its own failure
-        self.done = False  # it has its final answer
+        self.open_attempts = 0  # number of attempts that have not ended
+        self.last_result: AttemptResult | None = None  # of the attempt that ended last
+        self.may_have_run = False  # in one of the attempts that have ended
+        self.is_unusable = False  # an endpoint reported it as unusable
+        self.kept_error: UpstreamResponse | None = (
+            None  # an endpoint's error answer, kept as a possible final answer
+        )
+        self.done = False  # it has its final answer, or its client has disconnected
         self.answered_by_endpoint = False
-        self.is_released = False  # nothing more is held for it
-        self.stream: Stream | None = None  # brings the body of its answer
+        self.is_released = False  # its resources were given back
+        self.stream: Stream | None = None  # delivers the body of its answer
         self.streaming_attempt = NO_ATTEMPT
         self.stream_moved_at = 0.0  # monotonic seconds
 
     def response_lines(self, answer: UpstreamResponse) -> list[bytes]:
-        """The header lines of an endpoint's answer as the client gets them."""
+        """Return the header lines of an endpoint's answer as the client gets them."""
         return answer.lines if self.edit_headers is None else self.edit_headers(answer.lines)
 
 
 class TransactionIds:
-    """Transaction ids of requests that are open, and of those that endpoints could not use.
+    """Tracks the transaction ids of open requests, and of requests that endpoints could not use.
 
-    Ids are new with every request of a client that keeps to the protocol; one that is known is rejected, so that no
-    answer goes to the wrong client and no unusable request is asked again. `NO_TRANSACTION` is no id.
+    A client that follows the protocol uses a new id for every request. A request with a known id is rejected, so that
+    no answer goes to the wrong client and no unusable request is sent again. `NO_TRANSACTION` is not tracked.
     """
 
     def __init__(self) -> None:
         self.open: set[int] = set()
-        self.unusable: dict[int, None] = {}  # the oldest first
+        self.unusable: dict[int, None] = {}  # the oldest first; used as an ordered set
 
     def is_known(self, txn: int) -> bool:
-        """Whether a request of this id is open, or was unusable."""
+        """Return whether a request with this id is open or was unusable."""
         return txn in self.open or txn in self.unusable
 
     def opened(self, txn: int) -> None:
-        """Note that a request is open."""
+        """Record that a request is open."""
         if txn != NO_TRANSACTION:
             self.open.add(txn)
 
     def ended(self, txn: int) -> None:
-        """Note that a request has ended."""
+        """Record that a request has ended."""
         self.open.discard(txn)
 
     def found_unusable(self, txn: int) -> None:
-        """Note that an endpoint could not use a request."""
+        """Record that an endpoint could not use a request."""
         if txn != NO_TRANSACTION:
             self.unusable[txn] = None
         if len(self.unusable) > MAX_UNUSABLE_IDS:
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives the policy: hands it events, one after the other, and carries its actions out in order."""
+"""Drives the policy: passes events to it one at a time, and carries out its actions in order."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 from loadbalancer.resource_limits import RateLimitedLogger, describe_exception
 from loadbalancer.upstreams.connections import UpstreamPools
 
-if TYPE_CHECKING:  # loaded where operators may ask why
+if TYPE_CHECKING:  # loaded only if decisions are traced
     from loadbalancer.proxy.decision_trace import DecisionTrace
 
 NO_REQUEST = 0
-"""Number of no request."""
+"""Request number that stands for none."""
 
 
 class PolicyDriver:
@@ -49,21 +49,21 @@
         post: Callable[[Event], None],
         abandon: Callable[[OpenRequest], None],
     ) -> None:
-        """Begin without events.
+        """Start without events.
 
         Args:
             balancer: The policy.
-            clock: Its time.
+            clock: The policy's clock.
             table: The open requests.
             answers: Writes final answers.
             attempts: Runs attempts.
             upstreams: Connections to endpoints.
-            logger: Gets events for people.
-            post: Posts an event, also one that comes later.
-            abandon: Fails a request that a defect has met.
+            logger: Receives log events.
+            post: Posts an event; timers use it as well.
+            abandon: Fails a request whose event caused an unexpected exception.
         """
-        self.trace: DecisionTrace | None = None  # of the latest requests, where operators may ask why
-        self.source: EndpointSource | None = None  # of the endpoint list
+        self.trace: DecisionTrace | None = None  # decisions on the latest requests; None if it is off
+        self.source: EndpointSource | None = None  # source of the endpoint list
         self._balancer = balancer
         self._clock = clock
         self._table = table
@@ -79,7 +79,7 @@
         self._carry_out = self._make_handlers()
 
     def _make_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return what carries out an action, by the action's type."""
+        """Return the handlers of actions, by the type of the action."""
         return {
             Send: self._attempts.send,
             SetTimer: self._set_timer,
@@ -92,7 +92,7 @@
         }
 
     def post(self, event: Event) -> None:
-        """Hand an event to the policy, and carry out its actions; events that these lead to wait for their turn."""
+        """Pass an event to the policy and carry out its actions; events posted by these are queued."""
         self._events.append(event)
         if self._is_handling:
             return
@@ -109,19 +109,22 @@
             now = self._clock.now()
             actions = self._balancer.handle(now, (event,))
             if self.trace is not None:
-                self._note(self.trace, now, event, actions)
+                self._record(self.trace, now, event, actions)
             for action in actions:
                 self._carry_out[type(action)](action)
-        except Exception as problem:  # whatever it is, it may not reach the other requests
+        except Exception as problem:  # must not affect other requests
             self._contain(event, problem)
 
-    def _note(self, trace: DecisionTrace, now: float, event: Event, actions: list[Action]) -> None:
+    def _record(self, trace: DecisionTrace, now: float, event: Event, actions: list[Action]) -> None:
         request = self._table.open.get(event.request) if isinstance(event, Request) else None
         head = request.head if request is not None else b""
-        trace.note(now, event, actions, self._balancer, head)
+        trace.record(now, event, actions, self._balancer, head)
 
     def _contain(self, event: Event, problem: Exception) -> None:
-        """Log a defect, and fail the request that it met; others go on, and a list stands as far as it was taken."""
+        """Log an unexpected exception and fail the request of its event.
+
+        Other requests go on, and an endpoint list stays applied as far as it was processed.
+        """
         self._logger("defect", f"{describe_exception(problem)} on {type(event).__name__}")
         request = self._table.open.get(getattr(event, "request", NO_REQUEST))
         if request is not None:
@@ -142,7 +145,7 @@
 
     def _cancel(self, action: Cancel) -> None:
         request = self._table.open.get(action.request)
-        if request is not None:  # else all its attempts have ended
+        if request is not None:  # otherwise all its attempts have ended
             self._attempts.cancel(request.attempts[action.attempt])
 
     def _watch(self, action: WatchEndpoints) -> None:
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -1,7 +1,7 @@
-"""The proxy between its sockets and the policy: events go in, actions are carried out, in order.
+"""The proxy of one pool, between sockets and the policy: passes events in and carries out actions, in order.
 
-Front ends hand requests in, upstream connections tell how attempts go; each
-request gets one final answer, and each `Send` one `Outcome`.
+Front ends submit requests, and upstream connections report the progress of attempts. Each request gets one final
+answer, and each `Send` one `Outcome`.
 """
 
 from __future__ import annotations
@@ -44,21 +44,21 @@
 from loadbalancer.upstreams.http1 import Http1UpstreamConnection
 from loadbalancer.upstreams.interfaces import UpstreamResponse
 
-if TYPE_CHECKING:  # loaded where operators may ask why
+if TYPE_CHECKING:  # loaded only if decisions are traced
     from loadbalancer.proxy.decision_trace import DecisionTrace
-if TYPE_CHECKING:  # loaded where operators can cordon endpoints
+if TYPE_CHECKING:  # loaded only if operators can cordon endpoints
     from loadbalancer.discovery.platform_overrides import PlatformOverrides
 
 SWEEP_S = 0.25
-"""Seconds between two looks at limits in time."""
+"""Seconds between two checks for idle connections, stalled streams and overdue tunnels."""
 UPLOAD_SHARE = 0.25
-"""Share of the descriptors for endpoints that may be held by bodies that are sent on as they come."""
+"""Fraction of the descriptors for endpoints that streamed request bodies may hold."""
 DEFAULT_RETRY_AFTER_S = 1
-"""Seconds after which a client may come back that is told to return for the proxy's sake."""
+"""Seconds after which a client may retry that the proxy has rejected for reasons of its own."""
 
 
 class Proxy:
-    """One pool: its open requests, their attempts and connections; the only caller of the policy.
+    """Runs one pool: its open requests, their attempts and connections; the only caller of the policy.
 
     It owns its timers, its source of endpoints and its connections until `close`.
     """
@@ -75,23 +75,23 @@
         timeout_status: int = BAD_GATEWAY,
         tunnels: TunnelLimits | None = None,
     ) -> None:
-        """Begin without endpoints; to be called on the loop.
+        """Start without endpoints; must be called on the event loop.
 
         Args:
-            deployment: Settings, and times of connections.
-            seed: Of the policy's random choices.
-            limits: What the pool may hold.
-            logger: Gets events.
-            dialect: What endpoints mean by their answers; the platform's if it is not given.
-            connect: Makes connections to endpoints; HTTP/1.1 if it is not given.
+            deployment: Settings, and timeouts and limits of connections.
+            seed: Seed of the policy's random choices.
+            limits: Resources that the pool may use.
+            logger: Receives log events.
+            dialect: How answers of endpoints are interpreted; by default as the platform's endpoints mean them.
+            connect: Creates connections to endpoints; HTTP/1.1 by default.
             ids: Transaction ids, shared by all pools whose requests have them.
-            timeout_status: Of the answer to a request that failed because its last attempt took too long.
-            tunnels: Limits on connections that have gone over to another protocol.
+            timeout_status: Status of the answer to a request that failed because its last attempt timed out.
+            tunnels: Limits on connections that were upgraded to another protocol.
         """
         self.logger = logger
-        self.name = ""  # by which pools that share a process know this one
-        self.fair_share: ProcessorShare | None = None  # where several pools share the processor
-        self.may_act: Callable[[], bool] | None = None  # whether this instance holds a lease, in a fleet
+        self.name = ""  # unique among the pools of the process
+        self.fair_share: ProcessorShare | None = None  # None if this pool has the processor to itself
+        self.may_act: Callable[[], bool] | None = None  # in a fleet: whether this instance holds a lease
         self.retry_after_s = DEFAULT_RETRY_AFTER_S
         self.closed = False
         self.takes_uploads: bool = getattr(connect, "takes_uploads", False)
@@ -155,11 +155,11 @@
             self._owner.abandon,
         )
 
-    # What others read and set.
+    # Properties that other components read and set.
 
     @property
     def trace(self) -> DecisionTrace | None:
-        """Decisions on the latest requests, where operators may ask why."""
+        """Trace of the decisions on the latest requests; None if it is off."""
         return self._driver.trace
 
     @trace.setter
@@ -168,7 +168,7 @@
 
     @property
     def source(self) -> EndpointSource | None:
-        """Where the endpoint list comes from; `close` closes it."""
+        """Source of the endpoint list; `close` closes it."""
         return self._driver.source
 
     @source.setter
@@ -182,12 +182,12 @@
 
     @property
     def streams(self) -> set[OpenRequest]:
-        """The requests whose answers are passed on as they come."""
+        """The requests whose answers are being streamed."""
         return self._table.streaming
 
     @property
     def uploads(self) -> int:
-        """How many open requests have bodies that are sent on as they come."""
+        """The number of open requests whose bodies are streamed."""
         return self._table.open_uploads
 
     @property
@@ -197,12 +197,12 @@
 
     @property
     def has_fresh_list(self) -> bool:
-        """Whether a list, or a change to it, has come since the start."""
+        """Whether a list, or a change to it, that is not stale has been received since the start."""
         return self._directory.fresh
 
     @property
     def overrides(self) -> PlatformOverrides | None:
-        """The platform's overrides, where operators can cordon endpoints."""
+        """The platform's overrides; None unless operators can cordon endpoints."""
         return self._directory.overrides
 
     @overrides.setter
@@ -210,11 +210,11 @@
         self._directory.overrides = overrides
 
     def now(self) -> float:
-        """The policy's time, in seconds."""
+        """Return the policy's time, in seconds."""
         return self._clock.now()
 
     def attempt_counts(self) -> list[int]:
-        """Attempts that were written whole, for each class: those that have ended, and those still out."""
+        """Count the attempts whose request was written completely, by class, including those in flight."""
         tries = list(self.metrics.tries)
         for request in self.open.values():
             if not request.open_attempts:
@@ -224,35 +224,35 @@
         return tries
 
     def avoided_count(self) -> int:
-        """Listed endpoints that get nothing now, by the policy's choice, by hand or by their state."""
+        """Count the listed endpoints that get no requests now, by the policy, by an operator or for their state."""
         return sum(self.balancer.avoids(endpoint) for endpoint in self.listed)
 
     def is_shut_out(self) -> bool:
-        """Whether this instance has lost its lease: clients are told to return."""
+        """Return whether this instance has no lease; clients are then told to retry."""
         return self.may_act is not None and not self.may_act()
 
     def has_room(self) -> bool:
-        """Whether one more request may be open.
+        """Return whether one more request may be opened.
 
-        Without a bound the requests of a pool that hangs would come to hold every connection of clients, and with them
-        those of the other pools.
+        Without a limit, the requests of a pool that hangs would eventually hold every client connection, including
+        those that clients of the other pools need.
         """
         if self.closed or len(self.open) >= self.max_open_requests:
             return False
         return self.fair_share is None or self.fair_share.admit(self.name)
 
     def may_upload(self) -> bool:
-        """Whether one more body may be sent on as it comes; each holds a connection as long as its client takes."""
+        """Return whether one more body may be streamed; each holds a connection for as long as its client sends."""
         return self.uploads < max(1, int(self.upstreams.sockets * UPLOAD_SHARE))
 
     def is_known(self, request: OpenRequest) -> bool:
-        """Whether a request of its transaction id is open, or was unusable."""
+        """Return whether a request with its transaction id is open or was unusable."""
         return self.ids.is_known(request.transaction)
 
     # The policy.
 
     def post(self, event: Event) -> None:
-        """Tell the policy of an event; see `PolicyDriver`."""
+        """Pass an event to the policy; see `PolicyDriver.post`."""
         self._driver.post(event)
 
     # Called by front ends.
@@ -269,7 +269,7 @@
         member: str | None = None,
         bound: bool = False,
     ) -> None:
-        """Take a request.
+        """Open a request and pass it to the policy.
 
         Args:
             request: The request.
@@ -277,10 +277,10 @@
             left: Seconds until the client gives up.
             tenant: Number of its tenant.
             key: Its idempotency key.
-            hint: The work that it is expected to take, in seconds of a standard core.
-            retry: Whether the client says that it is a retry.
-            member: The endpoint, or the domain of endpoints, that its sticky session wants.
-            bound: Whether its session may not go anywhere else.
+            hint: The work that it is expected to cause, in seconds of a standard core.
+            retry: Whether the client marks it as a retry.
+            member: The endpoint, or the domain of endpoints, of its sticky session.
+            bound: Whether it must not go to any other endpoint.
         """
         self._table.add(request, self._owner, cls, left)
         self.post(
@@ -302,23 +302,23 @@
         )
 
     def drop(self, request: OpenRequest) -> None:
-        """Release a request that ends before it was taken."""
+        """Release the body of a request that ends before it was submitted to the pool."""
         self._table.discard_body(request)
 
     def count_rejected(self, request: OpenRequest, cls: int, status: int) -> None:
-        """Count a whole request that the front end answers with an error; it was not taken, and has not run."""
+        """Count a complete request that was answered with an error before it was submitted; it has not run."""
         self.drop(request)
         self.metrics.count(cls, result_of_status(status))
 
     def _on_overdue(self, request: OpenRequest) -> None:
-        """Fail a request that the policy has not answered in time; the policy's own times end earlier."""
+        """Fail a request that the policy has not answered in time; the policy's own timers expire earlier."""
         self.logger("overdue request failed", request.id)
         self._owner.abandon(request)
 
     # Called by upstream connections.
 
     def must_not_leave(self, attempt: Attempt, late: bool) -> bool:
-        """Whether an attempt may not leave any more; see `AttemptOwner`."""
+        """Return whether an attempt must not be sent any more; see `AttemptOwner`."""
         request = cast(OpenRequest, attempt.request)
         if request.done or request.client.has_left():
             return True
@@ -331,25 +331,29 @@
         report: Mapping[str, float] | None = None,
         answer: UpstreamResponse | None = None,
     ) -> None:
-        """An attempt has ended; see `AttemptRunner.finish`."""
+        """End an attempt; see `AttemptRunner.finish`."""
         self._attempts.finish(attempt, result, report, answer)
 
     def begin_answer(
-        self, attempt: Attempt, answer: UpstreamResponse, giver: StreamProducer
+        self, attempt: Attempt, answer: UpstreamResponse, producer: StreamProducer
     ) -> Stream | None:
-        """A long answer has begun; None where nobody wants it any more."""
+        """Start to stream an answer; return None if its request has ended or streams another attempt's answer."""
         request = cast(OpenRequest, attempt.request)
         if request.done or request.stream is not None:
             attempt.drop()
             self._attempts.finish(attempt, AttemptResult.CANCELLED)
             return None
-        stream = self._streams.begin(request, attempt, answer, giver)
+        stream = self._streams.begin(request, attempt, answer, producer)
         elapsed = self.now() - attempt.began_at
         self.post(FirstByte(request.id, attempt.number, attempt.endpoint, elapsed))
         return stream
 
     def begin_tunnel(self, attempt: Attempt, answer: UpstreamResponse, member: TunnelEnd) -> Tunnel | None:
-        """The endpoint has gone over to the protocol that the client asked for: the request is served."""
+        """Open a tunnel: the endpoint has accepted the upgrade, and the request counts as served.
+
+        Returns:
+            None if the request has ended or the pool has no room for another tunnel.
+        """
         request = cast(OpenRequest, attempt.request)
         if request.done or not self.tunnels.has_room():
             return None
@@ -364,21 +368,21 @@
     # Called by sources of endpoints and for operators.
 
     def take_list(self, entries: list[Entry], whole: bool, stale: bool = False) -> None:
-        """Take a list, or a change to it; see `EndpointListener`."""
+        """Apply an endpoint list, or a change to it; see `EndpointListener`."""
         self._directory.take_list(entries, whole, stale)
 
     def list_failed(self, busy: bool = False) -> None:
-        """A call for the list has failed; see `EndpointListener`."""
+        """Report that a request for the list has failed; see `EndpointListener`."""
         self._directory.list_failed(busy)
 
     def cordon(self, server: str, out: bool) -> None:
-        """Leave an endpoint out, or use it again; also one that is not listed now."""
+        """Cordon an endpoint, or end its cordon; the endpoint need not be listed."""
         self._directory.cordon(server, out)
 
-    # Limits, and the end.
+    # Limits and shutdown.
 
     def resize(self, limits: PoolLimits) -> None:
-        """Take other limits; idle connections past them are closed."""
+        """Apply new limits; idle connections in excess of them are closed."""
         self.budget.resize(limits.buffered)
         self.upstreams.resize(limits.backend_sockets)
         self.max_open_requests = limits.max_open_requests
@@ -401,19 +405,19 @@
             self._attempts.finish(attempt, AttemptResult.RESET)
 
     def retire(self) -> None:
-        """Keep no connection; what is open, or on its way, is still served."""
+        """Keep no idle connections; requests that are open or about to arrive are still served."""
         for endpoint in list(self.upstreams.endpoints):
             self.upstreams.retire(endpoint)
         self.tunnels.retire()
 
     def end_all(self) -> None:
-        """Fail what is still open, and take nothing more: the process ends."""
+        """Fail the requests that are still open, and admit no more: the process ends."""
         self.closed = True
         for request in list(self.open.values()):
             self._owner.abandon(request)
 
     def close(self) -> None:
-        """Fail what is still open, and release connections, timers and the source of endpoints."""
+        """Fail the requests that are still open, and release connections, timers and the source of endpoints."""
         self.end_all()
         self.tunnels.close()
         self._sweep_timer.cancel()
@@ -426,7 +430,7 @@
 
 
 def _platform_dialect(deployment: Deployment) -> Dialect:
-    """What the platform's endpoints mean by their answers."""
+    """Return how answers of the platform's endpoints are interpreted."""
     return Dialect(
         report_fields=deployment.settings.report_fields,
         stream_most=MAX_STREAMED_BODY_BYTES,
--- a/loadbalancer/proxy/request_owner.py
+++ b/loadbalancer/proxy/request_owner.py
@@ -1,4 +1,4 @@
-"""What becomes of a taken request on its client's side: its body is complete or lost, or the client leaves."""
+"""Handles events from the client of an open request: its body completes or fails, or the client disconnects."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PoolRequestOwner:
-    """The `RequestOwner` of all requests that a pool has taken."""
+    """The `RequestOwner` of all open requests of a pool."""
 
     def __init__(self, table: RequestTable, attempts: AttemptRunner, post: Callable[[Event], None]) -> None:
         self._table = table
@@ -22,7 +22,7 @@
         self._post = post
 
     def cancel_by_client(self, request: OpenRequest) -> None:
-        """The client has gone."""
+        """Cancel a request whose client has disconnected."""
         if request.done:
             return
         self._table.finish(request, RequestResult.FAILED)
@@ -33,7 +33,7 @@
             self._attempts.cancel_all(request)
 
     def uploaded(self, request: OpenRequest) -> None:
-        """The last byte of a body has come that is sent on as it comes."""
+        """Start the timeouts of a request whose streamed body has been received completely."""
         if request.done or request.is_complete:
             return
         request.is_complete = True
@@ -42,12 +42,12 @@
         self._post_body_progress(request)
 
     def upload_lost(self, request: OpenRequest) -> None:
-        """A byte of such a body has left and is not kept."""
+        """Tell the policy that a streamed body can no longer be replayed: bytes were sent and are not buffered."""
         if not request.done:
             self._post_body_progress(request)
 
     def upload_failed(self, request: OpenRequest, status: int) -> None:
-        """The client sends no more of such a body: it never became a request, and has not run."""
+        """End a request whose streamed body stays incomplete: without its last byte it has not run."""
         if request.done:
             return
         self._table.finish(request, result_of_status(status))
@@ -56,7 +56,7 @@
         self._attempts.cancel_all(request)
 
     def abandon(self, request: OpenRequest) -> None:
-        """Fail a request without the policy's decision; the policy is told, and cancels what is still out."""
+        """Fail a request without a decision of the policy, which is told and cancels the attempts in flight."""
         if request.done:
             return
         self._table.finish(request, RequestResult.FAILED)
--- a/loadbalancer/proxy/request_table.py
+++ b/loadbalancer/proxy/request_table.py
@@ -1,4 +1,4 @@
-"""The open requests of one pool: the one place where a request begins and ends."""
+"""The open requests of one pool; the only place where a request begins and ends."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from loadbalancer.resource_limits import BufferBudget
 
 OVERDUE_S = 0.03
-"""Seconds past its client's time after which a request is failed that the policy has not answered."""
+"""Seconds past its client's deadline after which a request is failed if the policy has not answered it."""
 
 
 class RequestTable:
-    """Owns the open requests: their numbers, timers, buffered bytes and transaction ids until `release`."""
+    """Holds the open requests; owns their numbers, timers, buffered bytes and transaction ids until `release`."""
 
     def __init__(
         self,
@@ -23,17 +23,17 @@
         ids: TransactionIds,
         on_overdue: Callable[[OpenRequest], None],
     ) -> None:
-        """Begin without requests.
+        """Start without requests.
 
         Args:
-            metrics: Counts them.
-            budget: What their bodies and kept answers are taken from.
+            metrics: Counts the requests.
+            budget: Budget that their bodies and kept answers are charged to.
             ids: Transaction ids, shared by all pools whose requests have them.
-            on_overdue: Called for a request that has no answer though its client's time is up.
+            on_overdue: Called for a request that has no answer though its client's deadline has passed.
         """
         self.open: dict[int, OpenRequest] = {}
-        self.streaming: set[OpenRequest] = set()  # whose answers are passed on as they come
-        self.open_uploads = 0  # whose bodies are passed on as they come
+        self.streaming: set[OpenRequest] = set()  # requests whose answers are streamed
+        self.open_uploads = 0  # number of requests with streamed bodies
         self._metrics = metrics
         self._budget = budget
         self._ids = ids
@@ -43,7 +43,7 @@
         self._released: list[OpenRequest] = []
 
     def add(self, request: OpenRequest, owner: RequestOwner, class_index: int, time_remaining: float) -> None:
-        """Take a request; `time_remaining`: seconds from its last byte until its client gives up."""
+        """Add a request; `time_remaining` is the time in seconds from its last byte until its client gives up."""
         self._last_id += 1
         request.id = self._last_id
         request.class_index = class_index
@@ -58,7 +58,7 @@
             self.start_clock(request)
 
     def start_clock(self, request: OpenRequest) -> None:
-        """Count a request and its time: its last byte has come."""
+        """Count a request as open and start its timeout: its last byte has been received."""
         self._metrics.open += 1
         request.timer = self._loop.call_later(request.time_remaining + OVERDUE_S, self._overdue, request)
 
@@ -68,17 +68,17 @@
             self._on_overdue(request)
 
     def discard_body(self, request: OpenRequest) -> None:
-        """Give the bytes of its body back."""
+        """Discard the body of a request and give its bytes back to the budget."""
         if request.body is not None:
             self._budget.release(len(request.body))
             request.body = None
 
     def finish(self, request: OpenRequest, result: RequestResult) -> None:
-        """End a request; the caller gives the answer, where one is due."""
+        """End a request; the caller sends the answer, if one is due."""
         request.done = True
         self.streaming.discard(request)
         self._metrics.open -= request.is_complete
-        # What never came whole was no request, unless its client is told to try again.
+        # An incomplete request is not counted, unless its client is told to retry.
         if request.is_complete or result == RequestResult.DROPPED:
             self._metrics.count(request.class_index, result)
         if request.timer is not None:
@@ -88,7 +88,7 @@
             self.release(request)
 
     def release(self, request: OpenRequest) -> None:
-        """Give back all that is held for a request that has ended, and whose attempts have."""
+        """Free all resources of a request that has ended and whose attempts have ended."""
         request.is_released = True
         self.discard_body(request)
         if request.upload is not None:
@@ -101,8 +101,8 @@
         self._released.append(request)
 
     def forget_released(self) -> None:
-        """Remove the requests that were released; to be called once the policy knows all of them."""
+        """Remove the released requests; called once the policy has handled all events on them."""
         for request in self._released:
             self.open.pop(request.id, None)
-            request.attempts.clear()  # request and attempts refer to each other
+            request.attempts.clear()  # breaks the reference cycle between request and attempts
         self._released.clear()
--- a/loadbalancer/proxy/response_streams.py
+++ b/loadbalancer/proxy/response_streams.py
@@ -1,4 +1,4 @@
-"""Answers that are passed on as they come: begun, ended, and cut off where nothing moves."""
+"""Starts and ends streamed answers, and finds those that have stalled."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ResponseStreams:
-    """The streams of one pool's answers. Each is owned by its request, and ends with it."""
+    """Manages the streamed answers of one pool; each stream is owned by its request and ends with it."""
 
     def __init__(self, table: RequestTable) -> None:
         self._table = table
@@ -24,7 +24,7 @@
         response: UpstreamResponse,
         producer: StreamProducer,
     ) -> Stream:
-        """Pass an answer on from here on; no other attempt's can be passed on any more."""
+        """Start to stream an answer; from now on no other attempt can answer the request."""
         request.streaming_attempt = attempt.number
         for timer in (attempt.timer, request.timer):
             if timer is not None:
@@ -39,7 +39,7 @@
         return stream
 
     def end(self, request: OpenRequest, result: AttemptResult) -> None:
-        """The attempt whose answer is passed on has ended, and with it the request."""
+        """End a request because the attempt that streams its answer has ended."""
         stream = request.stream
         assert stream is not None
         if result == AttemptResult.SERVED:
@@ -50,10 +50,10 @@
             stream.cut()
 
     def find_stalled(self, now: float) -> list[OpenRequest]:
-        """The requests on whose streams nothing has moved for too long; one that moves is never cut off.
+        """Return the requests whose streams have made no progress for longer than `STALL_S`.
 
         Args:
-            now: Monotonic seconds.
+            now: Monotonic time in seconds.
         """
         stalled = []
         for request in self._table.streaming:
