--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""What an ordinary client hears: every row of the table over sockets, repeats as the operator says, other protocols."""
+"""Answers to ordinary clients over sockets: final answers, configured retries, tunnels and headers."""
 
 from __future__ import annotations
 
@@ -40,33 +40,36 @@
 
 
 def run(scene: Scene) -> Any:
+    """Run a test coroutine with a time limit."""
+
     async def bounded() -> Any:
         return await asyncio.wait_for(scene(), 60)
 
     return asyncio.run(bounded())
 
 
-def error_in(head: bytes) -> str:
+def proxy_status_error(head: bytes) -> str:
+    """Return the error in the proxy's own Proxy-Status header; empty if there is none."""
     for line in head.split(b"\r\n"):
         if line.lower().startswith(b"proxy-status: " + PROXY_STATUS_NAME):
             return line.partition(b"error=")[2].decode()
     return ""
 
 
-def test_the_docs_hold_the_table() -> None:
+def test_the_documentation_contains_the_table() -> None:
     page = Path(__file__).parent.parent / "docs" / "operating" / "answers.md"
     assert document() in page.read_text()
 
 
-def test_every_row_is_one_way_to_end() -> None:
+def test_rows_of_the_table_are_unique_with_allowed_statuses() -> None:
     assert len({(row.rejected, row.last) for row in FINAL_ANSWER_RULES}) == len(FINAL_ANSWER_RULES)
     assert all(row.status in (0, 400, 502, 503, 504) for row in FINAL_ANSWER_RULES)
 
 
-# The table over sockets.
+# The table of final answers, over sockets.
 
 OK = answering(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-FULL = answering(b"HTTP/1.1 503 No\r\nX-No: 1\r\nContent-Length: 0\r\n\r\n")
+REFUSING = answering(b"HTTP/1.1 503 No\r\nX-No: 1\r\nContent-Length: 0\r\n\r\n")
 BUSY = answering(b"HTTP/1.1 503 Busy\r\nRetry-After: 9\r\nContent-Length: 4\r\n\r\nbusy")
 BROKEN = answering(b"HTTP/1.1 500 Oops\r\nContent-Length: 3\r\n\r\nown")
 SHORT = '[[class]]\nname = "c"\naim = "300ms"\ndeadline = "400ms"\nlate_share = 0.0\n'
@@ -82,20 +85,21 @@
 @pytest.mark.parametrize(
     "script, method, status, error, body",
     [
-        (FULL, "GET", 503, "connection_limit_reached", b""),
-        (FULL, "POST", 503, "connection_limit_reached", b""),
+        (REFUSING, "GET", 503, "connection_limit_reached", b""),
+        (REFUSING, "POST", 503, "connection_limit_reached", b""),
         (resetting, "GET", 503, "connection_terminated", b""),
         (resetting, "POST", 502, "connection_terminated", b""),
         (silent, "GET", 503, "http_response_timeout", b""),
         (silent, "POST", 504, "http_response_timeout", b""),
         (BUSY, "GET", 503, "", b"busy"),  # as the member worded it
-        (BUSY, "POST", 502, "http_response_incomplete", b""),  # theirs would promise that it has not run
+        # The member's 503 would promise that the request has not run.
+        (BUSY, "POST", 502, "http_response_incomplete", b""),
         (BROKEN, "GET", 500, "", b"own"),
         (BROKEN, "POST", 500, "", b"own"),
         (OK, "GET", 200, "", b"ok"),
     ],
 )
-def test_each_end_over_sockets(
+def test_the_final_answer_follows_the_result_of_the_attempt(
     tmp_path: Path, script: Any, method: str, status: int, error: str, body: bytes, front: str, upstream: str
 ) -> None:
     async def scene() -> None:
@@ -116,22 +120,22 @@
                 got, head, found = await client.read()
             else:
                 got, head, found = await here.ask(data)
-            assert (got, error_in(head), found) == (status, error, body)
-            if method == "POST" and script is not FULL:
-                assert len(member.calls) == 1  # what may have run goes nowhere else
+            assert (got, proxy_status_error(head), found) == (status, error, body)
+            if method == "POST" and script is not REFUSING:
+                assert len(member.calls) == 1  # a request that may have run is not retried
             if script is BUSY and method == "GET":
                 assert b"Retry-After: 9" in head
 
     run(scene)
 
 
-def test_no_connection_no_member_and_a_fronts_own_answers_name_themselves(tmp_path: Path) -> None:
+def test_the_proxys_own_answers_state_their_error(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", OK)
         keys = ('host = "shop.test"',)
         async with ground(tmp_path, [member], lambda: text([member], keys=keys)) as here:
             await member.stop()
-            assert error_in((await here.ask(requests_to()))[1]) == "connection_refused"
+            assert proxy_status_error((await here.ask(requests_to()))[1]) == "connection_refused"
             for data, status in (
                 (b"GET / HTTP/1.1\r\nHost: else.test\r\n\r\n", 404),
                 (b"GET / HTTP/1.1\r\n\r\n", 400),
@@ -140,15 +144,15 @@
                 (b"CONNECT a:1 HTTP/1.1\r\nHost: a:1\r\n\r\n", 501),
             ):
                 got, head, _ = await here.ask(data)
-                assert got in (status, 400) and error_in(head) == FRONTEND_ERRORS[got], data
+                assert got in (status, 400) and proxy_status_error(head) == FRONTEND_ERRORS[got], data
             here.write(text([member], keys=keys).replace('id = "m"', 'id = "m"\nstate = "draining"'))
             await here.reload()
-            assert error_in((await here.ask(requests_to()))[1]) == "destination_unavailable"
+            assert proxy_status_error((await here.ask(requests_to()))[1]) == "destination_unavailable"
 
     run(scene)
 
 
-def test_the_best_of_several_goes_out(tmp_path: Path) -> None:
+def test_a_kept_error_answer_is_preferred_to_the_proxys_own(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [
             ScriptedBackend("a", BUSY),
@@ -156,25 +160,27 @@
             ScriptedBackend("c", resetting),
         ]
         async with ground(tmp_path, members, lambda: text(members)) as here:
-            seen = set()
+            answers = set()
             for _ in range(6):
                 status, _, body = await here.ask(requests_to())
-                seen.add((status, body))
-            assert seen <= {(503, b"busy"), (503, b"")} and (503, b"busy") in seen
+                answers.add((status, body))
+            assert answers <= {(503, b"busy"), (503, b"")} and (503, b"busy") in answers
 
     run(scene)
 
 
-def test_a_500_is_an_answer_and_counts_against_the_member(tmp_path: Path) -> None:
+def test_a_500_is_not_retried_and_counts_against_the_member(tmp_path: Path) -> None:
     async def scene() -> None:
-        sick, well = Member("sick"), Member("well")
-        sick.behaviour.status = 500
-        more = 'limits = { connect_timeout = "20s" }'  # a busy machine may keep either waiting for long
-        patient = SHORT.replace("300ms", "20s").replace("400ms", "40s")
-        async with ground(tmp_path, [sick, well], lambda: text([sick, well], more, cls=patient)) as here:
+        failing, healthy = Member("sick"), Member("well")
+        failing.behaviour.status = 500
+        more = 'limits = { connect_timeout = "20s" }'  # a busy machine may delay both members
+        long_deadline = SHORT.replace("300ms", "20s").replace("400ms", "40s")
+        async with ground(
+            tmp_path, [failing, healthy], lambda: text([failing, healthy], more, cls=long_deadline)
+        ) as here:
             statuses = [(await here.ask(requests_to()))[0] for _ in range(60)]
-            assert sick.counts.requests + well.counts.requests == 60  # none was sent twice
-            assert statuses.count(500) == sick.counts.requests < 25
+            assert failing.counts.requests + healthy.counts.requests == 60  # none was sent twice
+            assert statuses.count(500) == failing.counts.requests < 25
 
     run(scene)
 
@@ -182,7 +188,7 @@
 @pytest.mark.parametrize(
     "on, calls", [('["500"]', 3), ('["502"]', 1), ('["connect"]', 1), ("[]", 1), ('["500", "reset"]', 3)]
 )
-def test_repeats_as_the_operator_says(tmp_path: Path, on: str, calls: int) -> None:
+def test_retries_follow_the_configured_causes(tmp_path: Path, on: str, calls: int) -> None:
     async def scene() -> None:
         members = [ScriptedBackend(name, BROKEN) for name in "abc"]
         more = f"repeats = {{ on = {on}, share = 1.0 }}"
@@ -193,7 +199,7 @@
     run(scene)
 
 
-def test_nothing_that_an_operator_says_sends_an_unsafe_request_twice(tmp_path: Path) -> None:
+def test_no_configured_cause_retries_an_unsafe_request(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [ScriptedBackend(name, resetting) for name in "abc"]
         more = 'repeats = { on = ["connect", "reset", "timeout", "500"], share = 1.0 }'
@@ -205,20 +211,20 @@
 
 
 @pytest.mark.parametrize(
-    "pools, own, calls",
+    "pool_repeats, route_repeats, calls",
     [
         ('on = ["reset"]', 'repeat_on = ["connect"]', 1),
         ("on = []", 'repeat_on = ["reset"]', 3),
         ('on = ["reset"]', "", 3),
     ],
 )
-def test_a_routes_causes_stand_in_place_of_its_pools(
-    tmp_path: Path, pools: str, own: str, calls: int
+def test_the_causes_of_a_route_override_those_of_its_pool(
+    tmp_path: Path, pool_repeats: str, route_repeats: str, calls: int
 ) -> None:
     async def scene() -> None:
         members = [ScriptedBackend(name, resetting) for name in "abc"]
-        keys = (own,) if own else ()
-        more = f"repeats = {{ {pools}, share = 1.0 }}"
+        keys = (route_repeats,) if route_repeats else ()
+        more = f"repeats = {{ {pool_repeats}, share = 1.0 }}"
         async with ground(tmp_path, members, lambda: text(members, more, keys=keys)) as here:
             assert (await here.ask(requests_to()))[0] == 503
             assert sum(len(member.calls) for member in members) == calls
@@ -226,19 +232,19 @@
     run(scene)
 
 
-AGAIN = answering(b"HTTP/1.1 500 Oops\r\nX-Again: 1\r\nContent-Length: 3\r\n\r\nown")
-NOT_AGAIN = answering(b"HTTP/1.1 503 Busy\r\nX-Again: 0\r\nContent-Length: 4\r\n\r\nbusy")
+RETRY_REQUESTED = answering(b"HTTP/1.1 500 Oops\r\nX-Again: 1\r\nContent-Length: 3\r\n\r\nown")
+RETRY_DECLINED = answering(b"HTTP/1.1 503 Busy\r\nX-Again: 0\r\nContent-Length: 4\r\n\r\nbusy")
 
 
 @pytest.mark.parametrize("upstream", ["http/1.1", "fastcgi"])
 @pytest.mark.parametrize(
     "script, method, calls, status",
-    [(AGAIN, "GET", 3, 500), (NOT_AGAIN, "GET", 1, 503), (AGAIN, "POST", 1, 500)],
+    [(RETRY_REQUESTED, "GET", 3, 500), (RETRY_DECLINED, "GET", 1, 503), (RETRY_REQUESTED, "POST", 1, 500)],
 )
-def test_a_member_asks_for_another_attempt(
+def test_a_header_of_the_member_requests_or_declines_a_retry(
     tmp_path: Path, script: Any, method: str, calls: int, status: int, upstream: str
 ) -> None:
-    """Its header is no business of clients, and makes no unsafe request go twice."""
+    """The member's header is not passed on to clients, and causes no retry of an unsafe request."""
 
     async def scene() -> None:
         members = [ScriptedBackend(name, script) for name in "abc"]
@@ -254,39 +260,43 @@
     run(scene)
 
 
-def test_a_copy_goes_out_after_the_time_that_a_share_of_answers_takes() -> None:
-    """The quantile follows a class's answers, also those that copies cut short, and no other class's."""
-    b = module(hedging=True, hedge_quantile=0.9, hedge_delay=0.3, retry_budget_ratio=1.0)
+def test_the_hedge_delay_follows_the_quantile_of_answer_times() -> None:
+    """The hedge delay follows the quantile of its own class's answer times, including those that a hedge cut short."""
+    balancer = make_policy(hedging=True, hedge_quantile=0.9, hedge_delay=0.3, retry_budget_ratio=1.0)
     now, number, draws = 101.0, 0, random.Random(5)
 
-    def ask() -> tuple[float, str]:
+    def send_request() -> tuple[float, str]:
         nonlocal now, number
         now, number = now + 0.01, number + 1
-        actions = b.handle(now, [Request(number, 0, 4.0)])
+        actions = balancer.handle(now, [Request(number, 0, 4.0)])
         server = next(a.endpoint for a in actions if isinstance(a, Send))
         return next(a.delay for a in actions if isinstance(a, SetTimer)), server
 
-    assert ask()[0] == 0.3  # as the settings say, while nothing is known
-    b.handle(now, [ClientCancelled(number)])
+    assert send_request()[0] == 0.3  # the configured delay, without measurements
+    balancer.handle(now, [ClientCancelled(number)])
     for _ in range(4000):
-        _, server = ask()
+        _, server = send_request()
         took = draws.uniform(0.0, 0.1)
-        b.handle(now + took, [Outcome(number, 0, server, AttemptResult.SERVED, took, True)])
-    assert 0.08 < ask()[0] < 0.1
-    b.handle(now, [ClientCancelled(number)])
-    for _ in range(400):  # now all take longer, and are seen no longer than until the copy has answered
-        after, first = ask()
-        copies = b.handle(now + after, [TimerFired(number + 1)])
-        second = next((a.endpoint for a in copies if isinstance(a, Send)), None)
-        if second is None:  # no budget for this one
-            b.handle(now + 0.2, [Outcome(number, 0, first, AttemptResult.SERVED, 0.2, True)])
+        balancer.handle(now + took, [Outcome(number, 0, server, AttemptResult.SERVED, took, True)])
+    assert 0.08 < send_request()[0] < 0.1
+    balancer.handle(now, [ClientCancelled(number)])
+    for _ in range(400):  # now all take longer, but are measured only until the hedge has answered
+        hedge_delay, first = send_request()
+        hedges = balancer.handle(now + hedge_delay, [TimerFired(number + 1)])
+        second = next((a.endpoint for a in hedges if isinstance(a, Send)), None)
+        if second is None:  # no retry budget for this request
+            balancer.handle(now + 0.2, [Outcome(number, 0, first, AttemptResult.SERVED, 0.2, True)])
             continue
-        b.handle(now + after + 0.01, [Outcome(number, 1, second, AttemptResult.SERVED, 0.01, True)])
-        b.handle(now + after + 0.01, [Outcome(number, 0, first, AttemptResult.CANCELLED, after + 0.01)])
-    assert ask()[0] > 0.15
+        balancer.handle(
+            now + hedge_delay + 0.01, [Outcome(number, 1, second, AttemptResult.SERVED, 0.01, True)]
+        )
+        balancer.handle(
+            now + hedge_delay + 0.01, [Outcome(number, 0, first, AttemptResult.CANCELLED, hedge_delay + 0.01)]
+        )
+    assert send_request()[0] > 0.15
 
 
-def test_a_route_may_allow_fewer_attempts(tmp_path: Path) -> None:
+def test_a_route_can_lower_the_number_of_attempts(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [ScriptedBackend(name, resetting) for name in "abc"]
         async with ground(tmp_path, members, lambda: text(members, keys=("attempts = 2",))) as here:
@@ -304,31 +314,31 @@
      ('attempt_time = "0s"', "a time over 0"),
      ("share = 1.5", "share")],
 )  # fmt: skip
-def test_repeats_that_can_not_be_are_errors(tmp_path: Path, line: str, words: str) -> None:
+def test_invalid_repeats_settings_are_config_errors(tmp_path: Path, line: str, words: str) -> None:
     member = Member("m")
     member.address = "127.0.0.1:9"
     path = tmp_path / "c.toml"
     path.write_text(text([member], f"repeats = {{ {line} }}"))
-    with pytest.raises(ConfigError) as caught:
+    with pytest.raises(ConfigError) as raised:
         load(path)
-    assert words in str(caught.value)
+    assert words in str(raised.value)
 
 
-def module(**limits: Any) -> Balancer:
+def make_policy(**limits: Any) -> Balancer:
     return make_balancer(
         EndpointEntry("a"), EndpointEntry("b"), limits=PolicyLimits(max_attempts=3, **limits)
     )
 
 
-def test_the_module_heeds_a_share_of_none_a_time_of_one_attempt_and_silence() -> None:
-    b = module(retry_budget_ratio=0.0, attempt_timeout=0.2)
-    b.retry_policy.tokens = 0.0
-    sent = b.handle(101.0, [Request(1, 0, 4.0)])
+def test_the_policy_applies_retry_budget_attempt_timeout_and_hedge_delay() -> None:
+    balancer = make_policy(retry_budget_ratio=0.0, attempt_timeout=0.2)
+    balancer.retry_policy.tokens = 0.0
+    sent = balancer.handle(101.0, [Request(1, 0, 4.0)])
     assert [a.timeout for a in sent if isinstance(a, Send)] == [0.2]
     server = next(a.endpoint for a in sent if isinstance(a, Send))
-    assert Reject(1) in b.handle(101.1, [Outcome(1, 0, server, AttemptResult.RESET, 0.1)])
-    b = module(hedging=True, hedge_delay=0.05)
-    timers = [a for a in b.handle(101.0, [Request(1, 0, 4.0)]) if isinstance(a, SetTimer)]
+    assert Reject(1) in balancer.handle(101.1, [Outcome(1, 0, server, AttemptResult.RESET, 0.1)])
+    balancer = make_policy(hedging=True, hedge_delay=0.05)
+    timers = [a for a in balancer.handle(101.0, [Request(1, 0, 4.0)]) if isinstance(a, SetTimer)]
     assert [round(t.delay, 3) for t in timers] == [0.05]
 
 
@@ -343,7 +353,7 @@
 
 
 async def echo(call: Call) -> None:
-    """Goes over, and says back what it hears until the end."""
+    """Accept the upgrade, and echo everything received until the end of the stream."""
     await call.say(SWITCH + b"early")
     while data := await call.reader.read(1 << 16):
         await call.say(data)
@@ -358,7 +368,7 @@
     return here.daemon.pools["p"].proxy.tunnels
 
 
-def test_bytes_go_both_ways_also_those_behind_the_heads(tmp_path: Path) -> None:
+def test_a_tunnel_forwards_bytes_both_ways_including_those_sent_with_the_heads(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", echo)
         async with ground(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
@@ -391,14 +401,12 @@
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", 200),
         (b"HTTP/1.1 426 Upgrade Required\r\nContent-Length: 0\r\n\r\n", 426),
-        (
-            b"HTTP/1.1 101 Over\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n",
-            503,
-        ),  # not what was asked for
+        # Not the requested protocol.
+        (b"HTTP/1.1 101 Over\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n", 503),
         (b"HTTP/1.1 101 Over\r\n\r\n", 503),
     ],
 )
-def test_a_member_that_does_not_go_over(tmp_path: Path, answer: bytes, status: int) -> None:
+def test_a_member_that_declines_the_upgrade(tmp_path: Path, answer: bytes, status: int) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", answering(answer))
         async with ground(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
@@ -407,7 +415,7 @@
             assert (await client.read())[0] == status
             await client.send(UPGRADE + b"GET /hidden HTTP/1.1\r\nHost: shop.test\r\n\r\n")
             assert (await client.read())[0] == status
-            assert await client.ended() == b""  # what came ahead of the answer is read by nobody
+            assert await client.ended() == b""  # bytes sent before the answer are not interpreted as requests
             assert not any(b"/hidden" in call.head for call in member.calls) and not tunnels(here).open
 
     run(scene)
@@ -418,7 +426,7 @@
     [UPGRADE.replace(b"WebSocket", b"h2c"), UPGRADE.replace(b"GET", b"HEAD"), UPGRADE.replace(b", Upgrade", b""),
      requests_to("/chat")],
 )  # fmt: skip
-def test_a_101_that_nobody_asked_for_is_no_answer(tmp_path: Path, request_: bytes) -> None:
+def test_a_101_without_an_upgrade_request_is_rejected(tmp_path: Path, request_: bytes) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", answering(SWITCH + b"bytes behind it"))
         async with ground(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
@@ -430,7 +438,7 @@
     run(scene)
 
 
-def test_one_member_refuses_and_the_next_goes_over(tmp_path: Path) -> None:
+def test_an_upgrade_is_retried_on_the_next_member(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [ScriptedBackend("a", resetting), ScriptedBackend("b", echo)]
         async with ground(tmp_path, members, lambda: text(members, keys=ALLOWED)) as here:
@@ -443,7 +451,9 @@
     run(scene)
 
 
-def test_a_client_that_never_reads_is_held_and_then_ended(tmp_path: Path) -> None:
+def test_backpressure_limits_a_tunnel_to_a_client_that_does_not_read_until_idle_timeout(
+    tmp_path: Path,
+) -> None:
     async def scene() -> None:
         async def flood(call: Call) -> None:
             await call.say(SWITCH)
@@ -463,15 +473,15 @@
     run(scene)
 
 
-def test_a_reload_a_drain_and_an_end_tell_tunnels_and_give_them_their_grace(tmp_path: Path) -> None:
+def test_tunnels_are_drained_on_reload_cordon_and_shutdown(tmp_path: Path) -> None:
     async def scene() -> None:
-        a, b = ScriptedBackend("a", echo), ScriptedBackend("b", echo)
+        member_a, member_b = ScriptedBackend("a", echo), ScriptedBackend("b", echo)
         grace = 'tunnels = { grace = "50ms" }'
 
         def both() -> str:
-            return text([a, b], grace, keys=ALLOWED)
+            return text([member_a, member_b], grace, keys=ALLOWED)
 
-        async with ground(tmp_path, [a, b], both) as here:
+        async with ground(tmp_path, [member_a, member_b], both) as here:
             clients = []
             for _ in range(40):
                 client = await here.connect()
@@ -479,8 +489,8 @@
                 assert (await head_of(client)).startswith(b"HTTP/1.1 101 ")
                 clients.append(client)
             before = tunnels(here)
-            mine = {t.endpoint for t in before.open}
-            assert mine == {"a", "b"}
+            connected = {t.endpoint for t in before.open}
+            assert connected == {"a", "b"}
             await here.reload(both().replace('id = "a"', 'id = "a"\nstate = "draining"'))
             await here.until(lambda: {t.endpoint for t in before.open} == {"b"})
             here.daemon.pools["p"].proxy.cordon("b", True)
@@ -498,7 +508,7 @@
     run(scene)
 
 
-def test_past_the_most_no_further_one_is_begun(tmp_path: Path) -> None:
+def test_no_tunnel_is_opened_beyond_the_limit(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", echo)
         more = "tunnels = { most = 1 }"
@@ -515,72 +525,72 @@
 
 class FakeEnd:
     def __init__(self) -> None:
-        self.said: list[Any] = []
+        self.calls: list[Any] = []
 
     def send(self, data: bytes) -> None:
-        self.said.append(data)
+        self.calls.append(data)
 
     def hold(self, on: bool) -> None:
-        self.said.append(on)
+        self.calls.append(on)
 
     def finish(self) -> None:
-        self.said.append("finish")
+        self.calls.append("finish")
 
     def shut(self) -> None:
-        self.said.append("shut")
+        self.calls.append("shut")
 
     def abort(self) -> None:
-        self.said.append("abort")
+        self.calls.append("abort")
 
 
-def test_the_times_of_a_tunnel() -> None:
+def test_a_tunnel_ends_after_its_lifetime_or_drain_timeout() -> None:
     now = [0.0]
-    those = Tunnels(
+    tunnels_ = Tunnels(
         TunnelLimits(max_open=3, idle_timeout=10.0, max_lifetime=25.0, drain_timeout=5.0), lambda: now[0]
     )
     client, member = FakeEnd(), FakeEnd()
-    tunnel = those.open_tunnel("a", client, member)
+    tunnel = tunnels_.open_tunnel("a", client, member)
     for second in range(0, 25, 8):
         now[0] = float(second)
         tunnel.from_client(b"x")
-        those.sweep()
-    assert those.open
+        tunnels_.sweep()
+    assert tunnels_.open
     now[0] = 25.5
-    those.sweep()  # its life is over, though it moves
-    assert not those.open and client.said[-1] == member.said[-1] == "abort"
+    tunnels_.sweep()  # its maximum lifetime has passed, though it is not idle
+    assert not tunnels_.open and client.calls[-1] == member.calls[-1] == "abort"
     tunnel.from_endpoint(b"late")
     tunnel.close()
-    assert client.said.count("abort") == 1 and b"late" not in client.said
-    other = those.open_tunnel("b", client, member)
-    those.drain_endpoints({"a"})
+    assert client.calls.count("abort") == 1 and b"late" not in client.calls
+    other = tunnels_.open_tunnel("b", client, member)
+    tunnels_.drain_endpoints({"a"})
     now[0] += 6.0
-    those.sweep()
-    assert those.open == {other}
-    those.drain_endpoints({"b"})
+    tunnels_.sweep()
+    assert tunnels_.open == {other}
+    tunnels_.drain_endpoints({"b"})
     now[0] += 4.0
     other.from_client(b"still")
-    those.sweep()
-    assert those.open
+    tunnels_.sweep()
+    assert tunnels_.open
     now[0] += 2.0
-    those.sweep()
-    assert not those.open and not those.is_retired
-    those.retire()
-    assert not those.has_room()
+    tunnels_.sweep()
+    assert not tunnels_.open and not tunnels_.is_retired
+    tunnels_.retire()
+    assert not tunnels_.has_room()
 
 
-# What passes each way.
+# Headers and bodies in both directions.
 
 HEAD_OK = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nETag: x\r\n\r\n"
 PASSES = [
-    # request, what the member must have seen, what it must not; its answer; what the client must see, and must not
+    # description, request, expected and forbidden at the member; its answer; expected and forbidden at the client
     ("RFC 9110 9.3.2 HEAD", requests_to("/", "HEAD"), [b"HEAD / "], [], HEAD_OK,
      [b"Content-Length: 5\r\n", b"ETag: x"], []),
     ("RFC 9110 15.3.5 204 has no body and no length", requests_to(), [], [],
      b"HTTP/1.1 204 No Content\r\nX-A: 1\r\n\r\n", [b" 204 ", b"X-A: 1"], [b"Content-Length", b"Transfer-Encoding"]),
-    ("RFC 9110 15.4.5 304 states a length of nothing", requests_to("/", "GET", b"", "If-None-Match: x"),
+    ("RFC 9110 15.4.5 304 keeps its length without a body", requests_to("/", "GET", b"", "If-None-Match: x"),
      [b"If-None-Match: x"], [], b"HTTP/1.1 304 Not Modified\r\nETag: x\r\nContent-Length: 9\r\n\r\n",
      [b" 304 ", b"ETag: x", b"Content-Length: 9"], []),
-    ("RFC 9110 15.2 an interim answer is not the answer", requests_to(), [], [],
+    ("RFC 9110 15.2 an interim answer is not the final answer", requests_to(), [], [],
      b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
      [b" 200 "], [b"103", b"Link"]),
     ("RFC 9110 7.6.1 headers that Connection names, of a request",
@@ -592,10 +602,10 @@
     ("RFC 9110 7.6.3 Via, RFC 7239 Forwarded", requests_to("/", "GET", b"", "Forwarded: for=1.2.3.4"),
      [b"Via: 1.1 micastand", b"Forwarded: for=127.0.0.1;host=\"shop.test\";proto=http", b"X-Forwarded-For: 127.0.0.1"],
      [b"1.2.3.4"], b"HTTP/1.1 200 OK\r\nVia: 1.0 theirs\r\nContent-Length: 2\r\n\r\nok", [b"Via: 1.0 theirs"], []),
-    ("RFC 9110 10.1.1 Expect is between client and proxy",
+    ("RFC 9110 10.1.1 Expect is handled by the proxy",
      b"POST / HTTP/1.1\r\nHost: shop.test\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\nx", [b"\r\n\r\n"],
      [b"Expect"], b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", [b" 100 "], []),
-    ("RFC 9110 6.5 trailers end here",
+    ("RFC 9110 6.5 trailers are not forwarded",
      b"POST / HTTP/1.1\r\nHost: shop.test\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Trail: 1\r\n\r\n",
      [b"Content-Length: 1"], [b"X-Trail", b"Transfer-Encoding"],
      b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Trail: 2\r\n\r\n",
@@ -606,17 +616,19 @@
 
 
 @pytest.mark.parametrize(
-    "what, data, sees, hides, answer, hears, not_hears", PASSES, ids=[row[0] for row in PASSES]
+    "description, data, at_member, not_at_member, answer, at_client, not_at_client",
+    PASSES,
+    ids=[row[0] for row in PASSES],
 )
-def test_what_passes_each_way(
+def test_headers_and_bodies_are_passed_on_as_the_rfcs_require(
     tmp_path: Path,
-    what: str,
+    description: str,
     data: bytes,
-    sees: list[bytes],
-    hides: list[bytes],
+    at_member: list[bytes],
+    not_at_member: list[bytes],
     answer: bytes,
-    hears: list[bytes],
-    not_hears: list[bytes],
+    at_client: list[bytes],
+    not_at_client: list[bytes],
 ) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", answering(answer))
@@ -624,20 +636,20 @@
             client = await here.connect()
             await client.send(data)
             head = await head_of(client)
-            seen = (await member.until_called()).head
-            for part in sees:
-                assert part in seen, (what, seen)
-            for part in hides:
-                assert part.lower() not in seen.lower(), (what, seen)
-            for part in hears:
-                assert part in head, (what, head)
-            for part in not_hears:
-                assert part not in head, (what, head)
+            received = (await member.until_called()).head
+            for part in at_member:
+                assert part in received, (description, received)
+            for part in not_at_member:
+                assert part.lower() not in received.lower(), (description, received)
+            for part in at_client:
+                assert part in head, (description, head)
+            for part in not_at_client:
+                assert part not in head, (description, head)
 
     run(scene)
 
 
-def test_an_error_of_5_mb_whose_time_is_up_is_cut_where_the_client_can_tell(tmp_path: Path) -> None:
+def test_an_incomplete_5_mb_error_answer_becomes_the_proxys_own_error(tmp_path: Path) -> None:
     async def scene() -> None:
         async def slow(call: Call) -> None:
             await call.say(b"HTTP/1.1 500 Oops\r\nContent-Length: 5242880\r\n\r\n" + b"x" * 1000)
@@ -647,19 +659,20 @@
         more = 'limits = { answer_stream = "8MiB" }'
         async with ground(tmp_path, [member], lambda: text([member], more)) as here:
             status, head, body = await here.ask(requests_to())
-            assert status in (502, 503, 504) and error_in(head) and not body  # nothing of it went out
+            # Nothing of the member's answer was passed on.
+            assert status in (502, 503, 504) and proxy_status_error(head) and not body
             assert here.daemon.pools["p"].proxy.upstreams.open == 0
 
     run(scene)
 
 
-def test_a_503_to_a_keyed_request_whose_first_attempt_may_have_run_promises_nothing(tmp_path: Path) -> None:
+def test_a_keyed_request_that_may_have_run_gets_502_instead_of_503(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [ScriptedBackend("a", resetting, BUSY), ScriptedBackend("b", resetting, BUSY)]
         keyed = SHORT + 'effect = "keyed"\ndedup_scope = "cell"\ndedup_window = "1s"\n'
         async with ground(tmp_path, members, lambda: text(members, cls=keyed)) as here:
             status, head, body = await here.ask(requests_to("/", "POST", b"x", "Idempotency-Key: k"))
-            assert (status, body) == (502, b"") and error_in(head)
+            assert (status, body) == (502, b"") and proxy_status_error(head)
             assert 1 <= sum(len(member.calls) for member in members) <= 3
 
     run(scene)
--- a/tests/test_combinations.py
+++ b/tests/test_combinations.py
@@ -1,6 +1,6 @@
-"""The HTTP suite in all four combinations of what clients and members speak, and the same counts in each.
+"""Runs the HTTP tests in all four combinations of client and member protocol, and compares the counts of answers.
 
-A test is taken in unless it is of the bytes of HTTP itself (`BYTES_OF_HTTP`, with what makes it so).
+Tests that depend on the bytes of HTTP itself are left out; `BYTES_OF_HTTP` lists them with the reason.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     (front, upstream) for front in ("http/1.1", "fastcgi") for upstream in ("http/1.1", "fastcgi")
 ]
 
-#: Tests that are of HTTP alone, and why.
+#: Tests that apply to HTTP only, with the reason.
 BYTES_OF_HTTP = {
     "test_bad_input_is_answered_and_goes_no_further": "malformed heads; FastCGI's own are in test_fastcgi.py",
     "test_a_head_byte_by_byte_and_a_body_in_pieces": "bytes of a head",
@@ -30,7 +30,7 @@
     "test_pipelined_requests_are_answered_in_order": "FastCGI multiplexes instead",
     "test_a_pipelining_flood_is_cut_short": "FastCGI multiplexes instead",
     "test_an_answer_that_ends_with_its_connection_is_whole": "a FastCGI answer ends with its END_REQUEST",
-    "test_each_end_of_an_attempt_is_told_as_its_result['a reset without a length']": "the same",
+    "test_each_end_of_an_attempt_is_told_as_its_result['a reset without a length']": "as above",
     "test_an_abandoned_upload_leaves_nothing_behind": "half a message",
     "test_a_request_that_never_ends_is_answered_408": "half a message",
     "test_a_connection_that_says_nothing_is_closed_and_one_that_has_asked_stays": "a limit patched in http1",
@@ -43,14 +43,14 @@
     "test_old_clients_are_answered_and_closed": "HTTP/1.0",
     "test_sigterm_with_requests_held_and_new_ones_arriving": "Connection: close",
     "test_an_idle_connection_with_an_unread_request_is_not_closed": "bytes in the kernel",
-    "test_hundreds_at_once_are_all_served": "hangs on the machine's speed: the translating peers are slow ones",
+    "test_hundreds_at_once_are_all_served": "depends on the machine's speed: the translating peers are slow",
     "test_a_break_before_the_last_byte_is_written_is_no_connection": "the opposite holds for FastCGI",
     "test_an_answer_without_end_is_spoilt_and_the_request_goes_again": "framing of answers",
     "test_what_comes_right_behind_an_answer_is_not_the_next_one": "bytes behind an answer",
 }
-#: Tests whose draws and order hang on time: only how many answers there are is the same.
+#: Tests with results that depend on timing: only the total number of answers is compared.
 BY_CHANCE = {"test_nothing_is_left_after_a_busy_time"}
-#: Rows of a test that can't be said in FastCGI.
+#: Parameters of tests that can't be expressed in FastCGI.
 ROWS_OF_HTTP = {
     "served in fragments", "served in chunks", "served after interim answers", "an end without a length", "not HTTP",
     "an upgrade", "an endless head", "an end within the answer",
@@ -58,34 +58,36 @@
 
 
 def scenes() -> Iterator[tuple[str, Callable[..., None], dict[str, Any]]]:
-    """Every test of the two modules that is not of HTTP's bytes, with its parameters."""
+    """Yield every test of the two modules that is not HTTP only: its name, its function and its parameters."""
     for module in (test_backends, test_clients):
         for name, test in vars(module).items():
             if not name.startswith("test_") or name in BYTES_OF_HTTP or not callable(test):
                 continue
-            marks = [mark for mark in getattr(test, "pytestmark", []) if mark.name == "parametrize"]
-            if not marks:
+            parametrizations = [
+                mark for mark in getattr(test, "pytestmark", []) if mark.name == "parametrize"
+            ]
+            if not parametrizations:
                 yield name, test, {}
                 continue
-            names, values = marks[0].args[:2]
+            names, values = parametrizations[0].args[:2]
             keys = [key.strip() for key in names.split(",")] if isinstance(names, str) else list(names)
             for value in values:
                 if value not in ROWS_OF_HTTP if isinstance(value, str) else True:
-                    each = (value,) if len(keys) == 1 else value
-                    yield f"{name}[{value!r}]", test, dict(zip(keys, each, strict=True))
+                    row = (value,) if len(keys) == 1 else value
+                    yield f"{name}[{value!r}]", test, dict(zip(keys, row, strict=True))
 
 
 SCENES = list(scenes())
 
 
 def run(test: Callable[..., None], arguments: dict[str, Any], front: str, upstream: str) -> Counter[str]:
-    """Play a test in one combination; what its answers and effects came to."""
+    """Run a test in one combination; return the counts of its answers and effects."""
     TALLY.clear()
     peers.COMBINATION[:] = [front, upstream]
     with pytest.MonkeyPatch.context() as patch:
-        wanted = inspect.signature(test).parameters
+        parameters = inspect.signature(test).parameters
         try:
-            test(**arguments, **({"monkeypatch": patch} if "monkeypatch" in wanted else {}))
+            test(**arguments, **({"monkeypatch": patch} if "monkeypatch" in parameters else {}))
         finally:
             peers.COMBINATION[:] = ["http/1.1", "http/1.1"]
     return Counter(TALLY)
@@ -103,8 +105,8 @@
 
 
 def main() -> None:
-    """The table of the docs: `PYTHONPATH=.:tests python -m test_combinations`."""
-    connections.REST_S = 0.0  # as conftest.py has it
+    """Print the table of the documentation: `PYTHONPATH=.:tests python -m test_combinations`."""
+    connections.REST_S = 0.0  # as in conftest.py
     for combination in COMBINATIONS:
         total: Counter[str] = Counter()
         for _, test, arguments in SCENES:
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -1,4 +1,4 @@
-"""Ordinary clients: what goes to a member, and what comes back, over sockets."""
+"""Proxying for ordinary HTTP clients over sockets: requests as members get them, answers as clients get them."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     return LISTENER + (routes or route("all", "web")) + pool("web", backends, *more)
 
 
-def seen(backend: ScriptedBackend, number: int = 0) -> tuple[str, dict[str, str]]:
-    """Request line and headers that a member got; names in lower case."""
+def received_request(backend: ScriptedBackend, number: int = 0) -> tuple[str, dict[str, str]]:
+    """Return the request line and the headers that a member got; names in lower case."""
     line, *rest = backend.calls[number].head.decode("latin-1").rstrip("\r\n").split("\r\n")
     headers: dict[str, str] = {}
     for item in rest:
@@ -28,7 +28,7 @@
     return line, headers
 
 
-def forget(*backends: ScriptedBackend) -> None:
+def clear_calls(*backends: ScriptedBackend) -> None:
     for backend in backends:
         backend.calls.clear()
 
@@ -36,15 +36,15 @@
 @pytest.mark.parametrize(
     "status", [200, 201, 203, 206, 301, 302, 400, 401, 403, 404, 409, 410, 418, 429, 451]
 )
-def test_any_whole_answer_under_500_is_served_as_it_came(status: int, tmp_path: Path) -> None:
+def test_a_complete_answer_below_500_is_passed_on_unchanged(status: int, tmp_path: Path) -> None:
     lines = b"X-Own: a\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n"
     answer = b"HTTP/1.1 %d Its Reason\r\n" + lines + b"Content-Length: 4\r\n\r\nbody"
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer % status))
         async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
-            got, head, body = await here.ask(requests_to())
-            assert (got, body) == (status, b"body")
+            got_status, head, body = await here.ask(requests_to())
+            assert (got_status, body) == (status, b"body")
             assert head.startswith(b"HTTP/1.1 %d Its Reason\r\n" % status)
             assert head.count(b"Set-Cookie") == 2 and b"X-Own: a" in head
             assert len(backend.calls) == 1
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("status", [204, 304])
-def test_answers_without_a_body_are_framed_so(status: int, tmp_path: Path) -> None:
+def test_a_204_or_304_is_framed_without_a_body(status: int, tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend(
             "s", answering(b"HTTP/1.1 %d No\r\nETag: x\r\n\r\n" % status), answering(GOOD)
@@ -64,13 +64,13 @@
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
             assert head.startswith(b"HTTP/1.1 %d" % status) and b"ETag: x" in head
             assert b"ength" not in head  # a 204 must not state one (RFC 9110, 8.6)
-            assert (await client.read())[2] == b"hi"  # and the next answer stands right behind
+            assert (await client.read())[2] == b"hi"  # the next answer follows directly
             assert backend.connections == 1
 
     play(scene)
 
 
-def test_a_304_may_state_the_length_that_it_stands_for(tmp_path: Path) -> None:
+def test_a_304_keeps_its_content_length(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(b"HTTP/1.1 304 Not\r\nContent-Length: 700\r\n\r\n"))
         async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
@@ -87,7 +87,7 @@
     [b"HTTP/1.1 200 OK\r\nContent-Length: 5000000000\r\n\r\n",
      b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"],
 )  # fmt: skip
-def test_head_gets_a_head_alone_and_the_connection_is_kept(answer: bytes, tmp_path: Path) -> None:
+def test_an_answer_to_head_has_no_body_and_keeps_the_connection(answer: bytes, tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer), answering(GOOD))
         async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
@@ -103,7 +103,7 @@
     play(scene)
 
 
-def test_a_body_behind_the_answer_to_head_reaches_nobody(tmp_path: Path) -> None:
+def test_a_body_after_an_answer_to_head_is_discarded_with_its_connection(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
         async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
@@ -112,12 +112,12 @@
             await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
             await client.send(requests_to())
             assert (await client.read())[2] == b"hi"
-            assert backend.connections == 2  # what stood behind the head made the first one useless
+            assert backend.connections == 2  # the bytes after the head made the first connection unusable
 
     play(scene)
 
 
-def test_refused_head_requests_are_framed_without_a_body(tmp_path: Path) -> None:
+def test_rejected_head_requests_are_framed_without_a_body(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD), state="stopped")
 
@@ -134,7 +134,7 @@
     play(scene)
 
 
-def test_headers_of_one_connection_go_no_further_either_way(tmp_path: Path) -> None:
+def test_hop_by_hop_headers_are_removed_in_both_directions(tmp_path: Path) -> None:
     answer = (
         b"HTTP/1.1 200 OK\r\nConnection: X-Theirs, keep-alive\r\nX-Theirs: 1\r\nKeep-Alive: 5\r\nTrailer: a\r\n"
         b"Upgrade: h2c\r\nContent-Length: 2\r\n\r\nhi"
@@ -153,7 +153,7 @@
                 "Proxy-Authorization: x",
             )
             _, head, _ = await here.ask(requests_to("/", "GET", b"", *lines))
-            _, headers = seen(backend)
+            _, headers = received_request(backend)
             assert headers["x-kept"] == "1" and headers["host"] == "shop.test"
             assert (
                 not {
@@ -175,21 +175,24 @@
     play(scene)
 
 
-def test_an_upgrade_is_not_taken_up_and_the_request_served(tmp_path: Path) -> None:
+def test_an_upgrade_that_is_not_allowed_is_ignored_and_the_request_is_served(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
         async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
-            ask = requests_to("/", "GET", b"", "Connection: Upgrade", "Upgrade: websocket")
-            await client.send(ask + requests_to("/next"))
+            upgrade = requests_to("/", "GET", b"", "Connection: Upgrade", "Upgrade: websocket")
+            await client.send(upgrade + requests_to("/next"))
             assert (await client.read())[0] == 200
             assert (await client.read())[0] == 200
-            assert "upgrade" not in seen(backend)[1] and seen(backend, 1)[0] == "GET /next HTTP/1.1"
+            assert (
+                "upgrade" not in received_request(backend)[1]
+                and received_request(backend, 1)[0] == "GET /next HTTP/1.1"
+            )
 
     play(scene)
 
 
-def test_strangers_are_not_believed_and_trusted_proxies_are(tmp_path: Path) -> None:
+def test_forwarding_headers_are_accepted_from_trusted_proxies_only(tmp_path: Path) -> None:
     claims = (
         "X-Forwarded-For: 9.9.9.9",
         "X-Forwarded-Proto: https",
@@ -208,16 +211,18 @@
             await here.ask(requests_to("/", "GET", b"", *claims))
             await here.ask(requests_to("/", "GET", b"", *claims), "inner")
             await here.ask(requests_to("/", "GET", b"", "X-Request-Id: mine"))
-            _, strange = seen(backend)
-            assert strange["x-forwarded-for"] == "127.0.0.1" and strange["x-forwarded-proto"] == "http"
-            assert strange["x-forwarded-host"] == "shop.test" and "x-real-ip" not in strange
-            assert strange["forwarded"] == 'for=127.0.0.1;host="shop.test";proto=http'
-            _, known = seen(backend, 1)
-            assert known["x-forwarded-for"] == "9.9.9.9, 127.0.0.1" and known["x-forwarded-proto"] == "https"
-            assert known["forwarded"].startswith("for=9.9.9.9, for=127.0.0.1")
+            _, untrusted = received_request(backend)
+            assert untrusted["x-forwarded-for"] == "127.0.0.1" and untrusted["x-forwarded-proto"] == "http"
+            assert untrusted["x-forwarded-host"] == "shop.test" and "x-real-ip" not in untrusted
+            assert untrusted["forwarded"] == 'for=127.0.0.1;host="shop.test";proto=http'
+            _, trusted = received_request(backend, 1)
+            assert (
+                trusted["x-forwarded-for"] == "9.9.9.9, 127.0.0.1" and trusted["x-forwarded-proto"] == "https"
+            )
+            assert trusted["forwarded"].startswith("for=9.9.9.9, for=127.0.0.1")
             assert (
-                strange["x-request-id"] != known["x-request-id"]
-                and seen(backend, 2)[1]["x-request-id"] == "mine"
+                untrusted["x-request-id"] != trusted["x-request-id"]
+                and received_request(backend, 2)[1]["x-request-id"] == "mine"
             )
 
     play(scene)
@@ -243,22 +248,24 @@
         (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400, "", ""),
     ],
 )  # fmt: skip
-def test_targets_in_every_spelling(data: bytes, status: int, line: str, host: str, tmp_path: Path) -> None:
+def test_request_targets_are_normalized_or_rejected(
+    data: bytes, status: int, line: str, host: str, tmp_path: Path
+) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
         async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
             assert (await here.ask(data))[0] == status
             if status == 200:
-                got, headers = seen(backend)
-                assert got == line and headers["host"] == host
+                got_line, headers = received_request(backend)
+                assert got_line == line and headers["host"] == host
             else:
                 assert not backend.calls
-            assert (await here.ask(requests_to()))[0] == 200  # and nothing is the worse for it
+            assert (await here.ask(requests_to()))[0] == 200  # the proxy goes on serving
 
     play(scene)
 
 
-def test_no_route_is_404_and_the_connection_stays(tmp_path: Path) -> None:
+def test_a_request_without_a_route_gets_404_and_keeps_the_connection(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
 
@@ -270,7 +277,7 @@
             assert (await client.ask(requests_to("/other")))[0] == 404
             assert (await client.ask(requests_to("/only/x")))[0] == 200
             status, head, _ = await here.ask(requests_to("/other", "POST", b"abc"))
-            assert status == 404 and b"Connection: close" in head  # the body is read by nobody
+            assert status == 404 and b"Connection: close" in head  # the body is not read
 
     play(scene)
 
@@ -278,64 +285,67 @@
 # Effects.
 
 
-def test_a_safe_request_goes_again_and_an_unsafe_one_does_not(tmp_path: Path) -> None:
+def test_a_safe_request_is_retried_and_an_unsafe_one_is_not(tmp_path: Path) -> None:
     async def scene() -> None:
-        ill, well = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
-        both = [ill, well]
+        failing, healthy = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
+        both = [failing, healthy]
         async with ground(tmp_path, both, lambda: one_pool(both)) as here:
             for _ in range(12):
                 assert (await here.ask(requests_to()))[0] == 200
-            assert ill.calls
-        forget(ill, well)
-        async with ground(tmp_path, both, lambda: one_pool(both)) as here:  # nothing is known of either
+            assert failing.calls
+        clear_calls(failing, healthy)
+        # A new proxy, which has no statistics of the members.
+        async with ground(tmp_path, both, lambda: one_pool(both)) as here:
             statuses = [(await here.ask(requests_to("/", "DELETE")))[0] for _ in range(30)]
             assert set(statuses) == {200, 502}
-            assert statuses.count(502) == len(ill.calls) and len(ill.calls) + len(well.calls) == 30
+            assert statuses.count(502) == len(failing.calls) and len(failing.calls) + len(healthy.calls) == 30
 
     play(scene)
 
 
 @pytest.mark.parametrize("with_key", [True, False])
-def test_a_keyed_route_is_keyed_with_a_key_alone(with_key: bool, tmp_path: Path) -> None:
+def test_requests_of_a_keyed_class_are_retried_only_with_a_key(with_key: bool, tmp_path: Path) -> None:
     routes = route("all", "web", 'class = "book"') + KEYED
 
     async def scene() -> None:
-        ill, well = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
-        both = [ill, well]
+        failing, healthy = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
+        both = [failing, healthy]
         async with ground(tmp_path, both, lambda: one_pool(both, routes=routes)) as here:
             statuses = []
             for number in range(12):
                 lines = (f"Idempotency-Key: k{number}",) if with_key else ()
                 statuses.append((await here.ask(requests_to("/", "POST", b"x", *lines)))[0])
-            assert ill.calls
+            assert failing.calls
             assert set(statuses) == ({200} if with_key else {200, 502})
             if not with_key:
-                assert len(ill.calls) + len(well.calls) == 12
+                assert len(failing.calls) + len(healthy.calls) == 12
 
     play(scene)
 
 
-def test_a_safe_class_covers_other_methods_only_where_the_route_names_them(tmp_path: Path) -> None:
+def test_a_safe_class_retries_unsafe_methods_only_if_the_route_names_them(tmp_path: Path) -> None:
     cls = '[[class]]\nname = "search"\naim = "1s"\ndeadline = "4s"\n'
     routes = route("s", "web", 'class = "search"', 'methods = ["POST"]', prefix="/search") + route(
         "all", "web", 'class = "search"'
     )
 
     async def scene() -> None:
-        ill, well = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
-        both = [ill, well]
+        failing, healthy = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
+        both = [failing, healthy]
         async with ground(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
             named = [(await here.ask(requests_to("/search", "POST", b"x")))[0] for _ in range(12)]
-            assert set(named) == {200} and ill.calls
-        forget(ill, well)
+            assert set(named) == {200} and failing.calls
+        clear_calls(failing, healthy)
         async with ground(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
             other = [(await here.ask(requests_to("/else", "POST", b"x")))[0] for _ in range(30)]
-            assert len(ill.calls) + len(well.calls) == 30 and other.count(502) == len(ill.calls) > 0
+            assert (
+                len(failing.calls) + len(healthy.calls) == 30 and other.count(502) == len(failing.calls) > 0
+            )
 
     play(scene)
 
 
-def test_what_a_member_says_of_its_failure_reaches_the_client(tmp_path: Path) -> None:
+def test_a_500_answer_of_a_member_reaches_the_client(tmp_path: Path) -> None:
     answer = b"HTTP/1.1 500 Broken\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nwhy"
 
     async def scene() -> None:
@@ -349,8 +359,10 @@
 
 
 @pytest.mark.parametrize("method, status", [("POST", 502), ("GET", 503)])
-def test_a_503_of_a_member_is_no_promise_that_it_never_ran(method: str, status: int, tmp_path: Path) -> None:
-    """An unsafe request that may have run is not refused, whatever the member called it."""
+def test_a_503_of_a_member_becomes_502_for_an_unsafe_request(
+    method: str, status: int, tmp_path: Path
+) -> None:
+    """An unsafe request that may have run gets no 503, since that would promise that a retry is safe."""
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
@@ -360,24 +372,24 @@
     play(scene)
 
 
-def test_a_503_with_the_pools_header_is_a_refusal(tmp_path: Path) -> None:
+def test_a_503_with_the_refusal_header_is_retried_on_another_member(tmp_path: Path) -> None:
     answer = b"HTTP/1.1 503 Busy\r\nX-Not-Run: yes\r\nContent-Length: 0\r\n\r\n"
 
     async def scene() -> None:
-        full, well = ScriptedBackend("full", answering(answer)), ScriptedBackend("well", answering(GOOD))
-        both = [full, well]
+        full, healthy = ScriptedBackend("full", answering(answer)), ScriptedBackend("well", answering(GOOD))
+        both = [full, healthy]
 
         def text() -> str:
             return one_pool(both, 'refusal_header = "X-Not-Run"')
 
         async with ground(tmp_path, both, text) as here:
             statuses = {(await here.ask(requests_to("/", "POST", b"x")))[0] for _ in range(12)}
-            assert statuses == {200} and full.calls  # it never ran, so it went elsewhere
+            assert statuses == {200} and full.calls  # it never ran, so it was sent to the other member
 
     play(scene)
 
 
-def test_a_deadline_of_the_route_ends_in_504(tmp_path: Path) -> None:
+def test_the_deadline_of_a_route_gives_504(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", silent)
         routes = route("all", "web", 'deadline = "50ms"')
@@ -390,47 +402,47 @@
 # Bodies.
 
 
-def test_bodies_and_answers_up_to_the_pools_limits(tmp_path: Path) -> None:
+def test_bodies_and_answers_are_accepted_up_to_the_pools_limits(tmp_path: Path) -> None:
     limits = ("[pool.limits]", 'request_body = "100KiB"', 'answer_body = "200KiB"')
 
     async def scene() -> None:
-        async def echo(call: Call) -> None:
+        async def answer_body_twice(call: Call) -> None:
             body = call.body * 2
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
-        backend = ScriptedBackend("s", echo)
+        backend = ScriptedBackend("s", answer_body_twice)
         async with ground(tmp_path, [backend], lambda: one_pool([backend], *limits)) as here:
-            whole = bytes(100 << 10)
-            status, _, body = await here.ask(requests_to("/", "POST", whole))
-            assert (status, body) == (200, whole * 2)
-            assert (await here.ask(requests_to("/", "POST", whole + b"x")))[0] == 413
-            chunks = b"%x\r\n%b\r\n0\r\n\r\n" % (len(whole), whole)
+            largest_body = bytes(100 << 10)
+            status, _, body = await here.ask(requests_to("/", "POST", largest_body))
+            assert (status, body) == (200, largest_body * 2)
+            assert (await here.ask(requests_to("/", "POST", largest_body + b"x")))[0] == 413
+            chunks = b"%x\r\n%b\r\n0\r\n\r\n" % (len(largest_body), largest_body)
             data = requests_to("/", "PUT", b"", "Transfer-Encoding: chunked") + chunks
             assert (await here.ask(data))[0] == 200
-            _, headers = seen(backend, 1)
-            assert headers["content-length"] == str(len(whole)) and "transfer-encoding" not in headers
+            _, headers = received_request(backend, 1)
+            assert headers["content-length"] == str(len(largest_body)) and "transfer-encoding" not in headers
             assert here.daemon.pools["web"].proxy.budget.held_bytes == 0
 
     play(scene)
 
 
-@pytest.mark.parametrize("taken", [True, False])
-def test_an_answer_that_ends_with_its_connection(taken: bool, tmp_path: Path) -> None:
-    async def ends(call: Call) -> None:
+@pytest.mark.parametrize("accepted", [True, False])
+def test_a_close_delimited_answer_is_accepted_only_if_configured(accepted: bool, tmp_path: Path) -> None:
+    async def answer_and_close(call: Call) -> None:
         await call.say(b"HTTP/1.0 200 OK\r\nX-A: 1\r\n\r\nthe rest")
         call.writer.close()
 
     async def scene() -> None:
-        backend = ScriptedBackend("s", ends)
-        more = (f"close_delimited = {str(taken).lower()}",)
+        backend = ScriptedBackend("s", answer_and_close)
+        more = (f"close_delimited = {str(accepted).lower()}",)
         async with ground(tmp_path, [backend], lambda: one_pool([backend], *more)) as here:
             status, _, body = await here.ask(requests_to("/", "POST", b"x"))
-            assert (status, body) == ((200, b"the rest") if taken else (502, b""))
+            assert (status, body) == ((200, b"the rest") if accepted else (502, b""))
 
     play(scene)
 
 
-def test_a_load_report_is_read_and_kept_from_clients(tmp_path: Path) -> None:
+def test_a_load_report_is_applied_and_removed_from_the_answer(tmp_path: Path) -> None:
     answer = b'HTTP/1.1 200 OK\r\nX-Load: {"utilization": 0.7}\r\nContent-Length: 0\r\n\r\n'
 
     async def scene() -> None:
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -1,4 +1,4 @@
-"""What a route rewrites on the way in and out, and routes by ending."""
+"""Rewriting of paths, answers and cookies, routes by suffix, and sticky sessions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from loadbalancer.routing.routes import Routes, Rule, RuleError, check_rule
 
 
-def test_the_examples_in_the_docstrings_hold() -> None:
+def test_docstring_examples_of_rewrites_pass() -> None:
     assert doctest.testmod(rewrites).failed == 0
 
 
@@ -36,11 +36,11 @@
     [("/a", "/a", "/b", "/b"), ("/a/", "/a", "/b", "/b/"), ("/a/x", "/a", "/", "/x"), ("/x", "/", "/b", "/b/x"),
      ("/", "/", "/b", "/b/"), ("/a/", "/a", "/b/", "/b/")],
 )  # fmt: skip
-def test_prefix_to_prefix(path: str, prefix: str, to: str, new: str) -> None:
+def test_swap_prefix_replaces_whole_segments(path: str, prefix: str, to: str, new: str) -> None:
     assert swap_prefix(path, prefix, to) == new
 
 
-BACK = Rewrites(
+REWRITES = Rewrites(
     "/shop", "/v2", (HeaderRewrite(b"http://10.0.0.1:80/v2", b"/shop"), HeaderRewrite(b"/v2/", b"/shop/")),
     (HeaderRewrite(b"/v2", b"/shop"),), (HeaderRewrite(b"inner", b"outer.test"),),
 )  # fmt: skip
@@ -59,11 +59,11 @@
         (b"X-Other: http://10.0.0.1:80/v2/", b"X-Other: http://10.0.0.1:80/v2/"),
     ],
 )
-def test_answers_name_what_clients_can_reach(line: bytes, new: bytes) -> None:
-    assert BACK.answer([line + b"\r\n"], b"http://h") == [new + b"\r\n"]
+def test_answer_urls_and_cookies_are_mapped_back_for_clients(line: bytes, new: bytes) -> None:
+    assert REWRITES.answer([line + b"\r\n"], b"http://h") == [new + b"\r\n"]
 
 
-def test_routes_by_ending_stand_above_those_of_the_same_path_and_below_longer_ones() -> None:
+def test_a_suffix_takes_precedence_over_the_same_path_but_not_over_a_longer_path() -> None:
     routes = Routes(
         [
             Rule("all", prefix="/"),
@@ -74,55 +74,60 @@
     )
 
     def find(path: str) -> str:
-        found = routes.find("h", path[1:].split("/"), "GET", lambda name: None)
-        assert found is not None
-        return found.name
+        rule = routes.find("h", path[1:].split("/"), "GET", lambda name: None)
+        assert rule is not None
+        return rule.name
 
-    assert [find(p) for p in ("/x", "/x.gif", "/y/b.gif", "/in/x.gif")] == ["all", "gif", "b.gif", "in"]
-    for bad in ("", "/x"):
+    assert [find(path) for path in ("/x", "/x.gif", "/y/b.gif", "/in/x.gif")] == ["all", "gif", "b.gif", "in"]
+    for invalid in ("", "/x"):
         with pytest.raises(RuleError, match="an ending without slashes"):
-            check_rule(Rule("x", prefix="/", suffix=bad))
+            check_rule(Rule("x", prefix="/", suffix=invalid))
 
 
 # Sessions.
 
 
-def sends(b: Balancer, number: int, member: str, **more: Any) -> str | None:
-    actions = b.handle(101.0 + number / 100, [Request(number, 0, 4.0, sticky_endpoint=member, **more)])
-    return next((a.endpoint for a in actions if isinstance(a, Send)), None)
+def send_sticky(balancer: Balancer, number: int, member: str, **fields: Any) -> str | None:
+    """Send a request with a session on `member`; return the endpoint that it goes to, if any."""
+    actions = balancer.handle(
+        101.0 + number / 100, [Request(number, 0, 4.0, sticky_endpoint=member, **fields)]
+    )
+    return next((action.endpoint for action in actions if isinstance(action, Send)), None)
 
 
-def test_a_session_goes_to_where_its_server_redirects_it() -> None:
-    b = make_warm_balancer(
+def test_a_session_goes_to_the_redirect_of_its_member_while_that_drains() -> None:
+    balancer = make_warm_balancer(
         EndpointEntry("a", redirect="b"), EndpointEntry("b", redirect="a"), EndpointEntry("c")
     )
-    assert sends(b, 1, "a") == "a"
-    b.handle(
+    assert send_sticky(balancer, 1, "a") == "a"
+    balancer.handle(
         102.0,
         [EndpointList((EndpointEntry("a", redirect="b", state=EndpointState.DRAINING),), complete=False)],
     )
-    assert {sends(b, n, "a") for n in range(2, 30)} == {"b"}
+    assert {send_sticky(balancer, n, "a") for n in range(2, 30)} == {"b"}
 
 
-def test_a_session_of_a_domain_goes_to_any_of_its_servers_and_nowhere_else() -> None:
-    b = make_warm_balancer(
+def test_a_session_of_a_domain_goes_only_to_members_of_the_domain() -> None:
+    balancer = make_warm_balancer(
         EndpointEntry("a", domain="d"), EndpointEntry("b", domain="d"), EndpointEntry("c", domain="e")
     )
-    assert {sends(b, n, "@d") for n in range(40)} == {"a", "b"}
-    b.handle(103.0, [EndpointList((EndpointEntry("a", domain="d"), EndpointEntry("c", domain="e")))])
-    assert {sends(b, n, "@d") for n in range(300, 330)} == {"a"}
+    assert {send_sticky(balancer, n, "@d") for n in range(40)} == {"a", "b"}
+    balancer.handle(103.0, [EndpointList((EndpointEntry("a", domain="d"), EndpointEntry("c", domain="e")))])
+    assert {send_sticky(balancer, n, "@d") for n in range(300, 330)} == {"a"}
 
 
-def test_a_bound_session_is_refused_and_not_moved_and_one_of_nobody_is_drawn() -> None:
-    b = make_warm_balancer(EndpointEntry("a"), EndpointEntry("b"))
-    b.handle(102.0, [EndpointList((EndpointEntry("a", state=EndpointState.DRAINING),), complete=False)])
-    actions = b.handle(103.0, [Request(900, 0, 4.0, sticky_endpoint="a", sticky_required=True)])
-    assert Reject(900) in actions and not any(isinstance(a, Send) for a in actions)
-    assert sends(b, 301, "a") == "b"
-    assert sends(b, 302, "nobody", sticky_required=True) == "b"
+def test_a_bound_session_is_rejected_if_its_member_drains_and_is_balanced_if_its_member_is_unknown() -> None:
+    balancer = make_warm_balancer(EndpointEntry("a"), EndpointEntry("b"))
+    balancer.handle(
+        102.0, [EndpointList((EndpointEntry("a", state=EndpointState.DRAINING),), complete=False)]
+    )
+    actions = balancer.handle(103.0, [Request(900, 0, 4.0, sticky_endpoint="a", sticky_required=True)])
+    assert Reject(900) in actions and not any(isinstance(action, Send) for action in actions)
+    assert send_sticky(balancer, 301, "a") == "b"
+    assert send_sticky(balancer, 302, "nobody", sticky_required=True) == "b"
 
 
-def test_a_stopped_members_sessions_have_its_redirect() -> None:
+def test_sessions_of_a_stopped_member_map_to_its_redirect() -> None:
     members = [
         MemberTable(id="a", address="x", state="stopped", redirect="d", route="r"),
         MemberTable(id="b", address="y", domain="d"),
@@ -139,6 +144,8 @@
         ("first", "path", b"S=1.a", "/p", "a"), ("first", "path", b"", "/p;s=none", None),
     ],
 )  # fmt: skip
-def test_the_name_in_a_session(at: Any, prefer: Any, cookies: bytes, path: str, name: str | None) -> None:
+def test_find_session_returns_the_member_name(
+    at: Any, prefer: Any, cookies: bytes, path: str, name: str | None
+) -> None:
     sticky = StickyTable(cookie="S", path_parameter="s", separator=".", separator_at=at, prefer=prefer)
     assert find_session(sticky, cookies, path) == name
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Which rule a request falls under, and targets in one form however they are written."""
+"""Matching of requests against route rules, and normalization of request targets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from loadbalancer.routing.targets import MAX_SEGMENTS, TargetError, normal_path, read_target, split
 
 
-def nothing(name: str) -> None:
+def no_header(name: str) -> None:
+    """Look up a header in a request without headers."""
     return None
 
 
@@ -55,34 +56,34 @@
         ("x", "/api/a/b", "GET", {"x-depot": "other"}, "api"),
         ("x", "/api/a/b", "GET", {"x-depot": "bkk", "x-night": ""}, "flagged"),
         ("a.svc.test", "/only/x", "GET", {}, "host"),
-        ("a.svc.test", "/else", "GET", {}, "suffix"),  # no rule of its own host takes it
+        ("a.svc.test", "/else", "GET", {}, "suffix"),  # no rule of the exact host matches
         ("c.b.svc.test", "/", "GET", {}, "longer"),
         ("b.svc.test", "/", "GET", {}, "suffix"),
-        ("svc.test", "/", "GET", {}, "any"),  # a suffix is of whole labels, below it
+        ("svc.test", "/", "GET", {}, "any"),  # a *.suffix matches only hosts with more labels
         ("xsvc.test", "/", "GET", {}, "any"),
     ],
 )  # fmt: skip
 def test_the_most_specific_rule_wins(
     host: str, path: str, method: str, headers: dict[str, str], name: str
 ) -> None:
-    for seed in range(5):  # in whatever order the file has them
+    for seed in range(5):  # independent of the order of the rules
         rules = random.Random(seed).sample(RULES, len(RULES))
         rule = Routes(rules).find(host, split(path), method, headers.get)
         assert rule is not None and rule.name == name
 
 
-def test_no_rule_no_route() -> None:
+def test_find_returns_none_if_no_rule_matches() -> None:
     assert find([Rule("a", path="/a")], "x", "/b") is None
     assert find([Rule("a", path="/a")], "x", "/a/") is None
     assert find([Rule("a", host="h", prefix="/")], "x", "/") is None
     assert find([], "x", "/") is None
 
 
-def test_a_wildcard_backs_out_where_the_rest_does_not_fit() -> None:
+def test_matching_backtracks_from_a_literal_to_a_wildcard() -> None:
     rules = [Rule("literal", path="/a/x/1"), Rule("wild", pattern="/a/*/2"), Rule("rest", pattern="/**")]
     assert find(rules, "h", "/a/x/2") == "wild"
     assert find(rules, "h", "/a/x/3") == "rest"
-    assert find(rules, "h", "/a//2") == "rest"  # an empty segment is none
+    assert find(rules, "h", "/a//2") == "rest"  # a wildcard does not match an empty segment
 
 
 @pytest.mark.parametrize(
@@ -98,7 +99,9 @@
         ({"path": "/", "host": "h"}, {"path": "/", "host": "h"}),
     ],
 )
-def test_rules_that_nothing_sets_apart_are_an_error(one: dict[str, Any], two: dict[str, Any]) -> None:
+def test_rules_of_equal_precedence_that_overlap_are_a_conflict(
+    one: dict[str, Any], two: dict[str, Any]
+) -> None:
     with pytest.raises(ConflictError, match="'one' and 'two'"):
         Routes([Rule("one", **one), Rule("two", **two)])
 
@@ -113,7 +116,9 @@
         ({"path": "/"}, {"path": "/", "headers": {"a": "2"}}),
     ],
 )
-def test_rules_that_something_sets_apart_are_none(one: dict[str, Any], two: dict[str, Any]) -> None:
+def test_rules_that_differ_in_precedence_or_do_not_overlap_are_accepted(
+    one: dict[str, Any], two: dict[str, Any]
+) -> None:
     Routes([Rule("one", **one), Rule("two", **two)])
 
 
@@ -133,13 +138,13 @@
         (Rule("r", methods=frozenset(("get",)), path="/"), "methods"),
     ],
 )
-def test_what_is_no_rule_is_said_with_its_key(rule: Rule, key: str) -> None:
-    with pytest.raises(RuleError) as caught:
+def test_an_invalid_rule_raises_an_error_with_its_key(rule: Rule, key: str) -> None:
+    with pytest.raises(RuleError) as raised:
         Routes([rule])
-    assert caught.value.key == key
+    assert raised.value.key == key
 
 
-def test_explain_names_the_rules_that_were_passed_over() -> None:
+def test_explain_returns_the_match_and_the_rules_passed_over_with_reasons() -> None:
     routes = Routes(
         [
             Rule("p", path="/", methods=frozenset(("PUT",))),
@@ -148,15 +153,15 @@
             Rule("any", prefix="/"),
         ]
     )
-    rule, passed = routes.explain("h", [], "GET", {"a": "2"}.get)
+    rule, mismatches = routes.explain("h", [], "GET", {"a": "2"}.get)
     assert (
         rule is not None
         and rule.name == "v"
-        and [(r.name, why) for r, why in passed] == [("h", "the header a is not '1'")]
+        and [(skipped.name, reason) for skipped, reason in mismatches] == [("h", "the header a is not '1'")]
     )
-    rule, passed = routes.explain("h", [], "GET", nothing)
+    rule, mismatches = routes.explain("h", [], "GET", no_header)
     assert rule is not None and rule.name == "any"
-    assert [why for _, why in passed][-1] == "the method GET is not among PUT"
+    assert [reason for _, reason in mismatches][-1] == "the method GET is not among PUT"
 
 
 # Targets.
@@ -173,7 +178,7 @@
         ("/.well-known/x", "/.well-known/x"), ("/a/...", "/a/..."), ("///a", "/a"), ("/a///", "/a/"),
     ],
 )  # fmt: skip
-def test_a_path_has_one_form(path: str, normal: str | None) -> None:
+def test_normal_path_normalizes_or_rejects(path: str, normal: str | None) -> None:
     if normal is None:
         with pytest.raises(TargetError):
             normal_path(path)
@@ -184,7 +189,7 @@
 
 @settings(derandomize=True, max_examples=500, deadline=None)
 @given(st.text("/.ab%2eEfF5cC;", max_size=24).map(lambda text: "/" + text))
-def test_the_form_of_a_form_is_itself_and_climbs_nowhere(path: str) -> None:
+def test_normalization_is_idempotent_and_leaves_no_dot_segments(path: str) -> None:
     try:
         normal = normal_path(path)
     except TargetError:
@@ -194,11 +199,11 @@
     assert "%2F" not in normal.upper() and "%5C" not in normal.upper() and "%2E" not in normal.upper()
 
 
-def test_encoded_slashes_stay_encoded_where_they_are_kept() -> None:
+def test_encoded_slashes_stay_encoded_if_they_are_allowed() -> None:
     assert normal_path("/a%2fb", keep_encoded_slashes=True) == "/a%2Fb"
 
 
-def test_the_absolute_form_stands_above_host() -> None:
+def test_the_absolute_form_overrides_the_host_header() -> None:
     target = read_target("http://Other.test:81/a/../b?x=%2f", "mine.test")
     assert target == ("other.test", "Other.test:81", "/b", "?x=%2f")
     assert read_target("http://h", "x") == ("h", "h", "/", "")
@@ -212,6 +217,6 @@
     [("*", "h"), ("h:443", "h"), ("ftp://h/a", "h"), ("/a", None), ("/a", ""), ("/a", "a b"), ("/a", "h:99999"),
      ("/a", "u@h"), ("http://u@h/", "h"), ("http:///a", "h"), ("/a#b", "h"), ("/a?b c", "h"), ("/a", "h,i")],
 )  # fmt: skip
-def test_what_is_no_target_is_said(url: str, host: str | None) -> None:
+def test_a_malformed_target_raises_target_error(url: str, host: str | None) -> None:
     with pytest.raises(TargetError):
         read_target(url, host)
