--- a/loadbalancer/proxy/idempotent_requests.py
+++ b/loadbalancer/proxy/idempotent_requests.py
@@ -50,7 +50,7 @@
 
     cls: int
     """Number of the class."""
-    again: int
+    repeat_cls: int
     """Number of the class that a repeat is submitted under, whose attempts must not be retried in turn."""
     window: float
     """Seconds for which endpoints deduplicate repeats."""
@@ -58,8 +58,8 @@
     """Whether every endpoint also deduplicates repeats of requests that another endpoint got."""
     remember: float
     """Seconds for which an answer is stored."""
-    most: int
-    """Limit on the size of an answer that is stored with its body, in bytes."""
+    max_answer_bytes: int
+    """Limit on the header lines and body of an answer, in bytes; of a longer one, the body's digest is stored."""
 
 
 Submit = Callable[[int, float], None]
@@ -181,7 +181,7 @@
             self._answer_self(decision.status, lines, decision.reason.encode() + b"\n")
 
     def _send(self, time_remaining: float) -> None:
-        class_index = self._terms.cls if self._is_first else self._terms.again
+        class_index = self._terms.cls if self._is_first else self._terms.repeat_cls
         self._submit(class_index, time_remaining)
         if self.client is not None:
             self._pool = self._request.owner
@@ -240,7 +240,7 @@
 
         def store(view: StoreView) -> None:
             now = view.now()
-            entry = answered(self._digest, now, status, reason, lines, body, terms.most)
+            entry = answered(self._digest, now, status, reason, lines, body, terms.max_answer_bytes)
             view.put(self._key, encode(entry), now + terms.remember)
 
         def on_stored(_: None, problem: StoreError | None) -> None:
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -261,41 +261,41 @@
         self,
         request: OpenRequest,
         cls: int,
-        left: float,
+        time_remaining: float,
         tenant: int,
         key: str | None,
-        hint: float | None,
+        expected_work: float | None,
         retry: bool,
-        member: str | None = None,
-        bound: bool = False,
+        sticky_endpoint: str | None = None,
+        sticky_required: bool = False,
     ) -> None:
         """Open a request and pass it to the policy.
 
         Args:
             request: The request.
             cls: Number of its class.
-            left: Seconds until the client gives up.
+            time_remaining: Seconds until the client gives up.
             tenant: Number of its tenant.
             key: Its idempotency key.
-            hint: The work that it is expected to cause, in seconds of a standard core.
+            expected_work: The work that it is expected to cause, in seconds of a standard core.
             retry: Whether the client marks it as a retry.
-            member: The endpoint, or the domain of endpoints, of its sticky session.
-            bound: Whether it must not go to any other endpoint.
+            sticky_endpoint: The endpoint, or the domain of endpoints, of its sticky session.
+            sticky_required: Whether it must not go to any other endpoint.
         """
-        self._table.add(request, self._owner, cls, left)
+        self._table.add(request, self._owner, cls, time_remaining)
         self.post(
             Request(
                 request.id,
                 cls,
-                left,
+                time_remaining,
                 tenant,
                 key,
-                hint,
+                expected_work,
                 retry,
                 False,
-                member,
+                sticky_endpoint,
                 not request.is_complete,
-                bound,
+                sticky_required,
                 request.max_attempts,
                 request.retry_on,
             )
@@ -375,9 +375,9 @@
         """Report that a request for the list has failed; see `EndpointListener`."""
         self._directory.list_failed(busy)
 
-    def cordon(self, server: str, out: bool) -> None:
+    def cordon(self, endpoint: str, cordoned: bool) -> None:
         """Cordon an endpoint, or end its cordon; the endpoint need not be listed."""
-        self._directory.cordon(server, out)
+        self._directory.cordon(endpoint, cordoned)
 
     # Limits and shutdown.
 
