--- a/loadbalancer/daemon/admin_queries.py
+++ b/loadbalancer/daemon/admin_queries.py
@@ -161,7 +161,7 @@
                 "keys": len(migrations),
             }
             for name, migrations in sorted(self._state.migrations.items())
-            if (migration := migrations.move) is not None
+            if (migration := migrations.current) is not None
         ]
 
     def why(self, request_id: str) -> list[dict[str, object]]:
@@ -173,7 +173,7 @@
         if not self._traced_requests:
             raise CallError(409, "nothing is kept for this; put why = 1000 into [management] and restart")
         for name, pool in self._daemon.pools.items():
-            steps = pool.proxy.trace.why(request_id) if pool.proxy.trace is not None else None
+            steps = pool.proxy.trace.describe(request_id) if pool.proxy.trace is not None else None
             if steps is not None:
                 return [{"pool": name, **step} for step in steps]
         raise CallError(
--- a/loadbalancer/daemon/admin_state.py
+++ b/loadbalancer/daemon/admin_state.py
@@ -43,18 +43,18 @@
         self._deduplication_window_s = max(cls.deduplication_window for cls in plan.classes)
         for pool, migrations in self.migrations.items():
             migrations.window = max(migrations.window, self._deduplication_window_s)
-            migration = migrations.move
+            migration = migrations.current
             if pool in plan.pools and migration is not None and migration.other not in plan.pools:
                 self._logger("a move waits", f"pool {migration.other!r} is gone; all of {pool} stays with it")
 
     def migration(self, pool: str) -> Migration | None:
         """The migration of a pool that is in force."""
-        return self.migrations[pool].move if pool in self.migrations else None
+        return self.migrations[pool].current if pool in self.migrations else None
 
     def set_migration(self, pool: str, migration: Migration | None) -> None:
         """Put a pool's migration in force; None ends it."""
         migrations = self.migrations.setdefault(pool, Migrations(self._deduplication_window_s))
-        migrations.say(migration, time.time())
+        migrations.set_migration(migration, time.time())
         self._daemon.retarget()
 
     def pool_overrides(self, pool: str) -> dict[str, AdminOverride]:
@@ -79,7 +79,7 @@
                 self._persisted.forget_override(name, endpoint)
         now = time.time()
         for name, migrations in self.migrations.items():
-            if migrations.move is not None and migrations.move.is_over(now):
+            if migrations.current is not None and migrations.current.is_over(now):
                 self.set_migration(name, None)
                 self._logger("a move has ended", f"all of {name} stays with it")
                 self._persisted.forget_migration(name)
--- a/loadbalancer/daemon/daemon.py
+++ b/loadbalancer/daemon/daemon.py
@@ -260,7 +260,7 @@
         wall, processor = self._usage_measured = time.monotonic(), time.process_time()
         turns = self._pool_set.turns
         if turns is not None and wall > wall_before:
-            turns.window((processor - processor_before) / (wall - wall_before))
+            turns.end_window((processor - processor_before) / (wall - wall_before))
 
     # The end.
 
--- a/loadbalancer/daemon/pool_set.py
+++ b/loadbalancer/daemon/pool_set.py
@@ -12,7 +12,7 @@
 from loadbalancer.frontends.reserve_descriptors import ReserveDescriptors
 from loadbalancer.proxy.open_requests import TransactionIds
 from loadbalancer.resource_limits import RateLimitedLogger
-from loadbalancer.routing.fair_shares import PoolAllocation, WeightedTurns
+from loadbalancer.routing.fair_shares import PoolAllocation, WeightedAdmission
 
 if TYPE_CHECKING:  # loaded where they are configured
     from loadbalancer.daemon.tls_keys import TlsKeys
@@ -42,7 +42,7 @@
             retire: Called with a pool that a configuration has no more, or that is replaced.
         """
         self.running: dict[str, RunningPool] = {}
-        self.turns: WeightedTurns | None = None
+        self.turns: WeightedAdmission | None = None
         self._logger = logger
         self._spares = spares
         self._draws = draws
@@ -101,7 +101,7 @@
                 self._logger("members file not taken", error.problems[0])
         self.running.update(made)
         weights = {name: pool.table.limits.share for name, pool in plan.pools.items()}
-        self.turns = WeightedTurns(weights) if len(weights) > 1 else None
+        self.turns = WeightedAdmission(weights) if len(weights) > 1 else None
         for name, pool in self.running.items():
             pool.resize(allocations[name], self.turns)
             pool.proxy.upstreams.free_descriptor = self._spares.take
--- a/loadbalancer/daemon/pools.py
+++ b/loadbalancer/daemon/pools.py
@@ -20,7 +20,7 @@
 from loadbalancer.proxy.open_requests import TransactionIds
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.resource_limits import RateLimitedLogger
-from loadbalancer.routing.fair_shares import PoolAllocation, WeightedTurns
+from loadbalancer.routing.fair_shares import PoolAllocation, WeightedAdmission
 from loadbalancer.streaming.tunnels import TunnelLimits
 from loadbalancer.upstreams.connections import Upstream
 from loadbalancer.upstreams.dialect import Dialect
@@ -195,7 +195,7 @@
             raise
         source_before.close()
 
-    def resize(self, share: PoolAllocation, turns: WeightedTurns | None) -> None:
+    def resize(self, share: PoolAllocation, turns: WeightedAdmission | None) -> None:
         """Give the pool another part of the process; what it holds above that is kept until it ends."""
         self.proxy.fair_share = turns
         self.proxy.resize(share)
--- a/loadbalancer/daemon/route_targets.py
+++ b/loadbalancer/daemon/route_targets.py
@@ -56,7 +56,7 @@
         migrations = admin.state.migrations.get(route.pool) if admin is not None else None
         if migrations is None:
             return target
-        other = migrations.move.other if migrations.move is not None else None
+        other = migrations.current.other if migrations.current is not None else None
         away = self._pool_target(name, other) if other is not None and other in self._pools else None
         return target._replace(moved=RedirectTarget(migrations, away, self._random, time.time))
 
--- a/loadbalancer/daemon/storage.py
+++ b/loadbalancer/daemon/storage.py
@@ -60,7 +60,7 @@
     @property
     def lent(self) -> bool:
         """Whether another daemon has the store, or is about to: nothing can be kept here."""
-        return self.ledger.lent
+        return self.ledger.is_handed_over
 
     @classmethod
     def open(
@@ -107,7 +107,7 @@
         Keyed requests that come from now on are rejected, and open ones have LEND_TIMEOUT_S to end. One that takes
         longer stands in the store as begun, which is safe: a repeat of it does not run.
         """
-        self.ledger.lent = True
+        self.ledger.is_handed_over = True
         deadline = time.monotonic() + LEND_TIMEOUT_S
 
         def close_when_idle() -> None:
@@ -124,7 +124,7 @@
         """Use the store again, since the successor has come to nothing."""
         if self._lend_timer is not None:  # it was not closed yet
             self._stop_lend_timer()
-            self.ledger.lent = False
+            self.ledger.is_handed_over = False
         elif self.lent and self._reopening is None:
             self._reopening = self._loop.create_task(self._reopen())
 
@@ -149,7 +149,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         self.store = Store(engine, self._logger)
         self.ledger.store = self.store
-        self.ledger.lent = False
+        self.ledger.is_handed_over = False
         self._reopening = None
 
     def remembers(self, plan: Plan, route: RoutePlan) -> RecordsKeys | None:
--- a/loadbalancer/frontends/dialect.py
+++ b/loadbalancer/frontends/dialect.py
@@ -132,12 +132,12 @@
         """Hand it to its pool, by way of the ledger where its key is remembered."""
         if self.remembered is not None:
             ledger, key, digest, terms = self.remembered
-            ledger.take(self.proxy, self.request, key, digest, terms, self.deadline, self._take)
+            ledger.handle(self.proxy, self.request, key, digest, terms, self.deadline, self._take)
         else:
             self._take(self.cls, max(0.0, self.deadline - time.monotonic()))
 
     def _take(self, cls: int, left: float) -> None:
-        self.proxy.take(
+        self.proxy.submit(
             self.request, cls, left, self.tenant, self.key, self.hint, self.retry, self.member, self.bound
         )
 
--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -221,7 +221,7 @@
             status, why = 503, "too many connections"
         elif proxy.is_known(item.request):
             status, why = 409, "this X-Txn has been used"
-        elif proxy.is_shut_out():
+        elif proxy.lacks_lease():
             status, why = 503, "this proxy is not of its fleet now"
         elif not proxy.has_room():
             status, why = 503, "this pool has all it can hold"
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -251,7 +251,7 @@
 
     def _upload_lost(self) -> None:
         if self.request is not None:
-            self.request.owner.upload_lost(self.request)
+            self.request.owner.upload_not_replayable(self.request)
 
     def hold(self, on: bool) -> None:
         """The member takes no more of the body now, or takes more again."""
@@ -343,7 +343,7 @@
                 self._turn_away(item, 503, b"too many connections\n")
             elif item.proxy.is_known(item.request):
                 self._turn_away(item, 409, b"this X-Txn has been used\n")
-            elif item.proxy.is_shut_out():
+            elif item.proxy.lacks_lease():
                 lines = retry_after(item.proxy.retry_after_s)
                 self._turn_away(item, 503, b"this proxy is not of its fleet now\n", False, lines)
             elif not item.proxy.has_room():
--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -91,7 +91,7 @@
                 at_home = True
             elif away is not None and session in away.members:
                 at_home = False
-        other = self.moves.place(self.clock(), self.draw(), key or None, at_home)
+        other = self.moves.assign(self.clock(), self.draw(), key or None, at_home)
         return home if other is None or away is None or away.proxy.name != other else away
 
 
@@ -250,7 +250,7 @@
 
     def _ready(self) -> tuple[int, str]:
         ready = not self.draining and all(
-            proxy.listed and not proxy.is_shut_out() for proxy in self.proxies()
+            proxy.listed and not proxy.lacks_lease() for proxy in self.proxies()
         )
         return (200, "ready") if ready else (503, "not ready")
 
@@ -313,7 +313,7 @@
             request.head += b"Connection: Upgrade\r\nUpgrade: %b\r\n" % token
         if to.rewrites is not None and to.rewrites.changes_answers:
             request.edit_headers = partial(
-                to.rewrites.answer,
+                to.rewrites.rewrite_headers,
                 base=(b"https://" if head.secure else b"http://") + head.target.authority.encode("latin-1"),
             )
         member = find_session(to.sticky, noted.get(b"cookie", b""), head.target.path) if to.sticky else None
@@ -341,7 +341,7 @@
     def _rewrite(self, head: PlainHead, to: RouteTarget) -> None:
         """The request as it goes on: the path in its one form, Host as it counts, and who asked."""
         target, noted = head.target, head.noted
-        path = target.path if to.rewrites is None else to.rewrites.path(target.path)
+        path = target.path if to.rewrites is None else to.rewrites.rewrite_path(target.path)
         head.url = (path + target.query).encode("latin-1")
         host, lines = target.authority.encode("latin-1"), head.lines
         lines.insert(0, b"Host: %b\r\n" % host)
--- a/loadbalancer/proxy/decision_trace.py
+++ b/loadbalancer/proxy/decision_trace.py
@@ -134,7 +134,7 @@
             if self._numbers.get(trace.id) == oldest:
                 del self._numbers[trace.id]
 
-    def why(self, name: str) -> list[StepDescription] | None:
+    def describe(self, name: str) -> list[StepDescription] | None:
         """Describe the steps of a request.
 
         Args:
--- a/loadbalancer/proxy/idempotent_requests.py
+++ b/loadbalancer/proxy/idempotent_requests.py
@@ -74,9 +74,9 @@
         self.logger = logger
         self.in_progress: dict[bytes, object] = {}  # handlers of open requests of this process, by key
         self.open = 0  # number of requests that have a handler
-        self.lent = False  # whether the store is being handed over to another process
+        self.is_handed_over = False  # whether the store is being handed over to another process
 
-    def take(
+    def handle(
         self,
         proxy: Proxy,
         request: OpenRequest,
@@ -114,7 +114,7 @@
         deadline: float,
         take: Submit,
     ) -> None:
-        """Take the place of the request's client and owner; see `IdempotencyLedger.take` for the arguments."""
+        """Take the place of the request's client and owner; see `IdempotencyLedger.handle` for the arguments."""
         self.client: Client | None = request.client
         self._ledger = ledger
         self._proxy = proxy
@@ -134,7 +134,7 @@
 
     def begin(self) -> None:
         """Look up the key in the store; continues in `_on_decision`."""
-        if self._ledger.lent:
+        if self._ledger.is_handed_over:
             asyncio.get_running_loop().call_soon(self._on_decision, STORE_HANDED_OVER, None)
             return
         self._ledger.store.submit(self._decide, self._on_decision)
@@ -299,7 +299,7 @@
         """Not called: remembered requests are buffered, not streamed."""
         raise AssertionError("remembered requests are buffered, not streamed")
 
-    def upload_lost(self, request: OpenRequest) -> None:  # noqa: ARG002
+    def upload_not_replayable(self, request: OpenRequest) -> None:  # noqa: ARG002
         """Not called: remembered requests are buffered, not streamed."""
         raise AssertionError("remembered requests are buffered, not streamed")
 
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -71,7 +71,7 @@
     def uploaded(self, request: OpenRequest) -> None:
         """Report that the last byte of a streamed body has been received."""
 
-    def upload_lost(self, request: OpenRequest) -> None:
+    def upload_not_replayable(self, request: OpenRequest) -> None:
         """Report that a streamed body can no longer be replayed: bytes were sent and are not buffered."""
 
     def upload_failed(self, request: OpenRequest, status: int) -> None:
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -227,7 +227,7 @@
         """Count the listed endpoints that get no requests now, by the policy, by an operator or for their state."""
         return sum(self.balancer.avoids(endpoint) for endpoint in self.listed)
 
-    def is_shut_out(self) -> bool:
+    def lacks_lease(self) -> bool:
         """Return whether this instance has no lease; clients are then told to retry."""
         return self.may_act is not None and not self.may_act()
 
@@ -257,7 +257,7 @@
 
     # Called by front ends.
 
-    def take(
+    def submit(
         self,
         request: OpenRequest,
         cls: int,
--- a/loadbalancer/proxy/request_owner.py
+++ b/loadbalancer/proxy/request_owner.py
@@ -41,7 +41,7 @@
         self._attempts.restart_clocks(request)
         self._post_body_progress(request)
 
-    def upload_lost(self, request: OpenRequest) -> None:
+    def upload_not_replayable(self, request: OpenRequest) -> None:
         """Tell the policy that a streamed body can no longer be replayed: bytes were sent and are not buffered."""
         if not request.done:
             self._post_body_progress(request)
--- a/loadbalancer/routing/fair_shares.py
+++ b/loadbalancer/routing/fair_shares.py
@@ -82,7 +82,7 @@
     return allocations
 
 
-class WeightedTurns:
+class WeightedAdmission:
     """Decides which pools may admit another request while the processor is saturated.
 
     Guards against a pool whose flood of requests uses all processor time, so that the requests of other pools are late
@@ -109,7 +109,7 @@
         self._admitted[pool] = self._admitted.get(pool, 0) + 1
         return True
 
-    def window(self, used: float) -> None:
+    def end_window(self, used: float) -> None:
         """End a window, and compute the limits of the next; `used` is the processor utilization, from 0 to 1."""
         total = sum(self._admitted.values())
         limits: dict[str, int] = {}
--- a/loadbalancer/routing/rewrites.py
+++ b/loadbalancer/routing/rewrites.py
@@ -46,7 +46,7 @@
     cookie_paths: tuple[HeaderRewrite, ...] = ()
     cookie_domains: tuple[HeaderRewrite, ...] = ()
 
-    def path(self, path: str) -> str:
+    def rewrite_path(self, path: str) -> str:
         """Return the path that the member gets for a request path in its normal form."""
         return path if self.to is None else swap_prefix(path, self.prefix, self.to)
 
@@ -55,7 +55,7 @@
         """Whether header lines of answers may be rewritten."""
         return bool(self.urls or self.cookie_paths or self.cookie_domains)
 
-    def answer(self, lines: Sequence[bytes], base: bytes) -> list[bytes]:
+    def rewrite_headers(self, lines: Sequence[bytes], base: bytes) -> list[bytes]:
         """Return the header lines of an answer as the client gets them.
 
         `base` is the scheme and authority of the client's request, such as `http://shop.test`. It is prepended where an
--- a/loadbalancer/routing/traffic_migration.py
+++ b/loadbalancer/routing/traffic_migration.py
@@ -58,28 +58,28 @@
             max_keys: Limit on the keys recorded at one time.
         """
         self.window, self._max_keys = window, max_keys
-        self.move: Migration | None = None
+        self.current: Migration | None = None
         # By key, the oldest first: the time at which the entry expires, and the pool, None for the pool's own.
         self._recorded: OrderedDict[bytes, tuple[float, str | None]] = OrderedDict()
         self._recorded_since = -math.inf  # every key used from then on is recorded
         self._recording_until = -math.inf
 
-    def say(self, move: Migration | None, now: float) -> None:
+    def set_migration(self, move: Migration | None, now: float) -> None:
         """Replace the migration by another; None ends it."""
-        if self.move is None and now > self._recording_until:
+        if self.current is None and now > self._recording_until:
             self._recorded_since = now
-        self.move = move
+        self.current = move
         self._recording_until = math.inf if move is not None else now + self.window
 
     def resume(self, move: Migration) -> None:
         """Continue the migration of the previous process: keys are assigned as that process assigned them."""
-        self.move, self._recorded_since, self._recording_until = move, move.at, math.inf
+        self.current, self._recorded_since, self._recording_until = move, move.at, math.inf
 
     def is_idle(self, now: float) -> bool:
         """Return whether every request stays with the pool itself and no key has to be recorded."""
-        return self.move is None and now > self._recording_until
+        return self.current is None and now > self._recording_until
 
-    def place(self, now: float, draw: float, key: bytes | None, at_home: bool | None = None) -> str | None:
+    def assign(self, now: float, draw: float, key: bytes | None, at_home: bool | None = None) -> str | None:
         """Return the pool that a request goes to; None for the pool itself.
 
         Args:
@@ -96,7 +96,7 @@
         return self._draw(draw, at_home)
 
     def _draw(self, draw: float, at_home: bool | None) -> str | None:
-        move = self.move
+        move = self.current
         if move is None or at_home:
             return None
         return move.other if at_home is False or draw < move.share else None
--- a/tests/daemon/test_admin_server.py
+++ b/tests/daemon/test_admin_server.py
@@ -225,7 +225,7 @@
         if store:
             daemon = Daemon(Heard(), seed=1)
             daemon.apply(load(tmp_path / "micastand.toml"))
-            assert daemon.admin is not None and daemon.admin.state.migrations["p"].move is not None
+            assert daemon.admin is not None and daemon.admin.state.migrations["p"].current is not None
             daemon.close()
 
     run(scene)
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -422,14 +422,14 @@
     async def scene(here: Ground, member: ScriptedBackend, _: Any) -> None:
         taken: list[float] = []
         proxy = here.daemon.pools["a"].proxy
-        real = proxy.take
+        real = proxy.submit
 
         def take(request: Any, cls: int, left: float, *rest: Any) -> None:
             taken.append(left)
             assert proxy.balancer.settings.classes[cls].name == "book"
             real(request, cls, left, *rest)
 
-        proxy.take = take  # type: ignore[method-assign, assignment]
+        proxy.submit = take  # type: ignore[method-assign, assignment]
         assert (await here.ask(requests_to()))[0] == 200
         assert len(taken) == 1 and taken[0] <= 2.0
 
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -60,7 +60,7 @@
     ],
 )
 def test_answer_urls_and_cookies_are_mapped_back_for_clients(line: bytes, new: bytes) -> None:
-    assert REWRITES.answer([line + b"\r\n"], b"http://h") == [new + b"\r\n"]
+    assert REWRITES.rewrite_headers([line + b"\r\n"], b"http://h") == [new + b"\r\n"]
 
 
 def test_a_suffix_takes_precedence_over_the_same_path_but_not_over_a_longer_path() -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -10,7 +10,7 @@
     MIN_BACKEND_SOCKETS,
     SATURATED_UTILIZATION,
     ListenerSlots,
-    WeightedTurns,
+    WeightedAdmission,
     divide,
     divide_listeners,
     divide_pools,
@@ -53,61 +53,61 @@
     assert divide_pools(0, 0, {"p": 1.0, "q": 1.0}, {}, {})["p"].max_open_requests == 1
 
 
-def run_window(turns: WeightedTurns, used: float, **requested: int) -> dict[str, int]:
+def run_window(admission: WeightedAdmission, used: float, **requested: int) -> dict[str, int]:
     """Run one window of requests; return how many of each pool were admitted."""
-    admitted = {name: sum(turns.admit(name) for _ in range(count)) for name, count in requested.items()}
-    turns.window(used)
+    admitted = {name: sum(admission.admit(name) for _ in range(count)) for name, count in requested.items()}
+    admission.end_window(used)
     return admitted
 
 
 def test_all_requests_are_admitted_below_saturation() -> None:
-    turns = WeightedTurns({"a": 1.0, "b": 1.0})
+    admission = WeightedAdmission({"a": 1.0, "b": 1.0})
     for _ in range(5):
-        assert run_window(turns, SATURATED_UTILIZATION - 0.01, a=900, b=100) == {"a": 900, "b": 100}
+        assert run_window(admission, SATURATED_UTILIZATION - 0.01, a=900, b=100) == {"a": 900, "b": 100}
 
 
 def test_a_flooding_pool_is_limited_to_what_the_other_pool_leaves() -> None:
-    turns = WeightedTurns({"a": 1.0, "b": 1.0})
-    run_window(turns, 1.0, a=900, b=100)
-    admitted = run_window(turns, 1.0, a=5000, b=100)
+    admission = WeightedAdmission({"a": 1.0, "b": 1.0})
+    run_window(admission, 1.0, a=900, b=100)
+    admitted = run_window(admission, 1.0, a=5000, b=100)
     assert admitted["b"] == 100 and admitted["a"] == 900  # all that b leaves unused
-    admitted = run_window(turns, 1.0, a=5000, b=450)
+    admitted = run_window(admission, 1.0, a=5000, b=450)
     assert admitted["b"] == 450
 
 
 def test_two_flooding_pools_divide_by_weight_what_the_others_leave() -> None:
-    turns = WeightedTurns({"a": 3.0, "b": 1.0, "c": 1.0})
-    run_window(turns, 1.0, a=600, b=300, c=100)
-    assert run_window(turns, 1.0, a=5000, b=5000, c=100) == {"a": 675, "b": 225, "c": 100}
+    admission = WeightedAdmission({"a": 3.0, "b": 1.0, "c": 1.0})
+    run_window(admission, 1.0, a=600, b=300, c=100)
+    assert run_window(admission, 1.0, a=5000, b=5000, c=100) == {"a": 675, "b": 225, "c": 100}
 
 
 def test_limits_end_when_utilization_falls() -> None:
-    turns = WeightedTurns({"a": 1.0, "b": 1.0})
-    run_window(turns, 1.0, a=900, b=100)
-    run_window(turns, 0.5, a=900, b=100)
-    assert run_window(turns, 0.5, a=5000, b=1) == {"a": 5000, "b": 1}
+    admission = WeightedAdmission({"a": 1.0, "b": 1.0})
+    run_window(admission, 1.0, a=900, b=100)
+    run_window(admission, 0.5, a=900, b=100)
+    assert run_window(admission, 0.5, a=5000, b=1) == {"a": 5000, "b": 1}
 
 
 def test_a_single_pool_is_never_limited() -> None:
-    turns = WeightedTurns({"a": 1.0})
-    run_window(turns, 1.0, a=100)
-    assert run_window(turns, 1.0, a=1000) == {"a": 1000}
+    admission = WeightedAdmission({"a": 1.0})
+    run_window(admission, 1.0, a=100)
+    assert run_window(admission, 1.0, a=1000) == {"a": 1000}
 
 
 @pytest.mark.parametrize("weights", [{"a": 1.0, "b": 1.0}, {"a": 5.0, "b": 0.1, "c": 2.0}])
 def test_pools_within_their_shares_keep_being_admitted(weights: dict[str, float]) -> None:
-    turns = WeightedTurns(weights)
+    admission = WeightedAdmission(weights)
     total = sum(weights.values())
     requested = {name: int(1000 * weight / total) for name, weight in weights.items()}
-    run_window(turns, 1.0, **requested)
-    assert run_window(turns, 1.0, **{name: count * 2 for name, count in requested.items()})
+    run_window(admission, 1.0, **requested)
+    assert run_window(admission, 1.0, **{name: count * 2 for name, count in requested.items()})
 
 
 def test_a_pool_added_by_a_reload_is_admitted() -> None:
-    assert WeightedTurns({"a": 1.0}).admit("new")
+    assert WeightedAdmission({"a": 1.0}).admit("new")
 
 
 def test_a_pool_is_not_limited_in_favour_of_a_pool_without_requests() -> None:
-    turns = WeightedTurns({"a": 1.0, "b": 1.0})
-    run_window(turns, 1.0, a=900, b=0)
-    assert run_window(turns, 1.0, a=1300, b=0) == {"a": 1300, "b": 0}
+    admission = WeightedAdmission({"a": 1.0, "b": 1.0})
+    run_window(admission, 1.0, a=900, b=0)
+    assert run_window(admission, 1.0, a=1300, b=0) == {"a": 1300, "b": 0}
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -128,13 +128,13 @@
             await here.reload()
             seen: list[int] = []
             proxy = here.daemon.pools["p"].proxy
-            take = proxy.take
+            take = proxy.submit
 
             def note(request: Any, cls: int, left: float, tenant: int, *more: Any) -> None:
                 seen.append(tenant)
                 take(request, cls, left, tenant, *more)
 
-            proxy.take = note  # type: ignore[method-assign, assignment]
+            proxy.submit = note  # type: ignore[method-assign, assignment]
             each: Any
             for each in (depot, certs.authority().issue("someone.test")):
                 client = await connect(here, context=client_context(each))
