--- a/loadbalancer/daemon/hot_restart/protocol.py
+++ b/loadbalancer/daemon/hot_restart/protocol.py
@@ -102,7 +102,7 @@
             raise HotRestartError(str(fields["error"]))
         if fields["version"] != VERSION or len(fields["listeners"]) + 1 != descriptors:
             raise HotRestartError(
-                f"expected version {VERSION} and a descriptor for each listener, found version {fields['version']!r}"
+                f"found version {fields['version']!r}, expected version {VERSION} and a descriptor for each listener"
             )
         return cls(int(fields["pid"]), list(fields["listeners"]), bool(fields["store"]))
 
--- a/tests/daemon/test_hot_restart.py
+++ b/tests/daemon/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Daemons that take over from one another under load, and new ones that are broken."""
+"""Tests of hot restarts under load, and of new programs that fail."""
 
 from __future__ import annotations
 
@@ -59,14 +59,14 @@
 """
 
 
-def run(scene: Callable[[], Awaitable[None]]) -> None:
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
-        await asyncio.wait_for(scene(), 110)
+        await asyncio.wait_for(scenario(), 110)
 
     asyncio.run(bounded())
 
 
-async def started(path: Path) -> asyncio.subprocess.Process:
+async def start_daemon(path: Path) -> asyncio.subprocess.Process:
     return await start(path, listeners=2)
 
 
@@ -75,7 +75,7 @@
     return await loop.run_in_executor(None, main, ["upgrade", "-c", str(path), "--timeout", "20", *words])
 
 
-def read(folder: Path, what: str) -> Any:
+def query(folder: Path, what: str) -> Any:
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(str(folder / "s"))
         sock.sendall(f"GET /v1/{what} HTTP/1.1\r\n\r\n".encode())
@@ -86,27 +86,29 @@
 
 
 def pid_of(folder: Path) -> int:
-    return int(read(folder, "status")["pid"])
+    return int(query(folder, "status")["pid"])
 
 
 def members_of(folder: Path) -> list[dict[str, Any]]:
-    return list(read(folder, "members"))
+    return list(query(folder, "members"))
 
 
-class Clients:
-    """Each on a connection of its own for some requests, then on the next one; a connection that is closed between two
-    requests is opened anew, as clients do."""
+class LoadClients:
+    """Sends requests and counts the outcomes; each `run` uses one connection at a time, for up to 20 requests.
+
+    Like usual clients, it opens a new connection if one is closed between two requests.
+    """
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address, self.stopped = address, False
-        self.ends: Counter[str] = Counter()
+        self.outcomes: Counter[str] = Counter()
 
     async def run(self) -> None:
         while not self.stopped:
             try:
                 reader, writer = await asyncio.open_connection(*self.address)
             except OSError:
-                self.ends["a closed door"] += 1
+                self.outcomes["connection refused"] += 1
                 continue
             for number in range(20):
                 try:
@@ -116,28 +118,28 @@
                         int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
                     )
                 except (OSError, asyncio.IncompleteReadError):
-                    self.ends["crossed a close" if number else "lost"] += 1
+                    self.outcomes["closed between requests" if number else "lost"] += 1
                     break
-                self.ends[head[9:12].decode()] += 1
+                self.outcomes[head[9:12].decode()] += 1
                 if b"connection: close" in head.lower():
                     break
             writer.close()
 
 
-def test_upgrades_under_load_close_no_door_and_lose_no_request(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_upgrades_under_load_refuse_no_connection_and_lose_no_request(tmp_path: Path) -> None:
+    async def scenario() -> None:
         fleet = Fleet(3)
         await fleet.start()
         port = kept_port()
         path = tmp_path / "c.toml"
         path.write_text(CONFIG.format(address=f"127.0.0.1:{port}", folder=tmp_path) + fleet.tables())
-        first = await started(path)
-        clients = Clients(("127.0.0.1", port))
+        first = await start_daemon(path)
+        clients = LoadClients(("127.0.0.1", port))
         tasks = [asyncio.ensure_future(clients.run()) for _ in range(6)]
         pids = [first.pid]
         loop = asyncio.get_running_loop()
         for number in range(3):
-            if number == 1:  # a configuration that differs
+            if number == 1:  # change the configuration
                 path.write_text(
                     path.read_text().replace(
                         'name = "p"\nrules', 'name = "p"\nsticky_while_draining = true\nrules'
@@ -153,16 +155,16 @@
         assert await asyncio.wait_for(first.wait(), 20) == 0
         clients.stopped = True
         await asyncio.gather(*tasks)
-        assert clients.ends["200"] > 100
-        assert not clients.ends["a closed door"] and not clients.ends["lost"], clients.ends
-        assert set(clients.ends) <= {"200", "crossed a close"}, clients.ends
+        assert clients.outcomes["200"] > 100
+        assert not clients.outcomes["connection refused"] and not clients.outcomes["lost"], clients.outcomes
+        assert set(clients.outcomes) <= {"200", "closed between requests"}, clients.outcomes
         os.kill(pids[-1], signal.SIGTERM)
         while any(alive(pid) for pid in pids):
             await asyncio.sleep(0.02)
         assert not list(tmp_path.glob("s*")) and not (tmp_path / "local").exists()
         await fleet.stop()
 
-    run(scene)
+    run(scenario)
 
 
 def alive(pid: int) -> bool:
@@ -170,45 +172,45 @@
         state = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
     except OSError:
         return False
-    return state != "Z"  # one whose parent we are and have not asked about
+    return state != "Z"  # a zombie: a child of this process that was not waited for
 
 
 @pytest.mark.parametrize(
     "program",
     [["/nonexistent-program"], [sys.executable, "-c", "raise SystemExit(1)"],
      [sys.executable, "-c", "import os; os.write(int(os.sys.argv[-1]), b'half')"]],
-    ids=["no program", "dies", "says something else"],
+    ids=["no program", "exits", "writes something else"],
 )  # fmt: skip
-def test_a_broken_new_build_leaves_the_old_one_serving(tmp_path: Path, program: list[str]) -> None:
-    async def scene() -> None:
+def test_old_daemon_keeps_serving_when_new_program_fails(tmp_path: Path, program: list[str]) -> None:
+    async def scenario() -> None:
         fleet = Fleet(1)
         await fleet.start()
         port = kept_port()
         path = tmp_path / "c.toml"
         path.write_text(CONFIG.format(address=f"127.0.0.1:{port}", folder=tmp_path) + fleet.tables())
-        old = await started(path)
+        old = await start_daemon(path)
         assert await upgrade(path, "--program", *program) == 1
-        clients = Clients(("127.0.0.1", port))
+        clients = LoadClients(("127.0.0.1", port))
         task = asyncio.ensure_future(clients.run())
-        while clients.ends["200"] < 20:
+        while clients.outcomes["200"] < 20:
             await asyncio.sleep(0.01)
         clients.stopped = True
         await task
-        assert old.returncode is None and set(clients.ends) == {"200"}
+        assert old.returncode is None and set(clients.outcomes) == {"200"}
         old.send_signal(signal.SIGTERM)
         await old.wait()
         await fleet.stop()
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_taker_that_dies_before_it_serves_and_a_second_one_at_once(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_concurrent_takeover_is_rejected_and_upgrade_succeeds_after_failed_one(tmp_path: Path) -> None:
+    async def scenario() -> None:
         fleet = Fleet(1)
         await fleet.start()
         path = tmp_path / "c.toml"
         path.write_text(CONFIG.format(address=f"127.0.0.1:{kept_port()}", folder=tmp_path) + fleet.tables())
-        old = await started(path)
+        old = await start_daemon(path)
         offer = offer_path(tmp_path / "s")
         loop = asyncio.get_running_loop()
         while not offer.exists():
@@ -218,7 +220,7 @@
         assert first.pid == old.pid and len(first.sockets) == 2
         with pytest.raises(HotRestartError, match="another upgrade is under way"):
             await loop.run_in_executor(None, take_over, offer)
-        first.close()  # as by SIGKILL
+        first.close()  # as after SIGKILL
         assert await upgrade(path) == 0
         assert await asyncio.wait_for(old.wait(), 20) == 0
         os.kill(await loop.run_in_executor(None, pid_of, tmp_path), signal.SIGTERM)
@@ -226,22 +228,23 @@
             await asyncio.sleep(0.02)
         await fleet.stop()
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_store_passes_under_keyed_load_and_no_key_runs_twice(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_upgrades_under_keyed_load_execute_no_key_twice(tmp_path: Path) -> None:
+    async def scenario() -> None:
         tally = await Killing(tmp_path, kept_port(), seed=3, clients=4).upgrades(3)
         assert tally.acknowledged >= 60 and not tally.differ and not tally.doubled
         assert tally.repeated == len(tally.answers)
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_store_goes_back_where_the_new_daemon_dies_with_it(tmp_path: Path) -> None:
-    """It has asked for the store, got it, and ends: meanwhile keyed work is told to come back, then it goes on."""
+def test_old_daemon_reclaims_store_when_new_daemon_fails(tmp_path: Path) -> None:
+    """The new daemon requests the store, gets it, and ends. Keyed requests are rejected until the old daemon has the
+    store again."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         effects = Effects(2.0)
         fleet = KeyedFleet(1, effects)
         await fleet.start()
@@ -257,13 +260,13 @@
         status, body = await killing.ask("two")
         assert status == 503 and b"another process takes over" in body
         reader, writer = await asyncio.open_unix_connection(str(tmp_path / "s"))
-        order = b'{"by": "o", "pool": "p", "member": "x"}'
-        writer.write(b"POST /v1/cordon HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (len(order), order))
+        change = b'{"by": "o", "pool": "p", "member": "x"}'
+        writer.write(b"POST /v1/cordon HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (len(change), change))
         assert b"an upgrade is under way" in await reader.read()
         writer.close()
-        there = Engine(DiskFiles(tmp_path / "state"), time.time, StoreBounds())
-        there.open()  # it has been let go
-        there.close()
+        engine = Engine(DiskFiles(tmp_path / "state"), time.time, StoreBounds())
+        engine.open()  # possible, since the old daemon has released it
+        engine.close()
         taken.close()
         while (await killing.ask("two"))[0] != 200:
             await asyncio.sleep(0.01)
@@ -273,20 +276,20 @@
         assert await old.wait() == 0
         await fleet.stop()
 
-    run(scene)
+    run(scenario)
 
 
-def test_what_operators_change_within_an_upgrade_is_refused_or_known_to_both(tmp_path: Path) -> None:
-    """While somebody has the sockets and does not serve yet, a change would be lost with the old daemon; once the new
-    one serves, the old one hears of changes for what it still answers, and leaves where the new one ends."""
+def test_change_during_upgrade_is_rejected_or_reaches_both_daemons(tmp_path: Path) -> None:
+    """While the new process has the sockets and does not serve yet, a change would be lost with the old daemon, so it
+    is rejected. Once the new one serves, it sends changes to the old one, until the new one closes the connection."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         members = [Member(name) for name in "ab"]
         async with ground(tmp_path, members, lambda: text(members, MANAGED)) as here:
-            control = here.daemon.admin
-            assert control is not None
-            control.serve()
-            restart = control.hot_restart
+            admin = here.daemon.admin
+            assert admin is not None
+            admin.serve()
+            restart = admin.hot_restart
             offer, loop = offer_path(tmp_path / "s"), asyncio.get_running_loop()
             taken = await loop.run_in_executor(None, take_over, offer)
             status, found = await call(here, "POST", "cordon", pool="p", member="a")
@@ -296,30 +299,30 @@
             assert (await call(here, "POST", "cordon", pool="p", member="a"))[0] == 200
             assert (await call(here, "POST", "uncordon", pool="p", member="a"))[0] == 200
             taken = await loop.run_in_executor(None, take_over, offer)
-            way = await loop.run_in_executor(None, taken.serving)
+            connection = await loop.run_in_executor(None, taken.serving)
             assert restart.replaced.is_set()
-            way.sendall(b'["p","a",{"word":"cordon"}]\n["none","a",null]\nrubbish\n["p",')
+            connection.sendall(b'["p","a",{"word":"cordon"}]\n["none","a",null]\nrubbish\n["p",')
             overlay = here.daemon.pools["p"].overlay
             await here.until(lambda: overlay.marks.get("a") and here.heard.count("can't be read"))
             assert await served_by(here, 20) == {"b"}
-            way.sendall(b'"a",null]\n')
+            connection.sendall(b'"a",null]\n')
             await here.until(lambda: not overlay.marks)
-            way.close()
+            connection.close()
             await here.until(lambda: restart.offer is not None and not restart.offer.has_successor)
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_successor_avoids_the_member_that_its_predecessor_had_found_out(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_successor_inherits_outlier_state_of_members(tmp_path: Path) -> None:
+    async def scenario() -> None:
         fleet = Fleet(4)
         await fleet.start()
         fleet.members[0].behaviour.status = 500
         port = kept_port()
         path = tmp_path / "c.toml"
         path.write_text(CONFIG.format(address=f"127.0.0.1:{port}", folder=tmp_path) + fleet.tables())
-        old = await started(path)
-        clients = Clients(("127.0.0.1", port))
+        old = await start_daemon(path)
+        clients = LoadClients(("127.0.0.1", port))
         task = asyncio.ensure_future(clients.run())
         loop = asyncio.get_running_loop()
 
@@ -332,50 +335,53 @@
         await task
         assert await upgrade(path) == 0
         assert await asyncio.wait_for(old.wait(), 20) == 0
-        # It has sent nothing yet, so what it would pass on is what it was passed. Asked so, since how long a member is
-        # avoided goes by time: after two failures a second, which an upgrade on a busy machine takes.
+        # The successor has not sent any requests yet, so the snapshot that it offers is the state that it inherited.
+        # The snapshot is checked, not the members in use, since ejections expire: after two failures an ejection lasts
+        # a second, and an upgrade on a busy machine takes that long.
         taken = await loop.run_in_executor(None, take_over, offer_path(tmp_path / "s"))
-        notes = sorted(decode(taken.snapshot).pools[0].endpoints, key=lambda note: note.id)
+        endpoints = sorted(decode(taken.snapshot).pools[0].endpoints, key=lambda endpoint: endpoint.id)
         taken.close()
-        found = [
-            note.error_rate > ERROR_RATE_LIMIT
-            and note.consecutive_failures >= EJECT_AFTER
-            and note.error_rate_age >= 0
-            for note in notes
+        is_outlier = [
+            endpoint.error_rate > ERROR_RATE_LIMIT
+            and endpoint.consecutive_failures >= EJECT_AFTER
+            and endpoint.error_rate_age >= 0
+            for endpoint in endpoints
         ]
-        assert found == [True, False, False, False]
+        assert is_outlier == [True, False, False, False]
         os.kill(await loop.run_in_executor(None, pid_of, tmp_path), signal.SIGTERM)
         while (tmp_path / "s").exists():
             await asyncio.sleep(0.02)
         await fleet.stop()
 
-    run(scene)
+    run(scenario)
 
 
-def test_where_nothing_is_offered_nothing_is_taken(tmp_path: Path) -> None:
+def test_take_over_fails_when_nothing_is_offered(tmp_path: Path) -> None:
     with pytest.raises(HotRestartError, match="No such file"):
         take_over(tmp_path / "none")
     path = tmp_path / "f"
     path.write_text("x")
     remove_if_same_inode(path, 0)
-    assert path.exists()  # another's
+    assert path.exists()  # its inode is another one
     config = tmp_path / "c.toml"
     config.write_text(
         CONFIG.format(address="127.0.0.1:0", folder=tmp_path)
         + '[[pool.member]]\nid="m"\naddress="127.0.0.1:9"\n'
     )
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "loadbalancer.cli", "serve", "-c", str(config), "--take-over"],
         cwd=ROOT,
         capture_output=True,
         text=True,
     )
     assert (
-        found.returncode == 1 and "nothing was taken over" in found.stderr and "Traceback" not in found.stderr
+        result.returncode == 1
+        and "nothing was taken over" in result.stderr
+        and "Traceback" not in result.stderr
     )
 
 
-def test_take_over_wants_a_management_socket(tmp_path: Path, capsys: Any) -> None:
+def test_take_over_requires_management_socket(tmp_path: Path, capsys: Any) -> None:
     config = tmp_path / "c.toml"
     text = (
         CONFIG.format(address="127.0.0.1:0", folder=tmp_path)
--- a/tests/daemon/test_persisted_state.py
+++ b/tests/daemon/test_persisted_state.py
@@ -1,4 +1,4 @@
-"""The replicated state as records of a store."""
+"""Tests of the replicated state as records of a store."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
     persisted_state.write_command(view, changes, state.version, command)
 
 
-def test_what_commands_have_made_is_read_again(view: StoreView) -> None:
+def test_load_restores_state_written_by_commands(view: StoreView) -> None:
     state = ReplicatedState({"a": "s0"})
     commit(view, state, drain("m1", 1))
     commit(view, state, Command("a-2", "freeze", write_body(FreezeBody("q", True))))
     commit(view, state, Command("a-3", "mark", write_body(MarkBody("p", {"m1": None}))))
     commit(view, state, drain("m2", 4))
-    found = ReplicatedState({})
+    restored = ReplicatedState({})
 
-    persisted = persisted_state.load(view, found)
+    persisted = persisted_state.load(view, restored)
 
-    assert found.encode() == state.encode()
+    assert restored.encode() == state.encode()
     assert sorted(persisted.command_log) == [1, 2, 3, 4]
     assert (persisted.acceptor_state, persisted.observed_stores) == (None, {})
 
@@ -62,20 +62,20 @@
     assert sorted(persisted.command_log) == [RETAINED_COMMANDS + 1]
 
 
-def test_a_snapshot_replaces_all_that_was_there(view: StoreView) -> None:
+def test_snapshot_replaces_all_stored_items(view: StoreView) -> None:
     commit(view, ReplicatedState({}), drain("m1", 1))
     state = ReplicatedState({})
     state.apply(drain("m2", 2))
-    found = ReplicatedState({})
+    restored = ReplicatedState({})
 
     persisted_state.write_snapshot(view, persisted_state.encode_all(state))
-    persisted = persisted_state.load(view, found)
+    persisted = persisted_state.load(view, restored)
 
-    assert found.encode() == state.encode()
+    assert restored.encode() == state.encode()
     assert persisted.command_log == {}
 
 
-def test_the_acceptor_state_and_observed_stores_are_written_each_by_itself(view: StoreView) -> None:
+def test_acceptor_state_and_observed_stores_are_written_separately(view: StoreView) -> None:
     acceptor_state = AcceptorState(6, (3, "i1"), (2, "i0"), drain("m1", 1))
 
     persisted_state.write_acceptor_state(view, acceptor_state, None)
--- a/tests/daemon/test_reload_after_end.py
+++ b/tests/daemon/test_reload_after_end.py
@@ -1,4 +1,4 @@
-"""A configuration that is to be reloaded while the daemon ends."""
+"""Test of a reload that is requested during shutdown."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 from standins.member import Member
 
 
-# Guards against a reload that undoes the shutdown: connections stay open, and the kill finds requests on them.
-def test_a_reload_after_the_end_has_begun_is_not_taken(tmp_path: Path) -> None:
-    async def scene() -> None:
+# Guards against a reload that undoes the shutdown: connections would stay open and still have requests when the process
+# is killed.
+def test_reload_during_shutdown_is_ignored(tmp_path: Path) -> None:
+    async def scenario() -> None:
         members = [Member("a")]
         async with ground(tmp_path, members, lambda: text(members)) as here:
             client = await here.connect()
             await client.send(requests_to())
             assert (await client.read())[0] == 200
-            ended = asyncio.ensure_future(here.daemon.end())
+            shutdown = asyncio.ensure_future(here.daemon.end())
             await here.until(lambda: here.daemon.listeners["main"].draining)
             await here.reload()
             await client.send(requests_to())
             status, head, _ = await client.read()
             assert status == 200 and b"connection: close" in head.lower()
             assert here.daemon.reloads == 0
-            await ended
+            await shutdown
 
-    run(scene)
+    run(scenario)
--- a/tests/daemon/test_socket_files.py
+++ b/tests/daemon/test_socket_files.py
@@ -1,4 +1,4 @@
-"""The files of Unix sockets, where two processes follow one another."""
+"""Tests of Unix socket files when one process takes over from another."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return offer
 
 
-def listens(path: Path) -> bool:
+def accepts_connections(path: Path) -> bool:
     with socket.socket(socket.AF_UNIX) as probe:
         try:
             probe.connect(str(path))
@@ -40,11 +40,10 @@
     return True
 
 
-# Guards against a predecessor that looks at the file, and removes its successor's, which came in between.
-def test_whoever_was_replaced_leaves_the_file_to_its_successor(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    async def scene() -> None:
+# Guards against a race: the predecessor checks that the file is its own, the successor replaces it, and the predecessor
+# then removes the successor's file.
+def test_replaced_process_keeps_file_of_successor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         path, replaced = tmp_path / "offer", asyncio.Event()
         old = offer_at(path, replaced)
         loop = asyncio.get_running_loop()
@@ -54,47 +53,47 @@
         successors: list[HotRestartOffer] = []
         stat = os.stat
 
-        def stat_and_be_overtaken(name: Any, **more: Any) -> os.stat_result:
-            found = stat(name, **more)
+        def stat_then_replace(name: Any, **more: Any) -> os.stat_result:
+            status = stat(name, **more)
             if name == path:
                 monkeypatch.undo()
                 successors.append(offer_at(path, asyncio.Event()))
-            return found
+            return status
 
-        monkeypatch.setattr(os, "stat", stat_and_be_overtaken)
+        monkeypatch.setattr(os, "stat", stat_then_replace)
         old.close()
         successor = successors[0] if successors else offer_at(path, asyncio.Event())
-        assert listens(path)
+        assert accepts_connections(path)
         connection.close()
         successor.close()
         assert not path.exists()
 
-    run(scene)
+    run(scenario)
 
 
-# Guards against a file that is removed once its socket is closed: another process may have replaced it by then.
+# Guards against a file that is removed after its socket is closed, when another process may have replaced it.
 def test_a_file_is_removed_while_its_socket_listens(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         path = tmp_path / "offer"
         offer = offer_at(path, asyncio.Event())
         listened: list[bool] = []
         unlink = os.unlink
 
-        def observed(name: Any, **more: Any) -> None:
-            listened.append(listens(path))
+        def check_and_unlink(name: Any, **more: Any) -> None:
+            listened.append(accepts_connections(path))
             unlink(name, **more)
 
-        monkeypatch.setattr(os, "unlink", observed)
-        monkeypatch.setattr(Path, "unlink", lambda self, missing_ok=False: observed(self))
+        monkeypatch.setattr(os, "unlink", check_and_unlink)
+        monkeypatch.setattr(Path, "unlink", lambda self, missing_ok=False: check_and_unlink(self))
         offer.close()
         assert listened == [True]
 
-    run(scene)
+    run(scenario)
 
 
-# Guards against a new build that fails before it serves, and takes the serving one's sockets out of reach.
-def test_a_successor_that_comes_to_nothing_removes_no_file_of_the_serving_daemon(tmp_path: Path) -> None:
-    async def scene() -> None:
+# Guards against a new build that fails before it serves, and removes the socket files of the serving daemon.
+def test_failed_successor_removes_no_file_of_serving_daemon(tmp_path: Path) -> None:
+    async def scenario() -> None:
         members = [Member("a")]
 
         def config() -> str:
@@ -112,7 +111,7 @@
 
             assert (await call(here, "GET", "status"))[0] == 200
             assert (await call(here, "GET", "status", name="r"))[0] == 200
-            assert listens(tmp_path / "local")
+            assert accepts_connections(tmp_path / "local")
         assert sorted(file.name for file in tmp_path.iterdir()) == ["micastand.toml"]
 
-    run(scene)
+    run(scenario)
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -1,4 +1,4 @@
-"""A daemon under a configuration written by the test, over scripted backends or stand-in members."""
+"""Runs a daemon with a configuration written by the test, and scripted backends or stand-in members."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Heard(RateLimitedLogger):
-    """Keeps what is logged."""
+    """A logger that records all lines, without a rate limit."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,7 +33,7 @@
 
 
 def pool(name: str, members: Sequence[ScriptedBackend | Member], *more: str, **each: dict[str, Any]) -> str:
-    """A pool of these; `each` has further keys of members by their names."""
+    """Return the configuration of a pool with these members; `each` has further keys of members by their names."""
     text = f'[[pool]]\nname = "{name}"\n' + "".join(f"{line}\n" for line in more)
     for member in members:
         text += f'[[pool.member]]\nid = "{member.name}"\naddress = "{member.address}"\n'
@@ -56,7 +56,7 @@
 
 
 class Ground:
-    """A daemon, its file, and the clients that the test opens."""
+    """A running daemon, its configuration file, and the clients that the test has opened."""
 
     def __init__(self, daemon: Daemon, path: Path, heard: Heard) -> None:
         self.daemon, self.path, self.heard = daemon, path, heard
@@ -69,19 +69,19 @@
         return client
 
     async def ask(self, data: bytes, listener: str = "main") -> tuple[int, bytes, bytes]:
-        """Status, head and body of one answer on a connection of its own."""
+        """Send a request on a new connection, and return the status, head and body of the response."""
         client = await self.connect(listener)
         await client.send(data)
         return await client.read()
 
     def write(self, *parts: str) -> None:
-        """Replace the file as an operator should, by renaming."""
+        """Replace the configuration file atomically, by renaming."""
         new = self.path.with_suffix(".new")
         new.write_text("\n".join(parts))
         new.replace(self.path)
 
     async def reload(self, *parts: str) -> None:
-        """Write the file and wait until it has been taken, or not."""
+        """Write the file, reload it, and wait until the reload has succeeded or failed."""
         if parts:
             self.write(*parts)
         self.daemon.reload()
@@ -91,9 +91,9 @@
         while self.daemon.reloading:
             await asyncio.sleep(0)
 
-    async def until(self, true: Callable[[], object]) -> None:
+    async def until(self, condition: Callable[[], object]) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0)
 
 
@@ -101,7 +101,7 @@
 async def ground(
     folder: Path, members: Sequence[ScriptedBackend | Member], text: Callable[[], str]
 ) -> AsyncIterator[Ground]:
-    """`text` is asked for the file once the members listen."""
+    """Start the members and a daemon; `text` returns the configuration, and is called once the members listen."""
     for member in members:
         await member.start()
     path = folder / "micastand.toml"
