--- a/loadbalancer/daemon/persisted_state.py
+++ b/loadbalancer/daemon/persisted_state.py
@@ -53,8 +53,8 @@
     Attributes:
         store: Random id, generated when the store is created.
         opened: Number of openings, shifted left by `GENERATION_NONCE_BITS` random bits generated at each opening.
-        is_new: Whether the store is not admitted as a voter's yet (`voter_registration.py`). False for stores of builds
-            that do not write this field: those have voted.
+        is_new: Whether the store still has to be admitted to the vote (`voter_registration.py`). False for stores of
+            builds that do not write this field, since those have voted.
     """
 
     store: str
--- a/tests/daemon/test_hot_restart.py
+++ b/tests/daemon/test_hot_restart.py
@@ -70,9 +70,9 @@
     return await start(path, listeners=2)
 
 
-async def upgrade(path: Path, *words: str) -> int:
+async def upgrade(path: Path, *options: str) -> int:
     loop = asyncio.get_running_loop()
-    return await loop.run_in_executor(None, main, ["upgrade", "-c", str(path), "--timeout", "20", *words])
+    return await loop.run_in_executor(None, main, ["upgrade", "-c", str(path), "--timeout", "20", *options])
 
 
 def query(folder: Path, what: str) -> Any:
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -63,6 +63,7 @@
         self.clients: list[Client] = []
 
     async def connect(self, listener: str = "main") -> Client:
+        """Open a client connection, which is closed at the end of the test."""
         address = self.daemon.listeners[listener].address
         client = Client(*await asyncio.open_connection(*address, limit=64 << 20))
         self.clients.append(client)
@@ -88,10 +89,12 @@
         await self.settled()
 
     async def settled(self) -> None:
+        """Wait until no reload is in progress."""
         while self.daemon.reloading:
             await asyncio.sleep(0)
 
     async def until(self, condition: Callable[[], object]) -> None:
+        """Wait until the condition holds; fails after PATIENCE."""
         async with asyncio.timeout(PATIENCE):
             while not condition():
                 await asyncio.sleep(0)
