--- a/loadbalancer/cli/serve_daemon.py
+++ b/loadbalancer/cli/serve_daemon.py
@@ -108,7 +108,7 @@
     """Tell the process whose sockets were taken over that this one serves; HotRestartError where it does not answer."""
     if daemon.inherited is None:
         return
-    connection = daemon.inherited.serving()
+    connection = daemon.inherited.confirm_serving()
     daemon.inherited = None
     if daemon.admin is not None:
         daemon.admin.predecessor.connect(connection)
--- a/loadbalancer/daemon/admin_changes.py
+++ b/loadbalancer/daemon/admin_changes.py
@@ -18,7 +18,7 @@
 from loadbalancer.daemon.audit_log import AuditLog
 from loadbalancer.daemon.change_validation import ChangeValidator
 from loadbalancer.daemon.components import DaemonContext
-from loadbalancer.daemon.persisted_overrides import PersistedOverrides, Saved
+from loadbalancer.daemon.persisted_overrides import PersistedOverrides, SaveCallback
 from loadbalancer.daemon.requested_state import requested_migration, requested_override
 from loadbalancer.discovery.overrides import AdminOverride
 from loadbalancer.store.errors import StoreError
@@ -84,22 +84,22 @@
         try:
             self._validator.check(change)
         except CallError as problem:
-            self._audit.note(change, f"refused: {problem}")
+            self._audit.record(change, f"refused: {problem}")
             raise
         for component in self._daemon.components.values():
-            if component.take_change(change, partial(self._component_done, change, done)):
+            if component.apply_change(change, partial(self._component_done, change, done)):
                 return
         self._handlers[change.verb](change, done)
 
     def _component_done(self, change: Change, done: ChangeDone, result: ChangeResult) -> None:
         if "error" in result:
-            self._audit.note(change, f"not done: {result['error']}")
+            self._audit.record(change, f"not done: {result['error']}")
         else:
-            self._audit.note(change, f"version {result.get('version')}")
+            self._audit.record(change, f"version {result.get('version')}")
         done(result)
 
     def _done(self, change: Change, result: ChangeResult, done: ChangeDone) -> None:
-        self._audit.note(change, "done")
+        self._audit.record(change, "done")
         done(result)
 
     def _reload(self, change: Change, done: ChangeDone) -> None:
@@ -166,7 +166,7 @@
     def _save(
         self,
         change: Change,
-        save: Callable[[Saved], None],
+        save: Callable[[SaveCallback], None],
         result: Callable[[bool], ChangeResult],
         undo: Callable[[], None],
         done: ChangeDone,
@@ -181,7 +181,7 @@
                 self._done(change, result(True), done)
                 return
             undo()
-            self._audit.note(change, f"taken back: {problem}")
+            self._audit.record(change, f"taken back: {problem}")
             done({"error": f"could not be kept, so nothing has changed: {problem}"})
 
         save(saved)
--- a/loadbalancer/daemon/admin_queries.py
+++ b/loadbalancer/daemon/admin_queries.py
@@ -61,19 +61,19 @@
     def read(self, what: str) -> object:
         """The answer to a path; a component's own readers come first."""
         for component in self._daemon.components.values():
-            reader = component.reads().get(what)
+            reader = component.queries().get(what)
             if reader is not None:
                 return reader()
         return self._readers[what]()
 
     def is_readable(self, what: str) -> bool:
         """Whether a component can be read by this path."""
-        return any(what in component.reads() for component in self._daemon.components.values())
+        return any(what in component.queries() for component in self._daemon.components.values())
 
     def ask(self, what: str, done: Callable[[object], None]) -> bool:
         """Start a query that other instances answer; whether there is one by this path."""
         for component in self._daemon.components.values():
-            query = component.asks().get(what)
+            query = component.remote_queries().get(what)
             if query is not None:
                 query(done)
                 return True
@@ -97,7 +97,7 @@
         }
         status: dict[str, object] = {**row}
         for component in daemon.components.values():
-            status |= component.figures()
+            status |= component.status_fields()
         return status
 
     def pools(self) -> list[PoolRow]:
@@ -118,7 +118,7 @@
         if keys is None:
             return []
         refused: list[RefusedKeyRow] = [
-            {"where": where, "refused": reason} for where, reason in keys.refused().items()
+            {"where": where, "refused": reason} for where, reason in keys.rejected_files().items()
         ]
         return [*keys.summary(), *refused]
 
--- a/loadbalancer/daemon/admin_server.py
+++ b/loadbalancer/daemon/admin_server.py
@@ -106,7 +106,7 @@
         self._servers.append(server)
         self._socket_files.append(file)
         if not self._replaces:
-            file.place(replaces=False)
+            file.publish(replaces=False)
 
     def _open_tcp(self, address: tuple[str, int], tokens: Path) -> None:
         try:
@@ -130,7 +130,7 @@
         """Take the place of the daemon before, and let another one take over from now on."""
         if self._replaces:
             for file in self._socket_files:
-                file.place(replaces=True)
+                file.publish(replaces=True)
         if self.table.socket is not None:
             self.hot_restart.open(self._base / self.table.socket)
 
@@ -149,7 +149,7 @@
             for pool in self._daemon.pools.values():
                 pool.proxy.trace = pool.proxy.trace or DecisionTrace(self.table.why)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """End overrides and migrations whose time is over."""
         self.state.expire()
 
--- a/loadbalancer/daemon/admin_state.py
+++ b/loadbalancer/daemon/admin_state.py
@@ -76,10 +76,10 @@
             for endpoint in pool.overlay.expire():
                 self.overrides.get(name, {}).pop(endpoint, None)
                 self._logger("a mark has ended", f"{endpoint} of pool {name}")
-                self._persisted.forget_override(name, endpoint)
+                self._persisted.delete_override(name, endpoint)
         now = time.time()
         for name, migrations in self.migrations.items():
             if migrations.move is not None and migrations.move.is_over(now):
                 self.set_migration(name, None)
                 self._logger("a move has ended", f"all of {name} stays with it")
-                self._persisted.forget_migration(name)
+                self._persisted.delete_migration(name)
--- a/loadbalancer/daemon/audit_log.py
+++ b/loadbalancer/daemon/audit_log.py
@@ -18,7 +18,7 @@
         self._path = path
         self._logger = logger
 
-    def note(self, change: Change, outcome: str) -> None:
+    def record(self, change: Change, outcome: str) -> None:
         """Write one line; JSON encoding keeps it one line whatever the operator has sent."""
         request = change.request
         fields = {
--- a/loadbalancer/daemon/components.py
+++ b/loadbalancer/daemon/components.py
@@ -6,7 +6,7 @@
 
 Life cycle of a component: it is created when a configuration that includes it is applied (`component_factory.py`);
 `begin` is called when everything else of that configuration has been created; `serve` when this process is the one that
-serves; `look` a few times a second; `reload` with each further configuration that keeps the component; `retire` when
+serves; `poll` a few times a second; `reload` with each further configuration that keeps the component; `retire` when
 another process serves in place of this one; and `end` once, at the end.
 """
 
@@ -47,7 +47,7 @@
         At this time the pools of the new configuration are running, its routes are not in force yet.
         """
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Do periodic work; called a few times a second."""
 
     def retire(self) -> None:
@@ -57,15 +57,15 @@
         """Return the sockets to pass to a process that takes over."""
         return []
 
-    def figures(self) -> Mapping[str, Any]:
+    def status_fields(self) -> Mapping[str, Any]:
         """Return the component's entries in the response to `status`, by key."""
         return {}
 
-    def reads(self) -> Mapping[str, Callable[[], Any]]:
+    def queries(self) -> Mapping[str, Callable[[], Any]]:
         """Return the functions that answer operators' queries, by the path of the call."""
         return {}
 
-    def asks(self) -> Mapping[str, Callable[[Callable[[Any], None]], None]]:
+    def remote_queries(self) -> Mapping[str, Callable[[Callable[[Any], None]], None]]:
         """Return the functions for queries that other instances answer, by path; each receives a result callback."""
         return {}
 
@@ -73,7 +73,7 @@
         """Return the additional verbs for changes, each with its required fields and a one-line description."""
         return {}
 
-    def take_change(self, change: Change, done: ChangeDone) -> bool:  # noqa: ARG002
+    def apply_change(self, change: Change, done: ChangeDone) -> bool:  # noqa: ARG002
         """Apply a change if this component is responsible for it.
 
         Args:
@@ -142,7 +142,7 @@
 class FleetSnapshotSource(Protocol):
     """A component that holds this instance's fleet membership."""
 
-    def note(self) -> FleetSnapshot:
+    def fleet_snapshot(self) -> FleetSnapshot:
         """Return the fleet state from which a successor continues."""
 
 
--- a/loadbalancer/daemon/daemon.py
+++ b/loadbalancer/daemon/daemon.py
@@ -232,7 +232,7 @@
         self._follow_descriptor_limit()
         self._restore_snapshot()
         for component in self.components.values():
-            component.look()
+            component.poll()
         self.retirement.close_idle()
 
     def _follow_descriptor_limit(self) -> None:
--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -177,7 +177,7 @@
             if pool.proxy.trace is not None:
                 pool.proxy.trace.version = lambda: replication.state.version
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Look at the keys, the recovery, and the number of instances that limits are divided by."""
         self._look_at_keys()
         self.recovery.step()
@@ -187,7 +187,7 @@
             self._instance_count = size.instances
             self._logger("fleet: size estimate changed", size.instances)
         for pool in self._daemon.pools.values():
-            pool.count_instances(size.instances)
+            pool.set_instance_count(size.instances)
 
     def _look_at_keys(self) -> None:
         """Read changed keys. A file that is half written can't be read, and the keys before stay in force."""
@@ -220,7 +220,7 @@
         """Return the sockets that pass to the next process."""
         return [self.transport.udp, self.transport.tcp]
 
-    def note(self) -> FleetSnapshot:
+    def fleet_snapshot(self) -> FleetSnapshot:
         """Return what the next process goes on from."""
         life, facts = self.view.hand_over()
         replication = self.replication
@@ -242,7 +242,7 @@
         """Return the changes that this component takes beside those of pools."""
         return {**REPLICATION_VERBS, **RESTART_VERBS} if self.replication is not None else RESTART_VERBS
 
-    def take_change(self, change: Change, done: AnswerCallback) -> bool:
+    def apply_change(self, change: Change, done: AnswerCallback) -> bool:
         """Take an operator's change; return whether it is one of the fleet.
 
         Raises:
@@ -253,11 +253,11 @@
             return True
         return self.replication is not None and self.replication.commands.submit(change, done)
 
-    def asks(self) -> Mapping[str, Callable[[Callable[[Any], None]], None]]:
+    def remote_queries(self) -> Mapping[str, Callable[[Callable[[Any], None]], None]]:
         """Return the reads that other instances have to be asked for."""
         return {"fleet/versions": self.replication.report.collect} if self.replication is not None else {}
 
-    def reads(self) -> Mapping[str, Callable[[], Any]]:
+    def queries(self) -> Mapping[str, Callable[[], Any]]:
         """Return the reads that this instance answers alone."""
         found: dict[str, Callable[[], Any]] = {
             "fleet/members": self._read_members,
@@ -268,7 +268,7 @@
             found["fleet/rollout"] = self._read_rollout
         return found
 
-    def figures(self) -> Mapping[str, Any]:
+    def status_fields(self) -> Mapping[str, Any]:
         """Return what the daemon's status shows of the fleet."""
         status = report.status(self.view, time.monotonic())
         fleet: JsonObject = {
--- a/loadbalancer/daemon/hot_restart/offer.py
+++ b/loadbalancer/daemon/hot_restart/offer.py
@@ -125,7 +125,7 @@
     def open(self) -> None:
         """Listen at the path, replacing the socket of the previous daemon, which may not have ended yet."""
         self._file.bind(self._listen)
-        self._file.place(replaces=True)
+        self._file.publish(replaces=True)
 
     def _listen(self, address: Address) -> None:
         self._listening = bind(address)
--- a/loadbalancer/daemon/hot_restart/service.py
+++ b/loadbalancer/daemon/hot_restart/service.py
@@ -67,7 +67,7 @@
             for name, pool in self._daemon.pools.items()
         ]
         fleet = cast("FleetSnapshotSource | None", self._daemon.components.get("fleet"))
-        return encode(Snapshot(time.time(), pools, fleet.note() if fleet is not None else None))
+        return encode(Snapshot(time.time(), pools, fleet.fleet_snapshot() if fleet is not None else None))
 
     def _on_replaced(self) -> None:
         for listener in self._daemon.listeners.values():
--- a/loadbalancer/daemon/hot_restart/takeover.py
+++ b/loadbalancer/daemon/hot_restart/takeover.py
@@ -72,7 +72,7 @@
         if self._connection.recv(MAX_MESSAGE_BYTES) != STORE_RELEASED:
             raise OSError("the old daemon has not released the store")
 
-    def serving(self) -> socket.socket:
+    def confirm_serving(self) -> socket.socket:
         """Tell the old process that this one serves, and release the sockets that were not claimed.
 
         Returns:
--- a/loadbalancer/daemon/peer_learning.py
+++ b/loadbalancer/daemon/peer_learning.py
@@ -85,7 +85,7 @@
             if pool.plan.table.discovery is None or pool.proxy.listed:
                 continue
             try:
-                count = pool.take_over(await self._fetch(name, f"{LIST_QUERY_PREFIX}{pool_name}"))
+                count = pool.import_list(await self._fetch(name, f"{LIST_QUERY_PREFIX}{pool_name}"))
                 self._daemon.logger(
                     "fleet: endpoint list received", f"{count} members of {pool_name}, by {name}"
                 )
@@ -111,7 +111,7 @@
     def answer_list(self, pool_name: str) -> StreamedAnswer:
         """Return the endpoint list of a pool, nothing where there is none to hand on."""
         pool = self._daemon.pools.get(pool_name)
-        return _in_messages(pool.hand_on() if pool is not None else b"")
+        return _in_messages(pool.export_list() if pool is not None else b"")
 
     def answer_snapshot(self) -> StreamedAnswer:
         """Return what this instance has learnt of all endpoints."""
--- a/loadbalancer/daemon/persisted_overrides.py
+++ b/loadbalancer/daemon/persisted_overrides.py
@@ -16,7 +16,7 @@
 OVERRIDE_PREFIX = b"mark/"
 MIGRATION_PREFIX = b"move/"
 
-Saved = Callable[[StoreError | None], None]
+SaveCallback = Callable[[StoreError | None], None]
 
 
 def override_key(pool: str, endpoint: str) -> bytes:
@@ -85,25 +85,27 @@
         """Return whether there is a store to write to."""
         return self._store() is not None
 
-    def save_overrides(self, pool: str, overrides: Mapping[str, AdminOverride | None], saved: Saved) -> None:
+    def save_overrides(
+        self, pool: str, overrides: Mapping[str, AdminOverride | None], saved: SaveCallback
+    ) -> None:
         """Write overrides, then call `saved`: with None once they are on disk, or with the error."""
         self._run(partial(write_overrides, pool, overrides), saved)
 
-    def save_migration(self, pool: str, migration: Migration | None, saved: Saved) -> None:
+    def save_migration(self, pool: str, migration: Migration | None, saved: SaveCallback) -> None:
         """Write a migration, then call `saved`: with None once it is on disk, or with the error."""
         self._run(partial(write_migration, pool, migration), saved)
 
-    def forget_override(self, pool: str, endpoint: str) -> None:
+    def delete_override(self, pool: str, endpoint: str) -> None:
         """Delete an override that has expired. If this fails, the record's own expiry removes it."""
         if self.is_configured:
             self._run(partial(write_overrides, pool, {endpoint: None}), _ignore)
 
-    def forget_migration(self, pool: str) -> None:
+    def delete_migration(self, pool: str) -> None:
         """Delete a migration that has expired. If this fails, the record's own expiry removes it."""
         if self.is_configured:
             self._run(partial(write_migration, pool, None), _ignore)
 
-    def _run(self, job: Job[None], saved: Saved) -> None:
+    def _run(self, job: Job[None], saved: SaveCallback) -> None:
         store = self._store()
         assert store is not None
         store.submit(job, lambda _, problem: saved(problem))
--- a/loadbalancer/daemon/pools.py
+++ b/loadbalancer/daemon/pools.py
@@ -200,7 +200,7 @@
         self.proxy.fair_share = weighted_turns
         self.proxy.resize(allocation)
 
-    def hand_on(self) -> bytes:
+    def export_list(self) -> bytes:
         """Return the encoded list for another instance; empty if the source is not polled or its list is not recent."""
         if (
             not isinstance(self.source, DiscoveryClient)
@@ -212,7 +212,7 @@
         entries = list(self.overlay.listed().values())
         return write(entries, self.source.version, self.source.age(), deployment.zones, deployment.kinds)
 
-    def take_over(self, data: bytes) -> int:
+    def import_list(self, data: bytes) -> int:
         """Use a list from another instance until the source responds.
 
         An endpoint that the source has just drained may receive requests until then, as with any list that is some
@@ -230,7 +230,7 @@
         self.overlay.take_list(entries, True, stale=True)
         return len(entries)
 
-    def release(self, after: float) -> None:
+    def schedule_first_poll(self, after: float) -> None:
         """Reschedule a first poll of the source that is still delayed.
 
         Args:
@@ -239,7 +239,7 @@
         if isinstance(self.source, DiscoveryClient):
             self.source.release(after)
 
-    def count_instances(self, number: int) -> None:
+    def set_instance_count(self, number: int) -> None:
         """Set the number of instances among which the fleet's shared limits are divided."""
         balancer = self.proxy.balancer
         if balancer.settings.instance_count != number:
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -157,7 +157,7 @@
         delay_s = turn(name, seen.recovering, DISCOVERY_TURN_S, MAX_DISCOVERY_SPREAD_S)
         lacking = [pool for pool in self._daemon.pools.values() if not pool.proxy.listed]
         for pool in self._daemon.pools.values():
-            pool.release(delay_s if pool not in lacking or is_mass_restart else 0.0)
+            pool.schedule_first_poll(delay_s if pool not in lacking or is_mass_restart else 0.0)
         first = min((*seen.recovering, name))
         if lacking and is_mass_restart and first != name:
             self._run(self._ask_for_lists(first, time.monotonic() + delay_s))
--- a/loadbalancer/daemon/storage.py
+++ b/loadbalancer/daemon/storage.py
@@ -97,7 +97,7 @@
             logger(f"store: {line.partition(':')[0]}" if ":" in line else "store", line)
         return cls(table, engine, make_engine, logger)
 
-    def figures(self) -> Mapping[str, Any]:
+    def status_fields(self) -> Mapping[str, Any]:
         """Return the status entry that says whether the store accepts changes, or why not."""
         return {"store": self.store.read_only or "takes changes"}
 
--- a/loadbalancer/daemon/tls_keys.py
+++ b/loadbalancer/daemon/tls_keys.py
@@ -56,7 +56,7 @@
         keys = self.listeners.get(listener)
         return TlsAcceptor(keys, self._logger) if keys is not None else None
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Reread changed files, renew ticket keys, and warn of certificates that expire soon."""
         now = time.monotonic()
         if now - self._polled_at >= POLL_INTERVAL_S:
@@ -72,7 +72,7 @@
         certificates |= {f"pool {name}": keys.held() for name, keys in self.pools.items()}
         return summary(certificates, time.time())
 
-    def refused(self) -> dict[str, str]:
+    def rejected_files(self) -> dict[str, str]:
         """Return why the current content of files is not in use, by the listener or pool that names the files."""
         reasons = {f"listener {name}": keys.watched.refused for name, keys in self.listeners.items()}
         reasons |= {f"pool {name}": keys.watched.refused for name, keys in self.pools.items()}
--- a/loadbalancer/daemon/unix_socket_files.py
+++ b/loadbalancer/daemon/unix_socket_files.py
@@ -16,7 +16,7 @@
 class UnixSocketFile:
     """Owns the file of one listening Unix socket until `remove`, or until a successor's file replaces it.
 
-    The socket is bound at a temporary path. `place` renames that over the file of the previous process, which does
+    The socket is bound at a temporary path. `publish` renames that over the file of the previous process, which does
     not remove the file once it was told that it is replaced; so only one of the two processes may remove the file.
     """
 
@@ -29,7 +29,7 @@
         self._is_published = False
 
     def bind(self, listen: Listen) -> None:
-        """Listen at a temporary path, where clients don't look for the socket before `place`.
+        """Listen at a temporary path, where clients don't look for the socket before `publish`.
 
         Raises:
             OSError: The socket can't be bound.
@@ -41,7 +41,7 @@
             os.umask(umask)
         self._inode = os.stat(self._unpublished_path).st_ino
 
-    def place(self, *, replaces: bool) -> None:
+    def publish(self, *, replaces: bool) -> None:
         """Move the socket's file to its final path.
 
         Args:
--- a/tests/admin/test_tokens.py
+++ b/tests/admin/test_tokens.py
@@ -9,7 +9,7 @@
 
 import pytest
 from administered import run, text
-from daemons import Ground, Heard, ground
+from daemons import DaemonHarness, RecordingLogger, running_daemon
 from ports import kept_port
 
 from loadbalancer.admin.tokens import (
@@ -76,7 +76,7 @@
 
 
 def test_a_door_follows_its_file_and_keeps_the_last_good_one(tmp_path: Path) -> None:
-    path, heard, now = keep(tmp_path / "tokens", line_of("old", "reads", "rita")), Heard(), [0.0]
+    path, heard, now = keep(tmp_path / "tokens", line_of("old", "reads", "rita")), RecordingLogger(), [0.0]
     door = TokenAuthenticator(path, None, heard, lambda: now[0])  # type: ignore[arg-type]
     assert not isinstance(door.session("Bearer old"), Response)
     keep(path, line_of("old", "reads", "rita") + line_of("new", "changes", "rita"))
@@ -125,10 +125,10 @@
 
     async def scene() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, managed(port))) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, managed(port))) as here:
             await calls(here)
 
-    async def calls(here: Ground) -> None:
+    async def calls(here: DaemonHarness) -> None:
         assert (await by_tcp(port, "look"))[0] == 200
         assert (await by_tcp(port, "guess"))[0] == 401
         body = b'{"by": "somebody else", "pool": "p", "member": "a"}'
@@ -154,7 +154,7 @@
     async def scene() -> None:
         member = Member("a")
         with pytest.raises(ConfigError, match="management.tokens"):
-            async with ground(tmp_path, [member], lambda: text([member], managed(kept_port()))):
+            async with running_daemon(tmp_path, [member], lambda: text([member], managed(kept_port()))):
                 pass
         assert not (tmp_path / "s").exists()
         await member.stop()
--- a/tests/administered.py
+++ b/tests/administered.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any, Awaitable, Callable
 
-from daemons import LISTENER, Ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route
 
 from standins.member import Member
 
@@ -28,7 +28,7 @@
     )
 
 
-async def call(here: Ground, method: str, path: str, name: str = "s", **body: Any) -> tuple[int, Any]:
+async def call(here: DaemonHarness, method: str, path: str, name: str = "s", **body: Any) -> tuple[int, Any]:
     reader, writer = await asyncio.open_unix_connection(str(here.path.parent / name))
     data = json.dumps({"by": "ops", **body}).encode() if method == "POST" else b""
     writer.write(
@@ -41,7 +41,7 @@
     return int(head[9:12]), json.loads(rest)
 
 
-async def served_by(here: Ground, count: int = 40) -> set[str]:
+async def served_by(here: DaemonHarness, count: int = 40) -> set[str]:
     found = set()
     for _ in range(count):
         status, _, body = await here.ask(requests_to())
--- a/tests/daemon/test_admin_server.py
+++ b/tests/daemon/test_admin_server.py
@@ -10,7 +10,7 @@
 
 import pytest
 from administered import MANAGED, STORE, call, run, served_by, text
-from daemons import LISTENER, Ground, Heard, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, RecordingLogger, pool, requests_to, route, running_daemon
 
 from loadbalancer.cli.__main__ import main
 from loadbalancer.cli.output import lines
@@ -25,7 +25,7 @@
         members = [Member(name) for name in "abc"]
         late = Member("late")
         await late.start()
-        async with ground(tmp_path, members, lambda: text(members, MANAGED, store)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, MANAGED, store)) as here:
             assert stat.S_IMODE((tmp_path / "s").stat().st_mode) == 0o600
             assert stat.S_IMODE((tmp_path / "r").stat().st_mode) == 0o660
             assert await served_by(here) == {"a", "b", "c"}
@@ -69,13 +69,13 @@
 def test_marks_outlast_a_restart_and_a_reload_and_a_pool_that_goes(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED, STORE)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, MANAGED, STORE)) as here:
             assert (await call(here, "POST", "cordon", pool="p", member="a"))[0] == 200
             assert (await call(here, "POST", "cordon", pool="p", member="later", until="1h"))[0] == 200
             await here.reload(text(members, MANAGED, STORE).replace('"warm"', '"cold"'))  # a pool made anew
             assert here.daemon.reloads == 1 and await served_by(here) <= {"b", "503"}
             here.daemon.close()
-            again = here.daemon = Daemon(Heard(), seed=5)
+            again = here.daemon = Daemon(RecordingLogger(), seed=5)
             again.apply(load(here.path))
             assert await served_by(here) <= {"b", "503"}
             _, found = await call(here, "GET", "marks")
@@ -92,7 +92,7 @@
 def test_a_mark_that_can_not_be_kept_is_taken_back(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED, STORE)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, MANAGED, STORE)) as here:
             assert here.daemon.storage is not None
             here.daemon.storage.store.engine.log.read_only = "fsync failed: test"
             _, found = await call(here, "POST", "cordon", pool="p", member="a")
@@ -107,10 +107,10 @@
 ) -> None:
     async def scene() -> None:
         members = [Member("a")]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, MANAGED)) as here:
             await here.reload(text(members))
             assert here.heard.count("new configuration not taken: management")
-            other = Daemon(Heard(), seed=2)
+            other = Daemon(RecordingLogger(), seed=2)
             here.write(text(members, MANAGED))
             with pytest.raises(OSError):
                 other.apply(load(here.path))
@@ -123,7 +123,7 @@
 def test_callers_that_hang_and_calls_beside_load(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, MANAGED)) as here:
             hanging = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(30)]
 
             async def load_() -> None:
@@ -145,7 +145,7 @@
 def test_the_verbs(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def scene() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, MANAGED)) as here:
             assert here.daemon.admin is not None
 
             async def verb(*words: str) -> int:
@@ -179,7 +179,7 @@
     run(scene)
 
 
-async def moved_to(here: Ground) -> set[str]:
+async def moved_to(here: DaemonHarness) -> set[str]:
     """Who serves; on a busy machine one of two pools may have to wait for its share of the processor."""
     return await served_by(here, 60) - {"503"}
 
@@ -199,7 +199,7 @@
 def test_a_share_of_a_pool_moves_and_comes_back(tmp_path: Path, store: str) -> None:
     async def scene() -> None:
         members = [Member("home"), Member("away")]
-        async with ground(tmp_path, members, lambda: canary(members, MANAGED, store)) as here:
+        async with running_daemon(tmp_path, members, lambda: canary(members, MANAGED, store)) as here:
             assert await served_by(here) == {"home"}
             status, found = await call(
                 here, "POST", "move", pool="p", other="q", share=0.5, reason="new build"
@@ -223,7 +223,7 @@
             assert (await call(here, "GET", "moves"))[1] == []
             assert (await call(here, "POST", "move", pool="p", other="q", share=1, until="1h"))[0] == 200
         if store:
-            daemon = Daemon(Heard(), seed=1)
+            daemon = Daemon(RecordingLogger(), seed=1)
             daemon.apply(load(tmp_path / "micastand.toml"))
             assert daemon.admin is not None and daemon.admin.state.migrations["p"].move is not None
             daemon.close()
@@ -234,7 +234,7 @@
 def test_a_move_ends_by_its_time(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [Member("home"), Member("away")]
-        async with ground(tmp_path, members, lambda: canary(members, MANAGED)) as here:
+        async with running_daemon(tmp_path, members, lambda: canary(members, MANAGED)) as here:
             assert (await call(here, "POST", "move", pool="p", other="q", share=1, until="1ms"))[0] == 200
             await here.until(lambda: here.heard.count("a move has ended"))
             assert await moved_to(here) == {"home"}
@@ -247,7 +247,7 @@
         sick, well = Member("sick"), Member("well")
         sick.behaviour.status = 503
         two = MANAGED + "why = 3\n"
-        async with ground(tmp_path, [sick, well], lambda: text([sick, well], two)) as here:
+        async with running_daemon(tmp_path, [sick, well], lambda: text([sick, well], two)) as here:
             found: list[Any] = []
             for number in range(40):
                 name = f"r/{number}"
@@ -274,7 +274,7 @@
 def test_why_is_off_unless_it_is_configured(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [Member("a")]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, MANAGED)) as here:
             assert here.daemon.pools["p"].proxy.trace is None
             status, found = await call(here, "GET", "why/x")
             assert status == 409 and "why = 1000" in found["error"]
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from peers import Call, ScriptedBackend, answering, play, request, silent
 from ports import kept_port
 
@@ -46,7 +46,7 @@
         delayed = DelayedResponse()
         old, new = ScriptedBackend("old", delayed), ScriptedBackend("new", answering(GOOD))
         first = LISTENER + route("all", "a") + pool("a", [old])
-        async with ground(
+        async with running_daemon(
             tmp_path, [old, new], lambda: LISTENER + route("all", "a") + pool("a", [old])
         ) as here:
             client = await here.connect()
@@ -69,7 +69,7 @@
 def test_request_whose_head_arrived_before_reload_uses_old_routes(tmp_path: Path) -> None:
     async def scenario() -> None:
         old, new = ScriptedBackend("old", answering(GOOD)), ScriptedBackend("new", answering(GOOD))
-        async with ground(
+        async with running_daemon(
             tmp_path, [old, new], lambda: LISTENER + route("all", "a") + pool("a", [old])
         ) as here:
             client = await here.connect()
@@ -89,7 +89,7 @@
 def test_reload_of_invalid_or_missing_file_changes_nothing(bad: str | None, tmp_path: Path) -> None:
     async def scenario() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        async with ground(
+        async with running_daemon(
             tmp_path, [backend], lambda: LISTENER + route("all", "a") + pool("a", [backend])
         ) as here:
             before = here.daemon.plan, dict(here.daemon.pools), dict(here.daemon.listeners)
@@ -112,7 +112,7 @@
         backend = ScriptedBackend("s", answering(GOOD))
         with socket.create_server(("127.0.0.1", 0)) as taken:
             port = taken.getsockname()[1]
-            async with ground(
+            async with running_daemon(
                 tmp_path, [backend], lambda: LISTENER + route("all", "a") + pool("a", [backend])
             ) as here:
                 before = dict(here.daemon.pools), dict(here.daemon.listeners)
@@ -139,7 +139,7 @@
         def text(port: Any) -> str:
             return LISTENER.replace(":0", f":{port}") + route("all", "a") + pool("a", [backend])
 
-        async with ground(tmp_path, [backend], lambda: text(0)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: text(0)) as here:
             old = here.daemon.listeners["main"]
             address = old.address
             client, idle = await here.connect(), await here.connect()
@@ -168,7 +168,7 @@
         def rest() -> str:
             return route("all", "a") + pool("a", [backend])
 
-        async with ground(tmp_path, [backend], lambda: listener + rest()) as here:
+        async with running_daemon(tmp_path, [backend], lambda: listener + rest()) as here:
             client = await here.connect()
             assert (await client.ask(requests_to()))[0] == 200
             await here.reload(listener.replace("main", "other"), rest())
@@ -186,7 +186,7 @@
         def text(pool_members: Any) -> str:
             return LISTENER + route("all", "a") + pool("a", pool_members, WARM)
 
-        async with ground(tmp_path, [gone, stays], lambda: text([gone])) as here:
+        async with running_daemon(tmp_path, [gone, stays], lambda: text([gone])) as here:
             client = await here.connect()
             await client.send(requests_to("/", "POST", b"x"))
             await gone.until_called()
@@ -207,7 +207,7 @@
 
     async def scenario() -> None:
         old, new = Member("old"), Member("new")
-        async with ground(
+        async with running_daemon(
             tmp_path, [old, new], lambda: LISTENER + route("r", "a") + pool("a", [old])
         ) as here:
             client = await here.connect()
@@ -223,7 +223,7 @@
 def test_reloads_requested_during_a_reload_run_once_after_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        async with ground(
+        async with running_daemon(
             tmp_path, [backend], lambda: LISTENER + route("all", "a") + pool("a", [backend])
         ) as here:
             here.daemon.reload()
@@ -240,7 +240,7 @@
 class LoadClient:
     """A client that sends requests until it is stopped, and counts the responses by status."""
 
-    def __init__(self, here: Ground, method: str) -> None:
+    def __init__(self, here: DaemonHarness, method: str) -> None:
         self.here, self.method = here, method
         self.responses: dict[int, int] = {}
         self.lost = 0
@@ -276,7 +276,7 @@
             pool_members = members[n % 3 : n % 3 + 2]
             return LISTENER + extra + route(f"r{n}", name) + pool(name, pool_members, WARM)
 
-        async with ground(tmp_path, members, lambda: text(0)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(0)) as here:
             load = [LoadClient(here, method) for method in ("GET", "POST") * 3]
             tasks = [asyncio.ensure_future(client.run()) for client in load]
             sizes = []
@@ -319,7 +319,7 @@
     return text + "".join(f'[[member]]\nid = "{m.name}"\naddress = "{m.address}"\n' for m in members)
 
 
-def members_file_source(here: Ground, name: str = "a") -> MembersFile:
+def members_file_source(here: DaemonHarness, name: str = "a") -> MembersFile:
     source = here.daemon.pools[name].source
     assert isinstance(source, MembersFile)
     return source
@@ -344,7 +344,7 @@
             file.write_text(members_text(a))
             return LISTENER + route("all", "a") + text
 
-        async with ground(tmp_path, [a, b], first) as here:
+        async with running_daemon(tmp_path, [a, b], first) as here:
             assert (await here.ask(requests_to()))[0] == 200 and len(a.calls) == 1
             if how == "in place":
                 file.write_text(members_text(b) + "# another size\n")
@@ -369,7 +369,7 @@
             file.write_text(members_text(a, b, count=2))
             return LISTENER + route("all", "a") + '[[pool]]\nname = "a"\nmembers_file = "members.toml"\n'
 
-        async with ground(tmp_path, [a, b], first) as here:
+        async with running_daemon(tmp_path, [a, b], first) as here:
             complete = members_text(b, a, count=2) + "# longer than before\n"
             source = members_file_source(here)
             for end in range(0, len(complete) - 25, 3):
@@ -396,7 +396,7 @@
             file.write_text(members_text(a))
             return LISTENER + route("all", "a") + '[[pool]]\nname = "a"\nmembers_file = "members.toml"\n'
 
-        async with ground(tmp_path, [a, b], first) as here:
+        async with running_daemon(tmp_path, [a, b], first) as here:
             source = members_file_source(here)
             for size in range(5):  # the file grows between any two polls
                 file.write_text(members_text(b) + "#" * size)
@@ -429,7 +429,7 @@
         def text(state: Any) -> str:
             return LISTENER + route("all", "p") + pool("p", both, a={"state": state}, b=standby)
 
-        async with ground(tmp_path, both, lambda: text("serving")) as here:
+        async with running_daemon(tmp_path, both, lambda: text("serving")) as here:
             client = await here.connect()
             for _ in range(200):
                 assert (await client.ask(requests_to()))[0] == 200
@@ -448,7 +448,7 @@
 def test_session_is_routed_to_its_member(cookie: str, tmp_path: Path) -> None:
     async def scenario() -> None:
         three = [ScriptedBackend(name, answering(GOOD)) for name in "abc"]
-        async with ground(tmp_path, three, lambda: sticky_config(tmp_path, three)) as here:
+        async with running_daemon(tmp_path, three, lambda: sticky_config(tmp_path, three)) as here:
             line = cookie if "S=" in cookie else f"S={cookie}"
             for _ in range(20):
                 assert (await here.ask(requests_to("/", "GET", b"", f"Cookie: {line}")))[0] == 200
@@ -468,7 +468,7 @@
         def text() -> str:
             return sticky_config(tmp_path, [stopped, *two], stopped={"state": "stopped"})
 
-        async with ground(tmp_path, [stopped, *two], text) as here:
+        async with running_daemon(tmp_path, [stopped, *two], text) as here:
             client = await here.connect()
             for _ in range(20):
                 data = requests_to("/", "POST", b"x", f"Cookie: S={value}").decode().encode("latin-1")
@@ -487,7 +487,7 @@
         def text() -> str:
             return sticky_config(tmp_path, [a, b], more, a={"state": "draining", "route": "r1"})
 
-        async with ground(tmp_path, [a, b], text) as here:
+        async with running_daemon(tmp_path, [a, b], text) as here:
             client = await here.connect()
             for _ in range(10):
                 assert (await client.ask(requests_to("/", "GET", b"", "Cookie: S=x.r1")))[0] == 200
@@ -505,7 +505,7 @@
         def text() -> str:
             return LISTENER + route("all", "p", sticky) + pool("p", [a, b])
 
-        async with ground(tmp_path, [a, b], text) as here:
+        async with running_daemon(tmp_path, [a, b], text) as here:
             for _ in range(10):
                 assert (await here.ask(requests_to("/x;v=1;jsessionid=AB.b/y?z")))[0] == 200
             assert len(b.calls) == 10 and b.calls[0].head.startswith(b"GET /x;v=1;jsessionid=AB.b/y?z ")
@@ -532,7 +532,7 @@
                 + pool("healthy", [healthy])
             )
 
-        async with ground(tmp_path, [hanging, healthy], text) as here:
+        async with running_daemon(tmp_path, [hanging, healthy], text) as here:
             listener = here.daemon.listeners["main"]
             limit = here.daemon.pools["hanging"].proxy.max_open_requests
             assert limit < listener.most
@@ -571,7 +571,7 @@
                 + pool("b", [b], 'dialect = "platform"')
             )
 
-        async with ground(tmp_path, [a, b], text) as here:
+        async with running_daemon(tmp_path, [a, b], text) as here:
             data = request("safe")
             first, second = await here.connect(), await here.connect("two")
             await first.send(data)
@@ -594,7 +594,7 @@
         def text() -> str:
             return classes + LISTENER + route("a", "a") + pool("a", [a], 'dialect = "platform"')
 
-        async with ground(tmp_path, [a], text) as here:
+        async with running_daemon(tmp_path, [a], text) as here:
             assert (await here.ask(requests_to()))[0] == 404
             assert (await here.ask(request("safe")))[0] == 200 and len(a.calls) == 1
 
@@ -605,7 +605,7 @@
     async def scenario() -> None:
         delayed = DelayedResponse()
         backend = ScriptedBackend("s", delayed)
-        async with ground(
+        async with running_daemon(
             tmp_path, [backend], lambda: LISTENER + route("all", "a") + pool("a", [backend])
         ) as here:
             client = await here.connect()
@@ -628,7 +628,9 @@
     async def scenario() -> None:
         backend = ScriptedBackend("s", silent)
         routes = route("all", "a", 'deadline = "100ms"')
-        async with ground(tmp_path, [backend], lambda: LISTENER + routes + pool("a", [backend])) as here:
+        async with running_daemon(
+            tmp_path, [backend], lambda: LISTENER + routes + pool("a", [backend])
+        ) as here:
             client = await here.connect()
             await client.send(requests_to("/", "POST", b"x"))
             await backend.until_called()
--- a/tests/daemon/test_hot_restart.py
+++ b/tests/daemon/test_hot_restart.py
@@ -16,7 +16,7 @@
 
 import pytest
 from administered import MANAGED, call, served_by, text
-from daemons import ground
+from daemons import running_daemon
 from ports import kept_port
 
 from loadbalancer.admin.snapshot import decode
@@ -285,7 +285,7 @@
 
     async def scenario() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, MANAGED)) as here:
             admin = here.daemon.admin
             assert admin is not None
             admin.serve()
@@ -299,7 +299,7 @@
             assert (await call(here, "POST", "cordon", pool="p", member="a"))[0] == 200
             assert (await call(here, "POST", "uncordon", pool="p", member="a"))[0] == 200
             taken = await loop.run_in_executor(None, take_over, offer)
-            connection = await loop.run_in_executor(None, taken.serving)
+            connection = await loop.run_in_executor(None, taken.confirm_serving)
             assert restart.replaced.is_set()
             connection.sendall(b'["p","a",{"word":"cordon"}]\n["none","a",null]\nrubbish\n["p",')
             overlay = here.daemon.pools["p"].overlay
--- a/tests/daemon/test_reload_after_end.py
+++ b/tests/daemon/test_reload_after_end.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from administered import run, text
-from daemons import ground, requests_to
+from daemons import requests_to, running_daemon
 
 from standins.member import Member
 
@@ -16,7 +16,7 @@
 def test_reload_during_shutdown_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         members = [Member("a")]
-        async with ground(tmp_path, members, lambda: text(members)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members)) as here:
             client = await here.connect()
             await client.send(requests_to())
             assert (await client.read())[0] == 200
--- a/tests/daemon/test_socket_files.py
+++ b/tests/daemon/test_socket_files.py
@@ -10,7 +10,7 @@
 
 import pytest
 from administered import MANAGED, call, run, text
-from daemons import Heard, ground
+from daemons import RecordingLogger, running_daemon
 
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
@@ -26,7 +26,7 @@
     state = OfferedState(
         sockets=list, snapshot=lambda: b"{}", store=None, on_replaced=replaced.set, on_line=lambda line: None
     )
-    offer = HotRestartOffer(path, state, Heard())
+    offer = HotRestartOffer(path, state, RecordingLogger())
     offer.open()
     return offer
 
@@ -48,7 +48,7 @@
         old = offer_at(path, replaced)
         loop = asyncio.get_running_loop()
         taken = await loop.run_in_executor(None, take_over, path)
-        connection = await loop.run_in_executor(None, taken.serving)
+        connection = await loop.run_in_executor(None, taken.confirm_serving)
         await replaced.wait()
         successors: list[HotRestartOffer] = []
         stat = os.stat
@@ -99,11 +99,11 @@
         def config() -> str:
             return text(members, MANAGED, LOCAL.format(folder=tmp_path))
 
-        async with ground(tmp_path, members, config) as here:
+        async with running_daemon(tmp_path, members, config) as here:
             assert here.daemon.admin is not None
             here.daemon.admin.serve()
             loop = asyncio.get_running_loop()
-            successor = Daemon(Heard(), seed=2)
+            successor = Daemon(RecordingLogger(), seed=2)
             successor.inherited = await loop.run_in_executor(None, take_over, offer_path(tmp_path / "s"))
             successor.apply(load(here.path))
             successor.close()
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -17,7 +17,7 @@
 LISTENER = '[[listener]]\nname = "main"\naddress = "127.0.0.1:0"\n'
 
 
-class Heard(RateLimitedLogger):
+class RecordingLogger(RateLimitedLogger):
     """A logger that records all lines, without a rate limit."""
 
     def __init__(self) -> None:
@@ -55,10 +55,10 @@
     return "\r\n".join(head).encode() + b"\r\n\r\n" + body
 
 
-class Ground:
+class DaemonHarness:
     """A running daemon, its configuration file, and the clients that the test has opened."""
 
-    def __init__(self, daemon: Daemon, path: Path, heard: Heard) -> None:
+    def __init__(self, daemon: Daemon, path: Path, heard: RecordingLogger) -> None:
         self.daemon, self.path, self.heard = daemon, path, heard
         self.clients: list[Client] = []
 
@@ -101,17 +101,17 @@
 
 
 @asynccontextmanager
-async def ground(
+async def running_daemon(
     folder: Path, members: Sequence[ScriptedBackend | Member], text: Callable[[], str]
-) -> AsyncIterator[Ground]:
+) -> AsyncIterator[DaemonHarness]:
     """Start the members and a daemon; `text` returns the configuration, and is called once the members listen."""
     for member in members:
         await member.start()
     path = folder / "micastand.toml"
     path.write_text(text())
-    heard = Heard()
+    heard = RecordingLogger()
     daemon = Daemon(heard, seed=1)
-    here = Ground(daemon, path, heard)
+    here = DaemonHarness(daemon, path, heard)
     try:
         daemon.apply(load(path))
         yield here
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -9,7 +9,7 @@
 from typing import Any, Callable
 
 import pytest
-from daemons import LISTENER, Heard, ground, pool, requests_to, route
+from daemons import LISTENER, RecordingLogger, pool, requests_to, route, running_daemon
 from peers import ScriptedBackend, silent
 
 from loadbalancer.cli.__main__ import main
@@ -90,7 +90,7 @@
         engine = Engine(disk, lambda: 1.0)
         engine.open()
         gate = threading.Event()
-        store = Store(engine, Heard())
+        store = Store(engine, RecordingLogger())
 
         def wait(view: StoreView) -> None:
             gate.wait()
@@ -118,7 +118,7 @@
 
 def test_one_job_that_asks_for_too_much_or_fails_holds_no_other_back() -> None:
     async def scene() -> None:
-        heard = Heard()
+        heard = RecordingLogger()
         engine = Engine(MemoryDisk(), lambda: 1.0, StoreBounds(max_keys=2))
         engine.open()
         store = Store(engine, heard)
@@ -166,7 +166,7 @@
     async def scene() -> None:
         member = Member("m")
         answers = []
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member])) as here:
             for _ in range(3):
                 answers.append(await here.ask(book("k1")))
             assert (await here.ask(book("k1", b"two")))[0] == 422
@@ -178,7 +178,7 @@
             daemon = here.daemon
             assert daemon.storage is not None and daemon.storage.ledger.open == 0
             daemon.close()
-            again = Daemon(Heard(), seed=2)
+            again = Daemon(RecordingLogger(), seed=2)
             again.apply(load(here.path))
             here.daemon = again
             answers.append(await here.ask(book("k1")))
@@ -197,7 +197,7 @@
 ) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member])) as here:
             member.behaviour.resets = True
             assert (await here.ask(book("k")))[0] in (
                 502,
@@ -225,7 +225,9 @@
 def test_what_never_ran_is_taken_back_and_may_come_again(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member], 'refusal_header = "X-No"')) as here:
+        async with running_daemon(
+            tmp_path, [member], lambda: text([member], 'refusal_header = "X-No"')
+        ) as here:
             member.behaviour.status, member.behaviour.headers = 503, b"X-No: 1\r\n"
             assert (await here.ask(book("k")))[0] == 503
             member.behaviour.status, member.behaviour.headers = 200, b""
@@ -244,7 +246,7 @@
 def test_a_members_own_error_is_its_answer_and_a_long_one_is_told_by_its_digest(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member])) as here:
             member.behaviour.status, member.behaviour.body = 422, b"no such pallet"
             first = await here.ask(book("k"))
             again = await here.ask(book("k"))
@@ -261,7 +263,7 @@
 def test_two_at_once_with_one_key_run_once(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("m", silent)
-        async with ground(tmp_path, [backend], lambda: text([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: text([backend])) as here:
             first = asyncio.ensure_future(here.ask(book("k")))
             call = await backend.until_called()
             status, _, why = await here.ask(book("k"))
@@ -276,7 +278,7 @@
 def test_a_store_that_takes_nothing_refuses_keyed_work_and_serves_the_rest(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member])) as here:
             assert (await here.ask(book("before")))[0] == 200
             memory = here.daemon.storage
             assert memory is not None
@@ -294,7 +296,7 @@
     async def scene() -> None:
         backend = ScriptedBackend("m", silent)
         short = CLASS.replace('"1s"', '"300ms"').replace('"3s"', '"400ms"')
-        async with ground(tmp_path, [backend], lambda: text([backend], cls=short)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: text([backend], cls=short)) as here:
             memory = here.daemon.storage
             assert memory is not None
             gate = threading.Event()
@@ -314,7 +316,7 @@
 def test_a_client_that_leaves_while_the_disk_works_costs_nothing(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member])) as here:
             memory = here.daemon.storage
             assert memory is not None
             gate = threading.Event()
@@ -365,8 +367,8 @@
 ) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
-            second = Daemon(Heard(), seed=3)
+        async with running_daemon(tmp_path, [member], lambda: text([member])) as here:
+            second = Daemon(RecordingLogger(), seed=3)
             with pytest.raises(ConfigError, match="one writer at a time"):
                 second.apply(load(here.path))
             second.close()
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -8,7 +8,7 @@
 from typing import Any, Awaitable, Callable
 
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from peers import Call, ScriptedBackend, answering, resetting, silent
 from policy_scene import make_balancer
 from translated import connect_fcgi
@@ -107,7 +107,7 @@
             made = text([member], f'protocol = "{upstream}"', 'refusal_header = "X-No"', cls=cls)
             return made.replace('name = "main"', f'name = "main"\nprotocol = "{front}"')
 
-        async with ground(tmp_path, [member], config) as here:
+        async with running_daemon(tmp_path, [member], config) as here:
             data = requests_to("/", method, b"x" if method == "POST" else b"")
             if front == "fastcgi":
                 client = await connect_fcgi(here.daemon.listeners["main"].address)
@@ -129,7 +129,7 @@
     async def scene() -> None:
         member = ScriptedBackend("m", OK)
         keys = ('host = "shop.test"',)
-        async with ground(tmp_path, [member], lambda: text([member], keys=keys)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], keys=keys)) as here:
             await member.stop()
             assert error_in((await here.ask(requests_to()))[1]) == "connection_refused"
             for data, status in (
@@ -155,7 +155,7 @@
             ScriptedBackend("b", resetting),
             ScriptedBackend("c", resetting),
         ]
-        async with ground(tmp_path, members, lambda: text(members)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members)) as here:
             seen = set()
             for _ in range(6):
                 status, _, body = await here.ask(requests_to())
@@ -171,7 +171,9 @@
         sick.behaviour.status = 500
         more = 'limits = { connect_timeout = "20s" }'  # a busy machine may keep either waiting for long
         patient = SHORT.replace("300ms", "20s").replace("400ms", "40s")
-        async with ground(tmp_path, [sick, well], lambda: text([sick, well], more, cls=patient)) as here:
+        async with running_daemon(
+            tmp_path, [sick, well], lambda: text([sick, well], more, cls=patient)
+        ) as here:
             statuses = [(await here.ask(requests_to()))[0] for _ in range(60)]
             assert sick.counts.requests + well.counts.requests == 60  # none was sent twice
             assert statuses.count(500) == sick.counts.requests < 25
@@ -186,7 +188,7 @@
     async def scene() -> None:
         members = [ScriptedBackend(name, BROKEN) for name in "abc"]
         more = f"repeats = {{ on = {on}, share = 1.0 }}"
-        async with ground(tmp_path, members, lambda: text(members, more)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, more)) as here:
             assert (await here.ask(requests_to()))[::2] == (500, b"own")
             assert sum(len(member.calls) for member in members) == calls
 
@@ -197,7 +199,7 @@
     async def scene() -> None:
         members = [ScriptedBackend(name, resetting) for name in "abc"]
         more = 'repeats = { on = ["connect", "reset", "timeout", "500"], share = 1.0 }'
-        async with ground(tmp_path, members, lambda: text(members, more, cls=UNSAFE)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, more, cls=UNSAFE)) as here:
             assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 502
             assert sum(len(member.calls) for member in members) == 1
 
@@ -219,7 +221,7 @@
         members = [ScriptedBackend(name, resetting) for name in "abc"]
         keys = (own,) if own else ()
         more = f"repeats = {{ {pools}, share = 1.0 }}"
-        async with ground(tmp_path, members, lambda: text(members, more, keys=keys)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, more, keys=keys)) as here:
             assert (await here.ask(requests_to()))[0] == 503
             assert sum(len(member.calls) for member in members) == calls
 
@@ -246,7 +248,7 @@
             member.protocol = upstream
         more = f'protocol = "{upstream}"\nrepeats = {{ on = [], header = "X-Again", share = 1.0 }}'
         cls = SHORT if method == "GET" else UNSAFE
-        async with ground(tmp_path, members, lambda: text(members, more, cls=cls)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, more, cls=cls)) as here:
             got, head, _ = await here.ask(requests_to("/", method, b"x" if method == "POST" else b""))
             assert got == status and b"x-again" not in head.lower()
             assert sum(len(member.calls) for member in members) == calls
@@ -289,7 +291,7 @@
 def test_a_route_may_allow_fewer_attempts(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [ScriptedBackend(name, resetting) for name in "abc"]
-        async with ground(tmp_path, members, lambda: text(members, keys=("attempts = 2",))) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, keys=("attempts = 2",))) as here:
             await here.ask(requests_to())
             assert sum(len(member.calls) for member in members) == 2
 
@@ -354,14 +356,14 @@
     return bytes(await client.reader.readuntil(b"\r\n\r\n"))
 
 
-def tunnels(here: Ground) -> Tunnels:
+def tunnels(here: DaemonHarness) -> Tunnels:
     return here.daemon.pools["p"].proxy.tunnels
 
 
 def test_bytes_go_both_ways_also_those_behind_the_heads(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", echo)
-        async with ground(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
             client = await here.connect()
             await client.send(UPGRADE + b"first")
             head = await head_of(client)
@@ -401,7 +403,7 @@
 def test_a_member_that_does_not_go_over(tmp_path: Path, answer: bytes, status: int) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", answering(answer))
-        async with ground(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
             client = await here.connect()
             await client.send(UPGRADE)
             assert (await client.read())[0] == status
@@ -421,7 +423,7 @@
 def test_a_101_that_nobody_asked_for_is_no_answer(tmp_path: Path, request_: bytes) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", answering(SWITCH + b"bytes behind it"))
-        async with ground(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
             client = await here.connect()
             await client.send(request_)
             assert (await head_of(client)).startswith(b"HTTP/1.1 503 ")
@@ -433,7 +435,7 @@
 def test_one_member_refuses_and_the_next_goes_over(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [ScriptedBackend("a", resetting), ScriptedBackend("b", echo)]
-        async with ground(tmp_path, members, lambda: text(members, keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, keys=ALLOWED)) as here:
             for _ in range(4):
                 client = await here.connect()
                 await client.send(UPGRADE)
@@ -452,7 +454,7 @@
 
         member = ScriptedBackend("m", flood)
         more = 'tunnels = { idle = "300ms" }'
-        async with ground(tmp_path, [member], lambda: text([member], more, keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], more, keys=ALLOWED)) as here:
             client = await here.connect()
             await client.send(UPGRADE)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -471,7 +473,7 @@
         def both() -> str:
             return text([a, b], grace, keys=ALLOWED)
 
-        async with ground(tmp_path, [a, b], both) as here:
+        async with running_daemon(tmp_path, [a, b], both) as here:
             clients = []
             for _ in range(40):
                 client = await here.connect()
@@ -502,7 +504,7 @@
     async def scene() -> None:
         member = ScriptedBackend("m", echo)
         more = "tunnels = { most = 1 }"
-        async with ground(tmp_path, [member], lambda: text([member], more, keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], more, keys=ALLOWED)) as here:
             first, second = await here.connect(), await here.connect()
             await first.send(UPGRADE)
             assert b" 101 " in await head_of(first)
@@ -620,7 +622,7 @@
 ) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", answering(answer))
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member])) as here:
             client = await here.connect()
             await client.send(data)
             head = await head_of(client)
@@ -645,7 +647,7 @@
 
         member = ScriptedBackend("m", slow)
         more = 'limits = { answer_stream = "8MiB" }'
-        async with ground(tmp_path, [member], lambda: text([member], more)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], more)) as here:
             status, head, body = await here.ask(requests_to())
             assert status in (502, 503, 504) and error_in(head) and not body  # nothing of it went out
             assert here.daemon.pools["p"].proxy.upstreams.open == 0
@@ -657,7 +659,7 @@
     async def scene() -> None:
         members = [ScriptedBackend("a", resetting, BUSY), ScriptedBackend("b", resetting, BUSY)]
         keyed = SHORT + 'effect = "keyed"\ndedup_scope = "cell"\ndedup_window = "1s"\n'
-        async with ground(tmp_path, members, lambda: text(members, cls=keyed)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, cls=keyed)) as here:
             status, head, body = await here.ask(requests_to("/", "POST", b"x", "Idempotency-Key: k"))
             assert (status, body) == (502, b"") and error_in(head)
             assert 1 <= sum(len(member.calls) for member in members) <= 3
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from daemons import ground, requests_to
+from daemons import requests_to, running_daemon
 from peers import ScriptedBackend, answering, play, resetting
 from test_ordinary import one_pool
 
@@ -70,7 +70,7 @@
     async def scene() -> None:
         body = b"" if method == "HEAD" else b"sorry"
         backend = ScriptedBackend("s", answering(page(status, body)))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             got, head, said = await here.ask(requests_to("/", method))
             assert (got, said) == (status, body)
             assert b"Own Words" in head and b"text/x-own" in head and b"Retry-After: 7\r\n" in head
@@ -89,7 +89,7 @@
             ScriptedBackend("b", answering(page(500))),
             ScriptedBackend("c", resetting),
         ]
-        async with ground(tmp_path, members, lambda: one_pool(members)) as here:
+        async with running_daemon(tmp_path, members, lambda: one_pool(members)) as here:
             for _ in range(6):
                 before = len(members[1].calls)
                 status = (await here.ask(requests_to("/")))[0]
@@ -102,7 +102,7 @@
 def test_a_pool_without_members_still_says_503_in_its_own_words(tmp_path: Path) -> None:
     async def scene() -> None:
         gone = ScriptedBackend("s", answering(page(500)))
-        async with ground(tmp_path, [gone], lambda: one_pool([gone])) as here:
+        async with running_daemon(tmp_path, [gone], lambda: one_pool([gone])) as here:
             await gone.stop()
             status, head, body = await here.ask(requests_to("/"))
             assert (status, body) == (503, b"") and b"Own Words" not in head
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -8,7 +8,7 @@
 from typing import Any, AsyncIterator, Callable, Sequence
 
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from peers import Call, ScriptedBackend, answering, play
 
 from loadbalancer.fastcgi.cgi import write_answer
@@ -32,8 +32,10 @@
 
 
 @asynccontextmanager
-async def fleet(folder: Path, apps: Sequence[Application], text: Callable[[], str]) -> AsyncIterator[Ground]:
-    async with ground(folder, apps, text) as here:  # type: ignore[arg-type]
+async def fleet(
+    folder: Path, apps: Sequence[Application], text: Callable[[], str]
+) -> AsyncIterator[DaemonHarness]:
+    async with running_daemon(folder, apps, text) as here:  # type: ignore[arg-type]
         yield here
 
 
@@ -41,7 +43,7 @@
     return lambda: LISTENER + front + route("all", "p", 'class = "book"') + KEYED + app_pool("p", apps, *more)
 
 
-def outcomes(here: Ground, name: str = "p") -> list[AttemptResult]:
+def outcomes(here: DaemonHarness, name: str = "p") -> list[AttemptResult]:
     """Watch the results that the module is told from here on."""
     balancer = here.daemon.pools[name].proxy.balancer
     seen: list[AttemptResult] = []
@@ -355,11 +357,11 @@
 @asynccontextmanager
 async def behind_fastcgi(
     folder: Path, backend: ScriptedBackend, *more: str, listener: str = LISTENER
-) -> AsyncIterator[tuple[Ground, WebServer]]:
+) -> AsyncIterator[tuple[DaemonHarness, WebServer]]:
     def text() -> str:
         return listener + front(*more) + route("all", "p", 'class = "book"') + KEYED + pool("p", [backend])
 
-    async with ground(folder, [backend], text) as here:
+    async with running_daemon(folder, [backend], text) as here:
         web = await WebServer.connect(here.daemon.listeners["main"].address)
         try:
             yield here, web
@@ -692,7 +694,7 @@
             members = pool("p", [old, new] if both else [old], warm, old={"state": state})
             return LISTENER + front() + route("all", "p") + members
 
-        async with ground(tmp_path, [old, new], lambda: text("serving")) as here:
+        async with running_daemon(tmp_path, [old, new], lambda: text("serving")) as here:
             here.daemon.pools["p"].proxy.balancer.endpoints["old"].answered = True
             web = await WebServer.connect(here.daemon.listeners["main"].address)
             await web.send(b"".join(web.request(n, "POST", "/", b"x") for n in (1, 2, 3)))
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -9,7 +9,7 @@
 from typing import AsyncIterator
 
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from peers import Client, play
 from test_fastcgi_random import noise
 
@@ -21,11 +21,11 @@
 
 
 @asynccontextmanager
-async def over(folder: Path, *apps: Application, deadline: str = "4s") -> AsyncIterator[Ground]:
+async def over(folder: Path, *apps: Application, deadline: str = "4s") -> AsyncIterator[DaemonHarness]:
     def text() -> str:
         return LISTENER + route("r", "p", f'deadline = "{deadline}"') + pool("p", apps, *MORE)  # type: ignore[arg-type]
 
-    async with ground(folder, apps, text) as here:  # type: ignore[arg-type]
+    async with running_daemon(folder, apps, text) as here:  # type: ignore[arg-type]
         for server in here.daemon.pools["p"].proxy.balancer.endpoints.values():
             server.answered = True
         yield here
@@ -45,7 +45,7 @@
         self.calls[body].say(write_answer(200, b"OK", [], body))
 
 
-async def several(here: Ground, app: Application, gate: Gate, count: int) -> list[Client]:
+async def several(here: DaemonHarness, app: Application, gate: Gate, count: int) -> list[Client]:
     """As many unsafe requests, all out at once; a first one tells the proxy what the application takes."""
     first = await here.connect()
     await first.send(requests_to("/", "POST", b"first"))
--- a/tests/test_fastcgi_random.py
+++ b/tests/test_fastcgi_random.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from daemons import LISTENER, ground, pool, requests_to, route
+from daemons import LISTENER, pool, requests_to, route, running_daemon
 from peers import ScriptedBackend, answering, play
 
 from loadbalancer.fastcgi.cgi import write_answer
@@ -61,7 +61,7 @@
         def text() -> str:
             return LISTENER + route("r", "p", 'deadline = "150ms"') + pool("p", apps, FCGI)  # type: ignore[arg-type]
 
-        async with ground(tmp_path, apps, text) as here:  # type: ignore[arg-type]
+        async with running_daemon(tmp_path, apps, text) as here:  # type: ignore[arg-type]
             client = await here.connect()
             for number in range(30):
                 status, _ = await client.ask(requests_to("/", "POST", b"%d" % number))
@@ -82,7 +82,7 @@
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
         text = LISTENER + FCGI + "\n" + route("r", "p")
-        async with ground(tmp_path, [backend], lambda: text + pool("p", [backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: text + pool("p", [backend])) as here:
             address = here.daemon.listeners["main"].address
             good = await WebServer.connect(address)
             for number in range(1, 16):
@@ -131,7 +131,7 @@
         def text() -> str:
             return LISTENER + route("r", "p", 'deadline = "150ms"') + pool("p", apps, FCGI)  # type: ignore[arg-type]
 
-        async with ground(tmp_path, apps, text) as here:  # type: ignore[arg-type]
+        async with running_daemon(tmp_path, apps, text) as here:  # type: ignore[arg-type]
             client = await here.connect()
             statuses = [(await client.ask(requests_to("/", "POST", b"%d" % n)))[0] for n in range(20)]
             assert set(statuses) <= {200, 500, 502, 503, 504}
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -19,7 +19,7 @@
 from typing import Any, AsyncIterator, cast
 
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from peers import PATIENCE, Call, Client, ScriptedBackend, answering, play, read_message
 
 from loadbalancer.admission.admission import FLOOR_KEPT, GARBAGE, SILENT
@@ -80,18 +80,18 @@
     return await ended(client, data)
 
 
-def behind(folder: Path, member: ScriptedBackend, rules: str) -> AbstractAsyncContextManager[Ground]:
+def behind(folder: Path, member: ScriptedBackend, rules: str) -> AbstractAsyncContextManager[DaemonHarness]:
     """A daemon with these lines ahead of one route to one member."""
-    return ground(folder, [member], lambda: rules + route("all", "a") + pool("a", [member]))
+    return running_daemon(folder, [member], lambda: rules + route("all", "a") + pool("a", [member]))
 
 
-def gate(here: Ground) -> AdmissionGate:
+def gate(here: DaemonHarness) -> AdmissionGate:
     found = here.daemon.listeners["main"].gate
     assert found is not None
     return found
 
 
-def held_of(here: Ground, source: str) -> int:
+def held_of(here: DaemonHarness, source: str) -> int:
     return gate(here).admission.addresses.find(source, 0.0).open
 
 
@@ -274,7 +274,7 @@
         def text() -> str:
             return rules + route("all", "a") + pool("a", [member])
 
-        async with ground(tmp_path, [member], text) as here:
+        async with running_daemon(tmp_path, [member], text) as here:
             address = here.daemon.listeners["main"].address
             before = gate(here)
             flood = [await connect(address, FLOOD) for _ in range(8)]
--- a/tests/test_import_samples.py
+++ b/tests/test_import_samples.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from daemons import Ground, Heard
+from daemons import DaemonHarness, RecordingLogger
 
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
@@ -120,8 +120,8 @@
         assert made.text is not None, made.report.text(made.blocking)
         file = tmp_path / "micastand.toml"
         file.write_text(made.text)
-        daemon = Daemon(Heard(), seed=1)
-        here = Ground(daemon, file, Heard())
+        daemon = Daemon(RecordingLogger(), seed=1)
+        here = DaemonHarness(daemon, file, RecordingLogger())
         try:
             daemon.apply(load(file))
             await check_traffic(sample, here)
@@ -153,7 +153,7 @@
         assert not allowed.report.unused(sample.says["allow"])
 
 
-async def check_traffic(sample: Sample, here: Ground) -> None:
+async def check_traffic(sample: Sample, here: DaemonHarness) -> None:
     says = sample.says
     model = Balancer([Worker.read(text) for text in says["workers"]], says.get("bound", False))
     listener = next(iter(here.daemon.listeners))
@@ -205,7 +205,7 @@
     return (lines + (f"Cookie: other=1.a; {cookie}\r\n" if cookie else "") + "\r\n").encode()
 
 
-async def drive(says: dict[str, Any], here: Ground, listener: str) -> Counter[int]:
+async def drive(says: dict[str, Any], here: DaemonHarness, listener: str) -> Counter[int]:
     """One request after another, so that nothing but the weights decides."""
     target = says.get("ask", "/")
     plain, with_session = asks(says, target), asks(says, target, says.get("session", ""))
@@ -224,7 +224,7 @@
     return statuses
 
 
-async def check_reverse(sample: Sample, here: Ground, listener: str) -> None:
+async def check_reverse(sample: Sample, here: DaemonHarness, listener: str) -> None:
     member = sample.members[0]
     member.behaviour.headers = (
         f"Location: http://{member.address}/app/next?q=1\r\n"
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from daemons import LISTENER, ground, pool, requests_to, route
+from daemons import LISTENER, pool, requests_to, route, running_daemon
 from peers import Call, ScriptedBackend, answering, play, resetting, silent
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -42,7 +42,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer % status))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             got, head, body = await here.ask(requests_to())
             assert (got, body) == (status, b"body")
             assert head.startswith(b"HTTP/1.1 %d Its Reason\r\n" % status)
@@ -58,7 +58,7 @@
         backend = ScriptedBackend(
             "s", answering(b"HTTP/1.1 %d No\r\nETag: x\r\n\r\n" % status), answering(GOOD)
         )
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             await client.send(requests_to() + requests_to())
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
@@ -73,7 +73,7 @@
 def test_a_304_may_state_the_length_that_it_stands_for(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(b"HTTP/1.1 304 Not\r\nContent-Length: 700\r\n\r\n"))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             await client.send(requests_to())
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
@@ -90,7 +90,7 @@
 def test_head_gets_a_head_alone_and_the_connection_is_kept(answer: bytes, tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer), answering(GOOD))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             await client.send(requests_to(method="HEAD"))
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
@@ -106,7 +106,7 @@
 def test_a_body_behind_the_answer_to_head_reaches_nobody(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             await client.send(requests_to(method="HEAD"))
             await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
@@ -124,7 +124,7 @@
         def text() -> str:
             return one_pool([backend]).replace('id = "s"', 'id = "s"\nstate = "stopped"')
 
-        async with ground(tmp_path, [backend], text) as here:
+        async with running_daemon(tmp_path, [backend], text) as here:
             client = await here.connect()
             for _ in range(2):
                 await client.send(requests_to(method="HEAD"))
@@ -142,7 +142,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             lines = (
                 "Connection: X-Mine, keep-alive",
                 "X-Mine: 1",
@@ -178,7 +178,7 @@
 def test_an_upgrade_is_not_taken_up_and_the_request_served(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             ask = requests_to("/", "GET", b"", "Connection: Upgrade", "Upgrade: websocket")
             await client.send(ask + requests_to("/next"))
@@ -204,7 +204,7 @@
         def text() -> str:
             return one_pool([backend]) + LISTENER.replace("main", "inner") + 'trusted = ["127.0.0.0/8"]\n'
 
-        async with ground(tmp_path, [backend], text) as here:
+        async with running_daemon(tmp_path, [backend], text) as here:
             await here.ask(requests_to("/", "GET", b"", *claims))
             await here.ask(requests_to("/", "GET", b"", *claims), "inner")
             await here.ask(requests_to("/", "GET", b"", "X-Request-Id: mine"))
@@ -246,7 +246,7 @@
 def test_targets_in_every_spelling(data: bytes, status: int, line: str, host: str, tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             assert (await here.ask(data))[0] == status
             if status == 200:
                 got, headers = seen(backend)
@@ -265,7 +265,7 @@
         def text() -> str:
             return one_pool([backend], routes=route("only", "web", prefix="/only"))
 
-        async with ground(tmp_path, [backend], text) as here:
+        async with running_daemon(tmp_path, [backend], text) as here:
             client = await here.connect()
             assert (await client.ask(requests_to("/other")))[0] == 404
             assert (await client.ask(requests_to("/only/x")))[0] == 200
@@ -282,12 +282,14 @@
     async def scene() -> None:
         ill, well = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
         both = [ill, well]
-        async with ground(tmp_path, both, lambda: one_pool(both)) as here:
+        async with running_daemon(tmp_path, both, lambda: one_pool(both)) as here:
             for _ in range(12):
                 assert (await here.ask(requests_to()))[0] == 200
             assert ill.calls
         forget(ill, well)
-        async with ground(tmp_path, both, lambda: one_pool(both)) as here:  # nothing is known of either
+        async with running_daemon(
+            tmp_path, both, lambda: one_pool(both)
+        ) as here:  # nothing is known of either
             statuses = [(await here.ask(requests_to("/", "DELETE")))[0] for _ in range(30)]
             assert set(statuses) == {200, 502}
             assert statuses.count(502) == len(ill.calls) and len(ill.calls) + len(well.calls) == 30
@@ -302,7 +304,7 @@
     async def scene() -> None:
         ill, well = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
         both = [ill, well]
-        async with ground(tmp_path, both, lambda: one_pool(both, routes=routes)) as here:
+        async with running_daemon(tmp_path, both, lambda: one_pool(both, routes=routes)) as here:
             statuses = []
             for number in range(12):
                 lines = (f"Idempotency-Key: k{number}",) if with_key else ()
@@ -324,11 +326,11 @@
     async def scene() -> None:
         ill, well = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
         both = [ill, well]
-        async with ground(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
+        async with running_daemon(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
             named = [(await here.ask(requests_to("/search", "POST", b"x")))[0] for _ in range(12)]
             assert set(named) == {200} and ill.calls
         forget(ill, well)
-        async with ground(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
+        async with running_daemon(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
             other = [(await here.ask(requests_to("/else", "POST", b"x")))[0] for _ in range(30)]
             assert len(ill.calls) + len(well.calls) == 30 and other.count(502) == len(ill.calls) > 0
 
@@ -340,7 +342,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             status, head, body = await here.ask(requests_to("/", "POST", b"x"))
             assert (status, body) == (500, b"why") and b"text/plain" in head
             assert here.daemon.pools["web"].proxy.budget.held_bytes == 0
@@ -354,7 +356,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             assert (await here.ask(requests_to("/", method)))[0] == status
 
     play(scene)
@@ -370,7 +372,7 @@
         def text() -> str:
             return one_pool(both, 'refusal_header = "X-Not-Run"')
 
-        async with ground(tmp_path, both, text) as here:
+        async with running_daemon(tmp_path, both, text) as here:
             statuses = {(await here.ask(requests_to("/", "POST", b"x")))[0] for _ in range(12)}
             assert statuses == {200} and full.calls  # it never ran, so it went elsewhere
 
@@ -381,7 +383,7 @@
     async def scene() -> None:
         backend = ScriptedBackend("s", silent)
         routes = route("all", "web", 'deadline = "50ms"')
-        async with ground(tmp_path, [backend], lambda: one_pool([backend], routes=routes)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend], routes=routes)) as here:
             assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 504
 
     play(scene)
@@ -399,7 +401,7 @@
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
         backend = ScriptedBackend("s", echo)
-        async with ground(tmp_path, [backend], lambda: one_pool([backend], *limits)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend], *limits)) as here:
             whole = bytes(100 << 10)
             status, _, body = await here.ask(requests_to("/", "POST", whole))
             assert (status, body) == (200, whole * 2)
@@ -423,7 +425,7 @@
     async def scene() -> None:
         backend = ScriptedBackend("s", ends)
         more = (f"close_delimited = {str(taken).lower()}",)
-        async with ground(tmp_path, [backend], lambda: one_pool([backend], *more)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend], *more)) as here:
             status, _, body = await here.ask(requests_to("/", "POST", b"x"))
             assert (status, body) == ((200, b"the rest") if taken else (502, b""))
 
@@ -435,7 +437,9 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend], 'load_header = "X-Load"')) as here:
+        async with running_daemon(
+            tmp_path, [backend], lambda: one_pool([backend], 'load_header = "X-Load"')
+        ) as here:
             _, head, _ = await here.ask(requests_to())
             assert b"X-Load" not in head
             assert here.daemon.pools["web"].proxy.balancer.endpoints["s"].utilization == 0.7
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import ScriptedBackend, answering, play
@@ -383,7 +383,7 @@
                 + pool("a", [member])
             )
 
-        async with ground(folder, [member], text) as here:
+        async with running_daemon(folder, [member], text) as here:
             await scene(here, member, text)
 
     play(run)
@@ -392,7 +392,7 @@
 def test_tags_headers_and_tenants_go_on_to_the_member(tmp_path: Path) -> None:
     text = "tag urgent yes\npriority high\ntenant other\nset X-Own mine\ndrop X-Gone\n"
 
-    async def scene(here: Ground, member: ScriptedBackend, _: Any) -> None:
+    async def scene(here: DaemonHarness, member: ScriptedBackend, _: Any) -> None:
         head = requests_to(
             "/", "GET", b"", "X-Gone: 1", "X-Own: theirs", "X-Tag-urgent: forged", "X-Tag-vip: forged"
         )
@@ -410,7 +410,7 @@
 
 
 def test_a_plugin_turns_away_and_nothing_runs(tmp_path: Path) -> None:
-    async def scene(here: Ground, member: ScriptedBackend, _: Any) -> None:
+    async def scene(here: DaemonHarness, member: ScriptedBackend, _: Any) -> None:
         status, _, body = await here.ask(requests_to("/", "POST", b"x"))
         assert (status, body) == (403, b"not today\n") and not member.calls
         assert (await here.ask(requests_to("/plain/a")))[0] == 200
@@ -419,7 +419,7 @@
 
 
 def test_no_class_lengthens_a_deadline(tmp_path: Path) -> None:
-    async def scene(here: Ground, member: ScriptedBackend, _: Any) -> None:
+    async def scene(here: DaemonHarness, member: ScriptedBackend, _: Any) -> None:
         taken: list[float] = []
         proxy = here.daemon.pools["a"].proxy
         real = proxy.take
@@ -443,7 +443,7 @@
     spoken = {"header": "set Content-Length 3\n", "class": "class none\n"}
     good = speaking("tag a b\n")
 
-    async def scene(here: Ground, member: ScriptedBackend, text: Any) -> None:
+    async def scene(here: DaemonHarness, member: ScriptedBackend, text: Any) -> None:
         running = here.daemon.plugins
         assert running is not None
         wrong = speaking(spoken[bad]) if bad in spoken else wat(BAD_ONES[bad])
@@ -462,7 +462,7 @@
 
 
 def test_reloads_in_the_middle_of_requests_change_plugins_whole(tmp_path: Path) -> None:
-    async def scene(here: Ground, member: ScriptedBackend, text: Any) -> None:
+    async def scene(here: DaemonHarness, member: ScriptedBackend, text: Any) -> None:
         async def ask(number: int) -> int:
             return (
                 await here.ask(requests_to("/", "POST" if number % 2 else "GET", b"x" if number % 2 else b""))
--- a/tests/test_slow_attempts.py
+++ b/tests/test_slow_attempts.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from daemons import LISTENER, ground, pool, requests_to, route
+from daemons import LISTENER, pool, requests_to, route, running_daemon
 from peers import OK, PATIENCE, Call, ScriptedBackend, play, request, resetting, world
 from test_crossings import hold_connects, with_limits
 
@@ -40,7 +40,7 @@
         def config() -> str:
             return "\n".join((PATIENT, LISTENER, route("r", "p", 'class = "c"'), pool("p", members, repeats)))
 
-        async with ground(tmp_path, members, config) as here:
+        async with running_daemon(tmp_path, members, config) as here:
             assert (await here.ask(requests_to()))[0] == 200
             assert script.calls == 2
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -10,7 +10,7 @@
 
 import certs
 import pytest
-from daemons import Heard
+from daemons import RecordingLogger
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -374,7 +374,7 @@
 
 
 def test_half_a_pair_on_disk_changes_nothing_and_the_whole_one_serves(tmp_path: Path) -> None:
-    heard, old, new = Heard(), certs.authority().issue("a.test"), certs.authority().issue("a.test")
+    heard, old, new = RecordingLogger(), certs.authority().issue("a.test"), certs.authority().issue("a.test")
     write_pair(tmp_path, "a", old)
     keys = ServerKeys(table("a"), tmp_path, ["a.test"], heard, "main", Clock())
     first, context = keys.held()[0].fingerprint, keys.context
@@ -395,7 +395,7 @@
 
 @pytest.mark.parametrize("what", ["gone", "cut", "loose", "expired", "another name"])
 def test_a_bad_one_leaves_the_old(tmp_path: Path, what: str) -> None:
-    heard = Heard()
+    heard = RecordingLogger()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     keys = ServerKeys(table("a"), tmp_path, ["a.test"], heard, "main", Clock())
     held = keys.held()
@@ -422,22 +422,24 @@
 def test_names_that_routes_want_must_be_covered(tmp_path: Path) -> None:
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     write_pair(tmp_path, "b", certs.authority().issue("*.b.test"))
-    ServerKeys(table("a", "b"), tmp_path, ["a.test", "x.b.test", "*.b.test"], Heard(), "main", Clock())
+    ServerKeys(
+        table("a", "b"), tmp_path, ["a.test", "x.b.test", "*.b.test"], RecordingLogger(), "main", Clock()
+    )
     with pytest.raises(PairError, match="no certificate is for c.test, which routes want; there are: a.test"):
-        ServerKeys(table("a", "b"), tmp_path, ["a.test", "c.test"], Heard(), "main", Clock())
+        ServerKeys(table("a", "b"), tmp_path, ["a.test", "c.test"], RecordingLogger(), "main", Clock())
 
 
 def test_a_key_that_is_open_to_others_never_serves(tmp_path: Path) -> None:
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     os.chmod(tmp_path / "a.key", 0o644)
     with pytest.raises(PairError, match="chmod 600"):
-        ServerKeys(table("a"), tmp_path, [], Heard(), "main", Clock())
+        ServerKeys(table("a"), tmp_path, [], RecordingLogger(), "main", Clock())
 
 
 def test_tickets_get_new_keys_when_their_life_is_over(tmp_path: Path) -> None:
     clock = Clock()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
-    keys = ServerKeys(table("a", ticket_life=Duration(60.0)), tmp_path, [], Heard(), "main", clock)
+    keys = ServerKeys(table("a", ticket_life=Duration(60.0)), tmp_path, [], RecordingLogger(), "main", clock)
     context = keys.context
     clock.now += 59
     keys.look()
@@ -451,7 +453,7 @@
 
 
 def test_ends_are_warned_of_once_at_each_mark_also_past_them() -> None:
-    heard, end = Heard(), 1e9
+    heard, end = RecordingLogger(), 1e9
     warnings, held = Warnings(heard), [Held("a.pem", ("a.test",), end, "f")]
     for left in (31 * 86400, *(mark for at in WARN_S for mark in (at, at - 1)), 0.0, -5.0):
         warnings.look(held, end - left)
@@ -463,7 +465,7 @@
 
 
 def test_a_clock_that_steps_past_the_end_takes_nothing_down(tmp_path: Path) -> None:
-    clock, heard = Clock(), Heard()
+    clock, heard = Clock(), RecordingLogger()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     keys = ServerKeys(table("a"), tmp_path, [], heard, "main", clock)
     context = keys.context
@@ -477,7 +479,7 @@
 
 def test_members_have_contexts_of_their_own_until_roots_change(tmp_path: Path) -> None:
     write_private(tmp_path / "roots.pem", certs.authority().pem)
-    keys = MemberKeys(PoolTlsTable(roots=["roots.pem"]), tmp_path, Heard(), "p", Clock())
+    keys = MemberKeys(PoolTlsTable(roots=["roots.pem"]), tmp_path, RecordingLogger(), "p", Clock())
     assert keys.context("a") is keys.context("a") is not keys.context("b")
     assert keys.name_of("a", ("10.0.0.1", 443)) == "a"
     before = keys.context("a")
@@ -486,6 +488,6 @@
         keys.look()
     assert keys.context("a") is not before
     by_address = MemberKeys(
-        PoolTlsTable(roots=["roots.pem"], name="address"), tmp_path, Heard(), "p", Clock()
+        PoolTlsTable(roots=["roots.pem"], name="address"), tmp_path, RecordingLogger(), "p", Clock()
     )
     assert by_address.name_of("a", ("10.0.0.1", 443)) == "10.0.0.1"
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -12,7 +12,7 @@
 
 import certs
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from peers import Call, Client, ScriptedBackend, answering, silent
 
 from loadbalancer.cli.__main__ import main
@@ -49,14 +49,16 @@
     return "\n".join((LISTENER + tls, route("r", "p", *keys), pool("p", members, *more, WARM)))
 
 
-async def connect(here: Ground, name: str = certs.HOST, context: ssl.SSLContext | None = None) -> Client:
+async def connect(
+    here: DaemonHarness, name: str = certs.HOST, context: ssl.SSLContext | None = None
+) -> Client:
     address = here.daemon.listeners["main"].address
     found = await asyncio.open_connection(*address, ssl=context or certs.client_side(), server_hostname=name)
     here.clients.append(Client(*found))
     return here.clients[-1]
 
 
-async def ask(here: Ground, data: bytes, **more: Any) -> tuple[int, bytes, bytes]:
+async def ask(here: DaemonHarness, data: bytes, **more: Any) -> tuple[int, bytes, bytes]:
     client = await connect(here, **more)
     await client.send(data)
     return await client.read()
@@ -79,7 +81,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
-        async with ground(tmp_path, [backend], lambda: text([backend], both)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: text([backend], both)) as here:
             assert (await ask(here, requests_to(), name="a.test"))[0] == 200
             assert (await ask(here, requests_to(), name="x.b.test"))[0] == 200
             assert b"X-Forwarded-Proto: https\r\n" in backend.calls[0].head
@@ -117,7 +119,7 @@
     async def scene() -> None:
         backend = ScriptedBackend("m", silent)
         whole = TENANTS + text([backend], mutual, keys=('tenant = "rest"',))
-        async with ground(
+        async with running_daemon(
             tmp_path,
             [backend],
             lambda: (
@@ -166,7 +168,7 @@
 
     async def scene() -> None:
         backend, data = ScriptedBackend("m", OK), hello()
-        async with ground(tmp_path, [backend], lambda: text([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: text([backend])) as here:
             listener = here.daemon.listeners["main"]
             for first in (requests_to(), b"\x16\x03\x01\xff\xff", b"\0" * 70_000):
                 client = await here.connect()
@@ -196,7 +198,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
-        async with ground(tmp_path, [backend], lambda: text([backend], few + known)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: text([backend], few + known)) as here:
             address = here.daemon.listeners["main"].address
             door = here.daemon.listeners["main"].tls
             assert door is not None
@@ -230,7 +232,7 @@
         def both(tls: str) -> str:
             return text([backend], tls).replace(":0", f":{port}")
 
-        async with ground(tmp_path, [backend], lambda: both(TLS)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: both(TLS)) as here:
             secure = await connect(here)
             assert (await secure.ask(requests_to()))[0] == 200
             await here.reload(both(""))
@@ -250,10 +252,10 @@
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
         with pytest.raises(ConfigError, match=r"listener\[main\].tls.*has expired"):
-            async with ground(tmp_path, [backend], lambda: text([backend])):
+            async with running_daemon(tmp_path, [backend], lambda: text([backend])):
                 pass
         files(tmp_path)
-        async with ground(tmp_path, [backend], lambda: text([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: text([backend])) as here:
             os.chmod(tmp_path / "a.key", 0o666)
             await here.reload(text([backend]) + "\n")
             assert here.daemon.reloads == 0 and here.heard.count("chmod 600")
@@ -271,7 +273,7 @@
         lost: list[str] = []
         served, stopped = 0, False
 
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member])) as here:
 
             async def client(kept: int) -> None:
                 nonlocal served
@@ -367,7 +369,7 @@
         well = [member(name) for name in ("w1", "w2", "w3")]
         those = [sick, *well]
         tls = 'tls = { roots = ["roots.pem"], revoked = "revoked.pem" }'
-        async with ground(tmp_path, those, lambda: over_tls(those, tls)) as here:
+        async with running_daemon(tmp_path, those, lambda: over_tls(those, tls)) as here:
             for _ in range(40):
                 assert (await here.ask(requests_to("/", "POST", b"x")))[
                     0
@@ -385,7 +387,7 @@
 
     async def scene() -> None:
         those = [member(name) for name in "abcd"]
-        async with ground(tmp_path, those, lambda: over_tls(those)) as here:
+        async with running_daemon(tmp_path, those, lambda: over_tls(those)) as here:
             for _ in range(20):
                 assert (await here.ask(requests_to()))[0] == 503
             assert here.heard.count("our trust roots or our clock")
@@ -419,7 +421,7 @@
 
         backend = SecureMember("m", script, context)
         tls = 'tls = { roots = ["roots.pem"], certificate = { chain = "mine.pem", key = "mine.key" } }'
-        async with ground(
+        async with running_daemon(
             tmp_path, [backend], lambda: over_tls([backend], tls, "limits = { attempts = 1 }")
         ) as here:
             for _ in range(3):
@@ -440,7 +442,7 @@
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
         backend = SecureMember("m", script, certs.server_side(certs.authority().issue("m")))
-        async with ground(tmp_path, [backend], lambda: over_tls([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: over_tls([backend])) as here:
             for _ in range(3):
                 assert (await here.ask(requests_to()))[0] == 200
                 here.daemon.pools["p"].proxy.upstreams.close_idle("m")
@@ -473,7 +475,7 @@
     async def scene() -> None:
         backend = member("m", cut(whole, length))
         more = (POOL_TLS, "close_delimited = true")
-        async with ground(tmp_path, [backend], lambda: over_tls([backend], *more)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: over_tls([backend], *more)) as here:
             got, _, body = await here.ask(requests_to("/", "POST", b"x"))
             assert got == status and (body == b"half of") == whole and len(backend.calls) == 1
 
@@ -490,7 +492,7 @@
 
         sick = ScriptedBackend("sick", OK)
         well = member("well")
-        async with ground(tmp_path, [well], lambda: over_tls([well])) as here:
+        async with running_daemon(tmp_path, [well], lambda: over_tls([well])) as here:
             sick.server = await asyncio.start_server(reset, "127.0.0.1", 0)
             sick.address = "{}:{}".format(*sick.server.sockets[0].getsockname())
             await here.reload(over_tls([sick, well]))
