--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -1,4 +1,4 @@
-"""A daemon under a configuration written by the test, over scripted backends or stand-in members."""
+"""Runs a daemon with a configuration written by the test, and scripted backends or stand-in members."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 LISTENER = '[[listener]]\nname = "main"\naddress = "127.0.0.1:0"\n'
 
 
-class Heard(RateLimitedLogger):
-    """Keeps what is logged."""
+class RecordingLogger(RateLimitedLogger):
+    """A logger that records all lines, without a rate limit."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,7 +33,7 @@
 
 
 def pool(name: str, members: Sequence[ScriptedBackend | Member], *more: str, **each: dict[str, Any]) -> str:
-    """A pool of these; `each` has further keys of members by their names."""
+    """Return the configuration of a pool with these members; `each` has further keys of members by their names."""
     text = f'[[pool]]\nname = "{name}"\n' + "".join(f"{line}\n" for line in more)
     for member in members:
         text += f'[[pool.member]]\nid = "{member.name}"\naddress = "{member.address}"\n'
@@ -55,60 +55,63 @@
     return "\r\n".join(head).encode() + b"\r\n\r\n" + body
 
 
-class Ground:
-    """A daemon, its file, and the clients that the test opens."""
+class DaemonHarness:
+    """A running daemon, its configuration file, and the clients that the test has opened."""
 
-    def __init__(self, daemon: Daemon, path: Path, heard: Heard) -> None:
+    def __init__(self, daemon: Daemon, path: Path, heard: RecordingLogger) -> None:
         self.daemon, self.path, self.heard = daemon, path, heard
         self.clients: list[Client] = []
 
     async def connect(self, listener: str = "main") -> Client:
+        """Open a client connection, which is closed at the end of the test."""
         address = self.daemon.listeners[listener].address
         client = Client(*await asyncio.open_connection(*address, limit=64 << 20))
         self.clients.append(client)
         return client
 
     async def ask(self, data: bytes, listener: str = "main") -> tuple[int, bytes, bytes]:
-        """Status, head and body of one answer on a connection of its own."""
+        """Send a request on a new connection, and return the status, head and body of the response."""
         client = await self.connect(listener)
         await client.send(data)
         return await client.read()
 
     def write(self, *parts: str) -> None:
-        """Replace the file as an operator should, by renaming."""
+        """Replace the configuration file atomically, by renaming."""
         new = self.path.with_suffix(".new")
         new.write_text("\n".join(parts))
         new.replace(self.path)
 
     async def reload(self, *parts: str) -> None:
-        """Write the file and wait until it has been taken, or not."""
+        """Write the file, reload it, and wait until the reload has succeeded or failed."""
         if parts:
             self.write(*parts)
         self.daemon.reload()
         await self.settled()
 
     async def settled(self) -> None:
+        """Wait until no reload is in progress."""
         while self.daemon.reloading:
             await asyncio.sleep(0)
 
-    async def until(self, true: Callable[[], object]) -> None:
+    async def until(self, condition: Callable[[], object]) -> None:
+        """Wait until the condition holds; fails after PATIENCE."""
         async with asyncio.timeout(PATIENCE):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0)
 
 
 @asynccontextmanager
-async def ground(
+async def running_daemon(
     folder: Path, members: Sequence[ScriptedBackend | Member], text: Callable[[], str]
-) -> AsyncIterator[Ground]:
-    """`text` is asked for the file once the members listen."""
+) -> AsyncIterator[DaemonHarness]:
+    """Start the members and a daemon; `text` returns the configuration, and is called once the members listen."""
     for member in members:
         await member.start()
     path = folder / "micastand.toml"
     path.write_text(text())
-    heard = Heard()
+    heard = RecordingLogger()
     daemon = Daemon(heard, seed=1)
-    here = Ground(daemon, path, heard)
+    here = DaemonHarness(daemon, path, heard)
     try:
         daemon.apply(load(path))
         yield here
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -8,7 +8,7 @@
 from typing import Any, Awaitable, Callable
 
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from peers import Call, ScriptedBackend, answering, resetting, silent
 from policy_scene import make_balancer
 from translated import connect_fcgi
@@ -111,7 +111,7 @@
             made = text([member], f'protocol = "{upstream}"', 'refusal_header = "X-No"', cls=cls)
             return made.replace('name = "main"', f'name = "main"\nprotocol = "{front}"')
 
-        async with ground(tmp_path, [member], config) as here:
+        async with running_daemon(tmp_path, [member], config) as here:
             data = requests_to("/", method, b"x" if method == "POST" else b"")
             if front == "fastcgi":
                 client = await connect_fcgi(here.daemon.listeners["main"].address)
@@ -133,7 +133,7 @@
     async def scene() -> None:
         member = ScriptedBackend("m", OK)
         keys = ('host = "shop.test"',)
-        async with ground(tmp_path, [member], lambda: text([member], keys=keys)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], keys=keys)) as here:
             await member.stop()
             assert proxy_status_error((await here.ask(requests_to()))[1]) == "connection_refused"
             for data, status in (
@@ -159,7 +159,7 @@
             ScriptedBackend("b", resetting),
             ScriptedBackend("c", resetting),
         ]
-        async with ground(tmp_path, members, lambda: text(members)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members)) as here:
             answers = set()
             for _ in range(6):
                 status, _, body = await here.ask(requests_to())
@@ -175,7 +175,7 @@
         failing.behaviour.status = 500
         more = 'limits = { connect_timeout = "20s" }'  # a busy machine may delay both members
         long_deadline = SHORT.replace("300ms", "20s").replace("400ms", "40s")
-        async with ground(
+        async with running_daemon(
             tmp_path, [failing, healthy], lambda: text([failing, healthy], more, cls=long_deadline)
         ) as here:
             statuses = [(await here.ask(requests_to()))[0] for _ in range(60)]
@@ -192,7 +192,7 @@
     async def scene() -> None:
         members = [ScriptedBackend(name, BROKEN) for name in "abc"]
         more = f"repeats = {{ on = {on}, share = 1.0 }}"
-        async with ground(tmp_path, members, lambda: text(members, more)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, more)) as here:
             assert (await here.ask(requests_to()))[::2] == (500, b"own")
             assert sum(len(member.calls) for member in members) == calls
 
@@ -203,7 +203,7 @@
     async def scene() -> None:
         members = [ScriptedBackend(name, resetting) for name in "abc"]
         more = 'repeats = { on = ["connect", "reset", "timeout", "500"], share = 1.0 }'
-        async with ground(tmp_path, members, lambda: text(members, more, cls=UNSAFE)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, more, cls=UNSAFE)) as here:
             assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 502
             assert sum(len(member.calls) for member in members) == 1
 
@@ -225,7 +225,7 @@
         members = [ScriptedBackend(name, resetting) for name in "abc"]
         keys = (route_repeats,) if route_repeats else ()
         more = f"repeats = {{ {pool_repeats}, share = 1.0 }}"
-        async with ground(tmp_path, members, lambda: text(members, more, keys=keys)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, more, keys=keys)) as here:
             assert (await here.ask(requests_to()))[0] == 503
             assert sum(len(member.calls) for member in members) == calls
 
@@ -252,7 +252,7 @@
             member.protocol = upstream
         more = f'protocol = "{upstream}"\nrepeats = {{ on = [], header = "X-Again", share = 1.0 }}'
         cls = SHORT if method == "GET" else UNSAFE
-        async with ground(tmp_path, members, lambda: text(members, more, cls=cls)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, more, cls=cls)) as here:
             got, head, _ = await here.ask(requests_to("/", method, b"x" if method == "POST" else b""))
             assert got == status and b"x-again" not in head.lower()
             assert sum(len(member.calls) for member in members) == calls
@@ -299,7 +299,7 @@
 def test_a_route_can_lower_the_number_of_attempts(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [ScriptedBackend(name, resetting) for name in "abc"]
-        async with ground(tmp_path, members, lambda: text(members, keys=("attempts = 2",))) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, keys=("attempts = 2",))) as here:
             await here.ask(requests_to())
             assert sum(len(member.calls) for member in members) == 2
 
@@ -364,14 +364,14 @@
     return bytes(await client.reader.readuntil(b"\r\n\r\n"))
 
 
-def tunnels(here: Ground) -> Tunnels:
+def tunnels(here: DaemonHarness) -> Tunnels:
     return here.daemon.pools["p"].proxy.tunnels
 
 
 def test_a_tunnel_forwards_bytes_both_ways_including_those_sent_with_the_heads(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", echo)
-        async with ground(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
             client = await here.connect()
             await client.send(UPGRADE + b"first")
             head = await head_of(client)
@@ -409,7 +409,7 @@
 def test_a_member_that_declines_the_upgrade(tmp_path: Path, answer: bytes, status: int) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", answering(answer))
-        async with ground(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
             client = await here.connect()
             await client.send(UPGRADE)
             assert (await client.read())[0] == status
@@ -429,7 +429,7 @@
 def test_a_101_without_an_upgrade_request_is_rejected(tmp_path: Path, request_: bytes) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", answering(SWITCH + b"bytes behind it"))
-        async with ground(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], keys=ALLOWED)) as here:
             client = await here.connect()
             await client.send(request_)
             assert (await head_of(client)).startswith(b"HTTP/1.1 503 ")
@@ -441,7 +441,7 @@
 def test_an_upgrade_is_retried_on_the_next_member(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [ScriptedBackend("a", resetting), ScriptedBackend("b", echo)]
-        async with ground(tmp_path, members, lambda: text(members, keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, keys=ALLOWED)) as here:
             for _ in range(4):
                 client = await here.connect()
                 await client.send(UPGRADE)
@@ -462,7 +462,7 @@
 
         member = ScriptedBackend("m", flood)
         more = 'tunnels = { idle = "300ms" }'
-        async with ground(tmp_path, [member], lambda: text([member], more, keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], more, keys=ALLOWED)) as here:
             client = await here.connect()
             await client.send(UPGRADE)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -481,7 +481,7 @@
         def both() -> str:
             return text([member_a, member_b], grace, keys=ALLOWED)
 
-        async with ground(tmp_path, [member_a, member_b], both) as here:
+        async with running_daemon(tmp_path, [member_a, member_b], both) as here:
             clients = []
             for _ in range(40):
                 client = await here.connect()
@@ -512,7 +512,7 @@
     async def scene() -> None:
         member = ScriptedBackend("m", echo)
         more = "tunnels = { most = 1 }"
-        async with ground(tmp_path, [member], lambda: text([member], more, keys=ALLOWED)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], more, keys=ALLOWED)) as here:
             first, second = await here.connect(), await here.connect()
             await first.send(UPGRADE)
             assert b" 101 " in await head_of(first)
@@ -632,7 +632,7 @@
 ) -> None:
     async def scene() -> None:
         member = ScriptedBackend("m", answering(answer))
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member])) as here:
             client = await here.connect()
             await client.send(data)
             head = await head_of(client)
@@ -657,7 +657,7 @@
 
         member = ScriptedBackend("m", slow)
         more = 'limits = { answer_stream = "8MiB" }'
-        async with ground(tmp_path, [member], lambda: text([member], more)) as here:
+        async with running_daemon(tmp_path, [member], lambda: text([member], more)) as here:
             status, head, body = await here.ask(requests_to())
             # Nothing of the member's answer was passed on.
             assert status in (502, 503, 504) and proxy_status_error(head) and not body
@@ -670,7 +670,7 @@
     async def scene() -> None:
         members = [ScriptedBackend("a", resetting, BUSY), ScriptedBackend("b", resetting, BUSY)]
         keyed = SHORT + 'effect = "keyed"\ndedup_scope = "cell"\ndedup_window = "1s"\n'
-        async with ground(tmp_path, members, lambda: text(members, cls=keyed)) as here:
+        async with running_daemon(tmp_path, members, lambda: text(members, cls=keyed)) as here:
             status, head, body = await here.ask(requests_to("/", "POST", b"x", "Idempotency-Key: k"))
             assert (status, body) == (502, b"") and proxy_status_error(head)
             assert 1 <= sum(len(member.calls) for member in members) <= 3
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from daemons import ground, requests_to
+from daemons import requests_to, running_daemon
 from peers import ScriptedBackend, answering, play, resetting
 from test_ordinary import one_pool
 
@@ -71,7 +71,7 @@
     async def scene() -> None:
         body = b"" if method == "HEAD" else b"sorry"
         backend = ScriptedBackend("s", answering(error_page(status, body)))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             got_status, head, got_body = await here.ask(requests_to("/", method))
             assert (got_status, got_body) == (status, body)
             assert b"Own Words" in head and b"text/x-own" in head and b"Retry-After: 7\r\n" in head
@@ -90,7 +90,7 @@
             ScriptedBackend("b", answering(error_page(500))),
             ScriptedBackend("c", resetting),
         ]
-        async with ground(tmp_path, members, lambda: one_pool(members)) as here:
+        async with running_daemon(tmp_path, members, lambda: one_pool(members)) as here:
             for _ in range(6):
                 calls_before = len(members[1].calls)
                 status = (await here.ask(requests_to("/")))[0]
@@ -103,7 +103,7 @@
 def test_an_unreachable_member_gives_the_proxys_own_503(tmp_path: Path) -> None:
     async def scene() -> None:
         member = ScriptedBackend("s", answering(error_page(500)))
-        async with ground(tmp_path, [member], lambda: one_pool([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: one_pool([member])) as here:
             await member.stop()
             status, head, body = await here.ask(requests_to("/"))
             assert (status, body) == (503, b"") and b"Own Words" not in head
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from daemons import LISTENER, ground, pool, requests_to, route
+from daemons import LISTENER, pool, requests_to, route, running_daemon
 from peers import Call, ScriptedBackend, answering, play, resetting, silent
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -42,7 +42,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer % status))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             got_status, head, body = await here.ask(requests_to())
             assert (got_status, body) == (status, b"body")
             assert head.startswith(b"HTTP/1.1 %d Its Reason\r\n" % status)
@@ -58,7 +58,7 @@
         backend = ScriptedBackend(
             "s", answering(b"HTTP/1.1 %d No\r\nETag: x\r\n\r\n" % status), answering(GOOD)
         )
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             await client.send(requests_to() + requests_to())
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
@@ -73,7 +73,7 @@
 def test_a_304_keeps_its_content_length(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(b"HTTP/1.1 304 Not\r\nContent-Length: 700\r\n\r\n"))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             await client.send(requests_to())
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
@@ -90,7 +90,7 @@
 def test_an_answer_to_head_has_no_body_and_keeps_the_connection(answer: bytes, tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer), answering(GOOD))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             await client.send(requests_to(method="HEAD"))
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
@@ -106,7 +106,7 @@
 def test_a_body_after_an_answer_to_head_is_discarded_with_its_connection(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             await client.send(requests_to(method="HEAD"))
             await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
@@ -124,7 +124,7 @@
         def text() -> str:
             return one_pool([backend]).replace('id = "s"', 'id = "s"\nstate = "stopped"')
 
-        async with ground(tmp_path, [backend], text) as here:
+        async with running_daemon(tmp_path, [backend], text) as here:
             client = await here.connect()
             for _ in range(2):
                 await client.send(requests_to(method="HEAD"))
@@ -142,7 +142,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             lines = (
                 "Connection: X-Mine, keep-alive",
                 "X-Mine: 1",
@@ -178,7 +178,7 @@
 def test_an_upgrade_that_is_not_allowed_is_ignored_and_the_request_is_served(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             client = await here.connect()
             upgrade = requests_to("/", "GET", b"", "Connection: Upgrade", "Upgrade: websocket")
             await client.send(upgrade + requests_to("/next"))
@@ -207,7 +207,7 @@
         def text() -> str:
             return one_pool([backend]) + LISTENER.replace("main", "inner") + 'trusted = ["127.0.0.0/8"]\n'
 
-        async with ground(tmp_path, [backend], text) as here:
+        async with running_daemon(tmp_path, [backend], text) as here:
             await here.ask(requests_to("/", "GET", b"", *claims))
             await here.ask(requests_to("/", "GET", b"", *claims), "inner")
             await here.ask(requests_to("/", "GET", b"", "X-Request-Id: mine"))
@@ -253,7 +253,7 @@
 ) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             assert (await here.ask(data))[0] == status
             if status == 200:
                 got_line, headers = received_request(backend)
@@ -272,7 +272,7 @@
         def text() -> str:
             return one_pool([backend], routes=route("only", "web", prefix="/only"))
 
-        async with ground(tmp_path, [backend], text) as here:
+        async with running_daemon(tmp_path, [backend], text) as here:
             client = await here.connect()
             assert (await client.ask(requests_to("/other")))[0] == 404
             assert (await client.ask(requests_to("/only/x")))[0] == 200
@@ -289,13 +289,13 @@
     async def scene() -> None:
         failing, healthy = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
         both = [failing, healthy]
-        async with ground(tmp_path, both, lambda: one_pool(both)) as here:
+        async with running_daemon(tmp_path, both, lambda: one_pool(both)) as here:
             for _ in range(12):
                 assert (await here.ask(requests_to()))[0] == 200
             assert failing.calls
         clear_calls(failing, healthy)
         # A new proxy, which has no statistics of the members.
-        async with ground(tmp_path, both, lambda: one_pool(both)) as here:
+        async with running_daemon(tmp_path, both, lambda: one_pool(both)) as here:
             statuses = [(await here.ask(requests_to("/", "DELETE")))[0] for _ in range(30)]
             assert set(statuses) == {200, 502}
             assert statuses.count(502) == len(failing.calls) and len(failing.calls) + len(healthy.calls) == 30
@@ -310,7 +310,7 @@
     async def scene() -> None:
         failing, healthy = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
         both = [failing, healthy]
-        async with ground(tmp_path, both, lambda: one_pool(both, routes=routes)) as here:
+        async with running_daemon(tmp_path, both, lambda: one_pool(both, routes=routes)) as here:
             statuses = []
             for number in range(12):
                 lines = (f"Idempotency-Key: k{number}",) if with_key else ()
@@ -332,11 +332,11 @@
     async def scene() -> None:
         failing, healthy = ScriptedBackend("ill", resetting), ScriptedBackend("well", answering(GOOD))
         both = [failing, healthy]
-        async with ground(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
+        async with running_daemon(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
             named = [(await here.ask(requests_to("/search", "POST", b"x")))[0] for _ in range(12)]
             assert set(named) == {200} and failing.calls
         clear_calls(failing, healthy)
-        async with ground(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
+        async with running_daemon(tmp_path, both, lambda: one_pool(both, routes=routes + cls)) as here:
             other = [(await here.ask(requests_to("/else", "POST", b"x")))[0] for _ in range(30)]
             assert (
                 len(failing.calls) + len(healthy.calls) == 30 and other.count(502) == len(failing.calls) > 0
@@ -350,7 +350,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             status, head, body = await here.ask(requests_to("/", "POST", b"x"))
             assert (status, body) == (500, b"why") and b"text/plain" in head
             assert here.daemon.pools["web"].proxy.budget.held_bytes == 0
@@ -366,7 +366,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             assert (await here.ask(requests_to("/", method)))[0] == status
 
     play(scene)
@@ -382,7 +382,7 @@
         def text() -> str:
             return one_pool(both, 'refusal_header = "X-Not-Run"')
 
-        async with ground(tmp_path, both, text) as here:
+        async with running_daemon(tmp_path, both, text) as here:
             statuses = {(await here.ask(requests_to("/", "POST", b"x")))[0] for _ in range(12)}
             assert statuses == {200} and full.calls  # it never ran, so it was sent to the other member
 
@@ -393,7 +393,7 @@
     async def scene() -> None:
         backend = ScriptedBackend("s", silent)
         routes = route("all", "web", 'deadline = "50ms"')
-        async with ground(tmp_path, [backend], lambda: one_pool([backend], routes=routes)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend], routes=routes)) as here:
             assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 504
 
     play(scene)
@@ -411,7 +411,7 @@
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
         backend = ScriptedBackend("s", answer_body_twice)
-        async with ground(tmp_path, [backend], lambda: one_pool([backend], *limits)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend], *limits)) as here:
             largest_body = bytes(100 << 10)
             status, _, body = await here.ask(requests_to("/", "POST", largest_body))
             assert (status, body) == (200, largest_body * 2)
@@ -435,7 +435,7 @@
     async def scene() -> None:
         backend = ScriptedBackend("s", answer_and_close)
         more = (f"close_delimited = {str(accepted).lower()}",)
-        async with ground(tmp_path, [backend], lambda: one_pool([backend], *more)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: one_pool([backend], *more)) as here:
             status, _, body = await here.ask(requests_to("/", "POST", b"x"))
             assert (status, body) == ((200, b"the rest") if accepted else (502, b""))
 
@@ -447,7 +447,9 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(answer))
-        async with ground(tmp_path, [backend], lambda: one_pool([backend], 'load_header = "X-Load"')) as here:
+        async with running_daemon(
+            tmp_path, [backend], lambda: one_pool([backend], 'load_header = "X-Load"')
+        ) as here:
             _, head, _ = await here.ask(requests_to())
             assert b"X-Load" not in head
             assert here.daemon.pools["web"].proxy.balancer.endpoints["s"].utilization == 0.7
