--- a/loadbalancer/daemon/admin_api.py
+++ b/loadbalancer/daemon/admin_api.py
@@ -1,4 +1,4 @@
-"""What administrative calls are answered from: queries and changes of one daemon."""
+"""The administrative API of one daemon, which combines its queries and its changes."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 
 class AdminApi:
-    """A daemon as `admin.calls.ManagedDaemon` describes it; sessions call it."""
+    """Implements `admin.calls.ManagedDaemon`, which administrative sessions call."""
 
     def __init__(self, queries: AdminQueries, changes: ChangeHandler) -> None:
         self._queries = queries
         self._changes = changes
 
     def read(self, what: str) -> object:
-        """The answer to a path."""
+        """Return the answer to a path."""
         return self._queries.read(what)
 
     def readable(self, what: str) -> bool:
-        """Whether a component can be read by this path."""
+        """Return whether a component answers reads of this path."""
         return self._queries.is_readable(what)
 
     def ask(self, what: str, done: Callable[[object], None]) -> bool:
-        """Start a query that other instances answer; whether there is one by this path."""
-        return self._queries.ask(what, done)
+        """Start a query that is sent to other instances; return whether one exists for this path."""
+        return self._queries.start_query(what, done)
 
     def verbs(self) -> Verbs:
-        """Verbs of components."""
+        """Return the verbs that components add."""
         return self._changes.verbs()
 
     def why(self, request: str) -> object:
-        """The decisions of a recent request."""
-        return self._queries.why(request)
+        """Return the recorded decisions of a recent request."""
+        return self._queries.explain_request(request)
 
     def change(self, change: Change, done: ChangeDone) -> None:
-        """Apply a change."""
+        """Apply a change and call `done` with its result."""
         self._changes.change(change, done)
--- a/loadbalancer/daemon/admin_changes.py
+++ b/loadbalancer/daemon/admin_changes.py
@@ -1,7 +1,7 @@
-"""Applies the change requests of operators: a table from verb to handler.
+"""Applies the change requests of operators, by a table from verb to handler.
 
-A change is checked whole, put in force at once and answered once the store has it; where it can't be stored it is
-undone. Each ends as a line of the audit log.
+A change is validated as a whole, applied at once and answered once the store has written it. A change that can't be
+stored is undone. The outcome of each change is written to the audit log.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 @runtime_checkable
 class LevelledLogger(Protocol):
-    """A logger whose level can change."""
+    """A logger whose level can be changed at run time."""
 
     def set_level(self, level: str) -> None:
-        """Log from this level up."""
+        """Log records of this level and above."""
 
 
 class ChangeHandler:
-    """Applies one change at a time to the daemon, or hands it to the component whose verb it is."""
+    """Applies changes to the daemon, or passes them to the component that defines the verb."""
 
     def __init__(
         self,
@@ -69,17 +69,17 @@
         }
 
     def verbs(self) -> Verbs:
-        """The verbs of components: what each requires, and what it does in a line."""
+        """Return the verbs that components add: for each its required fields and a one-line description."""
         verbs: dict[str, tuple[frozenset[str], str]] = {}
         for component in self._daemon.components.values():
             verbs.update(component.more_verbs())
         return verbs
 
     def change(self, change: Change, done: ChangeDone) -> None:
-        """Apply a change; `done` is called once with what is now true.
+        """Apply a change; `done` is called once, with the resulting state or an error.
 
         Raises:
-            CallError: It can't be applied, and nothing has changed.
+            CallError: The change can't be applied; the daemon's state is unchanged.
         """
         try:
             self._validator.check(change)
@@ -87,24 +87,24 @@
             self._audit.note(change, f"refused: {problem}")
             raise
         for component in self._daemon.components.values():
-            if component.take_change(change, partial(self._component_done, change, done)):
+            if component.take_change(change, partial(self._complete_component_change, change, done)):
                 return
         self._handlers[change.verb](change, done)
 
-    def _component_done(self, change: Change, done: ChangeDone, result: ChangeResult) -> None:
+    def _complete_component_change(self, change: Change, done: ChangeDone, result: ChangeResult) -> None:
         if "error" in result:
             self._audit.note(change, f"not done: {result['error']}")
         else:
             self._audit.note(change, f"version {result.get('version')}")
         done(result)
 
-    def _done(self, change: Change, result: ChangeResult, done: ChangeDone) -> None:
+    def _complete(self, change: Change, result: ChangeResult, done: ChangeDone) -> None:
         self._audit.note(change, "done")
         done(result)
 
     def _reload(self, change: Change, done: ChangeDone) -> None:
         self._daemon.reload()
-        self._done(change, {"reload": "asked for; the log says what became of it"}, done)
+        self._complete(change, {"reload": "asked for; the log says what became of it"}, done)
 
     def _set_log_level(self, change: Change, done: ChangeDone) -> None:
         level = change.request.level or "info"
@@ -112,23 +112,23 @@
         if not isinstance(logger, LevelledLogger):
             raise CallError(409, "this log has no levels; put [log] into the file and restart")
         logger.set_level(level)
-        self._done(change, {"level": level}, done)
+        self._complete(change, {"level": level}, done)
 
     def _freeze(self, frozen: bool, change: Change, done: ChangeDone) -> None:
         name = change.request.pool
         assert name is not None
         pool = self._daemon.pools[name]
         pool.overlay.freeze(frozen)
-        self._done(change, {**pool_row(name, pool)}, done)
+        self._complete(change, {**pool_row(name, pool)}, done)
 
     def _migrate(self, change: Change, done: ChangeDone) -> None:
         name = change.request.pool
         assert name is not None
         now = time.time()
         before = self._state.migration(name)
-        migration = requested_migration(change, now, _end(change, now))
+        migration = requested_migration(change, now, _expiry(change, now))
         self._state.set_migration(name, migration)
-        self._save(
+        self._save_and_answer(
             change,
             partial(self._persisted.save_migration, name, migration),
             lambda kept: {"moves": self._queries.migrations(), "kept": kept},
@@ -144,7 +144,7 @@
         overrides = self._state.pool_overrides(name)
         before = {endpoint: overrides.get(endpoint) for endpoint in change.endpoints}
         for endpoint in change.endpoints:
-            override = requested_override(change, before[endpoint], now, _end(change, now))
+            override = requested_override(change, before[endpoint], now, _expiry(change, now))
             self._state.apply_override(name, pool, endpoint, override)
             self._predecessor.notify(name, endpoint, overrides.get(endpoint))
         rows = [endpoint_row(name, pool, endpoint) for endpoint in change.endpoints]
@@ -155,7 +155,7 @@
                 self._state.apply_override(name, pool, endpoint, override or AdminOverride())
                 self._predecessor.notify(name, endpoint, override)
 
-        self._save(
+        self._save_and_answer(
             change,
             partial(self._persisted.save_overrides, name, after),
             lambda kept: {"members": rows, "kept": kept},
@@ -163,7 +163,7 @@
             done,
         )
 
-    def _save(
+    def _save_and_answer(
         self,
         change: Change,
         save: Callable[[Saved], None],
@@ -171,22 +171,22 @@
         undo: Callable[[], None],
         done: ChangeDone,
     ) -> None:
-        """Answer a change that is in force once the store has it; undo it where that fails."""
+        """Store a change that is already applied, then answer it; undo it if it can't be stored."""
         if not self._persisted.is_configured:
-            self._done(change, result(False), done)
+            self._complete(change, result(False), done)
             return
 
-        def saved(problem: StoreError | None) -> None:
+        def on_saved(problem: StoreError | None) -> None:
             if problem is None:
-                self._done(change, result(True), done)
+                self._complete(change, result(True), done)
                 return
             undo()
             self._audit.note(change, f"taken back: {problem}")
             done({"error": f"could not be kept, so nothing has changed: {problem}"})
 
-        save(saved)
+        save(on_saved)
 
 
-def _end(change: Change, now: float) -> float:
-    """When what a change sets ends, in Unix seconds; 0 for no end."""
+def _expiry(change: Change, now: float) -> float:
+    """Return when a change expires, in Unix seconds; 0 if it does not expire."""
     return now + change.until if change.until else 0.0
--- a/loadbalancer/daemon/admin_notifications.py
+++ b/loadbalancer/daemon/admin_notifications.py
@@ -1,7 +1,8 @@
-"""Overrides that pass from a daemon to the one it has replaced, which still answers what it holds.
+"""Override notifications from a daemon to the predecessor that it has replaced.
 
-One line of JSON for each override: `[pool, endpoint, override]`, where null ends it. The connection is the one over
-which the sockets were taken over; it ends with the predecessor.
+The predecessor still answers the requests that were in flight at the hot restart, so it must apply later overrides too.
+Each notification is one line of JSON, `[pool, endpoint, override]`, where a null override removes it. The connection is
+the one over which the sockets were taken over; it closes when the predecessor exits.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 
 
 class PredecessorNotifier:
-    """Tells the daemon before this one what operators change. It owns the connection; `close` releases it."""
+    """Sends operators' overrides to this daemon's predecessor. It owns the connection; `close` releases it."""
 
     def __init__(self) -> None:
         self._connection: socket.socket | None = None
 
     def connect(self, connection: socket.socket) -> None:
-        """Notify over this non-blocking connection from now on."""
+        """Send notifications over this non-blocking connection from now on."""
         self._connection = connection
 
     def notify(self, pool: str, endpoint: str, override: AdminOverride | None) -> None:
-        """Send one override. A predecessor that has ended, or that does not read, is notified no more."""
+        """Send one override; close the connection if the predecessor has exited or does not read."""
         if self._connection is None:
             return
         line = msgspec.json.encode([pool, endpoint, override]) + b"\n"
@@ -39,14 +40,14 @@
             self.close()
 
     def close(self) -> None:
-        """Close the connection, if there is one."""
+        """Close the connection, if one is open."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
 
 def apply_notification(line: bytes, pools: Mapping[str, RunningPool], logger: RateLimitedLogger) -> None:
-    """Put in force what the successor has sent, for the requests that are still answered here."""
+    """Apply an override that the successor has sent, for the requests that are still in flight here."""
     try:
         name, endpoint, override = msgspec.json.decode(line, type=tuple[str, str, AdminOverride | None])
     except msgspec.MsgspecError as problem:
--- a/loadbalancer/daemon/admin_queries.py
+++ b/loadbalancer/daemon/admin_queries.py
@@ -1,4 +1,4 @@
-"""What operators can read of a running daemon, one method for each path of the administrative API."""
+"""The read-only queries of the administrative API, one method for each path."""
 
 from __future__ import annotations
 
@@ -27,22 +27,23 @@
 if TYPE_CHECKING:
     from loadbalancer.daemon.tls_keys import TlsKeys
 
-#: Open requests in one answer, the oldest first.
+#: Maximum number of open requests in one answer; the oldest are kept.
 MAX_REQUEST_ROWS = 200
-#: Characters of a request's method and path in a row.
+#: Maximum number of characters of a request's method and path in a row.
 MAX_REQUEST_LINE_CHARACTERS = 200
 
 
 class AdminQueries:
-    """Reads a daemon's state, and that of its components, without changing it."""
+    """Reads the state of a daemon and of its components without changing it."""
 
     def __init__(self, daemon: DaemonContext, state: AdminState, traced_requests: int | None) -> None:
-        """Make the queries of a daemon.
+        """Create the queries of a daemon.
 
         Args:
-            daemon: The daemon.
-            state: Its overrides and migrations.
-            traced_requests: Recent requests of each pool whose decisions are kept; None or 0 for none.
+            daemon: The daemon to read.
+            state: The daemon's overrides and migrations.
+            traced_requests: How many recent requests of each pool have their decisions kept; None or 0 if tracing is
+                off.
         """
         self._daemon = daemon
         self._state = state
@@ -58,29 +59,29 @@
             "keys": self.keys,
         }
 
-    def read(self, what: str) -> object:
-        """The answer to a path; a component's own readers come first."""
+    def read(self, path: str) -> object:
+        """Return the answer to a path; a component's own readers take precedence."""
         for component in self._daemon.components.values():
-            reader = component.reads().get(what)
+            reader = component.reads().get(path)
             if reader is not None:
                 return reader()
-        return self._readers[what]()
+        return self._readers[path]()
 
-    def is_readable(self, what: str) -> bool:
-        """Whether a component can be read by this path."""
-        return any(what in component.reads() for component in self._daemon.components.values())
+    def is_readable(self, path: str) -> bool:
+        """Return whether a component answers reads of this path."""
+        return any(path in component.reads() for component in self._daemon.components.values())
 
-    def ask(self, what: str, done: Callable[[object], None]) -> bool:
-        """Start a query that other instances answer; whether there is one by this path."""
+    def start_query(self, path: str, done: Callable[[object], None]) -> bool:
+        """Start a query that is sent to other instances; return whether one exists for this path."""
         for component in self._daemon.components.values():
-            query = component.asks().get(what)
+            query = component.asks().get(path)
             if query is not None:
                 query(done)
                 return True
         return False
 
     def status(self) -> dict[str, object]:
-        """The daemon as a whole, and what its components add."""
+        """Return the status of the daemon, including the figures that components add."""
         daemon = self._daemon
         row: StatusRow = {
             "pid": os.getpid(),
@@ -101,11 +102,11 @@
         return status
 
     def pools(self) -> list[PoolRow]:
-        """All pools."""
+        """Return a row for each pool."""
         return [pool_row(name, pool) for name, pool in self._daemon.pools.items()]
 
     def endpoints(self) -> list[EndpointRow]:
-        """All endpoints that are listed or overridden."""
+        """Return a row for each endpoint that is listed or overridden."""
         return [
             endpoint_row(name, pool, endpoint)
             for name, pool in self._daemon.pools.items()
@@ -113,7 +114,7 @@
         ]
 
     def keys(self) -> list[dict[str, object] | RefusedKeyRow]:
-        """Certificates in use, the first to expire first; then files that are not used, and why."""
+        """Return the certificates in use, the earliest expiry first, then the rejected files with the reasons."""
         keys = cast("TlsKeys | None", self._daemon.components.get("keys"))
         if keys is None:
             return []
@@ -123,18 +124,18 @@
         return [*keys.summary(), *refused]
 
     def requests(self) -> list[RequestRow]:
-        """Open requests, the oldest first; of what clients sent only method and path."""
+        """Return the open requests, the oldest first. Of the client's data only method and path are included."""
         rows: list[tuple[float, RequestRow]] = []
         for name, pool in self._daemon.pools.items():
             now = pool.proxy.now()
             for request in pool.proxy.open.values():
-                began = min((attempt.began_at for attempt in request.attempts), default=now)
-                rows.append((began, _request_row(name, request, now)))
-        rows.sort(key=lambda began_and_row: began_and_row[0])
+                started_at = min((attempt.began_at for attempt in request.attempts), default=now)
+                rows.append((started_at, _request_row(name, request, now)))
+        rows.sort(key=lambda start_and_row: start_and_row[0])
         return [row for _, row in rows[:MAX_REQUEST_ROWS]]
 
     def overrides(self) -> list[OverrideRow]:
-        """All overrides, also of pools and endpoints that are not there now."""
+        """Return all overrides, including those of pools and endpoints that don't exist now."""
         pools = self._daemon.pools
         return [
             {
@@ -148,7 +149,7 @@
         ]
 
     def migrations(self) -> list[MigrationRow]:
-        """All migrations in force."""
+        """Return all migrations in force."""
         return [
             {
                 "pool": name,
@@ -164,11 +165,11 @@
             if (migration := migrations.move) is not None
         ]
 
-    def why(self, request_id: str) -> list[dict[str, object]]:
-        """The decisions of a recent request.
+    def explain_request(self, request_id: str) -> list[dict[str, object]]:
+        """Return the recorded decisions of a recent request.
 
         Raises:
-            CallError: No decisions are kept, or none of this request.
+            CallError: Tracing is off, or no decisions of this request are kept.
         """
         if not self._traced_requests:
             raise CallError(409, "nothing is kept for this; put why = 1000 into [management] and restart")
--- a/loadbalancer/daemon/admin_rows.py
+++ b/loadbalancer/daemon/admin_rows.py
@@ -1,4 +1,4 @@
-"""Rows that the administrative API answers with. The keys are part of the API."""
+"""The row types of the administrative API's answers. Their keys are part of the API."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class StatusRow(TypedDict):
-    """`status`, to which each component adds keys of its own."""
+    """The answer to `status`, to which components add keys of their own."""
 
     pid: int
     up_s: float
     reloads: int
     configuration: str | None
-    listeners: dict[str, str]  # addresses by name
+    listeners: dict[str, str]  # addresses by listener name
     pools: int
     open: int
     retiring: int
@@ -43,7 +43,7 @@
 
 
 class OverrideFields(TypedDict, total=False):
-    """An override; fields that say nothing are left out."""
+    """The fields of an override; fields without a value are omitted."""
 
     word: str | None
     weight: float | None
@@ -89,7 +89,7 @@
 
 
 class AttemptRow(TypedDict):
-    """An attempt of a row of `requests`."""
+    """One attempt in a row of `requests`."""
 
     member: str
     age_s: float
@@ -106,21 +106,21 @@
 
 
 class RefusedKeyRow(TypedDict):
-    """A row of `keys` for a certificate that is not in use."""
+    """A row of `keys` for a certificate file that was rejected."""
 
     where: str
     refused: str
 
 
 def address_text(address: tuple[str, int] | None) -> str | None:
-    """An address as operators read it; a Unix socket has no port."""
+    """Return an address as text for operators; a Unix socket has no port."""
     if address is None:
         return None
     return f"{address[0]}:{address[1]}" if address[1] else address[0]
 
 
 def override_fields(override: AdminOverride) -> OverrideFields:
-    """The fields of an override that say something."""
+    """Return the fields of an override that have a value."""
     fields: OverrideFields = {
         "word": override.word,
         "weight": override.weight,
@@ -134,7 +134,7 @@
 
 
 def pool_row(name: str, pool: RunningPool) -> PoolRow:
-    """What can be read of a pool."""
+    """Return the `pools` row of a pool."""
     proxy = pool.proxy
     served, refused, failed = (sum(counts) for counts in zip(*proxy.metrics.ended, strict=True))
     return {
@@ -156,7 +156,7 @@
 
 
 def endpoint_row(name: str, pool: RunningPool, endpoint_id: str) -> EndpointRow:
-    """What can be read of one endpoint of a pool, listed or only overridden."""
+    """Return the `members` row of an endpoint, which may be listed or only overridden."""
     listed = pool.overlay.listed().get(endpoint_id)
     override = pool.overlay.marks.get(endpoint_id)
     endpoint = pool.proxy.balancer.endpoints.get(endpoint_id)
--- a/loadbalancer/daemon/admin_server.py
+++ b/loadbalancer/daemon/admin_server.py
@@ -1,4 +1,4 @@
-"""The administrative sockets of a daemon, and the composition of what answers there."""
+"""The administrative sockets of a daemon, and the wiring of the API behind them."""
 
 from __future__ import annotations
 
@@ -33,24 +33,26 @@
 if TYPE_CHECKING:
     from loadbalancer.daemon.storage import Storage
 
-#: Mode of the socket by which a daemon is changed, and of the one by which it is only read.
+#: File modes of the socket that accepts changes and of the read-only one.
 CHANGE_SOCKET_MODE = 0o600
 READ_SOCKET_MODE = 0o660
 
 
 class AdminServer(Component):
-    """One for a daemon with `[management]`. It owns the administrative sockets; `end` releases them.
+    """Serves the administrative API of a daemon that has a `[management]` table.
+
+    It owns the administrative sockets; `end` closes them.
 
     Attributes:
         table: The configuration's `[management]`.
         state: Overrides and migrations in force.
-        predecessor: Tells the daemon before this one what operators change.
-        hot_restart: What is offered to the daemon after this one.
-        replicated: Where the fleet's replicated state puts what it has agreed on.
+        predecessor: Notifies the daemon that this one has replaced of operators' overrides.
+        hot_restart: Offers this daemon's state to a successor.
+        replicated: Applies the overrides and migrations of the fleet's replicated state.
     """
 
     def __init__(self, daemon: DaemonContext, table: ManagementTable, base: Path) -> None:
-        """Make the server; nothing is open yet.
+        """Create the server without opening its sockets.
 
         Args:
             daemon: The daemon that is administered.
@@ -61,7 +63,7 @@
         self._daemon = daemon
         self._logger = daemon.logger
         self._base = base
-        self._replaces = False  # a daemon that serves until this one does
+        self._has_predecessor = False  # another daemon serves until this one does
         self._servers: list[ManagementServer] = []
         self._tcp_server: ManagementServer | None = None
         self._socket_files: list[UnixSocketFile] = []
@@ -90,8 +92,8 @@
         return storage.store if storage is not None else None
 
     def begin(self) -> None:
-        """Open the sockets; OSError or ConfigError where one can't be had."""
-        self._replaces = self._daemon.inherited is not None
+        """Open the sockets; raises OSError or ConfigError if one can't be opened."""
+        self._has_predecessor = self._daemon.inherited is not None
         if self.table.socket is not None:
             self._open_unix(self._base / self.table.socket, CHANGE_SOCKET_MODE, reads_only=False)
         if self.table.read_socket is not None:
@@ -105,7 +107,7 @@
         file.bind(server.listen)
         self._servers.append(server)
         self._socket_files.append(file)
-        if not self._replaces:
+        if not self._has_predecessor:
             file.place(replaces=False)
 
     def _open_tcp(self, address: tuple[str, int], tokens: Path) -> None:
@@ -121,14 +123,14 @@
         self._servers.append(self._tcp_server)
 
     def sockets(self) -> list[socket.socket]:
-        """The TCP socket, which a successor takes over; Unix sockets are replaced."""
+        """Return the TCP socket, which a successor takes over; Unix sockets are replaced instead."""
         if self._tcp_server is None or self._tcp_server.listening is None:
             return []
         return [self._tcp_server.listening]
 
     def serve(self) -> None:
-        """Take the place of the daemon before, and let another one take over from now on."""
-        if self._replaces:
+        """Replace the predecessor's socket files, and offer this daemon's state to a successor from now on."""
+        if self._has_predecessor:
             for file in self._socket_files:
                 file.place(replaces=True)
         if self.table.socket is not None:
@@ -137,11 +139,11 @@
     def restore(
         self, overrides: Mapping[str, Mapping[str, AdminOverride]], migrations: Mapping[str, Migration]
     ) -> None:
-        """Go on with what the store or the daemon before has kept; called before pools are made."""
+        """Restore overrides and migrations from the store or the predecessor; called before pools are created."""
         self.state.restore(overrides, migrations)
 
     def reload(self, plan: Plan) -> None:
-        """Take another configuration; called before its routes are made."""
+        """Apply a reloaded configuration; called before its routes are created."""
         self.state.reload(plan)
         if self.table.why:
             from loadbalancer.proxy.decision_trace import DecisionTrace
@@ -150,16 +152,16 @@
                 pool.proxy.trace = pool.proxy.trace or DecisionTrace(self.table.why)
 
     def look(self) -> None:
-        """End overrides and migrations whose time is over."""
+        """Remove expired overrides and migrations."""
         self.state.expire()
 
     def retire(self) -> None:
-        """Accept no more calls by TCP: they go to the successor."""
+        """Stop accepting TCP connections, which the successor accepts from now on."""
         if self._tcp_server is not None:
             self._tcp_server.stop_accepting()
 
     def end(self) -> None:
-        """Close all sockets, and remove their files unless a successor has them."""
+        """Close all sockets, and remove their files unless a successor has replaced them."""
         if not self.hot_restart.replaced.is_set():
             for file in self._socket_files:
                 file.remove()
--- a/loadbalancer/daemon/admin_state.py
+++ b/loadbalancer/daemon/admin_state.py
@@ -14,11 +14,11 @@
 
 
 class AdminState:
-    """What operators have said of endpoints and pools, also of those that no configuration names now.
+    """Holds operators' overrides and migrations, including those of pools that no current configuration names.
 
     Attributes:
         overrides: Overrides by pool and endpoint.
-        migrations: Migrations by pool, of each pool of which a share was ever migrated.
+        migrations: Migrations by pool, for each pool that has ever had one.
     """
 
     def __init__(self, daemon: DaemonContext, persisted: PersistedOverrides) -> None:
@@ -27,42 +27,45 @@
         self._daemon = daemon
         self._logger = daemon.logger
         self._persisted = persisted
-        self._deduplication_window_s = 0.0  # the longest of any class
+        self._deduplication_window_s = 0.0  # the longest window of any class
 
     def restore(
         self, overrides: Mapping[str, Mapping[str, AdminOverride]], migrations: Mapping[str, Migration]
     ) -> None:
-        """Go on with what the store or the daemon before has kept; called before pools are made."""
+        """Restore overrides and migrations from the store or the predecessor; called before pools are created."""
         self.overrides = {pool: dict(by_endpoint) for pool, by_endpoint in overrides.items()}
         for pool, migration in migrations.items():
             self.migrations[pool] = Migrations(self._deduplication_window_s)
             self.migrations[pool].resume(migration)
 
     def reload(self, plan: Plan) -> None:
-        """Take the deduplication windows of a configuration over; called before its routes are made."""
+        """Apply the deduplication windows of a configuration; called before its routes are created."""
         self._deduplication_window_s = max(cls.deduplication_window for cls in plan.classes)
         for pool, migrations in self.migrations.items():
             migrations.window = max(migrations.window, self._deduplication_window_s)
             migration = migrations.move
             if pool in plan.pools and migration is not None and migration.other not in plan.pools:
-                self._logger("a move waits", f"pool {migration.other!r} is gone; all of {pool} stays with it")
+                self._logger(
+                    "a move waits",
+                    f"its target pool {migration.other!r} is not configured; all traffic of {pool} stays in {pool}",
+                )
 
     def migration(self, pool: str) -> Migration | None:
-        """The migration of a pool that is in force."""
+        """Return the migration of a pool that is in force, or None."""
         return self.migrations[pool].move if pool in self.migrations else None
 
     def set_migration(self, pool: str, migration: Migration | None) -> None:
-        """Put a pool's migration in force; None ends it."""
+        """Apply a pool's migration; None removes it."""
         migrations = self.migrations.setdefault(pool, Migrations(self._deduplication_window_s))
         migrations.say(migration, time.time())
         self._daemon.retarget()
 
     def pool_overrides(self, pool: str) -> dict[str, AdminOverride]:
-        """The overrides of a pool by endpoint, to be changed in place."""
+        """Return the overrides of a pool by endpoint; callers may change the dictionary in place."""
         return self.overrides.setdefault(pool, {})
 
     def apply_override(self, name: str, pool: RunningPool, endpoint: str, override: AdminOverride) -> None:
-        """Put an endpoint's override in force at a running pool; an empty one ends it."""
+        """Apply an endpoint's override to a running pool; an empty override removes it."""
         overrides = self.pool_overrides(name)
         if override.says_nothing():
             overrides.pop(endpoint, None)
@@ -71,7 +74,7 @@
         pool.overlay.mark(endpoint, override)
 
     def expire(self) -> None:
-        """End the overrides and migrations whose time is over."""
+        """Remove expired overrides and migrations, also from the store."""
         for name, pool in self._daemon.pools.items():
             for endpoint in pool.overlay.expire():
                 self.overrides.get(name, {}).pop(endpoint, None)
@@ -81,5 +84,5 @@
         for name, migrations in self.migrations.items():
             if migrations.move is not None and migrations.move.is_over(now):
                 self.set_migration(name, None)
-                self._logger("a move has ended", f"all of {name} stays with it")
+                self._logger("a move has ended", f"all traffic of {name} stays in {name}")
                 self._persisted.forget_migration(name)
--- a/loadbalancer/daemon/change_validation.py
+++ b/loadbalancer/daemon/change_validation.py
@@ -1,4 +1,4 @@
-"""Whether a change request of an operator may be applied to the daemon as it is now."""
+"""Validation of operators' change requests against the current state of the daemon."""
 
 from __future__ import annotations
 
@@ -10,43 +10,43 @@
 from loadbalancer.daemon.pools import RunningPool
 from loadbalancer.policy.events import EndpointState
 
-#: Verbs that may name an endpoint which is not there: the override holds once it is.
+#: Verbs that may name an endpoint that does not exist yet: the override takes effect once the endpoint is listed.
 VERBS_FOR_UNKNOWN_ENDPOINTS = ("cordon", "uncordon", "drain")
-#: Verbs that take an endpoint out of use.
+#: Verbs that stop traffic to an endpoint.
 VERBS_THAT_REMOVE = ("drain", "cordon", "remove")
 
 
 class ChangeValidator:
-    """Checks a change against pools, endpoints and migrations; it changes nothing."""
+    """Checks a change against the running pools, endpoints and migrations, without applying it."""
 
     def __init__(
         self, daemon: DaemonContext, state: AdminState, is_being_replaced: Callable[[], bool]
     ) -> None:
-        """Make a validator.
+        """Create a validator.
 
         Args:
-            daemon: The daemon whose pools a change concerns.
-            state: Its migrations.
-            is_being_replaced: Whether another daemon has this one's state and does not serve yet, so that a change
-                made here would be lost.
+            daemon: The daemon whose pools are changed.
+            state: The migrations of this daemon.
+            is_being_replaced: Returns whether a successor daemon has received this daemon's state but does not serve
+                yet. A change made here at that time would be lost.
         """
         self._daemon = daemon
         self._state = state
         self._is_being_replaced = is_being_replaced
 
     def check(self, change: Change) -> None:
-        """Check a change.
+        """Raise an error if a change can't be applied now.
 
         Raises:
-            CallError: It can't be applied; says why.
+            CallError: The change can't be applied; the message gives the reason.
         """
         name = change.request.pool
         if name is None:
             return
         pool = self._daemon.pools.get(name)
         if pool is None:
-            have = ", ".join(sorted(self._daemon.pools)) or "none"
-            raise CallError(404, f"there is no pool {name!r}; there are: {have}")
+            existing = ", ".join(sorted(self._daemon.pools)) or "none"
+            raise CallError(404, f"there is no pool {name!r}; there are: {existing}")
         if self._is_being_replaced():
             raise CallError(
                 409, "an upgrade is under way, and the new daemon would not know of it; ask again"
@@ -72,13 +72,15 @@
     def _check_migration(self, name: str, other: str) -> None:
         pools = self._daemon.pools
         if other == name or other not in pools:
-            have = ", ".join(sorted(pools.keys() - {name})) or "none"
-            raise CallError(404, f"{other!r} is no other pool; there are: {have}")
+            existing = ", ".join(sorted(pools.keys() - {name})) or "none"
+            raise CallError(404, f"{other!r} is no other pool; there are: {existing}")
         if pools[name].plan.table.dialect != pools[other].plan.table.dialect:
             raise CallError(409, f"pools {name} and {other} speak different dialects")
-        onward = self._state.migration(other)
-        if onward is not None:
-            raise CallError(409, f"a part of {other} is itself moved to {onward.other}; end that first")
+        next_migration = self._state.migration(other)
+        if next_migration is not None:
+            raise CallError(
+                409, f"a part of {other} is itself moved to {next_migration.other}; end that first"
+            )
         if any(self._migrates_to(pool, name) for pool in self._state.migrations):
             raise CallError(409, f"traffic of another pool is moved to {name}; end that first")
 
@@ -88,7 +90,7 @@
 
 
 def _check_one_remains(pool: RunningPool, change: Change) -> None:
-    """Refuse to take a pool's last endpoint out of use; the request's `last` says that this is meant."""
+    """Raise a CallError if a change would leave a pool without a usable endpoint, unless the request sets `last`."""
     overridden = {name for name, override in pool.overlay.marks.items() if override.word is not None}
     ready = {entry.endpoint for entry, _ in pool.overlay.entries() if entry.state == EndpointState.READY}
     if ready and not ready - overridden - set(change.endpoints):
--- a/loadbalancer/daemon/replicated_overrides.py
+++ b/loadbalancer/daemon/replicated_overrides.py
@@ -1,4 +1,4 @@
-"""What a fleet has agreed on, put in force at one daemon; and what a change request would make of it."""
+"""Applies the overrides and migrations of the fleet's replicated state to one daemon, and plans requested changes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ReplicatedOverrides:
-    """Applies decided commands; an implementation of `components.ReplicatedOverrideTarget`."""
+    """Implements `components.ReplicatedOverrideTarget`, to which decided commands are applied."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         return self._state.migrations
 
     def planned_overrides(self, change: Change) -> dict[str, AdminOverride | None]:
-        """The overrides that a change would leave, by endpoint; None for no override."""
+        """Return the overrides that would result from a change, by endpoint; None for no override."""
         before = self._state.overrides.get(change.request.pool or "", {})
         planned = {
             endpoint: requested_override(change, before.get(endpoint), time.time(), 0.0)
@@ -52,11 +52,11 @@
         }
 
     def planned_migration(self, change: Change) -> Migration | None:
-        """The migration that a change would leave; its end is counted from when it is decided."""
+        """Return the migration that would result from a change; its duration starts when the change is decided."""
         return requested_migration(change, time.time(), 0.0)
 
     def set_override(self, name: str, endpoint: str, override: AdminOverride | None) -> None:
-        """Put an override in force, also of a pool that is not there; None ends it."""
+        """Apply an override, also for a pool that doesn't exist now; None removes it."""
         pool = self._daemon.pools.get(name)
         overrides = self._state.pool_overrides(name)
         if pool is not None:
@@ -68,17 +68,17 @@
         self._predecessor.notify(name, endpoint, override)
 
     def set_migration(self, pool: str, migration: Migration | None) -> None:
-        """Put a migration in force; None ends it."""
+        """Apply a migration; None removes it."""
         self._state.set_migration(pool, migration)
 
     def set_frozen(self, name: str, frozen: bool) -> None:
-        """Let a pool follow its source, or not."""
+        """Freeze a pool's endpoint list, or let it follow its source again."""
         pool = self._daemon.pools.get(name)
         if pool is not None:
             pool.overlay.freeze(frozen)
 
     def describe(self, change: Change) -> dict[str, object]:
-        """What is now true of the endpoints of a change, as the answer to it."""
+        """Return the current state of the endpoints of a change, for the answer to it."""
         name = change.request.pool or ""
         pool = self._daemon.pools.get(name)
         kept = self._persisted.is_configured
