--- a/loadbalancer/daemon/applied_state.py
+++ b/loadbalancer/daemon/applied_state.py
@@ -1,4 +1,4 @@
-"""Brings the replicated state into force at this daemon's pools, and notes which version was in force when."""
+"""Applies the replicated state to this daemon's pools, and records when each version was applied."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
     VersionedOverride,
 )
 
-#: Versions of which it is noted when they were applied here.
+#: How many of the latest versions are kept in the history.
 MAX_HISTORY = 64
-#: Seconds after which the end of an override is proposed again, if the first proposal comes to nothing.
+#: Seconds after which the removal of an expired item is proposed again if the first proposal was not decided.
 EXPIRY_RETRY_INTERVAL_S = 10.0
 
 
 @dataclass(slots=True)
 class Expiry:
-    """When an override or a migration ends."""
+    """The expiry of an override or a migration."""
 
-    version: int  # of the command that made it: a later one is not touched
-    at: float  # on the clock of the replica
+    version: int  # the version that set the item; if a later version replaced it, the item stays
+    at: float  # on the replica's clock
 
 
 class AppliedState:
     """Applies the replicated state to the pools.
 
     Attributes:
-        history: the last versions that were in force here, never empty.
+        history: The latest versions that were in force here, never empty.
     """
 
     def __init__(self, state: ReplicatedState, overrides: ReplicatedOverrideTarget, clock: Clock) -> None:
@@ -53,7 +53,7 @@
         self._expiries: dict[TouchedItem, Expiry] = {}
 
     def apply_all(self) -> None:
-        """Bring all that stands into force."""
+        """Apply all overrides, migrations and freezes of the replicated state."""
         for pool, overrides in self._state.overrides.items():
             for endpoint in overrides:
                 self._apply(TouchedOverride(ItemKind.OVERRIDE, pool, endpoint))
@@ -63,14 +63,14 @@
             self._apply(TouchedFreeze(ItemKind.FREEZE, pool))
 
     def apply_command(self, action: CommandApplied) -> None:
-        """Bring into force what a command has touched."""
+        """Record a command's version in the history and apply the items that it changed."""
         command = action.command
         self.history.append(Epoch(action.version, describe(command), command.by, self._clock()))
         for touched in action.touched:
             self._apply(touched)
 
     def apply_snapshot(self) -> None:
-        """Bring a state into force that replaces another one, and lift what it does not have."""
+        """Apply a state that has replaced the previous one, and remove the items that it doesn't contain."""
         self.history.append(Epoch(self._state.version, WHOLE, "", self._clock()))
         for pool, overrides in list(self._overrides.overrides.items()):
             for endpoint in list(overrides):
@@ -82,9 +82,9 @@
         self.apply_all()
 
     def expire(self, now: float) -> Iterator[CommandContent]:
-        """Return commands that end what is over; the first instance to see it proposes it for all.
+        """Yield the commands that remove expired items; the first instance to notice an expiry proposes it for all.
 
-        What a command ends is noted before it is returned, so the caller may propose each at once.
+        The next retry is scheduled before a command is yielded, so the caller may propose each command at once.
         """
         for touched, expiry in list(self._expiries.items()):
             if now < expiry.at:
@@ -92,8 +92,8 @@
             self._expiries[touched] = Expiry(expiry.version, now + EXPIRY_RETRY_INTERVAL_S)
             match touched:
                 case TouchedOverride(pool=pool, endpoint=endpoint):
-                    lifted = MarkBody(pool, {endpoint: None}, 0.0, expiry.version)
-                    yield CommandContent(CommandKind.MARK, lifted)
+                    removal = MarkBody(pool, {endpoint: None}, 0.0, expiry.version)
+                    yield CommandContent(CommandKind.MARK, removal)
                 case TouchedMigration(pool=pool):
                     yield CommandContent(CommandKind.MOVE, MoveBody(pool, None, 0.0, expiry.version))
 
--- a/loadbalancer/daemon/command_factory.py
+++ b/loadbalancer/daemon/command_factory.py
@@ -1,4 +1,4 @@
-"""Makes commands of the replicated log from what operators ask for, and from what this instance decides itself."""
+"""Creates commands of the replicated log from operators' changes and from this instance's own decisions."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 from loadbalancer.fleet.replication.replicated_state import ReplicatedState
 
-#: Seconds that each step of a rollout serves before the next, unless the operator says otherwise.
+#: Seconds that each stage of a rollout serves before the next one, unless the operator sets another time.
 DEFAULT_SOAK_S = 10.0
 OVERRIDE_VERBS = ("drain", "cordon", "uncordon", "weight", "add", "remove")
 MIGRATION_VERB = "move"
@@ -32,17 +32,17 @@
 
 
 class CommandContent(NamedTuple):
-    """What a command does, before it has an identifier."""
+    """The kind and body of a command that has no identifier yet."""
 
-    kind: str  # as the replicated state names it
+    kind: str  # a value of CommandKind
     body: msgspec.Struct
 
 
 class CommandNumbering:
-    """Makes commands whose identifiers no other process uses."""
+    """Creates commands with identifiers that are unique across processes."""
 
     def __init__(self, prefix: str) -> None:
-        """`prefix`: the name of the instance and a number drawn by this process."""
+        """`prefix` combines the name of the instance and a random number of this process."""
         self._prefix = prefix
         self._count = 0
 
@@ -50,7 +50,7 @@
         """Return a command with the next identifier.
 
         Raises:
-            StateError: the body is too long.
+            StateError: The body is too long.
         """
         self._count += 1
         identifier = f"{self._prefix}-{self._count}"
@@ -66,28 +66,28 @@
         state: ReplicatedState,
         overrides: ReplicatedOverrideTarget,
         rollout: RolloutService,
-        store_of: Callable[[str], str],
+        store_id_of: Callable[[str], str],
     ) -> None:
-        """Hand in what a translation looks up.
+        """Create a translator.
 
         Args:
-            name: of this instance.
-            state: the replicated state.
-            overrides: merges a change into the overrides that stand.
-            rollout: holds a file that is to be rolled out.
-            store_of: returns the store of an instance, "" where it is not known.
+            name: The name of this instance.
+            state: The replicated state.
+            overrides: Merges a change into the overrides in force.
+            rollout: Keeps a file that is to be rolled out.
+            store_id_of: Returns the store identifier of an instance, or "" if it is unknown.
         """
         self._name = name
         self._state = state
         self._overrides = overrides
         self._rollout = rollout
-        self._store_of = store_of
+        self._store_id_of = store_id_of
 
     def translate(self, change: Change) -> CommandContent | None:
-        """Return what a command would do; None where the verb is not one of the replicated state.
+        """Return the content of the command for a change; None if its verb doesn't concern the replicated state.
 
         Raises:
-            CallError: it can't be done as things are.
+            CallError: The change can't be applied to the current state.
         """
         if change.verb.startswith("fleet/"):
             return self._translate_fleet(change)
@@ -109,7 +109,7 @@
         name = request.name or ""
         match change.verb:
             case "fleet/enrol":
-                return CommandContent(CommandKind.ROSTER, RosterBody(name, self._require_store(name)))
+                return CommandContent(CommandKind.ROSTER, RosterBody(name, self._require_store_id(name)))
             case "fleet/expel":
                 return CommandContent(CommandKind.ROSTER, RosterBody(name, ""))
             case "fleet/rollout":
@@ -125,8 +125,8 @@
         return None
 
     def _recovered_voters(self, names: Iterable[str]) -> dict[str, str]:
-        """The voters after a recovery, with the store that each is known to have."""
-        return {name: self._store_of(name) or self._state.voters.get(name, "") for name in names}
+        """Return the voters after a recovery, each with its last known store identifier."""
+        return {name: self._store_id_of(name) or self._state.voters.get(name, "") for name in names}
 
     def _next_stage(self, stage: RolloutStage, by: str) -> StageBody:
         plan = self._open_plan()
@@ -139,10 +139,10 @@
         return plan
 
     def _rollout_plan(self, change: Change) -> PlanBody:
-        """Read a file beside this daemon.
+        """Read the file that an operator wants to roll out from this machine, and return a plan for it.
 
-        Whoever may call can so have any file checked as a configuration. Calls by TCP, whose callers have nothing but
-        a token, therefore can't name a file.
+        A caller can thus have any file that this process can read checked as a configuration. Calls over TCP, whose
+        callers authenticate with a token only, therefore can't name a file.
         """
         path = Path(change.request.path or "")
         if not path.is_absolute():
@@ -153,10 +153,10 @@
             raise CallError(400, f"{path}: {problem}") from None
         return PlanBody(f"r{self._state.version + 1}", digest, self._name, change.until or DEFAULT_SOAK_S)
 
-    def _require_store(self, name: str) -> str:
-        store = self._store_of(name)
-        if not store:
+    def _require_store_id(self, name: str) -> str:
+        store_id = self._store_id_of(name)
+        if not store_id:
             raise CallError(
                 409, f"{name!r} has not said where its votes are kept; it has to live, with a [store]"
             )
-        return store
+        return store_id
--- a/loadbalancer/daemon/fleet.py
+++ b/loadbalancer/daemon/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as a component of the daemon: composes the services of a fleet member, and answers operators for them."""
+"""The fleet component of the daemon, which wires up the services of a fleet member and answers operators' calls."""
 
 from __future__ import annotations
 
@@ -37,41 +37,44 @@
 if TYPE_CHECKING:
     from loadbalancer.daemon.storage import Storage
 
-#: Operators' changes of the replicated state, beside those of pools: wanted fields, and a line about each.
+#: Verbs that change the replicated state, beside those of pools: required fields and a one-line description.
 REPLICATION_VERBS = {
-    "fleet/enrol": (frozenset(("name",)), "an instance votes from now on, by the store that it has"),
-    "fleet/expel": (frozenset(("name",)), "an instance votes no more"),
+    "fleet/enrol": (frozenset(("name",)), "make an instance a voter, identified by its present store"),
+    "fleet/expel": (frozenset(("name",)), "remove an instance from the voters"),
     "fleet/rollout": (
         frozenset(("path",)),
-        "a configuration for all, in steps; until: how long each step serves",
+        "roll out a configuration to all instances in stages; until: how long each stage serves",
+    ),
+    "fleet/halt": (frozenset(), "halt a roll-out; each instance keeps its present file"),
+    "fleet/back": (frozenset(), "roll back a roll-out at all instances"),
+    "fleet/recover": (
+        frozenset(("roster",)),
+        "let a minority continue alone after a majority was lost for good",
     ),
-    "fleet/halt": (frozenset(), "a roll-out stays as it is"),
-    "fleet/back": (frozenset(), "a roll-out is taken back"),
-    "fleet/recover": (frozenset(("roster",)), "a minority goes on alone, after a majority was lost for good"),
 }
-#: Their changes of instances, with a replicated state or without.
+#: Verbs that act on instances; available with or without a replicated state.
 RESTART_VERBS = {
     "fleet/restart": (
         frozenset[str](),
-        "all instances, each group in full service before the next",
+        "restart all instances in groups, each group in full service before the next",
     )
 }
-#: Bits of the number by which two processes under one name are told apart.
+#: Bits of the random number that distinguishes two processes with the same instance name.
 BOOT_BITS = 62
 
 
 class FleetComponent(Component):
-    """One for a daemon with `[fleet]`.
+    """Makes a daemon with a `[fleet]` table a member of its fleet.
 
-    It owns the fleet transport, whose sockets `end` closes, and the services, which `end` ends.
+    It owns the fleet transport, whose sockets `end` closes, and the services, which `end` stops.
 
     Attributes:
-        table: the configuration.
-        view: the membership view.
-        transport: the sockets between instances.
-        replication: the replicated state, None in a fleet without voters.
-        recovery: how this instance comes back after a restart.
-        rolling_restart: restarts of the fleet.
+        table: The configuration's `[fleet]` table.
+        view: The membership view.
+        transport: The sockets between instances.
+        replication: The replicated state; None in a fleet without voters.
+        recovery: The recovery of this instance after a start.
+        rolling_restart: Rolling restarts of the fleet.
     """
 
     def __init__(
@@ -79,21 +82,21 @@
         daemon: DaemonContext,
         table: FleetTable,
         path: Path,
-        made: Mapping[str, Component],
+        components: Mapping[str, Component],
         prepare: PrepareConfiguration,
     ) -> None:
-        """Open the sockets; nothing is read of them before `serve`.
+        """Open the sockets; nothing is read from them before `serve`.
 
         Args:
-            daemon: whose pools and log are used.
-            table: the configuration.
-            path: of the configuration's file, beside which the key file is.
-            made: the components that were made before this one, by their names.
-            prepare: checks a configuration that is rolled out.
+            daemon: The daemon, whose pools and logger are used.
+            table: The configuration's `[fleet]` table.
+            path: The path of the configuration file; the path of the key file is relative to its folder.
+            components: The components that were created before this one, by name.
+            prepare: Checks a configuration that is rolled out.
 
         Raises:
-            ConfigError: the keys can't be read.
-            OSError: the address can't be bound.
+            ConfigError: The keys can't be read.
+            OSError: The address can't be bound.
         """
         self.table = table
         self._daemon = daemon
@@ -107,7 +110,7 @@
         peers = FleetPeers(table.name, self.transport, self.view)
         self.replication: ReplicationService | None = None
         if table.voters:
-            self.replication = self._make_replication(peers, path, made, prepare)
+            self.replication = self._make_replication(peers, path, components, prepare)
         has_stored_state = self.replication is not None and self.replication.state.version > 0
         self.recovery = RecoveryService(daemon, peers, self.view, has_stored_state, self._may_act)
         self.rolling_restart = RollingRestartService(
@@ -130,16 +133,20 @@
         return FleetTransport(self.view, self.table.name, boot, sealer, bound, log_notice, claimed)
 
     def _make_replication(
-        self, peers: FleetPeers, path: Path, made: Mapping[str, Component], prepare: PrepareConfiguration
+        self,
+        peers: FleetPeers,
+        path: Path,
+        components: Mapping[str, Component],
+        prepare: PrepareConfiguration,
     ) -> ReplicationService:
-        storage = cast("Storage | None", made.get("store"))
+        storage = cast("Storage | None", components.get("store"))
         return ReplicationService(
             ReplicationContext(
                 daemon=self._daemon,
                 table=self.table,
                 transport=self.transport,
                 peers=peers,
-                overrides=cast(ReplicatedOverrideOwner, made["control"]).replicated,
+                overrides=cast(ReplicatedOverrideOwner, components["control"]).replicated,
                 store=storage.store if storage is not None else None,
                 path=path,
                 prepare=prepare,
@@ -152,12 +159,12 @@
     # Lifecycle.
 
     def serve(self) -> None:
-        """Take part from now on; where this process has replaced another one, no instance sees a death."""
+        """Join the fleet, or resume the predecessor's membership so that other instances see no failure."""
         inherited = self._inherited
-        first: list[Action] = []
+        first_actions: list[Action] = []
         if inherited is not None:
-            first = self.view.resume(time.monotonic(), inherited.generation, inherited.member_states)
-        self.transport.start(first)
+            first_actions = self.view.resume(time.monotonic(), inherited.generation, inherited.member_states)
+        self.transport.start(first_actions)
         self.recovery.start(inherited is not None)
         if self.replication is not None:
             if inherited is not None:
@@ -165,11 +172,11 @@
             self.replication.start()
 
     def reload(self, plan: Plan) -> None:
-        """Have all pools ask the lease before each send, and note the version in decision traces."""
+        """Make all pools check the lease before each send, and record the version in decision traces."""
         replication = self.replication
         if replication is None:
             return
-        replication.metadata.configured(plan.path)
+        replication.metadata.update_configuration_digest(plan.path)
         for name, pool in self._daemon.pools.items():
             sticky = plan.pools[name].table.sticky_while_draining
             pool.proxy.upstreams.send_guard = replication.send_guard.for_pool(name, sticky)
@@ -178,8 +185,8 @@
                 pool.proxy.trace.version = lambda: replication.state.version
 
     def look(self) -> None:
-        """Look at the keys, the recovery, and the number of instances that limits are divided by."""
-        self._look_at_keys()
+        """Poll the key file, step the recovery, and update the number of instances that limits are divided by."""
+        self._reload_changed_keys()
         self.recovery.step()
         now = time.monotonic()
         size = self._size.step(now, self.view.fleet_size, report.is_settled(self.view, now))
@@ -189,8 +196,8 @@
         for pool in self._daemon.pools.values():
             pool.count_instances(size.instances)
 
-    def _look_at_keys(self) -> None:
-        """Read changed keys. A file that is half written can't be read, and the keys before stay in force."""
+    def _reload_changed_keys(self) -> None:
+        """Read the key file if it has changed; keep the previous keys if it can't be read, e.g. while half written."""
         if not self._key_file.has_changed():
             return
         try:
@@ -201,12 +208,12 @@
             self._logger("fleet: key taken", f"{len(self.transport.sealer.keys)} in force")
 
     def retire(self) -> None:
-        """Stop taking part: another process does so under this name."""
+        """Stop taking part in the fleet, since a successor does so under this name."""
         self.transport.handle(ProcessReplaced())
         self.transport.pause_reading()
 
     def end(self) -> None:
-        """End the services, tell others that this instance leaves unless it was replaced, and close the sockets."""
+        """Stop the services, announce that this instance leaves unless it was replaced, and close the sockets."""
         if self.replication is not None:
             self.replication.end()
         self.recovery.end()
@@ -217,36 +224,36 @@
     # Hot restart.
 
     def sockets(self) -> list[socket.socket]:
-        """Return the sockets that pass to the next process."""
+        """Return the sockets that are handed over to the successor."""
         return [self.transport.udp, self.transport.tcp]
 
     def note(self) -> FleetSnapshot:
-        """Return what the next process goes on from."""
-        life, facts = self.view.hand_over()
+        """Return the fleet state that the successor resumes from."""
+        generation, member_states = self.view.hand_over()
         replication = self.replication
         if replication is None:
-            return FleetSnapshot(self.table.name, life, facts)
+            return FleetSnapshot(self.table.name, generation, member_states)
         version, lease = replication.state.version, replication.lease.expires_at()
-        return FleetSnapshot(self.table.name, life, facts, version, lease)
+        return FleetSnapshot(self.table.name, generation, member_states, version, lease)
 
     # Other instances and operators.
 
     def _answer(self, message: Message) -> StreamedAnswer | None:
-        """Return the answer to a connection of another instance that begins with this message."""
-        found = self.recovery.answer(message) or self.rolling_restart.answer(message)
-        if found is not None or self.replication is None:
-            return found
+        """Return the answer to the first message of another instance's connection; None if no service handles it."""
+        answer = self.recovery.answer(message) or self.rolling_restart.answer(message)
+        if answer is not None or self.replication is None:
+            return answer
         return self.replication.answer(message)
 
     def more_verbs(self) -> Mapping[str, tuple[frozenset[str], str]]:
-        """Return the changes that this component takes beside those of pools."""
+        """Return the verbs that this component adds, with their required fields and descriptions."""
         return {**REPLICATION_VERBS, **RESTART_VERBS} if self.replication is not None else RESTART_VERBS
 
     def take_change(self, change: Change, done: AnswerCallback) -> bool:
-        """Take an operator's change; return whether it is one of the fleet.
+        """Apply an operator's change if it concerns the fleet; return whether it does.
 
         Raises:
-            CallError: it can't be done.
+            CallError: The change can't be applied.
         """
         if change.verb in RESTART_VERBS:
             self.rolling_restart.begin(change, done)
@@ -254,22 +261,22 @@
         return self.replication is not None and self.replication.commands.submit(change, done)
 
     def asks(self) -> Mapping[str, Callable[[Callable[[Any], None]], None]]:
-        """Return the reads that other instances have to be asked for."""
+        """Return the queries that are sent to other instances, by path."""
         return {"fleet/versions": self.replication.report.collect} if self.replication is not None else {}
 
     def reads(self) -> Mapping[str, Callable[[], Any]]:
-        """Return the reads that this instance answers alone."""
-        found: dict[str, Callable[[], Any]] = {
+        """Return the queries that this instance answers alone, by path."""
+        readers: dict[str, Callable[[], Any]] = {
             "fleet/members": self._read_members,
             "fleet/status": self._read_status,
             "fleet/restart": self.rolling_restart.report,
         }
         if self.replication is not None:
-            found["fleet/rollout"] = self._read_rollout
-        return found
+            readers["fleet/rollout"] = self._read_rollout
+        return readers
 
     def figures(self) -> Mapping[str, Any]:
-        """Return what the daemon's status shows of the fleet."""
+        """Return the fleet's part of the daemon's status."""
         status = report.status(self.view, time.monotonic())
         fleet: JsonObject = {
             "state": status["state"],
@@ -299,11 +306,11 @@
         now = time.monotonic()
         status = report.status(self.view, now)
         size = self._size.step(now, self.view.fleet_size, status["settled"])
-        found: JsonObject = {**status}
+        fleet_status: JsonObject = {**status}
         if self.replication is not None:
-            found["agreed"] = self.replication.report.status()
-        found["coming_back"] = self.recovery.report()
-        return found | {
+            fleet_status["agreed"] = self.replication.report.status()
+        fleet_status["coming_back"] = self.recovery.report()
+        return fleet_status | {
             "counted_with": size.instances,
             "counted_as": size.standing,
             "keys": [f"{number:02x}" for number in self.transport.sealer.keys],
@@ -312,9 +319,9 @@
 
 
 def _inherited_snapshot(daemon: DaemonContext, table: FleetTable) -> FleetSnapshot | None:
-    """Return what the process before has passed on under this name.
+    """Return the fleet state that a predecessor of the same name has handed over; None if there is none.
 
-    It is read at once, since the daemon forgets it when its pools have what they can use.
+    It is read when the component is created, since the daemon drops its snapshot once the pools have used it.
     """
     snapshot = daemon.inherited_snapshot
     inherited = snapshot.fleet if snapshot is not None else None
@@ -322,10 +329,10 @@
 
 
 def _make_view(table: FleetTable) -> MembershipView:
-    source = random.SystemRandom()
-    boot = source.getrandbits(BOOT_BITS) + 1
+    random_source = random.SystemRandom()
+    boot = random_source.getrandbits(BOOT_BITS) + 1
     advertised = read_address(table.advertise) if table.advertise else read_address(table.bind)
     identity = Identity(table.name, boot, advertised, table.zone)
     seeds = tuple(read_address(text) for text in table.seeds)
     settings = Settings(seeds, table.instances, PROFILES[table.profile])
-    return MembershipView(identity, settings, source.getrandbits(60))
+    return MembershipView(identity, settings, random_source.getrandbits(60))
--- a/loadbalancer/daemon/fleet_interfaces.py
+++ b/loadbalancer/daemon/fleet_interfaces.py
@@ -1,4 +1,4 @@
-"""What the services of a fleet member need of other parts of the daemon, and the types that they share."""
+"""Callback and message types that the services of a fleet member share."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from loadbalancer.fleet.wire import Message
 from loadbalancer.resource_limits import RateLimitedLogger
 
-#: An object of an answer to an operator, as it is encoded to JSON.
+#: A JSON object in an answer to an operator, before it is encoded.
 JsonObject = dict[str, object]
-#: Receives the one answer to an operator's call.
+#: Called once, with the answer to an operator's call.
 AnswerCallback = Callable[[JsonObject], None]
-#: Loads a configuration file, and checks all that a reload would need; raises ConfigError or OSError.
+#: Loads a configuration file and checks everything that a reload needs; raises ConfigError or OSError.
 PrepareConfiguration = Callable[[Path, RateLimitedLogger], object]
-#: Seconds on a clock that also runs while the machine sleeps.
+#: Returns seconds of a clock that also runs while the machine is suspended.
 Clock = Callable[[], float]
 
 
@@ -22,8 +22,8 @@
     """One message of an answer over a connection between instances."""
 
     message: Message
-    pause_s: float  # waited after the message, which bounds the rate
+    pause_s: float  # the pause after the message, which limits the sending rate
 
 
-#: The answer to a message that opens a connection between instances.
+#: The messages that answer the first message of a connection between instances.
 StreamedAnswer = Iterator[StreamedMessage]
--- a/loadbalancer/daemon/fleet_keys.py
+++ b/loadbalancer/daemon/fleet_keys.py
@@ -1,4 +1,4 @@
-"""The file of the keys that seal a fleet's messages, which may change while the daemon runs."""
+"""The key file of a fleet, whose keys encrypt its messages and which may change while the daemon runs."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from loadbalancer.tls.files import read, stamps
 from loadbalancer.tls.pairs import PairError
 
-#: Seconds between two looks at the file.
+#: Seconds between two checks of the file for changes.
 POLL_INTERVAL_S = 1.0
 
 
 class KeyFile:
-    """Reads the keys again when the file has changed. The file is open only while it is read."""
+    """Reads the key file and detects its changes. The file is open only while it is read."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -23,10 +23,10 @@
         self._polled_at = time.monotonic()
 
     def read(self) -> Sealer:
-        """Return the keys.
+        """Read the file and return a sealer with its keys.
 
         Raises:
-            ValueError: says what is wrong with the file.
+            ValueError: The file can't be used; the message gives the reason.
         """
         try:
             return Sealer(read_keys(read(self._path, private=True).decode("ascii")))
@@ -36,7 +36,7 @@
             raise ValueError(f"{self._path}: keys are hexadecimal digits") from None
 
     def has_changed(self) -> bool:
-        """Return whether the file differs from the last time; it is looked at once in POLL_INTERVAL_S."""
+        """Return whether the file has changed since the last check; it is checked at most once per POLL_INTERVAL_S."""
         now = time.monotonic()
         if now - self._polled_at < POLL_INTERVAL_S:
             return False
--- a/loadbalancer/daemon/instance_metadata.py
+++ b/loadbalancer/daemon/instance_metadata.py
@@ -1,4 +1,4 @@
-"""What an instance tells others about itself, for people and for the rollout."""
+"""The metadata that an instance announces to others, for operators and for the rollout."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 #: The version of the program.
 BUILD = "0.1.0"
-#: Pools whose endpoint lists are told by a digest.
+#: Maximum number of pools whose endpoint lists are included as digests.
 MAX_LIST_DIGESTS = 4
-#: Longest key or value, in characters.
+#: Maximum length of a key or value, in characters.
 MAX_LENGTH = 64
 #: Bytes of a digest.
 DIGEST_BYTES = 4
@@ -26,22 +26,22 @@
     def __init__(
         self, daemon: DaemonContext, store_id: str, rollout: RolloutService, state: ReplicatedState
     ) -> None:
-        """`store_id`: "" where the daemon has no store."""
+        """`store_id` is "" if the daemon has no store."""
         self._daemon = daemon
         self._store_id = store_id
         self._rollout = rollout
         self._state = state
         self._configuration_digest = ""
 
-    def configured(self, path: Path) -> None:
-        """Take the digest of a configuration that is in force from now on, as the file is at this moment."""
+    def update_configuration_digest(self, path: Path) -> None:
+        """Compute the digest of a configuration that was just applied, from the present content of its file."""
         try:
             self._configuration_digest = blake3(path.read_bytes()).hexdigest(DIGEST_BYTES)
         except OSError as problem:
             self._configuration_digest = f"not read: {problem.strerror}"[:MAX_LENGTH]
 
     def current(self) -> dict[str, str]:
-        """Return the metadata as it stands now."""
+        """Return the current metadata."""
         metadata = {"build": BUILD, "store": self._store_id, "config": self._configuration_digest}
         if report := self._rollout.report(self._state.rollout_plan):
             metadata["plan"] = report
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -1,6 +1,6 @@
 """Recovery of one daemon after its start.
 
-Carries out what `fleet/orchestration/recovery.py` decides, with the pools, the other instances and the log.
+Executes the decisions of `fleet/orchestration/recovery.py` on the pools, the other instances and the log.
 """
 
 from __future__ import annotations
@@ -35,22 +35,23 @@
 
 #: Seconds between two steps until the instance is in full service.
 STEP_INTERVAL_S = 0.05
-#: Seconds between two questions for a list at the first of those that recover together.
+#: Seconds between two requests for an endpoint list to the first of the instances that recover together.
 LIST_RETRY_INTERVAL_S = 0.1
-#: Requests from which on the request rate of an instance is known well enough.
+#: Minimum number of requests from which the request rate of an instance is estimated.
 MIN_REQUESTS_FOR_RATE = 20
-#: The shortest time that a request rate is measured over, in seconds.
+#: Minimum period over which a request rate is measured, in seconds.
 MIN_RATE_PERIOD_S = 0.1
-#: Seconds between the calls of two instances that recover together to a discovery service.
+#: Seconds between the discovery calls of two instances that recover together.
 DISCOVERY_TURN_S = 0.25
-#: Seconds over which the calls of all of them are spread at most.
+#: Maximum time in seconds over which the discovery calls of all recovering instances are spread.
 MAX_DISCOVERY_SPREAD_S = 5.0
 
 
 class RecoveryService:
-    """Takes this instance through the phases of a recovery.
+    """Leads this instance through the phases of a recovery.
 
-    It owns a timer until the instance is in full service, and the tasks that ask other instances; `end` cancels them.
+    It owns a timer until the instance is in full service, and the tasks that send requests to other instances; `end`
+    cancels them.
     """
 
     def __init__(
@@ -61,14 +62,14 @@
         has_stored_state: bool,
         may_act: Callable[[], bool],
     ) -> None:
-        """Hand in what a recovery is judged by.
+        """Create the service in the first phase.
 
         Args:
-            daemon: whose pools recover.
-            peers: the other instances.
-            view: tells their phases, and is told this one's.
-            has_stored_state: the store held a replicated state.
-            may_act: whether this instance may send.
+            daemon: The daemon whose pools recover.
+            peers: The other instances.
+            view: The membership view, which provides their phases and announces this instance's phase.
+            has_stored_state: Whether the store held a replicated state.
+            may_act: Returns whether this instance may send.
         """
         self.view = view
         self.coordinator = RecoveryCoordinator(peers.name, time.monotonic())
@@ -81,7 +82,7 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._connections_per_endpoint_s = 0.0  # while there is a pace
+        self._connections_per_endpoint_s = 0.0  # the pace, 0 without one
         self._ended = False
 
     @property
@@ -90,7 +91,7 @@
         return self.coordinator.phase == RecoveryPhase.FULL
 
     def start(self, replaces_process: bool) -> None:
-        """Begin the recovery; there is none in the place of a process that has passed on all that it knew."""
+        """Start the recovery; skip it if this process has replaced another one that handed over its state."""
         if replaces_process:
             self.coordinator.phase = RecoveryPhase.FULL
             self.view.phase = RecoveryPhase.FULL
@@ -113,23 +114,23 @@
             self._timer = self._loop.call_later(STEP_INTERVAL_S, self._tick)
 
     def step(self) -> None:
-        """Carry out what is due.
+        """Execute the actions that are due.
 
-        Also called a few times a second in full service, since clients that are told to retry later are spread by the
-        number of instances that recover.
+        It is also called a few times a second in full service, since the spread of the `Retry-After` times of rejected
+        clients depends on the number of recovering instances.
         """
         now = time.monotonic()
-        seen = self._observe()
-        for action in self.coordinator.step(now, seen):
+        observation = self._observe()
+        for action in self.coordinator.step(now, observation):
             match action:
                 case PhaseChanged():
-                    self._change_phase(action, seen)
+                    self._change_phase(action, observation)
                 case LearnFromPeers():
                     self._run(self._learn(action.names))
                 case ConnectionPace():
                     self._set_pace(action)
         for pool in self._daemon.pools.values():
-            pool.proxy.retry_after_s = return_after(self._random.random(), len(seen.recovering))
+            pool.proxy.retry_after_s = return_after(self._random.random(), len(observation.recovering))
         self._adjust_pace()
         self._learning.apply()
 
@@ -138,33 +139,34 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _change_phase(self, change: PhaseChanged, seen: RecoveryObservation) -> None:
+    def _change_phase(self, change: PhaseChanged, observation: RecoveryObservation) -> None:
         self.view.phase = change.phase
         if change.phase == RecoveryPhase.WARMING:
-            self._start_discovery(seen)
+            self._start_discovery(observation)
         phase = change.phase.name.lower()
         text = f"{phase} after {change.elapsed:.2f} s: {change.reason}"
         self._daemon.logger(f"fleet: recovery: {phase}", text)
 
-    def _start_discovery(self, seen: RecoveryObservation) -> None:
+    def _start_discovery(self, observation: RecoveryObservation) -> None:
         """Let the pools call their discovery services.
 
-        They call at once, or in a mass restart each instance at its turn where it has a list already. Where no instance
-        has one, the first by name calls, and the others ask it until their turn.
+        A pool that has an endpoint list calls at this instance's turn, in the order of names. A pool without a list
+        calls at once, except in a mass restart: there it waits for its turn too, and until then the list is requested
+        from the first instance by name, which calls first.
         """
         name = self.coordinator.name
         is_mass_restart = self.coordinator.kind == StartKind.MASS
-        delay_s = turn(name, seen.recovering, DISCOVERY_TURN_S, MAX_DISCOVERY_SPREAD_S)
-        lacking = [pool for pool in self._daemon.pools.values() if not pool.proxy.listed]
+        delay_s = turn(name, observation.recovering, DISCOVERY_TURN_S, MAX_DISCOVERY_SPREAD_S)
+        without_list = [pool for pool in self._daemon.pools.values() if not pool.proxy.listed]
         for pool in self._daemon.pools.values():
-            pool.release(delay_s if pool not in lacking or is_mass_restart else 0.0)
-        first = min((*seen.recovering, name))
-        if lacking and is_mass_restart and first != name:
-            self._run(self._ask_for_lists(first, time.monotonic() + delay_s))
+            pool.release(delay_s if pool not in without_list or is_mass_restart else 0.0)
+        first = min((*observation.recovering, name))
+        if without_list and is_mass_restart and first != name:
+            self._run(self._fetch_missing_lists(first, time.monotonic() + delay_s))
 
-    async def _ask_for_lists(self, name: str, until: float) -> None:
+    async def _fetch_missing_lists(self, name: str, until: float) -> None:
         while time.monotonic() < until and not self._has_all_lists():
-            await self._learning.take_lists(name)
+            await self._learning.fetch_lists(name)
             await asyncio.sleep(LIST_RETRY_INTERVAL_S)
 
     def _has_all_lists(self) -> bool:
@@ -193,7 +195,7 @@
             ended,
         )
 
-    # Pace of new connections.
+    # Rate limit of new connections.
 
     def _set_pace(self, pace: ConnectionPace) -> None:
         per_s = pace.per_member_s
@@ -202,10 +204,11 @@
         self._connections_per_endpoint_s = per_s or 0.0
 
     def _adjust_pace(self) -> None:
-        """Adjust the pace to the endpoints that are listed by now.
+        """Adjust the rate limit of new connections to the number of listed endpoints.
 
-        There is none where connections are not kept anyway, as each of many proxies sends an endpoint little: there
-        each request opens a connection in usual times too, and would only wait. The first requests show it.
+        The limit is lifted if the first requests show a rate so low that idle connections are not kept, as with many
+        proxies that each send an endpoint little. Each request then opens a connection in normal operation too, and the
+        limit would only delay it.
         """
         for pool in self._daemon.pools.values():
             pacer = pool.proxy.upstreams.pacer
@@ -214,30 +217,32 @@
                 continue
             pacer.per_s = self._connections_per_endpoint_s * max(1, endpoints)
             requests = sum(map(sum, pool.proxy.metrics.ended)) + len(pool.proxy.open)
-            rate = requests / max(MIN_RATE_PERIOD_S, time.monotonic() - self.coordinator.since)
-            sparse_rate = MIN_RATE_PER_CONNECTION * pool.proxy.balancer.settings.instance_count * endpoints
-            if requests >= MIN_REQUESTS_FOR_RATE and rate < sparse_rate:
+            request_rate = requests / max(MIN_RATE_PERIOD_S, time.monotonic() - self.coordinator.since)
+            min_keep_alive_rate = (
+                MIN_RATE_PER_CONNECTION * pool.proxy.balancer.settings.instance_count * endpoints
+            )
+            if requests >= MIN_REQUESTS_FOR_RATE and request_rate < min_keep_alive_rate:
                 pool.proxy.upstreams.set_pace(None)
 
-    # What others and operators are told.
+    # Answers to other instances and operators.
 
     def answer(self, message: Message) -> StreamedAnswer | None:
-        """Return what an instance that recovers asks for; None for any other message."""
+        """Return the answer to a query of a recovering instance; None for any other message."""
         if not isinstance(message, QueryRequest):
             return None
         if message.path.startswith(LIST_QUERY_PREFIX):
             return self._learning.answer_list(message.path.removeprefix(LIST_QUERY_PREFIX))
         if message.path == SNAPSHOT_QUERY:
-            # One that has just started itself has learnt nothing worth telling.
+            # An instance that is still recovering has no useful learned state.
             return self._learning.answer_snapshot() if self.in_full_service else empty_answer()
         return None
 
     def report(self) -> JsonObject:
-        """Return this instance's recovery and the fleet's, which is full once all that live are."""
-        seen = self._observe()
+        """Return the state of this instance's recovery, and whether all live instances are in full service."""
+        observation = self._observe()
         return {
             **self.coordinator.report(time.monotonic()),
             "survivors": self._learning.outcomes,
-            "coming_back": list(seen.recovering),
-            "fleet_full": not seen.recovering and self.in_full_service,
+            "coming_back": list(observation.recovering),
+            "fleet_full": not observation.recovering and self.in_full_service,
         }
--- a/loadbalancer/daemon/replica_storage.py
+++ b/loadbalancer/daemon/replica_storage.py
@@ -26,23 +26,27 @@
 
 
 class ReplicaStorage:
-    """Writes what a replica has to keep. The daemon owns the store; without one, nothing is kept.
+    """Writes the durable state of a replica. The daemon owns the store; without a store nothing is written.
 
     Attributes:
-        identity: of the store, with this opening counted; an empty name without a store.
-        persisted: what was in the store when it was opened.
+        identity: The identity of the store, including how often it was opened; its name is empty without a store.
+        persisted: What the store held when it was opened.
     """
 
     def __init__(
-        self, store: Store | None, state: ReplicatedState, source: random.Random, logger: RateLimitedLogger
+        self,
+        store: Store | None,
+        state: ReplicatedState,
+        random_source: random.Random,
+        logger: RateLimitedLogger,
     ) -> None:
-        """Read the store.
+        """Load the persisted state from the store.
 
         Args:
-            store: its thread must not have any job yet, since it is read from this thread.
-            state: is filled with what was kept.
-            source: of the random bits of the identity.
-            logger: gets a line for what could not be kept.
+            store: The store. Its thread must not have any job yet, since the store is read from this thread.
+            state: The replicated state, which is filled from the store.
+            random_source: The source of the random bits of the identity.
+            logger: Logs writes that failed.
         """
         self._store = store
         self._state = state
@@ -51,24 +55,24 @@
         self.persisted = PersistedReplica(None, {}, {})
         if store is not None:
             view = StoreView(store.engine)
-            self.identity = open_identity(view, source)
+            self.identity = open_identity(view, random_source)
             self.persisted = load(view, state)
 
     def save_identity(self, on_saved: Callable[[], None]) -> None:
-        """Write that the store was opened again; a voter votes only once this is on disk."""
+        """Write the count of openings of the store; a voter votes only once it is on disk."""
         write = partial(write_identity, identity=self.identity)
         self._submit(write, on_saved, "fleet: this instance does not vote")
 
     def save_admission(self, on_saved: Callable[[], None]) -> None:
-        """Write that the store is admitted."""
+        """Write that this store has been admitted, so that it no longer counts as new."""
         self.identity.is_new = False
         write = partial(write_identity, identity=self.identity)
         self._submit(write, on_saved, "fleet: this instance does not vote")
 
     def save_acceptor_state(self, action: Persist, on_saved: Callable[[], None]) -> None:
-        """Write an acceptor's answer before it is sent.
+        """Write an acceptor's state before the answer that depends on it is sent.
 
-        `on_saved` is not called for one that can't be kept: the proposer asks again, or goes on without this voter.
+        `on_saved` is not called if the write fails: the proposer retries, or proceeds without this voter.
         """
         write = partial(
             write_acceptor_state, acceptor_state=action.acceptor_state, observed=action.observed_store
@@ -76,7 +80,7 @@
         self._submit(write, on_saved, "fleet: acceptor state not persisted")
 
     def save_command(self, action: CommandApplied) -> None:
-        """Write a command that was applied, and what it has touched."""
+        """Write a command that was applied, and the items that it changed."""
         if self._store is None:
             return
         changes = encode_touched(self._state, action.touched)
@@ -84,14 +88,14 @@
         self._submit(write, None, "fleet: applied command not persisted")
 
     def save_snapshot(self) -> None:
-        """Write all of the state, after a snapshot was installed."""
+        """Write the whole state after a snapshot was installed."""
         if self._store is None:
             return
         changes = encode_all(self._state)
         self._submit(partial(write_snapshot, changes=changes), None, "fleet: applied command not persisted")
 
     def _submit(self, write: Job[None], on_saved: Callable[[], None] | None, failure_event: str) -> None:
-        """Queue a write; then call `on_saved`, or log a failure, on the loop. Without a store nothing is called."""
+        """Queue a write, then call `on_saved` or log the failure on the event loop. Do nothing without a store."""
         if self._store is None:
             return
 
--- a/loadbalancer/daemon/replicated_commands.py
+++ b/loadbalancer/daemon/replicated_commands.py
@@ -1,4 +1,4 @@
-"""Operators' changes at a fleet member: proposed as commands, and answered once all instances have confirmed them."""
+"""Operators' changes at a fleet member, proposed as commands and answered once all instances have confirmed them."""
 
 from __future__ import annotations
 
@@ -24,36 +24,36 @@
 from loadbalancer.fleet.replication.replica import PaxosReplica
 from loadbalancer.resource_limits import RateLimitedLogger
 
-#: Changes that an operator may make at one instance alone.
+#: Verbs of changes that an operator may apply to one instance alone.
 LOCAL_VERBS = (*OVERRIDE_VERBS, MIGRATION_VERB, *FREEZE_VERBS)
-#: Seconds for which confirmations are awaited at least.
+#: Minimum time in seconds to wait for confirmations.
 MIN_WAIT_S = 0.05
 ANY_VERSION = -1
 
 
 @dataclass(frozen=True, slots=True)
 class PendingChange:
-    """A change whose operator waits for the answer."""
+    """A change that has been proposed and not answered yet."""
 
     change: Change
     answer: AnswerCallback
-    began: float  # on the replica's clock
+    started_at: float  # on the replica's clock
 
 
 @dataclass(frozen=True, slots=True)
 class PendingCommit:
-    """A change that is decided, and that not all instances have confirmed."""
+    """A change that is decided but not yet confirmed by all instances."""
 
     tracker: CommitTracker
     pending: PendingChange
-    answer_at: float  # on the replica's clock: whether or not all have confirmed by then
+    answer_at: float  # the deadline for confirmations, on the replica's clock
 
 
 class ReplicatedCommands:
-    """Answers each change request once; a bounded time after its proposal at the latest.
+    """Proposes change requests as commands and answers each request exactly once, within a bounded time.
 
-    The replica gives a command up after its time; each decided change is answered after its operator's waiting time;
-    `close` answers those that are not decided when the process ends.
+    The replica abandons a command at its deadline; a decided change is answered at the latest when the waiting time
+    that its operator has set is over; `close` answers the changes that are undecided when the process ends.
     """
 
     def __init__(
@@ -69,19 +69,20 @@
         clock: Clock,
         logger: RateLimitedLogger,
     ) -> None:
-        """Hand in what commands are made of and given to.
+        """Create the service without pending changes.
 
         Args:
-            replica: is read, and not driven.
-            lease: says how long others may act on older versions.
-            peers: the instances that have to confirm.
-            overrides: says what is true of an endpoint after a change.
-            translator: of change requests.
-            numbering: of commands.
-            propose: gives a command to the replica, only right after the given version if that is not ANY_VERSION.
-            recover: applies a command without a vote.
-            clock: the replica's.
-            logger: gets a line for a recovery.
+            replica: The replica, which is only read here.
+            lease: The lease, which tells how long other instances may act on older versions.
+            peers: The instances that have to confirm.
+            overrides: Describes the endpoints of a change for the answer to it.
+            translator: Translates change requests into the content of commands.
+            numbering: Assigns the identifiers of commands.
+            propose: Proposes a command; unless the given version is ANY_VERSION, the command may only directly follow
+                that version.
+            recover: Applies a command without a vote.
+            clock: The replica's clock.
+            logger: Logs each recovery.
         """
         self._replica = replica
         self._lease = lease
@@ -93,16 +94,16 @@
         self._recover = recover
         self._clock = clock
         self._logger = logger
-        self._proposed: dict[str, PendingChange] = {}  # by the command's identifier
+        self._proposed: dict[str, PendingChange] = {}  # by command identifier
         self._committing: list[PendingCommit] = []
 
     @property
     def is_awaiting_confirmation(self) -> bool:
-        """Whether `check_commits` has to be called soon."""
+        """Whether decided changes wait for confirmations, so that `check_commits` has to be called soon."""
         return bool(self._committing)
 
     def close(self) -> None:
-        """Answer all changes that are not decided."""
+        """Answer all undecided changes with an error."""
         for pending in self._proposed.values():
             pending.answer({"error": "this instance ends; it is not known whether the change stands"})
         self._proposed.clear()
@@ -111,10 +112,10 @@
         """Propose an operator's change.
 
         Returns:
-            Whether it is one of the replicated state; `answer` is called once then.
+            Whether the change concerns the replicated state. If it does, `answer` is called once.
 
         Raises:
-            CallError: it can't be done, and is not proposed.
+            CallError: The change can't be applied and is not proposed.
         """
         if change.request.here and change.verb in LOCAL_VERBS:
             return False
@@ -135,7 +136,7 @@
         return True
 
     def _submit_recovery(self, command: Command, change: Change, answer: AnswerCallback) -> None:
-        """Let a minority go on after a majority was lost for good; refused while a majority answers."""
+        """Replace the voters after a majority was lost for good; rejected while a majority answers."""
         name, request = self._peers.name, change.request
         if not request.last:
             raise CallError(
@@ -151,7 +152,7 @@
         answer({"version": state.version, "holds": True, "roster": dict(state.voters)})
 
     def complete(self, completed: CommandCompleted) -> None:
-        """Begin to wait for confirmations of a command that was decided; answer one that was not."""
+        """Wait for the confirmations of a command that was decided; answer a command that was not with the reason."""
         pending = self._proposed.pop(completed.command_id, None)
         if pending is None:
             return
@@ -166,21 +167,21 @@
             self._lease.expiry_with_drift,
             self._lease.serves_when_expired,
         )
-        answer_at = pending.began + max(pending.change.wait, MIN_WAIT_S)
+        answer_at = pending.started_at + max(pending.change.wait, MIN_WAIT_S)
         self._committing.append(PendingCommit(tracker, pending, answer_at))
         self.check_commits(now)
 
     def check_commits(self, now: float) -> None:
-        """Answer the changes that all have confirmed, and those whose operators' waiting time is over."""
+        """Answer the changes that all instances have confirmed, and those whose waiting time is over."""
         if not self._committing:
             return
         name = self._peers.name
         versions = {**self._replica.announced_versions, name: self._replica.state.version}
-        known = [*(member.name for member in self._peers.members()), name]
-        left = self._peers.left_names()
+        known_names = [*(member.name for member in self._peers.members()), name]
+        left_names = self._peers.left_names()
         waiting = []
         for commit in self._committing:
-            status = commit.tracker.status(now, versions, known, left)
+            status = commit.tracker.status(now, versions, known_names, left_names)
             if not status.is_committed and now < commit.answer_at:
                 waiting.append(commit)
             else:
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -1,7 +1,7 @@
-"""Drives the Paxos replica of one daemon: its timer, its messages, and the actions that it asks for.
+"""Drives the Paxos replica of one daemon: its timer, its messages, and the actions that it returns.
 
-A command is in force at an instance before the instance announces its version; an acceptor's answer is on disk before
-it is sent.
+An instance applies a command before it announces the command's version. An acceptor's state is on disk before the
+answer that depends on it is sent.
 """
 
 from __future__ import annotations
@@ -68,34 +68,34 @@
 from loadbalancer.fleet.wire import Message
 from loadbalancer.store.keeper import Store
 
-#: Seconds in which a command has to be accepted; its operator waits for confirmations beside that.
+#: Seconds within which a command has to be accepted; the wait for confirmations is separate.
 ACCEPT_TIMEOUT_S = 3.0
 #: Seconds between two checks of outstanding confirmations.
 CONFIRMATION_INTERVAL_S = 0.02
-#: Seconds between two looks at overrides that end, at the rollout, and at the metadata of this instance.
+#: Seconds between two checks of override expiry, the rollout, the vote and the metadata of this instance.
 HOUSEKEEPING_INTERVAL_S = 0.5
-#: The shortest wait of the timer, in seconds.
+#: The minimum timer delay, in seconds.
 MIN_TIMER_S = 0.002
 
 
 def boot_clock() -> float:
-    """Return seconds of a clock that also runs while the machine sleeps."""
+    """Return seconds of a clock that also runs while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationContext:
-    """What the replicated state of one daemon is built on; the service owns none of it.
+    """Holds the dependencies of a `ReplicationService`, which owns none of them.
 
     Attributes:
-        daemon: whose pools and log are used.
-        table: the configuration's table [fleet].
-        transport: calls the service for each replication message.
-        peers: the other instances.
-        overrides: where overrides and migrations are brought into force.
-        store: None where the daemon has none, and this instance no vote.
-        path: of the configuration.
-        prepare: checks a configuration that is rolled out.
+        daemon: The daemon, whose pools and logger are used.
+        table: The configuration's `[fleet]` table.
+        transport: Passes each replication message to the service.
+        peers: The other instances.
+        overrides: Applies overrides and migrations to the pools.
+        store: The daemon's store; without one this instance has no vote.
+        path: The path of the configuration file.
+        prepare: Checks a configuration that is rolled out.
     """
 
     daemon: DaemonContext
@@ -109,23 +109,23 @@
 
 
 class ReplicationService:
-    """The replicated state at one daemon.
+    """Runs the replicated state at one daemon.
 
-    It owns the timer of the replica and its parts: the rollout service and the state transfer, each of which has a
-    task. `end` releases all of them.
+    It owns the timer of the replica, and the rollout service and the state transfer, each of which has a task. `end`
+    cancels all of them.
 
     Attributes:
-        state: the replicated state as it is applied here.
-        replica: the state machine that is driven.
-        commands: takes operators' changes.
-        lease: says whether this instance may send.
-        send_guard: makes the check before each send.
-        report: answers what operators ask.
-        metadata: what this instance tells of itself.
+        state: The replicated state as it is applied here.
+        replica: The Paxos state machine that this service drives.
+        commands: Proposes operators' changes.
+        lease: Tells whether this instance may send.
+        send_guard: Creates the check before each send.
+        report: Answers operators' queries about versions.
+        metadata: Collects the metadata that this instance announces.
     """
 
     def __init__(self, context: ReplicationContext) -> None:
-        """Read the store; nothing is sent before `start`."""
+        """Load the state from the store; nothing is sent before `start`."""
         self._context = context
         self._name = context.table.name
         self._peers = context.peers
@@ -134,16 +134,16 @@
         self._timer: asyncio.TimerHandle | None = None
         self._ended = False
         self._housekeeping_at = 0.0
-        source = random.SystemRandom()
+        random_source = random.SystemRandom()
         lease = Lease(
             float(context.table.stale_most),
             context.table.cut_off == "serve",
-            1 + source.getrandbits(FIRST_NUMBER_BITS),
+            1 + random_source.getrandbits(FIRST_NUMBER_BITS),
         )
         self.state = ReplicatedState(dict.fromkeys(context.table.voters, ""))
-        self._storage = ReplicaStorage(context.store, self.state, source, self._logger)
-        self.replica = self._make_replica(lease, source)
-        self._numbering = CommandNumbering(f"{self._name}-{source.getrandbits(48):x}")
+        self._storage = ReplicaStorage(context.store, self.state, random_source, self._logger)
+        self.replica = self._make_replica(lease, random_source)
+        self._numbering = CommandNumbering(f"{self._name}-{random_source.getrandbits(48):x}")
         self._applied = AppliedState(self.state, context.overrides, boot_clock)
         self._rollout = self._make_rollout()
         self.metadata = InstanceMetadata(
@@ -151,7 +151,7 @@
         )
         self._coordinator = RolloutCoordinator(self.replica, self._peers, self.metadata.current)
         self._transfer = StateTransferDriver(
-            self.replica, self._peers, self._transferred, self._schedule, self._transfer_failed
+            self.replica, self._peers, self._receive_state, self._schedule, self._report_transfer_failure
         )
         history = self._applied.history
         self.lease = LeaseMonitor(lease, self.replica, boot_clock)
@@ -161,13 +161,13 @@
         self.commands = self._make_commands(lease)
         context.transport.replication_handler = self._receive
 
-    def _make_replica(self, lease: Lease, source: random.Random) -> PaxosReplica:
+    def _make_replica(self, lease: Lease, random_source: random.Random) -> PaxosReplica:
         replica = PaxosReplica(
             self._name,
-            "",  # it votes only once the opening of the store is on disk
+            "",  # no vote until the opening of the store is recorded on disk
             self._storage.identity.opened,
             self.state,
-            random.Random(source.getrandbits(60)),
+            random.Random(random_source.getrandbits(60)),
             lease.active_leaseholders,
         )
         persisted = self._storage.persisted
@@ -185,14 +185,14 @@
             self._name,
             self._context.path,
             self._context.prepare,
-            self._peers.ask,
+            self._peers.request,
             self._count_requests,
-            self._rollout_changed,
+            self._announce_rollout_report,
         )
 
     def _make_commands(self, lease: Lease) -> ReplicatedCommands:
         overrides = self._context.overrides
-        translator = ChangeTranslator(self._name, self.state, overrides, self._rollout, self._store_of)
+        translator = ChangeTranslator(self._name, self.state, overrides, self._rollout, self._store_id_of)
         return ReplicatedCommands(
             self.replica,
             lease,
@@ -209,7 +209,7 @@
     # Lifecycle.
 
     def start(self) -> None:
-        """Bring into force what was kept, and take part; vote once the opening of the store is on disk."""
+        """Apply the persisted state and start the replica; vote once the opening of the store is recorded on disk."""
         self._applied.apply_all()
         self.replica.metadata = self.metadata.current()
         self._storage.save_identity(self._enable_vote)
@@ -219,7 +219,7 @@
         self.replica.store_id = self._storage.identity.store
 
     def end(self) -> None:
-        """Cancel the timer and the tasks, and answer operators that still wait."""
+        """Cancel the timer and the tasks, and answer the operators' changes that are undecided."""
         self._ended = True
         if self._timer is not None:
             self._timer.cancel()
@@ -227,7 +227,7 @@
         self._rollout.close()
         self.commands.close()
 
-    def _store_of(self, name: str) -> str:
+    def _store_id_of(self, name: str) -> str:
         if name == self._name:
             return self._storage.identity.store
         return self.replica.peer_metadata.get(name, {}).get("store", "")
@@ -235,7 +235,7 @@
     # Timer.
 
     def _tick(self) -> None:
-        """Step, and set the timer again also where the step fails: the lease must not end by a defect in one step."""
+        """Run one step, and set the timer again even if it fails, so that the lease doesn't expire by one defect."""
         if self._ended:
             return
         try:
@@ -268,11 +268,11 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        due = min(self.replica.next_timer, self.lease.next_timer, self._housekeeping_at)
-        awaits = self.commands.is_awaiting_confirmation
-        longest = CONFIRMATION_INTERVAL_S if awaits else HOUSEKEEPING_INTERVAL_S
-        wait = min(max(MIN_TIMER_S, due - boot_clock()), longest)
-        self._timer = self._loop.call_later(wait, self._tick)
+        due_at = min(self.replica.next_timer, self.lease.next_timer, self._housekeeping_at)
+        is_awaiting = self.commands.is_awaiting_confirmation
+        max_delay_s = CONFIRMATION_INTERVAL_S if is_awaiting else HOUSEKEEPING_INTERVAL_S
+        delay_s = min(max(MIN_TIMER_S, due_at - boot_clock()), max_delay_s)
+        self._timer = self._loop.call_later(delay_s, self._tick)
 
     # Rollout.
 
@@ -295,7 +295,7 @@
         failed = sum(counts[1] + counts[2] for counts in ended)
         return RequestCounts(served + failed, failed)
 
-    def _rollout_changed(self) -> None:
+    def _announce_rollout_report(self) -> None:
         self.replica.metadata = self.metadata.current()
         self._perform(self.replica.announce_to_all())
 
@@ -313,18 +313,18 @@
 
     # State transfer.
 
-    def _transferred(self, event: CommandsReceived | SnapshotReceived) -> None:
+    def _receive_state(self, event: CommandsReceived | SnapshotReceived) -> None:
         self._handle(event)
         self._perform(self.replica.announce_to_all())
 
-    def _transfer_failed(self, reason: str) -> None:
+    def _report_transfer_failure(self, reason: str) -> None:
         self._context.transport.counts["catching up failed"] += 1
         self._logger("fleet: state transfer failed", reason)
 
     # Messages.
 
     def answer(self, message: Message) -> StreamedAnswer | None:
-        """Return the answer to a message that opens a connection; None where it is not this service's."""
+        """Return the answer to the first message of a connection; None if this service doesn't handle it."""
         if isinstance(message, StateRequest):
             return self._transfer.answer(message)
         if not isinstance(message, QueryRequest):
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -1,6 +1,6 @@
 """A rolling restart of the fleet, driven by one of its daemons.
 
-Each instance is replaced by a hot restart, so that none closes its listeners. Which instance follows when is decided in
+Each instance is replaced by a hot restart, so that its listeners stay open. The order and the times are decided in
 `fleet/orchestration/rolling_restart.py`.
 """
 
@@ -22,20 +22,20 @@
 from loadbalancer.fleet.replication.messages import QueryRequest, QueryResponse
 from loadbalancer.fleet.wire import Message
 
-#: Seconds between two looks at the instances that restart.
+#: Seconds between two polls of the restarting instances.
 POLL_INTERVAL_S = 0.25
-#: Seconds that the successor of an instance has to take over.
+#: Seconds within which the successor of an instance has to take over.
 HOT_RESTART_TIMEOUT_S = 50
-#: The question that makes another instance restart, and its answer where it does.
+#: The query that makes another instance restart, and its answer if it does.
 RESTART_QUERY = "restart"
 RESTART_BEGUN = "begun"
 
 
 class RollingRestartService:
-    """Restarts this instance, and drives a rolling restart that was begun here.
+    """Restarts this instance, and drives a rolling restart that was started here.
 
-    It owns the task of the rolling restart, which `end` cancels. The program that replaces this process outlives it on
-    purpose; the task that waits for that program ends with it, or with the event loop.
+    It owns the task of the rolling restart, which `end` cancels. The successor program intentionally outlives this
+    process; the task that waits for that program ends with the program or with the event loop.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         view: MembershipView,
         in_full_service: Callable[[], bool],
     ) -> None:
-        """`in_full_service`: whether this instance has recovered from its own start."""
+        """`in_full_service` returns whether this instance has recovered from its own start."""
         self._daemon = daemon
         self._peers = peers
         self._view = view
@@ -55,15 +55,15 @@
         self._successor: asyncio.Task[None] | None = None
 
     def end(self) -> None:
-        """Stop driving; instances that are restarting go on."""
+        """Cancel the rolling restart; restarts of instances that are in progress continue."""
         if self._task is not None:
             self._task.cancel()
 
     def begin(self, change: Change, answer: AnswerCallback) -> None:
-        """Restart all instances that live, in groups of the size that the change says.
+        """Start a rolling restart of all live instances, in groups of the size that the change sets.
 
         Raises:
-            CallError: a rolling restart is under way here.
+            CallError: A rolling restart is already in progress here.
         """
         if self._restart is not None and not self._restart.over:
             raise CallError(409, "a restart of the fleet is under way here")
@@ -80,31 +80,31 @@
         self._daemon.logger("fleet: rolling restart ended", restart.halted or "all have restarted")
 
     def _observe(self) -> dict[str, MemberRestart]:
-        found = {
+        restarts = {
             self._peers.name: MemberRestart(self._view.own_state.boot, True, self._in_full_service()),
         }
         for peer in self._view.table:
             if peer.state.status != MemberStatus.LEFT:
-                found[peer.state.name] = MemberRestart(peer.state.boot, peer.is_live, is_full(peer.phase))
-        return found
+                restarts[peer.state.name] = MemberRestart(peer.state.boot, peer.is_live, is_full(peer.phase))
+        return restarts
 
     async def _restart_member(self, name: str, restart: RollingRestart) -> None:
         if name == self._peers.name:
             self.begin_hot_restart()
             return
         try:
-            await self._ask_to_restart(name)
+            await self._request_restart(name)
         except (OSError, ValueError, asyncio.IncompleteReadError, TimeoutError) as problem:
             restart.halted = f"{name} could not be asked: {problem}"
 
-    async def _ask_to_restart(self, name: str) -> None:
-        async for message in self._peers.ask(name, QueryRequest(RESTART_QUERY)):
+    async def _request_restart(self, name: str) -> None:
+        async for message in self._peers.request(name, QueryRequest(RESTART_QUERY)):
             if isinstance(message, QueryResponse) and message.body != RESTART_BEGUN.encode():
                 raise ConnectionError(message.body.decode("utf-8", "replace"))
             break
 
     def begin_hot_restart(self) -> str:
-        """Have a new process take this one's place; return why that can't be, "" where it is under way."""
+        """Start a process that replaces this one; return why it can't start, or "" if it is in progress."""
         plan = self._daemon.plan
         if plan is None or plan.file.management is None or plan.file.management.socket is None:
             return "no [management] socket, by which a successor would find this process"
@@ -114,7 +114,7 @@
         return ""
 
     async def _run_successor(self, arguments: tuple[str, ...]) -> None:
-        """Run the command that starts the successor; its failure is logged."""
+        """Run the command that starts the successor, and log its failure."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -130,14 +130,14 @@
             self._daemon.logger("fleet: hot restart failed", text)
 
     def answer(self, message: Message) -> StreamedAnswer | None:
-        """Begin a hot restart if another instance asks for it; None for any other message."""
+        """Start a hot restart if another instance requests it, and return the answer; None for any other message."""
         if not isinstance(message, QueryRequest) or message.path != RESTART_QUERY:
             return None
-        text = self.begin_hot_restart() or RESTART_BEGUN
-        return iter([StreamedMessage(QueryResponse(text.encode()), 0.0)])
+        result = self.begin_hot_restart() or RESTART_BEGUN
+        return iter([StreamedMessage(QueryResponse(result.encode()), 0.0)])
 
     def report(self) -> JsonObject:
-        """Return what `fleet restart` shows of the last rolling restart that was begun here."""
+        """Return the progress of the last rolling restart that was started here, for `fleet restart`."""
         restart = self._restart
         if restart is None:
             return {"restart": None}
--- a/loadbalancer/daemon/rollout.py
+++ b/loadbalancer/daemon/rollout.py
@@ -1,8 +1,8 @@
-"""A rollout of a configuration at one instance: the file is fetched, checked, loaded, and taken back.
+"""The part of one instance in the rollout of a configuration: fetches, checks and loads the file, or rolls it back.
 
-Which stage follows is decided in `fleet/orchestration/rollout.py`. What belongs to an instance alone is not rolled out,
-so secrets and keys are never carried: the tables [process], [store], [management], [log] and [fleet], and of each
-listener its address and keys.
+The stages are decided in `fleet/orchestration/rollout.py`. Instance-specific settings are not rolled out, so secrets
+and keys are never transferred: the tables [process], [store], [management], [log] and [fleet], and the address and keys
+of each listener.
 """
 
 from __future__ import annotations
@@ -30,35 +30,35 @@
 from loadbalancer.fleet.replication.messages import QueryRequest, QueryResponse
 from loadbalancer.fleet.wire import Message
 
-#: Tables that an instance keeps as they are.
+#: Tables that are not rolled out; each instance keeps its own.
 INSTANCE_TABLES = ("process", "store", "management", "log", "fleet")
-#: Keys of a listener that an instance keeps.
+#: Settings of a listener that are not rolled out; each instance keeps its own.
 INSTANCE_LISTENER_KEYS = ("address", "tls")
 MAX_FILE_BYTES = 1 << 20
-#: Bytes of the file in one message.
+#: Maximum bytes of the file in one message.
 MESSAGE_BYTES = 12 << 10
-#: Seconds between two attempts to fetch the file, and between two looks at a reload that is under way.
+#: Seconds between two attempts to fetch the file, and between two polls of a reload in progress.
 FETCH_RETRY_INTERVAL_S = 0.5
 RELOAD_POLL_INTERVAL_S = 0.01
-#: Bytes of the digest by which a file is known.
+#: Bytes of the digest that identifies a file.
 DIGEST_BYTES = 16
 
-#: Asks an instance by its name; raises ConnectionError where the name is not known.
-AskInstance = Callable[[str, Message], AsyncIterator[Message]]
+#: Sends a request to an instance by its name; raises ConnectionError if the name is unknown.
+RequestInstance = Callable[[str, Message], AsyncIterator[Message]]
 
 
 class RequestCounts(NamedTuple):
-    """Requests that have ended since the start of the process."""
+    """Counts of requests that have ended since the start of the process."""
 
     ended: int
-    failed: int  # of these, rejected or failed
+    failed: int  # the rejected or failed ones among them
 
 
 def merged(rolled_out: bytes, current: bytes) -> bytes:
-    """Return the file that an instance runs under: the rolled out one with what is the instance's own.
+    """Return the rolled-out file with the instance-specific settings of the instance's current file.
 
     Raises:
-        ValueError: one of the files is no TOML.
+        ValueError: One of the files is not valid TOML.
     """
     new = tomllib.loads(rolled_out.decode())
     own = tomllib.loads(current.decode())
@@ -77,10 +77,10 @@
 
 
 class RolloutService:
-    """Carries out this instance's part of a rollout, one step at a time.
+    """Executes this instance's part of a rollout, one task at a time.
 
-    It owns a task, which `close` cancels, and two files beside the configuration: the one that was checked, which the
-    next check overwrites, and the one that was in force before, which is deleted once it is in force again.
+    It owns that task, which `close` cancels, and two files beside the configuration: the checked file, which the next
+    check overwrites, and the previous configuration, which is deleted once it is in force again.
     """
 
     def __init__(
@@ -89,29 +89,29 @@
         name: str,
         path: Path,
         prepare: PrepareConfiguration,
-        ask: AskInstance,
+        request_instance: RequestInstance,
         count_requests: Callable[[], RequestCounts],
         on_changed: Callable[[], None],
     ) -> None:
-        """Begin without a plan.
+        """Create the service without a plan.
 
         Args:
-            daemon: is made to reload.
-            name: of this instance.
-            path: of its configuration.
-            prepare: checks a configuration as a reload would; called in another thread.
-            ask: asks another instance for the file.
-            count_requests: counts those of all pools.
-            on_changed: called when `report` has changed.
+            daemon: The daemon, which reloads the configuration.
+            name: The name of this instance.
+            path: The path of this instance's configuration file.
+            prepare: Checks a configuration as a reload does; called in another thread.
+            request_instance: Requests the file from another instance.
+            count_requests: Returns the request counts of all pools.
+            on_changed: Called when `report` has changed.
         """
         self._daemon = daemon
         self._name = name
         self._path = path
         self._prepare = prepare
-        self._ask = ask
+        self._request_instance = request_instance
         self._count_requests = count_requests
         self._on_changed = on_changed
-        self._files: dict[str, bytes] = {}  # the last one, by its digest, as it came from an operator
+        self._files: dict[str, bytes] = {}  # only the latest file, by its digest, as the operator provided it
         self._plan_id = ""
         self._stage_version = 0
         self._counts_at_stage = RequestCounts(0, 0)
@@ -128,15 +128,15 @@
         return self._path.with_name(f".{self._path.name}.before-{self._plan_id}")
 
     def close(self) -> None:
-        """Cancel what is under way."""
+        """Cancel the task in progress."""
         if self._task is not None:
             self._task.cancel()
 
     def offer(self, text: bytes) -> str:
-        """Hold a file that an operator wants to roll out, and return its digest.
+        """Keep a file that an operator wants to roll out, and return its digest.
 
         Raises:
-            ValueError: it is too long, or no TOML.
+            ValueError: The file is too long or is not valid TOML.
         """
         if len(text) > MAX_FILE_BYTES:
             raise ValueError(f"{len(text)} bytes; at most {MAX_FILE_BYTES}")
@@ -146,15 +146,15 @@
         return digest
 
     def answer(self, digest: str) -> Iterator[Message]:
-        """Return the file of this digest in messages, and an empty one at the end."""
+        """Yield the file with this digest in messages, followed by an empty message."""
         text = self._files.get(digest, b"")
         for offset in range(0, len(text), MESSAGE_BYTES):
             yield QueryResponse(text[offset : offset + MESSAGE_BYTES])
         yield QueryResponse(b"")
 
     @property
-    def runs(self) -> RunningFile:
-        """Return which file is in force."""
+    def running_file(self) -> RunningFile:
+        """Which file is in force at this instance."""
         if self._is_working and self._has_file:
             return RunningFile.CHANGING
         return RunningFile.NEW if self._plan_id and self._previous_path.exists() else RunningFile.OLD
@@ -164,12 +164,12 @@
         return self._task is not None and not self._task.done()
 
     def report(self, plan: RolloutPlan | None) -> str:
-        """Return this instance's report on a plan, as its metadata carries it; "" for none."""
+        """Return this instance's report on a plan as metadata carries it; "" before `step` has seen the plan."""
         if plan is None or plan.id != self._plan_id:
             return ""
         counts = self._count_requests()
         report = StageReport(
-            self.runs,
+            self.running_file,
             self._has_file,
             self._refusal,
             counts.ended - self._counts_at_stage.ended,
@@ -178,11 +178,11 @@
         return report.write(plan.id)
 
     def step(self, plan: RolloutPlan | None, names: list[str]) -> None:
-        """Begin what the plan asks of this instance now, unless something is under way.
+        """Start the task that the plan requires of this instance now, unless another task is in progress.
 
         Args:
-            plan: as it stands.
-            names: of all instances of the fleet.
+            plan: The current plan; None without one.
+            names: The names of all instances of the fleet.
         """
         if plan is None:
             return
@@ -196,28 +196,28 @@
         if self._is_working:
             return
         if plan.stage == RolloutStage.CHECKING and not self._has_file and not self._refusal:
-            self._begin(self._fetch(plan))
+            self._start_task(self._fetch(plan))
         elif (
             not self._refusal
-            and wants_new(plan, self._name, names, self.runs)
-            and self.runs == RunningFile.OLD
+            and wants_new(plan, self._name, names, self.running_file)
+            and self.running_file == RunningFile.OLD
         ):
-            self._begin(self._load(plan))
-        elif self.runs == RunningFile.NEW and not wants_new(plan, self._name, names, self.runs):
-            self._begin(self._take_back())
+            self._start_task(self._load(plan))
+        elif self.running_file == RunningFile.NEW and not wants_new(
+            plan, self._name, names, self.running_file
+        ):
+            self._start_task(self._roll_back())
 
-    def _begin(self, work: Coroutine[None, None, None]) -> None:
+    def _start_task(self, work: Coroutine[None, None, None]) -> None:
         self._task = asyncio.get_running_loop().create_task(work)
         self._task.add_done_callback(lambda _: self._on_changed())
 
     async def _fetch(self, plan: RolloutPlan) -> None:
-        """Fetch the whole file and check it as a reload would; the running configuration is not touched."""
+        """Fetch the file if needed and check it as a reload does, without touching the running configuration."""
         if plan.digest not in self._files:
             text = await self._download(plan)
             if _digest(text) != plan.digest:
-                await asyncio.sleep(
-                    FETCH_RETRY_INTERVAL_S
-                )  # another attempt follows, until the stage is over
+                await asyncio.sleep(FETCH_RETRY_INTERVAL_S)  # `step` retries until the stage is over
                 return
             self._files = {plan.digest: text}
         self._refusal = await asyncio.get_running_loop().run_in_executor(
@@ -228,7 +228,7 @@
     async def _download(self, plan: RolloutPlan) -> bytes:
         text = b""
         try:
-            async for message in self._ask(plan.origin, QueryRequest(f"plan/{plan.digest}")):
+            async for message in self._request_instance(plan.origin, QueryRequest(f"plan/{plan.digest}")):
                 if not isinstance(message, QueryResponse) or not message.body:
                     break
                 text += message.body
@@ -239,7 +239,7 @@
         return text
 
     def _check(self, text: bytes) -> str:
-        """Return why this instance can't run the file, "" where it can; called in another thread."""
+        """Return why this instance can't run the file, or "" if it can; called in another thread."""
         try:
             self._checked_path.write_bytes(merged(text, self._path.read_bytes()))
             self._prepare(self._checked_path, self._daemon.logger)
@@ -263,12 +263,12 @@
             self._path.write_bytes(self._previous_path.read_bytes())
             self._previous_path.unlink()
 
-    async def _take_back(self) -> None:
+    async def _roll_back(self) -> None:
         if await self._reload(self._previous_path.read_bytes()):
             self._previous_path.unlink()
 
     async def _reload(self, text: bytes) -> bool:
-        """Replace the configuration; return whether the daemon has taken it."""
+        """Replace the configuration file and reload; return whether the reload succeeded."""
         new_path = self._path.with_name(f".{self._path.name}.new")
         new_path.write_bytes(text)
         os.replace(new_path, self._path)
@@ -284,11 +284,11 @@
 
 
 def rollout_status(plan: RolloutPlan | None, metadata: Mapping[str, Mapping[str, str]]) -> JsonObject:
-    """Return what `fleet rollout status` shows.
+    """Return the answer to `fleet rollout status`.
 
     Args:
-        plan: the latest rollout.
-        metadata: of all instances, by their names.
+        plan: The latest rollout; None without one.
+        metadata: The metadata of all instances, by name.
     """
     if plan is None:
         return {"rollout": None}
--- a/loadbalancer/daemon/rollout_coordinator.py
+++ b/loadbalancer/daemon/rollout_coordinator.py
@@ -1,4 +1,4 @@
-"""Proposes the next stage of a rollout, at the one instance of the fleet that coordinates it."""
+"""Decides the next stage of a rollout, at the one instance of the fleet that coordinates it."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class RolloutCoordinator:
-    """Decides while this instance is the first by name of the living voters.
+    """Decides the next stage while this instance is the first, by name, of the live voters.
 
-    Two coordinators do no harm: a proposal names the stage that it follows, so the second one changes nothing.
+    Two coordinators at once do no harm: a proposal names the stage that it follows, so the second one has no effect.
     """
 
     def __init__(
         self, replica: PaxosReplica, peers: FleetPeers, own_metadata: Callable[[], Mapping[str, str]]
     ) -> None:
-        """`own_metadata`: of this instance as it stands, with its report on the rollout."""
+        """`own_metadata` returns the current metadata of this instance, including its report on the rollout."""
         self._replica = replica
         self._peers = peers
         self._own_metadata = own_metadata
@@ -30,11 +30,11 @@
         self._stage_began_at = 0.0
 
     def next_stage(self, plan: RolloutPlan, now: float) -> StageBody | None:
-        """Return what to propose now, None for nothing.
+        """Return the stage to propose now; None if the present stage goes on.
 
         Args:
-            plan: an open one.
-            now: seconds on the replica's clock.
+            plan: The rollout, in an open stage.
+            now: The time in seconds on the replica's clock.
         """
         if self._stage_version != plan.version:
             self._stage_version = plan.version
--- a/loadbalancer/daemon/send_guard.py
+++ b/loadbalancer/daemon/send_guard.py
@@ -1,4 +1,4 @@
-"""Asked before each send of a fleet member: whether the replicated state still lets the request leave."""
+"""The check before each send of a fleet member that the replicated state still allows the request to leave."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SendGuard:
-    """Makes the check of each pool; counts what was sent under each version."""
+    """Creates the check of each pool, which also counts the sends under each version."""
 
     def __init__(
         self, lease: Lease, overrides: ReplicatedOverrideTarget, history: deque[Epoch], clock: Clock
@@ -28,12 +28,12 @@
         """Return the check that a pool makes before each send.
 
         Args:
-            pool: the pool's name.
-            sticky_while_draining: sticky sessions go on at a draining endpoint.
+            pool: The pool's name.
+            sticky_while_draining: Whether sticky sessions continue at a draining endpoint.
 
         Returns:
-            A function of the endpoint's name. It returns None where the request may leave, NOT_SENT without a lease,
-            and NO_CONNECTION where an override came while the request waited for its connection, so that another
+            A function of the endpoint's name. It returns None if the request may leave, NOT_SENT without a lease, and
+            NO_CONNECTION if an override came into force while the request waited for its connection, so that another
             endpoint may answer it.
         """
         overrides = self._overrides.overrides
--- a/loadbalancer/daemon/state_transfer.py
+++ b/loadbalancer/daemon/state_transfer.py
@@ -1,4 +1,4 @@
-"""State transfer at one daemon: fetches what this instance lacks, and sends others what they lack."""
+"""State transfer at one daemon: fetches missing commands or a snapshot, and sends them to other instances."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 from loadbalancer.fleet.replication.replica import PaxosReplica
 from loadbalancer.fleet.replication.state_transfer import StateReceiver, StateSender
 
-#: Bytes a second of a snapshot that each receiver gets.
+#: Rate limit of a snapshot for each receiver, in bytes per second.
 SNAPSHOT_BYTES_PER_S = 4 << 20
 
 
 class StateTransferDriver:
-    """Owns the task that fetches from one other instance at a time; `close` cancels it."""
+    """Fetches state from one instance at a time, and sends state to others.
+
+    It owns the fetching task, which `close` cancels.
+    """
 
     def __init__(
         self,
@@ -28,14 +31,14 @@
         on_ended: Callable[[], None],
         on_failed: Callable[[str], None],
     ) -> None:
-        """Hand in what a transfer is made between.
+        """Create the driver without a transfer.
 
         Args:
-            replica: whose state is sent.
-            peers: the other instances.
-            deliver: gives the replica what has come.
-            on_ended: called when an attempt has ended, whatever came of it.
-            on_failed: called with whom it was fetched from and the reason, where the connection has failed.
+            replica: The replica whose state is sent.
+            peers: The other instances.
+            deliver: Passes received commands or a received snapshot to the replica.
+            on_ended: Called when an attempt has ended, successfully or not.
+            on_failed: Called with the name of the source and the reason if an attempt fails.
         """
         self._replica = replica
         self._peers = peers
@@ -52,7 +55,7 @@
             self._task.cancel()
 
     def fetch(self, source: str) -> None:
-        """Begin to fetch from an instance, unless a transfer is under way."""
+        """Start to fetch from an instance, unless a transfer is in progress."""
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._fetch(source))
 
@@ -67,11 +70,11 @@
         self._on_ended()
 
     async def _receive(self, member: MemberState) -> None:
-        """Ask for what is lacking; the receiver keeps what has come, for a further attempt."""
+        """Fetch the missing state; the receiver keeps the part of a snapshot that has arrived for the next attempt."""
         request = self._receiver.next_request(self._replica.state.version)
-        async for message in self._peers.ask_member(member, request):
+        async for message in self._peers.request_member(member, request):
             if not isinstance(message, (LogEntries, SnapshotChunk)):
-                raise ValueError("neither changes nor a state")  # noqa: TRY004
+                raise ValueError(f"expected LogEntries or SnapshotChunk, got {type(message).__name__}")  # noqa: TRY004
             received, is_last = self._receiver.take(message)
             if received is not None:
                 self._deliver(received)
@@ -79,7 +82,7 @@
                 return
 
     def answer(self, request: StateRequest) -> StreamedAnswer:
-        """Return what another instance lacks, at a bounded rate."""
+        """Yield the state that another instance is missing, at a limited rate."""
         for message in self._sender.answer(request):
             size = len(message.data) if isinstance(message, SnapshotChunk) else 0
             yield StreamedMessage(message, size / SNAPSHOT_BYTES_PER_S)
--- a/loadbalancer/daemon/version_report.py
+++ b/loadbalancer/daemon/version_report.py
@@ -1,4 +1,4 @@
-"""Which versions of the replicated state were in force where: for `fleet status` and `fleet versions`."""
+"""Reports the versions of the replicated state and when they were in force, for `fleet status` and `fleet versions`."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 from loadbalancer.fleet.replication.messages import QueryRequest, QueryResponse
 from loadbalancer.fleet.replication.replica import PaxosReplica
 
-#: The question for another instance's part.
+#: The query for another instance's part of the report.
 VERSIONS_QUERY = "fleet/versions"
-#: Seconds that another instance has to answer.
+#: Timeout in seconds between two messages of another instance's answer.
 QUERY_TIMEOUT_S = 2.0
 
 
 class ReplicationStatus(TypedDict):
-    """This instance's place in the replicated state, under the keys that operators read."""
+    """The replication status of this instance, under the keys that operators read."""
 
     version: int
-    known: int  # the highest version that is decided anywhere, as far as this instance knows
+    known: int  # the highest decided version that this instance knows of
     behind: bool
-    why: str | None  # the replica is blocked
+    why: str | None  # why the replica is blocked
     votes: bool
-    lost_state: str | None  # why its votes do not count
-    waits_for: list[str]  # voters whose answers its vote waits for
+    lost_state: str | None  # why its vote is suspended
+    waits_for: list[str]  # voters that have to answer before it votes
     shut_out: bool
     lease_s: float
-    drift: str | None  # whose clock runs apart from this one's
+    drift: str | None  # the voter whose clock drifts from this one's, and by how much
     roster: list[str]
 
 
 class VersionReport:
-    """Reads the replica and the lease; owns the tasks that ask other instances, each of a bounded time."""
+    """Reports on the replica and the lease. It owns the tasks that query other instances, each limited in time."""
 
     def __init__(
         self, replica: PaxosReplica, lease: Lease, history: deque[Epoch], peers: FleetPeers, clock: Clock
@@ -53,7 +53,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def status(self) -> ReplicationStatus:
-        """Return this instance's place in the replicated state."""
+        """Return the replication status of this instance."""
         now, replica, lease = self._clock(), self._replica, self._lease
         return {
             "version": replica.state.version,
@@ -71,34 +71,34 @@
 
     def local(self) -> JsonObject:
         """Return this instance's part of `fleet versions`."""
-        unix_epoch = time.time() - self._clock()  # Unix time at 0 of the replica's clock
+        clock_origin = time.time() - self._clock()  # Unix time at 0 of the replica's clock
         return {
             "instance": self._peers.name,
             **self.status(),
             "card": self._replica.metadata,
-            "epochs": [epoch.row(unix_epoch) for epoch in self._history],
+            "epochs": [epoch.row(clock_origin) for epoch in self._history],
         }
 
     def answer(self) -> QueryResponse:
-        """Return this instance's part for another one."""
+        """Return this instance's part of the report for another instance."""
         return QueryResponse(msgspec.json.encode(self.local()))
 
     def collect(self, answer: AnswerCallback) -> None:
-        """Answer with all instances' parts; those that could not be asked are named."""
+        """Answer with the merged parts of all instances and the names of those that did not answer."""
         task = asyncio.get_running_loop().create_task(self._collect(answer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _collect(self, answer: AnswerCallback) -> None:
         members = self._peers.members()
-        parts = await asyncio.gather(*(self._ask(member) for member in members))
+        parts = await asyncio.gather(*(self._fetch_part(member) for member in members))
         instances = [self.local(), *(part for part in parts if part is not None)]
         unknown = [member.name for member, part in zip(members, parts, strict=True) if part is None]
         answer({**merge(instances, unknown)})
 
-    async def _ask(self, member: MemberState) -> JsonObject | None:
+    async def _fetch_part(self, member: MemberState) -> JsonObject | None:
         try:
-            async for message in self._peers.ask_member(
+            async for message in self._peers.request_member(
                 member, QueryRequest(VERSIONS_QUERY), QUERY_TIMEOUT_S
             ):
                 if isinstance(message, QueryResponse):
--- a/loadbalancer/daemon/vote_monitor.py
+++ b/loadbalancer/daemon/vote_monitor.py
@@ -1,4 +1,4 @@
-"""Tells operators why an instance does not vote, or may not send, with the remedy: one log line for each reason."""
+"""Logs why an instance does not vote or may not send, with the remedy, once for each reason."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from loadbalancer.fleet.replication.replica import PaxosReplica
 from loadbalancer.resource_limits import RateLimitedLogger
 
-#: Seconds for which a vote may be missing without a word: a start, and the registration of a new store, take as long.
+#: Seconds before a missing vote or lease is logged: a start and the registration of a new store take that long.
 VOTE_GRACE_S = 3.0
 
 
 class VoteMonitor:
-    """Watches the vote and the lease of one instance; the replication service calls `check` by its own timer."""
+    """Monitors the vote and the lease of one instance; the replication service calls `check` periodically."""
 
     def __init__(self, replica: PaxosReplica, lease: Lease, logger: RateLimitedLogger) -> None:
         self._replica = replica
@@ -25,10 +25,10 @@
         self._lease_was_reported = False
 
     def check(self, now: float) -> None:
-        """Log what has kept this instance from voting or sending for longer than it should.
+        """Log what has kept this instance from voting or sending for longer than VOTE_GRACE_S.
 
         Args:
-            now: Seconds on the replica's clock.
+            now: The time in seconds on the replica's clock.
         """
         self._check_vote(now)
         self._check_lease(now)
@@ -45,7 +45,7 @@
             self._logger("fleet: this instance does not vote", problem)
 
     def _describe_missing_vote(self) -> str:
-        """Why this instance does not vote, and what helps; empty where it votes, or is not to."""
+        """Return why this instance does not vote, with the remedy; "" if it votes or is not a voter."""
         replica = self._replica
         if replica.vote_suspension:
             return (
