--- a/tests/administered.py
+++ b/tests/administered.py
@@ -1,4 +1,4 @@
-"""A daemon with administrative sockets, for tests, and calls to it."""
+"""Configurations of daemons with administrative sockets for tests, and calls to these sockets."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from standins.member import Member
 
 
-def run(scene: Callable[[], Awaitable[None]]) -> None:
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
-        await asyncio.wait_for(scene(), 60)
+        await asyncio.wait_for(scenario(), 60)
 
     asyncio.run(bounded())
 
@@ -28,22 +28,22 @@
     )
 
 
-async def call(here: Ground, method: str, path: str, name: str = "s", **body: Any) -> tuple[int, Any]:
-    reader, writer = await asyncio.open_unix_connection(str(here.path.parent / name))
+async def call(harness: Ground, method: str, path: str, name: str = "s", **body: Any) -> tuple[int, Any]:
+    reader, writer = await asyncio.open_unix_connection(str(harness.path.parent / name))
     data = json.dumps({"by": "ops", **body}).encode() if method == "POST" else b""
     writer.write(
         b"%b /v1/%b HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b"
         % (method.encode(), path.encode(), len(data), data)
     )
-    found = await reader.read()
+    response = await reader.read()
     writer.close()
-    head, _, rest = found.partition(b"\r\n\r\n")
-    return int(head[9:12]), json.loads(rest)
+    head, _, response_body = response.partition(b"\r\n\r\n")
+    return int(head[9:12]), json.loads(response_body)
 
 
-async def served_by(here: Ground, count: int = 40) -> set[str]:
-    found = set()
+async def served_by(harness: Ground, count: int = 40) -> set[str]:
+    answers = set()
     for _ in range(count):
-        status, _, body = await here.ask(requests_to())
-        found.add(json.loads(body)["member"] if status == 200 else str(status))
-    return found
+        status, _, body = await harness.ask(requests_to())
+        answers.add(json.loads(body)["member"] if status == 200 else str(status))
+    return answers
--- a/tests/daemon/override_targets.py
+++ b/tests/daemon/override_targets.py
@@ -1,4 +1,4 @@
-"""A stand-in for the administrative overrides of a daemon's pools."""
+"""A fake of the administrative overrides of a daemon's pools."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class RecordingOverrides:
-    """Holds what was applied; each change that it is asked about would drain its endpoints, or end a migration."""
+    """Records the overrides, migrations and freezes that are applied.
+
+    Every planned change drains its endpoints, or ends the migration.
+    """
 
     def __init__(self) -> None:
         self.overrides: dict[str, dict[str, AdminOverride]] = {}
@@ -17,19 +20,19 @@
         self.frozen: dict[str, bool] = {}
 
     def planned_overrides(self, change: Change) -> dict[str, AdminOverride | None]:
-        return {member: AdminOverride("drain") for member in change.endpoints}
+        return {endpoint: AdminOverride("drain") for endpoint in change.endpoints}
 
     def planned_migration(self, change: Change) -> Migration | None:
         return None
 
-    def set_override(self, name: str, member: str, mark: AdminOverride | None) -> None:
+    def set_override(self, name: str, endpoint: str, override: AdminOverride | None) -> None:
         overrides = self.overrides.setdefault(name, {})
-        overrides.pop(member, None)
-        if mark is not None:
-            overrides[member] = mark
+        overrides.pop(endpoint, None)
+        if override is not None:
+            overrides[endpoint] = override
 
-    def set_migration(self, pool: str, move: Migration | None) -> None:
-        self.migrations[pool] = move
+    def set_migration(self, pool: str, migration: Migration | None) -> None:
+        self.migrations[pool] = migration
 
     def set_frozen(self, name: str, frozen: bool) -> None:
         self.frozen[name] = frozen
--- a/tests/daemon/test_applied_state.py
+++ b/tests/daemon/test_applied_state.py
@@ -1,4 +1,4 @@
-"""The replicated state in force at one daemon."""
+"""The application of the replicated state to the pools of one daemon."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 DRAIN = AdminOverride("drain")
 
 
-def drained(duration_s: float) -> tuple[AppliedState, RecordingOverrides]:
-    """Version 1: endpoint m1 of pool p is drained."""
+def apply_drain(duration_s: float) -> tuple[AppliedState, RecordingOverrides]:
+    """Return an applied state at version 1, in which endpoint m1 of pool p is drained."""
     state = ReplicatedState({})
     overrides = RecordingOverrides()
     applied = AppliedState(state, overrides, lambda: NOW)
@@ -28,31 +28,31 @@
     return applied, overrides
 
 
-def test_a_command_is_in_force_and_noted() -> None:
-    applied, overrides = drained(0.0)
+def test_a_command_is_applied_and_recorded_in_the_history() -> None:
+    applied, overrides = apply_drain(0.0)
 
     assert overrides.overrides == {"p": {"m1": DRAIN}}
     assert [epoch.version for epoch in applied.history] == [0, 1]
     assert applied.history[-1].by == "operator"
 
 
-def test_an_override_without_a_duration_does_not_end() -> None:
-    applied, _ = drained(0.0)
+def test_an_override_without_a_duration_does_not_expire() -> None:
+    applied, _ = apply_drain(0.0)
 
     assert list(applied.expire(NOW + 1e9)) == []
 
 
-def test_the_end_of_an_override_is_proposed_again_until_it_is_applied() -> None:
-    applied, _ = drained(5.0)
-    end = CommandContent("mark", MarkBody("p", {"m1": None}, 0.0, 1))
+def test_the_removal_of_an_expired_override_is_proposed_again_after_the_retry_interval() -> None:
+    applied, _ = apply_drain(5.0)
+    removal = CommandContent("mark", MarkBody("p", {"m1": None}, 0.0, 1))
 
     assert list(applied.expire(NOW + 4.9)) == []
-    assert list(applied.expire(NOW + 5.0)) == [end]
+    assert list(applied.expire(NOW + 5.0)) == [removal]
     assert list(applied.expire(NOW + 5.1)) == []
-    assert list(applied.expire(NOW + 5.0 + EXPIRY_RETRY_INTERVAL_S)) == [end]
+    assert list(applied.expire(NOW + 5.0 + EXPIRY_RETRY_INTERVAL_S)) == [removal]
 
 
-def test_a_snapshot_lifts_what_it_does_not_have() -> None:
+def test_a_snapshot_removes_overrides_and_migrations_that_it_does_not_contain() -> None:
     state = ReplicatedState({})
     overrides = RecordingOverrides()
     overrides.set_override("p", "m1", DRAIN)
--- a/tests/daemon/test_command_factory.py
+++ b/tests/daemon/test_command_factory.py
@@ -1,4 +1,4 @@
-"""Operators' changes as commands of the replicated log."""
+"""The translation of operators' changes into commands of the replicated log."""
 
 from __future__ import annotations
 
@@ -30,29 +30,29 @@
     return Change(verb, request, tuple(request.members), until, None)
 
 
-def ask(name: str, message: Message) -> None:
+def fail_request(name: str, message: Message) -> None:
     raise ConnectionError("not known")
 
 
 def translator(state: ReplicatedState | None = None) -> ChangeTranslator:
-    """Of instance a; only b has said which store it has."""
+    """Return a translator at instance a, where only the store of instance b is known."""
     rollout = RolloutService(
         cast(DaemonContext, None),
         "a",
         Path("micastand.toml"),
         lambda path, logger: None,
-        ask,  # type: ignore[arg-type]
+        fail_request,  # type: ignore[arg-type]
         lambda: RequestCounts(0, 0),
         lambda: None,
     )
-    stores = {"b": "s1"}
+    store_ids = {"b": "s1"}
     return ChangeTranslator(
-        "a", state or ReplicatedState({}), RecordingOverrides(), rollout, lambda name: stores.get(name, "")
+        "a", state or ReplicatedState({}), RecordingOverrides(), rollout, lambda name: store_ids.get(name, "")
     )
 
 
 @pytest.mark.parametrize(
-    ("asked", "content"),
+    ("requested", "content"),
     [
         (
             change("drain", 60.0, pool="p", members=["m1"]),
@@ -70,17 +70,17 @@
     ],
     ids=lambda value: value.verb if isinstance(value, Change) else "",
 )
-def test_a_change_is_translated(asked: Change, content: CommandContent) -> None:
-    assert translator().translate(asked) == content
+def test_a_change_is_translated_into_command_content(requested: Change, content: CommandContent) -> None:
+    assert translator().translate(requested) == content
 
 
 @pytest.mark.parametrize("verb", ["reload", "log", "fleet/restart"])
-def test_other_verbs_are_not_of_the_replicated_state(verb: str) -> None:
+def test_verbs_outside_the_replicated_state_are_not_translated(verb: str) -> None:
     assert translator().translate(change(verb)) is None
 
 
 @pytest.mark.parametrize(
-    ("asked", "status", "text"),
+    ("requested", "status", "text"),
     [
         (change("fleet/enrol", name="c"), 409, "'c' has not said where its votes are kept"),
         (change("fleet/halt"), 409, "no roll-out is under way"),
@@ -89,15 +89,17 @@
         (change("fleet/rollout", path="/no/such/file.toml"), 400, "No such file"),
     ],
 )
-def test_what_can_not_be_done_is_refused(asked: Change, status: int, text: str) -> None:
+def test_a_change_that_can_not_be_applied_is_rejected_with_its_status(
+    requested: Change, status: int, text: str
+) -> None:
     with pytest.raises(CallError, match=text) as caught:
-        translator().translate(asked)
+        translator().translate(requested)
 
     assert caught.value.status == status
 
 
 @pytest.mark.parametrize(("verb", "stage"), [("fleet/halt", "halted"), ("fleet/back", "back")])
-def test_an_operator_ends_a_stage_of_a_rollout(verb: str, stage: str) -> None:
+def test_halt_and_back_propose_the_next_stage_of_the_rollout(verb: str, stage: str) -> None:
     state = ReplicatedState({})
     state.rollout_plan = RolloutPlan("r1", "d", "a", 5.0, "quarter", old_bad=0.25)
 
@@ -106,7 +108,7 @@
     assert content == CommandContent("stage", StageBody("r1", "quarter", stage, "by operator", 0.25))
 
 
-def test_a_rollout_names_the_file_by_its_digest(tmp_path: Path) -> None:
+def test_a_rollout_identifies_the_file_by_its_digest(tmp_path: Path) -> None:
     file = tmp_path / "new.toml"
     file.write_text("[process]\n")
 
@@ -118,7 +120,7 @@
     assert len(content.body.digest) == 32
 
 
-def test_commands_are_numbered() -> None:
+def test_commands_get_consecutive_identifiers() -> None:
     numbering = CommandNumbering("a-1f")
     content = CommandContent("freeze", FreezeBody("p", True))
 
--- a/tests/daemon/test_epoch_times.py
+++ b/tests/daemon/test_epoch_times.py
@@ -1,4 +1,4 @@
-"""The order in which an instance reports the last send under one version and the start of the next."""
+"""The reported times of the last send under one version and of the start of the next version."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 
 SENT_AT = 100.0
 APPLIED_AT = 100.0004
-#: Unix time at 0 of the lease's clock, with a fraction that rounds either way.
-ORIGIN = 1.7e9 + 0.0003
+#: Unix time at 0 of the lease's clock; its fraction makes one of the two times round down and the other one up.
+CLOCK_ORIGIN = 1.7e9 + 0.0003
 
 
-# Guards against a report in which a send under the version before seems to follow the next version.
-@pytest.mark.parametrize("wall_clock", [0.0, ORIGIN + SENT_AT - 0.002, ORIGIN + 7200.0])
-def test_a_send_under_the_version_before_is_never_reported_after_the_next_one(
+# Guards against a report in which rounding or a wall clock step puts a send under the previous version after the start
+# of the next one.
+@pytest.mark.parametrize("wall_clock", [0.0, CLOCK_ORIGIN + SENT_AT - 0.002, CLOCK_ORIGIN + 7200.0])
+def test_the_last_send_under_a_version_is_never_reported_after_the_start_of_the_next(
     wall_clock: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = SENT_AT
@@ -40,7 +41,7 @@
     touched = state.apply(command)
     applied.apply_command(CommandApplied(1, command, touched))
 
-    epochs = [epoch.row(ORIGIN) for epoch in applied.history]
+    epochs = [epoch.row(CLOCK_ORIGIN) for epoch in applied.history]
     (_, row) = merge([{"instance": "i1", "epochs": epochs}], [])["versions"]
     assert row["last_before"]["i1"] <= row["taken_up"]["i1"]
-    assert row["taken_up"]["i1"] == round(ORIGIN + APPLIED_AT, 3)
+    assert row["taken_up"]["i1"] == round(CLOCK_ORIGIN + APPLIED_AT, 3)
--- a/tests/daemon/test_send_guard.py
+++ b/tests/daemon/test_send_guard.py
@@ -1,4 +1,4 @@
-"""What a pool asks before each send."""
+"""The check of the lease and the overrides before each send."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 NOW = 100.0
 
 
-def guard(overrides: RecordingOverrides, *, has_lease: bool = True) -> tuple[SendGuard, Epoch]:
+def make_guard(overrides: RecordingOverrides, *, has_lease: bool = True) -> tuple[SendGuard, Epoch]:
     lease = Lease(2.0, serves_when_expired=False)
     if has_lease:
         lease.expires_at = NOW + 1
@@ -25,18 +25,18 @@
 
 
 def test_a_send_is_counted_for_the_version_in_force() -> None:
-    checks, epoch = guard(RecordingOverrides())
+    guard, epoch = make_guard(RecordingOverrides())
 
-    result = checks.for_pool("p", sticky_while_draining=False)("m1")
+    result = guard.for_pool("p", sticky_while_draining=False)("m1")
 
     assert result is None
     assert (epoch.sends, epoch.last) == (1, NOW)
 
 
 def test_nothing_is_sent_without_a_lease() -> None:
-    checks, epoch = guard(RecordingOverrides(), has_lease=False)
+    guard, epoch = make_guard(RecordingOverrides(), has_lease=False)
 
-    result = checks.for_pool("p", sticky_while_draining=False)("m1")
+    result = guard.for_pool("p", sticky_while_draining=False)("m1")
 
     assert result is AttemptResult.NOT_SENT
     assert epoch.sends == 0
@@ -51,12 +51,12 @@
         ("drain", True, None),
     ],
 )
-def test_an_override_that_came_late_counts(
+def test_an_override_applied_after_the_check_was_created_forbids_the_send(
     state: OverrideState, sticky: bool, result: AttemptResult | None
 ) -> None:
     overrides = RecordingOverrides()
-    checks, _ = guard(overrides)
-    check = checks.for_pool("p", sticky_while_draining=sticky)
+    guard, _ = make_guard(overrides)
+    check = guard.for_pool("p", sticky_while_draining=sticky)
 
     overrides.set_override("p", "m1", AdminOverride(state))
 
