--- a/loadbalancer/daemon/command_factory.py
+++ b/loadbalancer/daemon/command_factory.py
@@ -148,7 +148,7 @@
         if not path.is_absolute():
             raise CallError(400, f"{path}: an absolute path is wanted")
         try:
-            digest = self._rollout.offer(path.read_bytes())
+            digest = self._rollout.add_file(path.read_bytes())
         except (OSError, ValueError) as problem:
             raise CallError(400, f"{path}: {problem}") from None
         return PlanBody(f"r{self._state.version + 1}", digest, self._name, change.until or DEFAULT_SOAK_S)
--- a/loadbalancer/daemon/lease_monitor.py
+++ b/loadbalancer/daemon/lease_monitor.py
@@ -59,8 +59,8 @@
         self._lease.grant(now, sender)
         return LeaseGrant(request.number, self._replica.highest_accepted_version, now)
 
-    def granted(self, now: float, voter: str, grant: LeaseGrant) -> None:
-        """Count a voter's grant."""
+    def record_grant(self, now: float, voter: str, grant: LeaseGrant) -> None:
+        """Count a grant that a voter has sent."""
         state = self._replica.state
         self._lease.granted(
             now,
--- a/loadbalancer/daemon/replication_service.py
+++ b/loadbalancer/daemon/replication_service.py
@@ -351,7 +351,7 @@
             if grant is not None:
                 self._send(sender, grant)
         elif isinstance(message, LeaseGrant):
-            self.lease.granted(now, sender, message)
+            self.lease.record_grant(now, sender, message)
         else:
             self._handle(MessageReceived(sender, cast(ReplicationMessage, message)))
             self.commands.check_commits(now)
--- a/loadbalancer/daemon/rollout.py
+++ b/loadbalancer/daemon/rollout.py
@@ -132,7 +132,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def offer(self, text: bytes) -> str:
+    def add_file(self, text: bytes) -> str:
         """Keep a file that an operator wants to roll out, and return its digest.
 
         Raises:
--- a/tests/daemon/test_lease_monitor.py
+++ b/tests/daemon/test_lease_monitor.py
@@ -33,7 +33,7 @@
 
     request = lease.request(NOW - 0.5)
     could_act_before = lease.may_act()
-    lease.granted(NOW, "a", LeaseGrant(request.number, 0, NOW))
+    lease.record_grant(NOW, "a", LeaseGrant(request.number, 0, NOW))
 
     assert not could_act_before
     assert lease.may_act()
@@ -62,7 +62,7 @@
     assert lease.expires_at() == inherited
 
 
-def founder(is_voter_missing: bool) -> tuple[LeaseMonitor, Lease]:
+def founding_monitor(is_voter_missing: bool) -> tuple[LeaseMonitor, Lease]:
     """Return the monitor of a voter with a new store, and its lease.
 
     Args:
@@ -81,18 +81,18 @@
 # Guards against instances that all serve before every voter has joined the founding: a partition would then leave no
 # majority.
 def test_a_founder_requests_no_lease_until_all_voters_have_answered() -> None:
-    monitor, lease = founder(is_voter_missing=True)
+    monitor, lease = founding_monitor(is_voter_missing=True)
 
     assert monitor.postpone_while_founding(NOW)
     assert lease.next_timer > NOW
 
-    monitor, _ = founder(is_voter_missing=False)
+    monitor, _ = founding_monitor(is_voter_missing=False)
     assert not monitor.postpone_while_founding(NOW)
 
 
 # Guards against a founder that never serves because another voter has died during the founding.
 def test_a_founder_requests_a_lease_after_the_founding_wait_at_the_latest() -> None:
-    monitor, _ = founder(is_voter_missing=True)
+    monitor, _ = founding_monitor(is_voter_missing=True)
 
     assert monitor.postpone_while_founding(NOW)
     assert not monitor.postpone_while_founding(NOW + FOUNDING_WAIT_S)
