--- a/loadbalancer/daemon/rollout.py
+++ b/loadbalancer/daemon/rollout.py
@@ -54,7 +54,7 @@
     failed: int  # the rejected or failed ones among them
 
 
-def merged(rolled_out: bytes, current: bytes) -> bytes:
+def merge_configuration(rolled_out: bytes, current: bytes) -> bytes:
     """Return the rolled-out file with the instance-specific settings of the instance's current file.
 
     Raises:
@@ -241,7 +241,7 @@
     def _check(self, text: bytes) -> str:
         """Return why this instance can't run the file, or "" if it can; called in another thread."""
         try:
-            self._checked_path.write_bytes(merged(text, self._path.read_bytes()))
+            self._checked_path.write_bytes(merge_configuration(text, self._path.read_bytes()))
             self._prepare(self._checked_path, self._daemon.logger)
         except ConfigError as error:
             return str(error.problems[0].text)
@@ -256,7 +256,7 @@
             text = self._files.get(plan.digest)
             if text is None or self._refusal:
                 return
-        new = merged(text, self._path.read_bytes())
+        new = merge_configuration(text, self._path.read_bytes())
         self._previous_path.write_bytes(self._path.read_bytes())
         if not await self._reload(new):
             self._refusal = "the reload was refused; the log of the instance says why"
--- a/tests/admin/test_tokens.py
+++ b/tests/admin/test_tokens.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from administered import run, text
+from administered import daemon_configuration, run
 from daemons import Ground, Heard, ground
 from ports import kept_port
 
@@ -125,7 +125,7 @@
 
     async def scene() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, managed(port))) as here:
+        async with ground(tmp_path, members, lambda: daemon_configuration(members, managed(port))) as here:
             await calls(here)
 
     async def calls(here: Ground) -> None:
@@ -154,7 +154,9 @@
     async def scene() -> None:
         member = Member("a")
         with pytest.raises(ConfigError, match="management.tokens"):
-            async with ground(tmp_path, [member], lambda: text([member], managed(kept_port()))):
+            async with ground(
+                tmp_path, [member], lambda: daemon_configuration([member], managed(kept_port()))
+            ):
                 pass
         assert not (tmp_path / "s").exists()
         await member.stop()
@@ -170,7 +172,7 @@
 )  # fmt: skip
 def test_a_table_that_does_not_fit_is_refused(tmp_path: Path, lines: str, words: str) -> None:
     path = tmp_path / "c.toml"
-    path.write_text(f"[management]\n{lines}\n" + text([Member("a")]).replace(":0", ":1"))
+    path.write_text(f"[management]\n{lines}\n" + daemon_configuration([Member("a")]).replace(":0", ":1"))
     with pytest.raises(ConfigError, match=words):
         load(path)
 
--- a/tests/administered.py
+++ b/tests/administered.py
@@ -22,7 +22,7 @@
 STORE = '[store]\nfolder = "state"\n'
 
 
-def text(members: list[Member], *more: str) -> str:
+def daemon_configuration(members: list[Member], *more: str) -> str:
     return "\n".join(
         (*more, LISTENER, route("r", "p"), pool("p", members, "[pool.rules]", 'new_members = "warm"'))
     )
--- a/tests/daemon/test_admin_server.py
+++ b/tests/daemon/test_admin_server.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from administered import MANAGED, STORE, call, run, served_by, text
+from administered import MANAGED, STORE, call, daemon_configuration, run, served_by
 from daemons import LISTENER, Ground, Heard, ground, pool, requests_to, route
 
 from loadbalancer.cli.__main__ import main
@@ -25,7 +25,9 @@
         members = [Member(name) for name in "abc"]
         late = Member("late")
         await late.start()
-        async with ground(tmp_path, members, lambda: text(members, MANAGED, store)) as harness:
+        async with ground(
+            tmp_path, members, lambda: daemon_configuration(members, MANAGED, store)
+        ) as harness:
             assert stat.S_IMODE((tmp_path / "s").stat().st_mode) == 0o600
             assert stat.S_IMODE((tmp_path / "r").stat().st_mode) == 0o660
             assert await served_by(harness) == {"a", "b", "c"}
@@ -71,11 +73,13 @@
 def test_overrides_survive_a_reload_a_restart_and_the_removal_of_their_pool(tmp_path: Path) -> None:
     async def scenario() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED, STORE)) as harness:
+        async with ground(
+            tmp_path, members, lambda: daemon_configuration(members, MANAGED, STORE)
+        ) as harness:
             assert (await call(harness, "POST", "cordon", pool="p", member="a"))[0] == 200
             assert (await call(harness, "POST", "cordon", pool="p", member="later", until="1h"))[0] == 200
             # The changed rule makes the reload create the pool anew.
-            await harness.reload(text(members, MANAGED, STORE).replace('"warm"', '"cold"'))
+            await harness.reload(daemon_configuration(members, MANAGED, STORE).replace('"warm"', '"cold"'))
             assert harness.daemon.reloads == 1 and await served_by(harness) <= {"b", "503"}
             harness.daemon.close()
             restarted = harness.daemon = Daemon(Heard(), seed=5)
@@ -83,7 +87,7 @@
             assert await served_by(harness) <= {"b", "503"}
             _, answer = await call(harness, "GET", "marks")
             assert [(row["member"], row["there"]) for row in answer] == [("a", True), ("later", False)]
-            renamed = text(members, MANAGED, STORE).replace('"p"', '"other"')
+            renamed = daemon_configuration(members, MANAGED, STORE).replace('"p"', '"other"')
             await harness.reload(renamed)
             _, answer = await call(harness, "GET", "marks")
             # The overrides are still reported, and are not applied to the renamed pool.
@@ -96,7 +100,9 @@
 def test_an_override_that_can_not_be_stored_is_undone(tmp_path: Path) -> None:
     async def scenario() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED, STORE)) as harness:
+        async with ground(
+            tmp_path, members, lambda: daemon_configuration(members, MANAGED, STORE)
+        ) as harness:
             assert harness.daemon.storage is not None
             harness.daemon.storage.store.engine.log.read_only = "fsync failed: test"
             _, answer = await call(harness, "POST", "cordon", pool="p", member="a")
@@ -111,11 +117,11 @@
 ) -> None:
     async def scenario() -> None:
         members = [Member("a")]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as harness:
-            await harness.reload(text(members))
+        async with ground(tmp_path, members, lambda: daemon_configuration(members, MANAGED)) as harness:
+            await harness.reload(daemon_configuration(members))
             assert harness.heard.count("new configuration not taken: management")
             other = Daemon(Heard(), seed=2)
-            harness.write(text(members, MANAGED))
+            harness.write(daemon_configuration(members, MANAGED))
             with pytest.raises(OSError):
                 other.apply(load(harness.path))
             other.close()
@@ -128,7 +134,7 @@
 def test_administrative_calls_succeed_beside_idle_connections_and_traffic(tmp_path: Path) -> None:
     async def scenario() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as harness:
+        async with ground(tmp_path, members, lambda: daemon_configuration(members, MANAGED)) as harness:
             idle = [await asyncio.open_unix_connection(str(tmp_path / "s")) for _ in range(30)]
 
             async def send_requests() -> None:
@@ -152,7 +158,7 @@
 ) -> None:
     async def scenario() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as harness:
+        async with ground(tmp_path, members, lambda: daemon_configuration(members, MANAGED)) as harness:
             assert harness.daemon.admin is not None
 
             async def run_command(*words: str) -> int:
@@ -265,7 +271,9 @@
         failing, healthy = Member("sick"), Member("well")
         failing.behaviour.status = 503
         traced = MANAGED + "why = 3\n"
-        async with ground(tmp_path, [failing, healthy], lambda: text([failing, healthy], traced)) as harness:
+        async with ground(
+            tmp_path, [failing, healthy], lambda: daemon_configuration([failing, healthy], traced)
+        ) as harness:
             answer: list[Any] = []
             for number in range(40):
                 name = f"r/{number}"
@@ -294,7 +302,7 @@
 def test_request_tracing_is_off_unless_configured(tmp_path: Path) -> None:
     async def scenario() -> None:
         members = [Member("a")]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as harness:
+        async with ground(tmp_path, members, lambda: daemon_configuration(members, MANAGED)) as harness:
             assert harness.daemon.pools["p"].proxy.trace is None
             status, answer = await call(harness, "GET", "why/x")
             assert status == 409 and "why = 1000" in answer["error"]
--- a/tests/daemon/test_hot_restart.py
+++ b/tests/daemon/test_hot_restart.py
@@ -15,7 +15,7 @@
 from typing import Any, Awaitable, Callable
 
 import pytest
-from administered import MANAGED, call, served_by, text
+from administered import MANAGED, call, daemon_configuration, served_by
 from daemons import ground
 from ports import kept_port
 
@@ -282,7 +282,7 @@
 
     async def scene() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, MANAGED)) as here:
+        async with ground(tmp_path, members, lambda: daemon_configuration(members, MANAGED)) as here:
             control = here.daemon.admin
             assert control is not None
             control.serve()
--- a/tests/daemon/test_reload_after_end.py
+++ b/tests/daemon/test_reload_after_end.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from administered import run, text
+from administered import daemon_configuration, run
 from daemons import ground, requests_to
 
 from standins.member import Member
@@ -15,7 +15,7 @@
 def test_a_reload_after_the_end_has_begun_is_not_taken(tmp_path: Path) -> None:
     async def scene() -> None:
         members = [Member("a")]
-        async with ground(tmp_path, members, lambda: text(members)) as here:
+        async with ground(tmp_path, members, lambda: daemon_configuration(members)) as here:
             client = await here.connect()
             await client.send(requests_to())
             assert (await client.read())[0] == 200
--- a/tests/daemon/test_socket_files.py
+++ b/tests/daemon/test_socket_files.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from administered import MANAGED, call, run, text
+from administered import MANAGED, call, daemon_configuration, run
 from daemons import Heard, ground
 
 from loadbalancer.config.plan import load
@@ -98,7 +98,7 @@
         members = [Member("a")]
 
         def config() -> str:
-            return text(members, MANAGED, LOCAL.format(folder=tmp_path))
+            return daemon_configuration(members, MANAGED, LOCAL.format(folder=tmp_path))
 
         async with ground(tmp_path, members, config) as here:
             assert here.daemon.admin is not None
--- a/tests/fleet/test_rollout_processes.py
+++ b/tests/fleet/test_rollout_processes.py
@@ -9,7 +9,7 @@
 
 from scenes import replicated_fleet, run
 
-from loadbalancer.daemon.rollout import merged
+from loadbalancer.daemon.rollout import merge_configuration
 from standins.askers import Askers
 from standins.member import Fleet as Members
 from standins.processes import Fleet, until
@@ -19,7 +19,7 @@
     ours = b'[fleet]\nname = "a"\n[store]\nfolder = "s"\n[[listener]]\nname = "m"\naddress = "127.0.0.1:1"\n'
     theirs = b'[fleet]\nname = "b"\n[[class]]\nname = "c"\n'
     theirs += b'[[listener]]\nname = "m"\naddress = "127.0.0.1:2"\nshare = 2.0\n'
-    found = tomllib.loads(merged(theirs, ours).decode())
+    found = tomllib.loads(merge_configuration(theirs, ours).decode())
     assert (
         found["fleet"]["name"] == "a"
         and found["store"] == {"folder": "s"}
