--- a/tests/daemon/test_hot_restart.py
+++ b/tests/daemon/test_hot_restart.py
@@ -15,7 +15,7 @@
 from typing import Any, Awaitable, Callable
 
 import pytest
-from administered import MANAGED, call, served_by, text
+from administered import MANAGED, call, daemon_configuration, served_by
 from daemons import running_daemon
 from ports import kept_port
 
@@ -285,7 +285,7 @@
 
     async def scenario() -> None:
         members = [Member(name) for name in "ab"]
-        async with running_daemon(tmp_path, members, lambda: text(members, MANAGED)) as here:
+        async with running_daemon(tmp_path, members, lambda: daemon_configuration(members, MANAGED)) as here:
             admin = here.daemon.admin
             assert admin is not None
             admin.serve()
