--- a/loadbalancer/frontends/__init__.py
+++ b/loadbalancer/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Listeners and admission; one file a protocol that clients speak."""
+"""Accepts client connections, and reads the protocols that clients speak (one module per protocol)."""
--- a/loadbalancer/frontends/admission_gate.py
+++ b/loadbalancer/frontends/admission_gate.py
@@ -1,7 +1,8 @@
-"""Between a listener and its Admission: whose connection it is, what it holds, and what it has done.
+"""Applies a listener's admission rules to its connections, and counts each connection for its client address.
 
-Only listeners that have rules of their own load this. The address is that of the connection's other end, or the one
-that a trusted front has written ahead (PROXY protocol). What a visit holds is given back in one place, `left`.
+This module is imported only where a listener has admission rules. The client address is the peer address of the
+connection, or the one in the PROXY protocol header if the peer is a trusted front. `release` is the only place that
+releases what a connection holds.
 """
 
 from __future__ import annotations
@@ -27,75 +28,80 @@
 from loadbalancer.admission.proxyprotocol import ProxyHeader, ProxyHeaderError
 from loadbalancer.admission.rulings import ADMIT, REFUSE, Ruling
 
-#: Answers on one connection that its address is credited with at once.
+#: After the first answer of a connection, its answers are credited to its address in batches of this size.
 CREDIT = 16
 
 
 class AdmittedConnection:
-    """One connection, as its address counts it."""
+    """Holds what one connection counts for in the limits and the score of its client address."""
 
     __slots__ = (
         "gate",
         "address",
         "rows",
-        "once",
+        "ends_after_answer",
         "counted",
         "known",
         "requests",
-        "good",
+        "uncredited_answers",
         "credited",
         "header",
     )
 
     def __init__(self, gate: AdmissionGate, address: str) -> None:
         self.gate, self.address = gate, address
-        self.rows: Rows = ()  # of its address, while it counts
-        self.once = False  # ends after one answer
-        self.counted = False  # held by the address
-        self.known = False  # held by the floor
-        self.requests = 0  # that are open on it
-        self.good = 0  # answers that its address has not been credited with
-        self.credited = False  # it has been with one
-        self.header: ProxyHeader | None = None  # still to come
+        self.rows: Rows = ()  # admission entries of the address, while the connection is counted
+        self.ends_after_answer = False  # the connection is closed after one answer
+        self.counted = False  # counted as an open connection of the address
+        self.known = False  # counted against the slots reserved for known networks
+        self.requests = 0  # open requests on the connection
+        self.uncredited_answers = 0  # complete answers not yet credited to the address
+        self.credited = False  # at least one answer has been credited
+        self.header: ProxyHeader | None = None  # PROXY header that has not arrived completely
 
 
 class AdmissionGate:
-    """One listener's admission."""
+    """Decides which connections and requests a listener admits, and records how clients behave."""
 
-    def __init__(self, admission: Admission, behind: Iterable[Network] = ()) -> None:
-        """`behind`: sources that write a PROXY header ahead of each connection."""
-        self.admission, self.behind = admission, Networks(behind)
-        self.known = 0  # connections of known networks
-        # So many requests may be open of any address and prefix, whatever they have done: nothing is to be worked out.
-        self._sure = admission.caps.requests * LEAST_SHARE
+    def __init__(self, admission: Admission, proxy_sources: Iterable[Network] = ()) -> None:
+        """Create the gate of one listener.
+
+        Args:
+            admission: The rules, and the counts for each address.
+            proxy_sources: Networks of fronts that send a PROXY header at the start of each connection.
+        """
+        self.admission, self.proxy_sources = admission, Networks(proxy_sources)
+        self.known = 0  # open connections from known networks
+        # Every address and prefix may have this many open requests, whatever its score, so no cap is computed below it.
+        self._always_allowed = admission.caps.requests * LEAST_SHARE
 
     def is_like(self, other: AdmissionGate) -> bool:
-        """Whether both have the same rules."""
+        """Return whether both gates have the same rules."""
         mine, its = self.admission, other.admission
-        return (self.behind, mine.caps, mine.known, mine.floor, mine.exempt) == (
-            other.behind,
+        return (self.proxy_sources, mine.caps, mine.known, mine.floor, mine.exempt) == (
+            other.proxy_sources,
             its.caps,
             its.known,
             its.floor,
             its.exempt,
         )
 
-    def arrive(self, peer: str, most: int, taken: int) -> tuple[AdmittedConnection, Ruling]:
-        """A connection has come. One that still has to say whose it is gets in."""
+    def admit_new(self, peer: str, most: int, taken: int) -> tuple[AdmittedConnection, Ruling]:
+        """Decide on a new connection. One that must send a PROXY header first is admitted for now."""
         visit = AdmittedConnection(self, peer)
-        if peer in self.behind:
+        if peer in self.proxy_sources:
             visit.header = ProxyHeader()
             return visit, Ruling(ADMIT)
-        return visit, self.enter(visit, most, taken)
+        return visit, self.admit_address(visit, most, taken)
 
-    def enter(self, visit: AdmittedConnection, most: int, taken: int) -> Ruling:
-        """Judge a connection whose address is certain; it counts unless it is refused."""
+    def admit_address(self, visit: AdmittedConnection, most: int, taken: int) -> Ruling:
+        """Decide on a connection whose client address is known, and count it unless it is refused."""
         now = time.monotonic()
         rows = self.admission.rows(visit.address, now)
         ruling = self.admission.connect(visit.address, now, Slots(most, taken, self.known), rows)
         if ruling.verdict != REFUSE:
             visit.counted = True
-            visit.once = ruling.verdict != ADMIT
+            visit.ends_after_answer = ruling.verdict != ADMIT
             visit.known = self.admission.is_known(visit.address)
             self.known += visit.known
             visit.rows = rows
@@ -105,7 +111,11 @@
     def unwrap(
         self, visit: AdmittedConnection, data: bytes, most: int, taken: int
     ) -> tuple[bytes, Ruling | None]:
-        """What comes after the PROXY header, and the ruling once it is whole. ProxyHeaderError where it is none."""
+        """Return the bytes after the PROXY header, and the decision on the connection once the header is complete.
+
+        Raises:
+            ProxyHeaderError: The bytes are not a PROXY header.
+        """
         assert visit.header is not None
         try:
             rest = visit.header.feed(data)
@@ -117,47 +127,54 @@
             return b"", None
         visit.address = visit.header.address or visit.address
         visit.header = None
-        return rest, self.enter(visit, most, taken)
+        return rest, self.admit_address(visit, most, taken)
 
-    def may_ask(self, visit: AdmittedConnection) -> bool:
-        """Whether one more request of this address may be open; it counts from here on."""
+    def try_begin_request(self, visit: AdmittedConnection) -> bool:
+        """Return whether the address may open one more request; if so, the request is counted as open."""
         if not visit.rows:
             return True
         own, prefix = visit.rows
-        if own.requests + 1 > self._sure or prefix.requests + 1 > self._sure:
+        if own.requests + 1 > self._always_allowed or prefix.requests + 1 > self._always_allowed:
             if not self.admission.request(visit.rows, time.monotonic()):
                 return False
         visit.requests += 1
         began(visit.rows)
         return True
 
-    def answered(self, visit: AdmittedConnection, good: bool) -> None:
-        """A request is no more; `good`: it was whole and has its answer."""
+    def end_request(self, visit: AdmittedConnection, good: bool) -> None:
+        """Count a request as ended; `good`: it was complete and has been answered."""
         if not visit.rows:
             return
         visit.requests -= 1
         ended(visit.rows)
-        visit.good += good
-        if visit.good >= CREDIT or not visit.credited:
+        visit.uncredited_answers += good
+        if visit.uncredited_answers >= CREDIT or not visit.credited:
             self._credit(visit)
 
     def _credit(self, visit: AdmittedConnection) -> None:
-        """The first answer counts at once, so that a crowd behind one address gets in; the others by the dozen."""
-        if visit.good:
-            self.admission.mark(visit.rows, GOOD * visit.good, time.monotonic())
-            visit.good, visit.credited = 0, True
+        """Credit the address with the answers not yet credited.
+
+        The first answer of a connection is credited at once, so that many clients behind one address are admitted soon;
+        later answers are credited in batches of `CREDIT`.
+        """
+        if visit.uncredited_answers:
+            self.admission.mark(visit.rows, GOOD * visit.uncredited_answers, time.monotonic())
+            visit.uncredited_answers, visit.credited = 0, True
 
-    def wasted(self, visit: AdmittedConnection) -> None:
+    def record_wasted(self, visit: AdmittedConnection) -> None:
+        """Record that the connection was kept open after its first request and not used again."""
         self.admission.mark(visit.rows, WASTED, time.monotonic())
 
-    def silent(self, visit: AdmittedConnection) -> None:
+    def record_silence(self, visit: AdmittedConnection) -> None:
+        """Record that no complete request arrived in time."""
         self.admission.mark(visit.rows, SILENT, time.monotonic())
 
-    def garbage(self, visit: AdmittedConnection) -> None:
+    def record_malformed(self, visit: AdmittedConnection) -> None:
+        """Record that the client sent unreadable data, or did not read its answer."""
         self.admission.mark(visit.rows, GARBAGE, time.monotonic())
 
-    def left(self, visit: AdmittedConnection) -> None:
-        """The connection has ended: the one place where all it holds is given back."""
+    def release(self, visit: AdmittedConnection) -> None:
+        """Release everything that a closed connection holds; nothing else releases it."""
         self._credit(visit)
         while visit.requests:
             visit.requests -= 1
--- a/loadbalancer/frontends/connection.py
+++ b/loadbalancer/frontends/connection.py
@@ -1,6 +1,6 @@
-"""What a listener needs of a client's connection, whatever protocol it speaks: its phase, and what it counts for.
+"""Base class of client connections: the phase, the admission accounting and the limits that all protocols share.
 
-What may live here: nothing that reads or writes a byte of a protocol; that is the protocol's file.
+Code that reads or writes bytes of a protocol belongs in the module of that protocol.
 """
 
 from __future__ import annotations
@@ -19,47 +19,49 @@
     from loadbalancer.frontends.admission_gate import AdmittedConnection
     from loadbalancer.frontends.listener import Listener
 
-#: A request has this long to come whole, and a new connection to send one, counted from connecting. Guards
-#: against silence, heads and bodies without end, and whatever else does not become a request: bad clients are
-#: owed an answer or a close within 3 s. Harm: a good client slower than this must ask again.
+#: Time limit for receiving a complete request; on a new connection it counts from connecting. Guards against clients
+#: that send nothing and against heads and bodies that never end: a bad client must get an answer or a close within
+#: 3 s. Harm: a well-behaved client that is slower than this must send its request again.
 REQUEST_S = 2.5
 
 
 class Phase(IntEnum):
-    """Of reading a connection."""
+    """States of reading from a client connection."""
 
     IDLE = 0
     HEAD = 1
     BODY = 2
     WHOLE = 3
-    LINGER = 4  # the last answer is written
-    TUNNEL = 5  # it speaks another protocol
+    LINGER = 4  # the last answer has been written
+    TUNNEL = 5  # it has been upgraded to another protocol
 
 
 class FrontConnection(asyncio.Protocol):
-    """What a listener needs of a connection, whatever protocol it speaks."""
+    """A client connection as its listener handles it, independent of the protocol."""
 
     listener: Listener
     sock: socket.socket
     transport: asyncio.Transport | None
-    overflow: bool  # past the limit: held to be turned away
-    visit: AdmittedConnection | None = None  # where the listener has a gate
+    overflow: bool  # past the connection limit: accepted only to be refused
+    visit: AdmittedConnection | None = None  # set if the listener has an admission gate
     phase: Phase
-    asked: int = 0  # whole requests that have come
-    quiet: bool = False  # it has been idle for so long that it counts as not used again
-    since: float  # monotonic, of the phase
-    blocked: float = 0.0  # monotonic, since when the client has not taken what was written
+    request_count: int = 0  # complete requests received
+    recorded_unused: bool = False  # already recorded as not reused, after a long idle time
+    since: float  # monotonic time at which the phase began
+    blocked: float = 0.0  # monotonic time since which the client has not read what was written; 0 if it reads
     secure: bool = False  # over TLS
-    names: tuple[str, ...] = ()  # in the client's certificate
-    _charged: int = 0  # bytes, to the budget below
+    certificate_names: tuple[str, ...] = ()  # subject names in the client's certificate
+    _charged: int = 0  # bytes charged to the budget below
     _charged_to: BufferBudget | None = None
-    _left: int = 0  # bytes that the client had not taken when last looked at
+    _last_buffer_size: int = 0  # size of the write buffer at the last check, in bytes
 
     def retire(self) -> bool:
-        """Close a connection with no open request, unless one waits in the kernel: that is ours already.
+        """Close the connection if no request is open on it; return whether it was closed.
 
-        Guards against requests lost by a proxy that is short of CPU and reads late, and against answers cut off whose
-        end is still in our buffer."""
+        It stays open if a request waits unread in the kernel, because that request must be served, or if part of an
+        answer is still in the write buffer. Guards against requests lost when the proxy is short of CPU and reads late,
+        and against answers that are cut off.
+        """
         if self.transport is not None and self.transport.get_write_buffer_size():
             return False
         if self._peek():
@@ -69,7 +71,7 @@
         return True
 
     def _peek(self) -> bytes | None:
-        """What waits in the kernel: None where nothing does, no bytes where the connection has ended or broken."""
+        """Return the first unread byte in the kernel: None if there is none, empty if the connection has ended."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -78,14 +80,15 @@
             return b""
 
     def has_left(self) -> bool:
-        """Whether the client has ended its side, though that has not been read yet; then all it asked is withdrawn.
+        """Return whether the client has closed its side, read or not; if so, cancel its requests.
 
-        Guards against attempts for clients that left while we were busy, or while nothing is read from them: the end
-        is in the kernel, maybe behind bytes that wait there. Harm: a call of the system for each attempt."""
+        Guards against attempts for clients that left while the process was busy or reading was paused: the end of the
+        stream is then in the kernel, possibly behind unread bytes. Harm: a system call for each attempt.
+        """
         unread = self._peek()
         if unread is None or (unread and not self._ends_behind_bytes()):
             return False
-        self.withdraw_all()
+        self.cancel_all_requests()
         self.abort()
         return True
 
@@ -94,20 +97,20 @@
         poller.register(self.sock, select.POLLRDHUP)
         return bool(poller.poll(0))
 
-    def withdraw_all(self) -> None:
-        """Nobody waits for anything of this connection any more."""
+    def cancel_all_requests(self) -> None:
+        """Cancel all requests of the connection; the client no longer waits for an answer."""
         raise NotImplementedError
 
-    def joined(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open, and its handshake done where it has one."""
+    def register(self, transport: asyncio.BaseTransport) -> None:
+        """Add the connection to its listener once it is open and its TLS handshake, if any, is done."""
         self.transport = cast(asyncio.Transport, transport)
-        door = self.listener.tls
-        if door is not None and (shaken := transport.get_extra_info("ssl_object")) is not None:
-            self.secure, self.names = True, door.names_of(shaken)
-        self.listener.joined(self)
+        acceptor = self.listener.tls
+        if acceptor is not None and (ssl_object := transport.get_extra_info("ssl_object")) is not None:
+            self.secure, self.certificate_names = True, acceptor.certificate_names(ssl_object)
+        self.listener.add(self)
 
     def end_writing(self) -> None:
-        """No more is said. Over TLS that is the end of both directions."""
+        """Close the sending direction; with TLS this closes both directions."""
         assert self.transport is not None
         if self.transport.can_write_eof():
             self.transport.write_eof()
@@ -119,7 +122,7 @@
             self.transport.abort()
 
     def charge(self, budget: BufferBudget | None) -> None:
-        """The client does not take what was written: that counts as buffered."""
+        """Charge the unread part of the answer to the budget, and record since when the client has not read."""
         assert self.transport is not None
         self.blocked = time.monotonic()
         if budget is not None:
@@ -127,11 +130,11 @@
             self._charged_to = budget
             budget.held_bytes += self._charged
 
-    def takes(self) -> bool:
-        """Whether the client has taken some of what was written since the last call."""
+    def has_write_progress(self) -> bool:
+        """Return whether the client has read some of the written data since the last call."""
         assert self.transport is not None
-        before, self._left = self._left, self.transport.get_write_buffer_size()
-        return self._left < before
+        before, self._last_buffer_size = self._last_buffer_size, self.transport.get_write_buffer_size()
+        return self._last_buffer_size < before
 
     def uncharge(self) -> None:
         self.blocked = 0.0
@@ -142,77 +145,79 @@
     # Admission.
 
     def unwrap(self, data: bytes) -> bytes:
-        """What comes after the PROXY header, if one is still to come; a connection that may not be is ended."""
+        """Return the data without a due PROXY header; close the connection if it is refused."""
         visit = self.visit
         if visit is None or visit.header is None:
             return data
         return self.listener.unwrap(self, visit, data)
 
-    def may_ask(self) -> bool:
-        """Whether the address may have one more request open; it counts until `request_over`."""
-        return self.visit is None or self.visit.gate.may_ask(self.visit)
+    def try_begin_request(self) -> bool:
+        """Return whether the address may open one more request; if so, it counts as open until `end_request`."""
+        return self.visit is None or self.visit.gate.try_begin_request(self.visit)
 
-    def request_over(self, good: bool) -> None:
-        """A request that counted is open no more; `good`: it was whole and has its answer."""
+    def end_request(self, good: bool) -> None:
+        """Count an open request as ended; `good`: it was complete and has been answered."""
         if self.visit is not None:
-            self.visit.gate.answered(self.visit, good)
+            self.visit.gate.end_request(self.visit, good)
 
-    def note_garbage(self) -> None:
-        """What came can't be read, or what was written is not taken."""
+    def record_malformed(self) -> None:
+        """Record that the client sent unreadable data, or did not read its answer."""
         if self.visit is not None:
-            self.visit.gate.garbage(self.visit)
+            self.visit.gate.record_malformed(self.visit)
 
-    def note_silence(self) -> None:
-        """No whole request has come in its time."""
+    def record_silence(self) -> None:
+        """Record that no complete request arrived in time."""
         if self.visit is not None:
-            self.visit.gate.silent(self.visit)
+            self.visit.gate.record_silence(self.visit)
 
-    def is_once(self) -> bool:
-        """Whether its slot is lent: the first answer ends it."""
-        return self.visit is not None and self.visit.once
+    def ends_after_answer(self) -> bool:
+        """Return whether the first answer closes the connection, because it uses a slot reserved for known networks."""
+        return self.visit is not None and self.visit.ends_after_answer
 
-    def is_guarded(self) -> bool:
-        """Whether it is a known client's: nobody else may push it out."""
+    def is_protected(self) -> bool:
+        """Return whether the client is of a known network, so that other clients may not evict the connection."""
         return self.visit is not None and self.visit.known
 
-    def note_request(self) -> None:
-        """A whole request has come."""
-        self.asked += 1
-        if self.asked == 1:
+    def record_request(self) -> None:
+        """Record that a complete request has arrived."""
+        self.request_count += 1
+        if self.request_count == 1:
             self.listener.evictable.unused.pop(self, None)
-        elif self.asked == 2:
+        elif self.request_count == 2:
             self.listener.pressure.reuse.note(True)
 
-    def rest(self) -> None:
-        """No request is open on it; the next may come."""
+    def mark_idle(self) -> None:
+        """Record that no request is open and the connection waits for the next one."""
         self.listener.evictable.add_idle(self)
 
-    def wake(self) -> None:
-        """A request begins."""
+    def mark_active(self) -> None:
+        """Record that a request has begun to arrive."""
         self.listener.evictable.remove_idle(self)
 
-    def idle_most(self) -> float:
-        """Seconds that it may be idle, now."""
-        return self.listener.pressure.step.idle_s if self.asked and not self.overflow else REQUEST_S
+    def idle_timeout_s(self) -> float:
+        """Return the current idle timeout in seconds."""
+        return self.listener.pressure.step.idle_s if self.request_count and not self.overflow else REQUEST_S
 
-    def note_quiet(self, now: float) -> None:
-        """For the measure of reuse; idle after its first request."""
-        if not self.quiet and self.asked == 1 and now - self.since > QUIET_S:
-            self.quiet = True
+    def record_unused(self, now: float) -> None:
+        """Record once that the connection was not reused, if it has been idle long enough after its first request."""
+        if not self.recorded_unused and self.request_count == 1 and now - self.since > QUIET_S:
+            self.recorded_unused = True
             self.listener.pressure.reuse.note(False)
             if self.visit is not None:
-                self.visit.gate.wasted(self.visit)
+                self.visit.gate.record_wasted(self.visit)
 
     def sweep(self, now: float) -> None:
+        """Enforce the timeouts of the connection; the listener calls this periodically."""
         raise NotImplementedError
 
     def is_busy(self) -> bool:
+        """Return whether a shutdown must still wait for the connection."""
         raise NotImplementedError
 
-    def owes(self) -> bool:
-        """Whether a whole request waits behind the one being served."""
+    def has_waiting_requests(self) -> bool:
+        """Return whether a complete request waits behind the one being served."""
         return False
 
-    def refuse(self, words: bytes) -> None:
-        """End it with these bytes, before anything of it has been read."""
+    def refuse(self, response: bytes) -> None:
+        """Write these bytes and close the connection, before anything has been read from it."""
         raise NotImplementedError
--- a/loadbalancer/frontends/dialect.py
+++ b/loadbalancer/frontends/dialect.py
@@ -1,6 +1,6 @@
-"""What a front asks of a dialect: how a request's head is read, and where the request goes.
+"""Interface between client connections and dialects, which interpret request heads and choose destinations.
 
-Types and Protocols alone. A dialect is a `Reader`; it opens no socket and keeps nothing of a connection.
+A dialect is a `Reader`; it opens no socket and keeps no state of a connection.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from loadbalancer.resource_limits import BufferBudget
 from loadbalancer.streaming.uploads import Upload
 
-if TYPE_CHECKING:  # loaded where keys are remembered
+if TYPE_CHECKING:  # imported only where idempotency keys are remembered
     from loadbalancer.proxy.idempotent_requests import IdempotencyLedger, KeyTerms
 
 
-#: Headers that speak of one connection alone, or of how a body is framed on it: they are not passed on as they came.
+#: Hop-by-hop headers, and headers that frame the body: they are not forwarded unchanged.
 CONNECTION_HEADERS = frozenset(
     (
         b"connection",
@@ -35,7 +35,7 @@
 
 
 class RejectError(Exception):
-    """A request that is answered by the front, and after which its connection is closed."""
+    """The proxy answers the request itself with an error status; with HTTP it then closes the connection."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -43,67 +43,71 @@
 
 
 class Destination(Protocol):
-    """Where a request goes, as far as its head tells: whose budget is charged, and the largest body."""
+    """Where a request goes, chosen from its head: the buffer budget that it uses, and the size limits of its body."""
 
     @property
     def budget(self) -> BufferBudget: ...
     @property
-    def body_most(self) -> int: ...  # bytes
+    def body_most(self) -> int: ...  # bytes of the largest body that is buffered
     @property
-    def upload_most(self) -> int: ...  # and the largest that is sent on as it comes; 0: none is
+    def upload_most(self) -> int: ...  # bytes of the largest body that is streamed; 0 if none is
 
 
 class Head:
-    """A request's head while it comes, and once it is whole."""
+    """The head of a request, while it arrives and afterwards."""
 
     __slots__ = (
         "reader",
         "url",
         "lines",
-        "noted",
+        "inspected",
         "size",
         "method",
-        "old",
+        "is_http10",
         "close",
         "peer",
         "destination",
         "upload",
         "secure",
-        "names",
+        "certificate_names",
     )
 
     def __init__(self, reader: Reader, peer: str) -> None:
         self.reader = reader
         self.url = b""
-        self.lines: list[bytes] = []  # header lines to pass on, each with its end
-        self.noted: dict[bytes, bytes] = {}  # those that the reader asked for, names in lower case
-        self.size = 0  # bytes so far
+        self.lines: list[bytes] = []  # header lines to forward, each with its CRLF
+        self.inspected: dict[bytes, bytes] = {}  # headers that the reader inspects, by lower-case name
+        self.size = 0  # bytes received so far
         self.method = b""
-        self.old = False  # HTTP/1.0
-        self.close = False  # the client keeps its connection no further
-        self.secure = False  # it came over TLS
-        self.names: tuple[str, ...] = ()  # in the client's certificate
+        self.is_http10 = False
+        self.close = False  # the connection is closed after the answer
+        self.secure = False  # received over TLS
+        self.certificate_names: tuple[str, ...] = ()  # subject names in the client's certificate
         self.peer = peer  # address of the other end of the connection
         self.destination: Destination | None = None
-        self.upload: Upload | None = None  # its body, where that is sent on as it comes
+        self.upload: Upload | None = None  # the body, if it is streamed
 
     def add(self, name: bytes, value: bytes) -> None:
-        """A header as it comes; RejectError for one that may not come twice."""
-        reader, noted, key = self.reader, self.noted, name.lower()
-        value = value.strip(b" \t")  # the parser leaves what stands behind it (RFC 9112, 5.1)
-        if key in reader.noted:
-            if key in noted:
-                if key in reader.single:
+        """Add a header of the request.
+
+        Raises:
+            RejectError: The header is repeated and may not be.
+        """
+        reader, inspected, key = self.reader, self.inspected, name.lower()
+        value = value.strip(b" \t")  # the parser keeps trailing whitespace (RFC 9112, 5.1)
+        if key in reader.inspected:
+            if key in inspected:
+                if key in reader.not_repeatable:
                     raise RejectError(400, f"{key.decode()} twice")
                 # One field on several lines is one list (RFC 9110, 5.3; RFC 6265, 5.4 for cookies).
-                value = noted[key] + (b"; " if key == b"cookie" else b", ") + value
-            noted[key] = value
+                value = inspected[key] + (b"; " if key == b"cookie" else b", ") + value
+            inspected[key] = value
         if key not in reader.not_passed:
             self.lines.append(b"%b: %b\r\n" % (name, value))
 
 
 class IdempotencyTerms(NamedTuple):
-    """A key that the ledger remembers, as the store has it, and what tells its request from another."""
+    """An idempotency key as it is stored, with the digest that tells its request from another one with the same key."""
 
     ledger: IdempotencyLedger
     key: bytes
@@ -112,7 +116,7 @@
 
 
 class RoutedRequest(NamedTuple):
-    """A request that is whole and well formed."""
+    """A well-formed request with its destination; its body is complete or streamed."""
 
     proxy: Proxy
     request: OpenRequest
@@ -120,30 +124,38 @@
     deadline: float  # monotonic
     tenant: int
     key: str | None
-    hint: float | None  # seconds of a standard core
+    cost_hint: float | None  # estimated cost, in seconds of a standard core
     retry: bool
     close: bool
-    member: str | None = None  # where it should go, by a sticky session
-    old: bool = False  # it came in HTTP/1.0
-    bound: bool = False  # its session may not move
-    remembered: IdempotencyTerms | None = None  # its key is, by the ledger
-
-    def begin(self) -> None:
-        """Hand it to its pool, by way of the ledger where its key is remembered."""
-        if self.remembered is not None:
-            ledger, key, digest, terms = self.remembered
-            ledger.take(self.proxy, self.request, key, digest, terms, self.deadline, self._take)
+    member: str | None = None  # member of its sticky session
+    is_http10: bool = False  # the client speaks HTTP/1.0
+    session_pinned: bool = False  # its session may not move to another member
+    idempotency: IdempotencyTerms | None = None  # set if the ledger remembers its idempotency key
+
+    def submit(self) -> None:
+        """Pass the request to its pool, through the ledger if its idempotency key is remembered."""
+        if self.idempotency is not None:
+            ledger, key, digest, terms = self.idempotency
+            ledger.take(self.proxy, self.request, key, digest, terms, self.deadline, self._submit_to_pool)
         else:
-            self._take(self.cls, max(0.0, self.deadline - time.monotonic()))
+            self._submit_to_pool(self.cls, max(0.0, self.deadline - time.monotonic()))
 
-    def _take(self, cls: int, left: float) -> None:
+    def _submit_to_pool(self, cls: int, remaining_s: float) -> None:
         self.proxy.take(
-            self.request, cls, left, self.tenant, self.key, self.hint, self.retry, self.member, self.bound
+            self.request,
+            cls,
+            remaining_s,
+            self.tenant,
+            self.key,
+            self.cost_hint,
+            self.retry,
+            self.member,
+            self.session_pinned,
         )
 
 
 class Reply(NamedTuple):
-    """What is answered without the module."""
+    """An answer that the proxy gives itself, without a pool."""
 
     status: int
     why: str
@@ -151,26 +163,26 @@
 
 
 class Reader(Protocol):
-    """A dialect. Its methods raise RejectError where the request is no good."""
+    """A dialect. Its methods raise RejectError for a request that is not acceptable."""
 
-    noted: frozenset[bytes]  # headers it wants to see, in lower case
-    single: frozenset[bytes]  # of those, the ones that may not come twice
-    not_passed: frozenset[bytes]  # headers that do not go on as they came
-    draining: bool  # set by the listener: new clients are no longer wanted
-    names_itself: bool  # its own answers say so, in Proxy-Status
-    ignores_upgrade: bool  # an upgrade asked for is not taken up, and the request served (RFC 9110, 7.8)
+    inspected: frozenset[bytes]  # headers that it inspects, in lower case
+    not_repeatable: frozenset[bytes]  # of those, the ones that may not be repeated
+    not_passed: frozenset[bytes]  # headers that are not forwarded unchanged
+    draining: bool  # set by the listener during shutdown: new clients are not wanted
+    adds_proxy_status: bool  # answers made by the proxy carry Proxy-Status
+    ignores_upgrade: bool  # requests with Upgrade are served without switching protocols (RFC 9110, 7.8)
 
     def new_head(self, peer: str) -> Head:
-        """For a request that begins to come; `peer` is the address of the connection's other end."""
+        """Return the empty head of a new request; `peer` is the peer address of the connection."""
 
-    def believes(self, peer: str) -> bool:
-        """Whether what this peer says of the way before it is believed."""
+    def trusts(self, peer: str) -> bool:
+        """Return whether the forwarding headers of this peer are trusted."""
 
-    def place(self, head: Head) -> Destination:
-        """Called when the head is whole, before any of the body is kept."""
+    def find_destination(self, head: Head) -> Destination:
+        """Choose the destination; called when the head is complete, before any of the body is buffered."""
 
     def read(self, head: Head, body: bytearray | None, client: Client) -> Union[RoutedRequest, Reply]:
-        """Called when the body is whole, or when it turns out to be one that is sent on as it comes."""
+        """Interpret the request; called when the body is complete, or when it turns out that it must be streamed."""
 
     def proxies(self) -> Iterable[Proxy]:
-        """All pools that a request can reach."""
+        """Return all pools that a request can reach."""
--- a/loadbalancer/frontends/evictable_connections.py
+++ b/loadbalancer/frontends/evictable_connections.py
@@ -1,6 +1,6 @@
-"""The connections of a listener that may be closed to make room for others, and in which order.
+"""Chooses which connections of a listener are closed to make room for new ones, and in which order.
 
-No I/O and no clock: whoever asks closes what it is given.
+No I/O and no clock: the caller closes the connections.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 if TYPE_CHECKING:
     from loadbalancer.frontends.connection import FrontConnection
 
-#: Idle connections that are looked at for one to close; more would cost too much where all are in use.
+#: Connections of each group that one eviction examines; examining more costs too much when all are in use.
 EVICT_TRIES = 8
-#: Of a group whose connections need not be at rest.
+#: Limit for a group whose connections may be evicted however recently their phase began.
 ANY_TIME = math.inf
 
 
 class EvictableConnections:
-    """Connections on which no request is open, by what they have carried; in each group the oldest comes first.
+    """Holds the connections without an open request, grouped by the requests they have carried, oldest first.
 
     Attributes:
-        unused: No whole request has come.
-        idle: Idle after the first request.
+        unused: No complete request has arrived.
+        idle: Idle after their first request.
         reused: Idle after more requests.
-        lingering: Answered for the last time.
+        lingering: The last answer has been written.
     """
 
     def __init__(self) -> None:
@@ -35,46 +35,46 @@
         self.lingering: dict[FrontConnection, None] = {}
 
     def add_idle(self, connection: FrontConnection) -> None:
-        """No request is open on it; the next may come."""
-        (self.idle if connection.asked < 2 else self.reused)[connection] = None
+        """Add a connection that waits for its next request."""
+        (self.idle if connection.request_count < 2 else self.reused)[connection] = None
 
     def remove_idle(self, connection: FrontConnection) -> None:
-        """A request begins on it."""
+        """Remove a connection on which a request has begun."""
         self.idle.pop(connection, None)
         self.reused.pop(connection, None)
 
     def remove(self, connection: FrontConnection) -> None:
-        """It is not to be closed to make room."""
+        """Remove a connection that must not be evicted."""
         for group in (self.unused, self.idle, self.reused, self.lingering):
             group.pop(connection, None)
 
     def candidates(
         self, silent_before: float, answered_before: float, opening: int, spares_known: bool
     ) -> Iterator[FrontConnection]:
-        """What may be closed to make room, the least useful first; a few of each group.
+        """Yield connections that may be evicted, the least useful first, a few from each group.
 
         Args:
-            silent_before: Monotonic; connections that are older and have said nothing go first.
-            answered_before: Monotonic; of those answered later the next request may be on its way.
-            opening: Connections that were accepted and are not open yet.
+            silent_before: Monotonic time; connections that opened before it and sent no complete request go first.
+            answered_before: Monotonic time; connections answered after it may have their next request in flight.
+            opening: Number of accepted connections that are not open yet.
             spares_known: Whether known clients keep their connections.
         """
-        for group, rests_since in self._groups(silent_before, answered_before, opening):
-            allowed = (each for each in group if not (spares_known and each.is_guarded()))
+        for group, began_before in self._groups(silent_before, answered_before, opening):
+            allowed = (each for each in group if not (spares_known and each.is_protected()))
             oldest = islice(allowed, EVICT_TRIES)
-            yield from [each for each in oldest if each.since < rests_since]
+            yield from [each for each in oldest if each.since < began_before]
 
     def _groups(
         self, silent_before: float, answered_before: float, opening: int
     ) -> Iterator[tuple[Iterable[FrontConnection], float]]:
-        """Groups, and since when a connection of each has to be at rest."""
+        """Yield groups, each with the time before which the phase of a connection must have begun to be evicted."""
         yield self.unused, silent_before
         yield self.idle, answered_before
         if len(self.idle) > len(self.unused) + opening:
             yield self.idle, ANY_TIME
         yield self.unused, ANY_TIME
         yield self.reused, answered_before
-        if not opening:  # the room would go to connections that have not even said anything
+        if not opening:  # the slot would go to a connection that has not even sent a request
             yield self.idle, ANY_TIME
             yield self.reused, ANY_TIME
         yield self.lingering, ANY_TIME
--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -1,7 +1,7 @@
-"""FastCGI on a client's connection (a web server that asks us): several requests at once, each with its own answer.
+"""FastCGI on client connections (from a web server): several requests at once, each with its own answer.
 
-The protocol is fastcgi/application.py; what a request means is the reader's, as for HTTP. Here the bytes are
-moved, and here each request that has begun gets its one END_REQUEST.
+The protocol is in fastcgi/application.py, and the reader interprets requests as for HTTP. This module moves the bytes,
+and sends exactly one END_REQUEST for each request that has begun.
 """
 
 from __future__ import annotations
@@ -26,6 +26,7 @@
 
 
 def is_address(text: str) -> bool:
+    """Return whether the text is an IP address."""
     try:
         ipaddress.ip_address(text)
     except ValueError:
@@ -34,7 +35,7 @@
 
 
 class FcgiRequest:
-    """One request of a connection; the core answers it as it answers a connection of HTTP."""
+    """One request of a connection; its pool answers it through the same interface as an HTTP connection."""
 
     __slots__ = (
         "connection",
@@ -43,7 +44,7 @@
         "head",
         "body",
         "length",
-        "open",
+        "open_request",
         "bodiless",
         "ended",
         "stream",
@@ -51,12 +52,12 @@
 
     def __init__(self, connection: FastCgiFront, number: int, head: Head, length: int | None) -> None:
         self.connection, self.number, self.head, self.length = connection, number, head, length
-        self.since = time.monotonic()  # when its params were whole
+        self.since = time.monotonic()  # when its params were complete
         self.body: bytearray | None = None
-        self.open: OpenRequest | None = None  # taken by a pool
+        self.open_request: OpenRequest | None = None  # set once a pool has it
         self.bodiless = head.method == b"HEAD"
         self.ended = False
-        self.stream: Stream | None = None  # its answer goes out
+        self.stream: Stream | None = None  # the answer that is being streamed
 
     def has_left(self) -> bool:
         return self.connection.has_left()
@@ -65,9 +66,11 @@
         self, status: int, lines: list[bytes], length: int | None, reason: bytes, stream: Stream
     ) -> None:
         self.stream = stream
-        stated = [b"Content-Length: %d\r\n" % length] if length is not None else []
-        said = reason or REASONS.get(status, b"No Reason")
-        self.take_part(b"Status: %d %b\r\n%b\r\n" % (status, said, b"".join([*lines, *stated])))
+        length_lines = [b"Content-Length: %d\r\n" % length] if length is not None else []
+        reason_phrase = reason or REASONS.get(status, b"No Reason")
+        self.take_part(
+            b"Status: %d %b\r\n%b\r\n" % (status, reason_phrase, b"".join([*lines, *length_lines]))
+        )
 
     def take_part(self, data: bytes) -> None:
         if not self.ended:
@@ -75,16 +78,16 @@
             self.connection.flush()
 
     def take_end(self) -> None:
-        self._stream_over(True)
+        self._end_stream(True)
 
     def break_off(self) -> None:
-        """The other requests on the connection go on; this one ends as one whose application has failed."""
-        self._stream_over(False)
+        """End this request as failed by its application; the other requests on the connection go on."""
+        self._end_stream(False)
 
-    def _stream_over(self, good: bool) -> None:
-        self.open = self.stream = None
-        self.connection.request_over(good and not self.connection.blocked)
-        self.connection.ended(self, 0 if good else 1)
+    def _end_stream(self, good: bool) -> None:
+        self.open_request = self.stream = None
+        self.connection.end_request(good and not self.connection.blocked)
+        self.connection.end_streamed(self, 0 if good else 1)
 
     def answer(
         self,
@@ -95,10 +98,10 @@
         length: int | None = None,
         reason: bytes = b"",
     ) -> None:
-        """`close` is of connections that can carry nothing after; here each request has its own records."""
-        self.open = None
-        self.connection.request_over(status < 500 and not self.connection.blocked)
-        self.connection.answered(
+        """Write a whole answer. `close` is ignored: each request has its own records, so the connection goes on."""
+        self.open_request = None
+        self.connection.end_request(status < 500 and not self.connection.blocked)
+        self.connection.write_response(
             self, status, reason or REASONS.get(status, b"No Reason"), lines, body, length
         )
 
@@ -109,23 +112,26 @@
 
 
 class FastCgiFront(FrontConnection):
-    """One connection of a FastCGI client."""
+    """One connection of a FastCGI client (a web server)."""
 
     def __init__(
         self, listener: Listener, sock: socket.socket, overflow: bool, peer: str, requests_most: int
     ) -> None:
-        """`requests_most`: requests at once; more are ended as OVERLOADED, which says that they never ran."""
+        """Create the connection.
+
+        More than `requests_most` requests at once are ended as OVERLOADED, which says that they never ran.
+        """
         self.listener, self.sock, self.overflow, self.peer = listener, sock, overflow, peer
         self.transport: asyncio.Transport | None = None
         self.side = ApplicationSide(requests_most)
         self.requests: dict[int, FcgiRequest] = {}  # begun and not answered
         self.since = time.monotonic()
         self.phase = Phase.IDLE
-        self.budget: BufferBudget | None = None  # of the pool that the last request went to
+        self.budget: BufferBudget | None = None  # of the pool that the latest request goes to
         self.paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.joined(transport)
+        self.register(transport)
 
     # Receiving.
 
@@ -136,58 +142,58 @@
         if self.phase == Phase.LINGER:
             return
         if self.phase == Phase.IDLE:
-            self.wake()
+            self.mark_active()
             self.phase = Phase.HEAD
-            if self.asked:
+            if self.request_count:
                 self.since = time.monotonic()
-        garbled = bool(self.side.confused)
+        was_malformed = bool(self.side.confused)
         for event in self.side.feed(data):
-            self._react(event)
-        if self.side.confused and not garbled:
-            self.note_garbage()
+            self._handle_event(event)
+        if self.side.confused and not was_malformed:
+            self.record_malformed()
         self.flush()
-        self._after()
+        self._finish_answer()
 
-    def _react(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         if isinstance(event, Begun):
-            self._begin(event)
+            self._begin_request(event)
             return
         request = self.requests.get(event.request)
         if request is None or request.ended:
             return
         if isinstance(event, Data):
-            self._data(request, event.data)
+            self._receive_body(request, event.data)
         elif isinstance(event, Ended):
-            self._whole(request)
+            self._complete_request(request)
         elif isinstance(event, Aborted):
-            self._abort(request)
+            self._abort_request(request)
 
-    def _begin(self, event: Begun) -> None:
+    def _begin_request(self, event: Begun) -> None:
         reader = self.listener.reader
         client = event.params.get(b"REMOTE_ADDR", b"").decode("latin-1")
-        # A web server that is trusted speaks for its client.
+        # A trusted web server reports the address of its client.
         head = reader.new_head(
-            client if client and reader.believes(self.peer) and is_address(client) else self.peer
+            client if client and reader.trusts(self.peer) and is_address(client) else self.peer
         )
         request = self.requests[event.request] = FcgiRequest(self, event.request, head, None)
         try:
-            asked = from_params(event.params)
-            head.url, head.method, request.length = asked.target, asked.method, asked.length
-            request.bodiless = asked.method == b"HEAD"
-            for name, value in asked.headers:
+            cgi_request = from_params(event.params)
+            head.url, head.method, request.length = cgi_request.target, cgi_request.method, cgi_request.length
+            request.bodiless = cgi_request.method == b"HEAD"
+            for name, value in cgi_request.headers:
                 head.add(name, value)
-            if asked.length is not None:
-                head.noted[b"content-length"] = b"%d" % asked.length
-            destination = head.destination = head.reader.place(head)
+            if cgi_request.length is not None:
+                head.inspected[b"content-length"] = b"%d" % cgi_request.length
+            destination = head.destination = head.reader.find_destination(head)
             self.budget = destination.budget
-            if (asked.length or 0) > destination.body_most:
+            if (cgi_request.length or 0) > destination.body_most:
                 raise RejectError(413, "body too large")
         except CgiError as problem:
             self._reject(request, 400, str(problem))
         except RejectError as problem:
             self._reject(request, problem.status, problem.why)
 
-    def _data(self, request: FcgiRequest, data: bytes) -> None:
+    def _receive_body(self, request: FcgiRequest, data: bytes) -> None:
         destination = request.head.destination
         assert destination is not None
         if request.body is None:
@@ -199,11 +205,11 @@
         else:
             request.body += data
 
-    def _whole(self, request: FcgiRequest) -> None:
+    def _complete_request(self, request: FcgiRequest) -> None:
         if len(request.body or b"") != (request.length or 0):
             self._reject(request, 400, "less on STDIN than CONTENT_LENGTH states")
             return
-        self.note_request()
+        self.record_request()
         try:
             item = request.head.reader.read(request.head, request.body, request)
         except RejectError as problem:
@@ -212,10 +218,10 @@
         if isinstance(item, Reply):
             self._reject(request, item.status, item.why)
         else:
-            request.body = None  # it is the open request's now
-            self._take(request, item)
+            request.body = None  # now owned by the open request
+            self._submit(request, item)
 
-    def _take(self, request: FcgiRequest, item: RoutedRequest) -> None:
+    def _submit(self, request: FcgiRequest, item: RoutedRequest) -> None:
         proxy = item.proxy
         if self.overflow:
             status, why = 503, "too many connections"
@@ -225,33 +231,35 @@
             status, why = 503, "this proxy is not of its fleet now"
         elif not proxy.has_room():
             status, why = 503, "this pool has all it can hold"
-        elif not self.may_ask():
+        elif not self.try_begin_request():
             status, why = 503, "too many requests at once from this address"
         else:
-            request.open = item.request
-            item.begin()
+            request.open_request = item.request
+            item.submit()
             return
         proxy.count_rejected(item.request, item.cls, status)
         self._reject(request, status, why)
 
     def _reject(self, request: FcgiRequest, status: int, why: str) -> None:
-        """Answered without the module; what still comes for it is thrown away until its STDIN has ended."""
+        """Answer a request without a pool; its remaining input is discarded until its STDIN ends."""
         request.release_body()
-        lines = frontend_proxy_status(status) if self.listener.reader.names_itself else []
-        self.answered(request, status, REASONS.get(status, b"No Reason"), lines, why.encode() + b"\n", None)
-
-    def _abort(self, request: FcgiRequest) -> None:
-        """The web server's client has gone away: the attempt is given up, and the id is free again."""
-        taken, request.open = request.open, None
-        if taken is not None:
-            self.request_over(False)
-            taken.owner.cancel_by_client(taken)
+        lines = frontend_proxy_status(status) if self.listener.reader.adds_proxy_status else []
+        self.write_response(
+            request, status, REASONS.get(status, b"No Reason"), lines, why.encode() + b"\n", None
+        )
+
+    def _abort_request(self, request: FcgiRequest) -> None:
+        """Cancel a request whose client has left, so that its id can be used again."""
+        open_request, request.open_request = request.open_request, None
+        if open_request is not None:
+            self.end_request(False)
+            open_request.owner.cancel_by_client(open_request)
         request.release_body()
-        self._end(request, b"")
+        self._end_request(request, b"")
 
     # Answering.
 
-    def answered(
+    def write_response(
         self,
         request: FcgiRequest,
         status: int,
@@ -260,26 +268,28 @@
         body: bytes,
         length: int | None,
     ) -> None:
-        """The one answer of a request."""
+        """Write the answer of a request, and end the request."""
         if request.bodiless or status in BODILESS:
-            stated = [b"Content-Length: %d\r\n" % length] if length is not None and status != 204 else []
-            out = b"Status: %d %b\r\n%b\r\n" % (status, reason, b"".join([*lines, *stated]))
+            length_lines = (
+                [b"Content-Length: %d\r\n" % length] if length is not None and status != 204 else []
+            )
+            out = b"Status: %d %b\r\n%b\r\n" % (status, reason, b"".join([*lines, *length_lines]))
         else:
             out = write_answer(status, reason, lines, body)
-        self._end(request, out)
+        self._end_request(request, out)
         self.flush()
-        self._after()
+        self._finish_answer()
 
-    def ended(self, request: FcgiRequest, status: int) -> None:
-        """Its answer came by a stream, of which that was the end; `status` is the application's."""
+    def end_streamed(self, request: FcgiRequest, status: int) -> None:
+        """End a request whose answer was streamed; `status` is the application status."""
         if not request.ended:
             self.side.output += encode(Type.STDOUT, request.number)
-            self._end(request, b"", status)
+            self._end_request(request, b"", status)
             self.flush()
-            self._after()
+            self._finish_answer()
 
-    def _end(self, request: FcgiRequest, out: bytes, status: int = 0) -> None:
-        """STDOUT and END_REQUEST; nothing of this request comes after them."""
+    def _end_request(self, request: FcgiRequest, out: bytes, status: int = 0) -> None:
+        """Queue the output and END_REQUEST; nothing of this request is written after them."""
         request.ended = True
         del self.requests[request.number]
         if out:
@@ -287,7 +297,7 @@
                 Type.STDOUT, request.number
             )
         self.side.output += self.side.end(request.number, Status.REQUEST_COMPLETE, status)
-        if self.listener.draining or self.is_once():
+        if self.listener.draining or self.ends_after_answer():
             self.side.closing = True
 
     def flush(self) -> None:
@@ -296,8 +306,8 @@
             self.side.output.clear()
             self.transport.write(data)
 
-    def _after(self) -> None:
-        """Close, or wait for the next request."""
+    def _finish_answer(self) -> None:
+        """Close the connection, or wait for the next request."""
         if self.transport is None or self.transport.is_closing() or self.phase == Phase.LINGER:
             return
         last = self.side.closing or self.side.confused
@@ -312,49 +322,49 @@
         elif self.phase == Phase.WHOLE:
             self.phase = Phase.IDLE
             self.since = time.monotonic()
-            self.rest()
+            self.mark_idle()
         elif self.phase == Phase.HEAD and not self.side.is_within_record():
             self.phase = Phase.IDLE
 
-    # Flow control, and the end.
+    # Flow control, close and timeouts.
 
     def pause_writing(self) -> None:
-        """What the client does not take counts as buffered, and it is asked for nothing more."""
+        """Charge unread output to the budget, and stop reading requests and streams until the client reads again."""
         self.charge(self.budget)
-        self._read_on(False)
-        self._hold(True)
+        self._set_reading(False)
+        self._set_streams_full(True)
 
     def resume_writing(self) -> None:
         self.uncharge()
-        self._read_on(True)
-        self._hold(False)
+        self._set_reading(True)
+        self._set_streams_full(False)
 
-    def _hold(self, on: bool) -> None:
+    def _set_streams_full(self, on: bool) -> None:
         for request in list(self.requests.values()):
             if request.stream is not None:
                 request.stream.set_full(on)
 
-    def _read_on(self, on: bool) -> None:
+    def _set_reading(self, on: bool) -> None:
         if on == self.paused and self.transport is not None and not self.transport.is_closing():
             self.paused = not on
             (self.transport.resume_reading if on else self.transport.pause_reading)()
 
     def eof_received(self) -> None:
-        """The client has gone away; the transport closes."""
-        self.withdraw_all()
+        """Cancel the requests of a client that has closed its side; the transport then closes."""
+        self.cancel_all_requests()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.withdraw_all()
+        self.cancel_all_requests()
         self.uncharge()
-        self.listener.left(self)
+        self.listener.remove(self)
 
-    def withdraw_all(self) -> None:
-        """Nobody waits for the answers any more."""
+    def cancel_all_requests(self) -> None:
+        """Cancel all open requests; the client no longer waits for their answers."""
         for request in list(self.requests.values()):
-            taken, request.open = request.open, None
+            open_request, request.open_request = request.open_request, None
             request.ended, request.stream = True, None
-            if taken is not None:
-                taken.owner.cancel_by_client(taken)
+            if open_request is not None:
+                open_request.owner.cancel_by_client(open_request)
             request.release_body()
         self.requests.clear()
 
@@ -362,32 +372,32 @@
         return not self.requests and super().retire()
 
     def sweep(self, now: float) -> None:
-        """Limits in time."""
+        """Enforce timeouts."""
         if self.blocked and now - self.blocked > READ_STALL_S:
-            self.note_garbage()
+            self.record_malformed()
             self.abort()
         elif self.phase == Phase.LINGER:
             if now - self.since > LINGER_S and not self.blocked:
                 self.abort()
         elif self.phase == Phase.IDLE:
-            self.note_quiet(now)
-            if now - self.since > self.idle_most() and self.retire() and not self.asked:
-                self.note_silence()
+            self.record_unused(now)
+            if now - self.since > self.idle_timeout_s() and self.retire() and not self.request_count:
+                self.record_silence()
         else:
             self._sweep_requests(now)
 
     def _sweep_requests(self, now: float) -> None:
-        """Guards against requests that never come whole, and against records and params that never end."""
+        """Guard against requests that are never completed, and against records and params that never end."""
         for request in list(self.requests.values()):
-            if request.open is None and now - request.since > REQUEST_S:
-                self.note_silence()
+            if request.open_request is None and now - request.since > REQUEST_S:
+                self.record_silence()
                 self._reject(request, 408, "the request did not come to its end")
         if self.phase == Phase.HEAD and now - self.since > REQUEST_S:
-            self.note_silence()
+            self.record_silence()
             self.abort()
 
-    def refuse(self, words: bytes) -> None:
-        """No request has come, so none can be answered: closed once what comes is read."""
+    def refuse(self, response: bytes) -> None:
+        """Close the connection after reading what still arrives; no request has been read, so none can be answered."""
         assert self.transport is not None
         self.phase = Phase.LINGER
         self.since = time.monotonic()
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -1,7 +1,6 @@
-"""HTTP/1.1 on a client's connection: requests in, one answer each (RFC 9112).
+"""HTTP/1.1 on client connections: reads requests and writes one answer to each (RFC 9112).
 
-What a request's head means is its dialect's matter (frontends/dialect.py); accepting and evicting connections
-is the listener's.
+The dialect interprets request heads (frontends/dialect.py); the listener accepts and evicts connections.
 """
 
 from __future__ import annotations
@@ -31,26 +30,27 @@
 HEAD_MOST = 16 << 10
 #: Requests that may wait on one connection behind the one being served; guards against pipelining floods.
 PIPELINE_MOST = 16
-#: A body may take longer than a request has, as long as it moves: bytes a second, and seconds without any. Clients send
-#: at 64 kB a second and more. Guards against those that say more than they send, or send a byte now and then.
+#: A body may take longer than REQUEST_S while it keeps arriving: its least rate in bytes a second, and the longest
+#: pause in seconds. Clients send at 64 kB a second and more. Guards against clients that send less than they announce,
+#: or a byte now and then.
 BODY_RATE = 24_000
 BODY_STALL_S = 1.0
-#: An answer that the client does not take for this long is given up.
+#: An answer is abandoned once the client has not read any of it for this long.
 READ_STALL_S = 5.0
-#: What the kernel may hold of such an answer, in bytes; it doubles the figure.
+#: Send buffer of the kernel for streamed answers, in bytes; the kernel doubles the figure.
 STREAM_BUFFER = 128 << 10
-#: After the last answer a connection is ended in one direction and read for this long, so that what is
-#: still coming does not reset it before the client has read the answer.
+#: After the last answer the sending direction is closed, and the connection is read for this long, so that data still
+#: arriving does not reset it before the client has read the answer.
 LINGER_S = 1.0
-#: What is read and thrown away on such a connection at most; guards against being kept busy by the rest of an
-#: upload that has been turned away.
+#: Bytes read and discarded on such a connection at most; guards against spending time on the rest of a rejected
+#: upload.
 LINGER_MOST = 128 << 10
 
 IDLE, HEAD, BODY, WHOLE, LINGER, TUNNEL = Phase
 
 
 class ClientConnection(FrontConnection):
-    """One connection of a client; one request at a time is served on it."""
+    """One HTTP/1.1 client connection, on which one request at a time is served."""
 
     def __init__(self, listener: Listener, sock: socket.socket, overflow: bool, peer: str) -> None:
         self.listener, self.sock, self.overflow, self.peer = listener, sock, overflow, peer
@@ -58,61 +58,61 @@
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.request: OpenRequest | None = None  # being served
         self.waiting: deque[Union[RoutedRequest, Reply]] = deque()
-        self.since = time.monotonic()  # of the phase
+        self.since = time.monotonic()  # time at which the phase began
         self.phase: Phase = IDLE
-        self.heard = self.since  # when more of a body last came
+        self.body_received_at = self.since  # when data of a body last arrived
         self.closing = False  # no further request is read
-        self.bodiless = False  # the request being served asks for a head alone
-        self.old = False  # it came in HTTP/1.0
-        self.close_after = False  # the request being served is the last
-        self.paused = False  # reading
-        self.upload: Upload | None = None  # the body that is sent on as it comes
-        self.reading_upload = False  # the parser is in it
-        self.parts: list[bytes] = []  # of it, found by the parser and not given yet
-        self.held = False  # the member takes no more of it for now
-        self.held_at = 0.0  # monotonic, since when
+        self.bodiless = False  # the answer to the request being served has no body (HEAD)
+        self.is_http10 = False  # the request being served came in HTTP/1.0
+        self.close_after = False  # the connection is closed after the answer to the request being served
+        self.paused = False  # reading is paused
+        self.upload: Upload | None = None  # the body that is being streamed
+        self.reading_upload = False  # the parser is inside the streamed body
+        self.upload_parts: list[bytes] = []  # of the streamed body, parsed and not passed on yet
+        self.upload_paused = False  # the member applies backpressure to the streamed body
+        self.upload_paused_at = 0.0  # monotonic time of the last change
         self.discarded = 0  # bytes read after the last answer
-        self.stream: Stream | None = None  # the answer that goes out
-        self.chunked = False  # it does so in chunks
-        self.tunnel: Tunnel | None = None  # once both sides have gone over to another protocol
-        self.early = b""  # bytes behind a request for that, before it was answered
-        self._begin()
+        self.stream: Stream | None = None  # the answer that is being streamed
+        self.chunked = False  # the streamed answer uses chunked encoding
+        self.tunnel: Tunnel | None = None  # set once both sides have switched to another protocol
+        self.early_bytes = b""  # bytes after a request to switch protocols, received before its answer
+        self._begin_request()
 
-    def _begin(self) -> None:
+    def _begin_request(self) -> None:
         self.head = self.listener.reader.new_head(self.peer)
-        self.head.secure, self.head.names = self.secure, self.names
+        self.head.secure, self.head.certificate_names = self.secure, self.certificate_names
         self.body: bytearray | None = None
-        self.uploaded = 0  # bytes of it that have come
-        self.length: int | None = None  # that is stated for it
-        self.long = False  # it is longer than what is held
+        self.body_received = 0  # bytes
+        self.length: int | None = None  # stated length of the body
+        self.is_too_long_to_buffer = False  # the body must be streamed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.joined(transport)
+        self.register(transport)
         if self.secure:
-            self._begin()
+            self._begin_request()
 
-    # What the parser finds.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        self._begin()
+        self._begin_request()
         if self.phase == IDLE:
-            self.wake()
-            if self.asked:
+            self.mark_active()
+            if self.request_count:
                 self.since = time.monotonic()
         self.phase = HEAD
 
     def on_url(self, url: bytes) -> None:
         self.head.url += url
-        self._count(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._count(len(name) + len(value))
+        self._count_head_bytes(len(name) + len(value))
         if self.phase != HEAD:  # trailers
             return
         self.head.add(name, value)
 
-    def _count(self, more: int) -> None:
-        self.head.size += more
+    def _count_head_bytes(self, size: int) -> None:
+        self.head.size += size
         if self.head.size > HEAD_MOST:
             raise RejectError(431, "head too large")
 
@@ -120,30 +120,30 @@
         head = self.head
         assert self.parser is not None
         head.method = self.parser.get_method()
-        head.old = self.parser.get_http_version() != "1.1"
-        destination = head.destination = head.reader.place(head)
-        self.length = int(head.noted[b"content-length"]) if b"content-length" in head.noted else None
+        head.is_http10 = self.parser.get_http_version() != "1.1"
+        destination = head.destination = head.reader.find_destination(head)
+        self.length = int(head.inspected[b"content-length"]) if b"content-length" in head.inspected else None
         if (self.length or 0) > max(destination.body_most, destination.upload_most):
             raise RejectError(413, "body too large")
-        self.long = (self.length or 0) > destination.body_most
+        self.is_too_long_to_buffer = (self.length or 0) > destination.body_most
         self.phase = BODY
-        waits = head.noted.get(b"expect", b"").lower() == b"100-continue"
-        if waits and self.request is None and not self.waiting:
+        expects_continue = head.inspected.get(b"expect", b"").lower() == b"100-continue"
+        if expects_continue and self.request is None and not self.waiting:
             assert self.transport is not None
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        self.uploaded += len(data)
+        self.body_received += len(data)
         destination = self.head.destination
         assert destination is not None
-        if self.uploaded > max(destination.body_most, destination.upload_most):
+        if self.body_received > max(destination.body_most, destination.upload_most):
             raise RejectError(413, "body too large")
         if self.reading_upload:
-            self.parts.append(data)
+            self.upload_parts.append(data)
             return
         if self.body is None:
             self.body = bytearray()
-        self.long = self.long or self.uploaded > destination.body_most
+        self.is_too_long_to_buffer = self.is_too_long_to_buffer or self.body_received > destination.body_most
         if not destination.budget.try_acquire_upload(len(data)):
             raise RejectError(503, "too much is being uploaded")
         self.body += data
@@ -152,76 +152,79 @@
         if self.reading_upload:
             self.reading_upload = False
             self.phase = WHOLE
-            self.note_request()
+            self.record_request()
             return
         if len(self.waiting) >= PIPELINE_MOST:
             raise RejectError(503, "too many requests at once")
         assert self.parser is not None
         head = self.head
-        head.close = head.old or not self.parser.should_keep_alive()
+        head.close = head.is_http10 or not self.parser.should_keep_alive()
         item = head.reader.read(head, self.body, self)
         if isinstance(item, RoutedRequest):
-            self.body = None  # it is the request's now
+            self.body = None  # now owned by the request
         else:
             self._release_body()
         self.waiting.append(item)
         self.phase = WHOLE
-        self.note_request()
+        self.record_request()
 
     # Receiving.
 
     def data_received(self, data: bytes) -> None:
         data = self.unwrap(data)
-        if not data or self._takes_otherwise(data):
+        if not data or self._consume_other_data(data):
             return
         assert self.parser is not None
         if self.phase == BODY:
-            self.heard = time.monotonic()
+            self.body_received_at = time.monotonic()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as problem:
             self._upgrade(data, problem)
         except httptools.HttpParserError as problem:
-            self._unreadable(problem)
+            self._handle_parser_error(problem)
         else:
-            if self.phase == HEAD:  # a name or value that does not end stays in the parser
+            if self.phase == HEAD:  # the parser does not report a name or value until it ends
                 self.head.size += len(data)
                 if self.head.size > 2 * HEAD_MOST:
                     self._reject(431, "head too large")
-            self._pass_body()
-        self._next()
+            self._forward_body()
+        self._serve_waiting()
 
-    def _takes_otherwise(self, data: bytes) -> bool:
-        """Whether what has come is not of a request: behind the last answer, of another protocol, or ahead of that."""
+    def _consume_other_data(self, data: bytes) -> bool:
+        """Consume data that is not part of a request, and return whether it was.
+
+        That is data after the last answer, of another protocol, or sent before the switch to it was answered.
+        """
         if self.tunnel is not None:
             self.tunnel.from_client(data)
         elif self.closing:
             self.discarded += len(data)
             if self.discarded > LINGER_MOST:
-                self._read_on(False)
+                self._set_reading(False)
         elif self.request is not None and self.request.upgrade:
-            self._keep_early(data)
+            self._buffer_early_bytes(data)
         else:
             return False
         return True
 
-    def _pass_body(self) -> None:
-        """Outside the parser's callbacks: what a member does with it may end the request."""
+    def _forward_body(self) -> None:
+        """Pass on the parsed part of the body; not in a parser callback, as the member may end the request."""
         if self.upload is not None:
-            self._go_on_with(self.upload)
-        elif self.long and self.phase == BODY and self.body is not None and not self.closing:
+            self._continue_upload(self.upload)
+        elif self.is_too_long_to_buffer and self.phase == BODY and self.body is not None and not self.closing:
             self._begin_upload()
 
-    # A body that is too long to be held.
+    # Streaming of bodies that are too long to be buffered.
 
     def _begin_upload(self) -> None:
-        """Its request is taken now, with what has come."""
+        """Begin to stream the body, and submit its request now with the part that has arrived."""
         head, destination, body = self.head, self.head.destination, self.body
         assert destination is not None and body is not None and self.parser is not None
-        if self.request is not None or self.waiting:  # another one is open on this connection
+        if self.request is not None or self.waiting:  # another request is open on this connection
             self._reject(413, "body too large behind another request")
             return
-        head.close = head.old or not self.parser.should_keep_alive()
+        head.close = head.is_http10 or not self.parser.should_keep_alive()
         upload = Upload(self, self.length, body, destination.budget, self._upload_lost)
         head.upload, self.upload, self.body = upload, upload, None
         self.reading_upload = True
@@ -239,11 +242,11 @@
         item.request.upload = upload
         self.waiting.append(item)
 
-    def _go_on_with(self, upload: Upload) -> None:
-        parts, self.parts = self.parts, []
-        if parts:
-            upload.receive(b"".join(parts))
-        if self.upload is upload and not self.reading_upload:  # neither answered meanwhile nor still coming
+    def _continue_upload(self, upload: Upload) -> None:
+        upload_parts, self.upload_parts = self.upload_parts, []
+        if upload_parts:
+            upload.receive(b"".join(upload_parts))
+        if self.upload is upload and not self.reading_upload:  # not answered meanwhile, and complete
             self.upload = None
             upload.end()
             if self.request is not None:
@@ -254,25 +257,25 @@
             self.request.owner.upload_lost(self.request)
 
     def hold(self, on: bool) -> None:
-        """The member takes no more of the body now, or takes more again."""
+        """Pause or resume reading the body, as the member applies backpressure."""
         if self.tunnel is not None:
-            self._read_on(not on)
+            self._set_reading(not on)
             return
-        self.held, self.held_at = on, time.monotonic()
+        self.upload_paused, self.upload_paused_at = on, time.monotonic()
         if not self.closing:
-            self._read_on(not on and not self.waiting)
+            self._set_reading(not on and not self.waiting)
 
-    def _unreadable(self, problem: httptools.HttpParserError) -> None:
+    def _handle_parser_error(self, problem: httptools.HttpParserError) -> None:
         cause = problem.__context__
         if isinstance(cause, RejectError):
             self._reject(cause.status, cause.why)
         elif isinstance(problem, httptools.HttpParserCallbackError) and cause is not None:
-            raise cause from None  # a defect of ours
+            raise cause from None  # a defect in this program
         else:
             self._reject(400, "not HTTP/1.1")
 
     def _upgrade(self, data: bytes, problem: httptools.HttpParserUpgrade) -> None:
-        """The request asked for another protocol, and what follows might be in it."""
+        """Handle a request for another protocol; the data after it may belong to that protocol."""
         if not self.head.reader.ignores_upgrade or self.head.method == b"CONNECT":
             self._reject(400, "not HTTP/1.1")
             return
@@ -281,108 +284,115 @@
         if not rest:
             return
         if self.waiting and isinstance(self.waiting[-1], RoutedRequest) and self.waiting[-1].request.upgrade:
-            self._keep_early(rest)
+            self._buffer_early_bytes(rest)
         else:
             self.data_received(rest)
 
-    def _keep_early(self, data: bytes) -> None:
-        """Bytes of the other protocol, ahead of its answer. They are for the member that goes over to it, or for
-        nobody: read as a request they could be what somebody else has put there (RFC 9110, 7.8)."""
-        self.early += data
-        if len(self.early) > HEAD_MOST:
-            self._read_on(False)
+    def _buffer_early_bytes(self, data: bytes) -> None:
+        """Keep bytes of the other protocol until the request to switch is answered.
+
+        They go to the member if it switches, and are discarded otherwise. They must not be parsed as a request, because
+        a third party could have planted one in them (RFC 9110, 7.8).
+        """
+        self.early_bytes += data
+        if len(self.early_bytes) > HEAD_MOST:
+            self._set_reading(False)
 
-    # Another protocol.
+    # Tunnels after a protocol switch.
 
     def begin_tunnel(self, lines: list[bytes], reason: bytes, tunnel: Tunnel) -> None:
         assert self.transport is not None
         self.tunnel, self.request, self.phase = tunnel, None, TUNNEL
-        self.request_over(True)
+        self.end_request(True)
         self.transport.write(
             b"HTTP/1.1 101 %b\r\n%b\r\n" % (reason or b"Switching Protocols", b"".join(lines))
         )
-        early, self.early = self.early, b""
-        if early:
-            tunnel.from_client(early)
-        self._read_on(True)
+        early_bytes, self.early_bytes = self.early_bytes, b""
+        if early_bytes:
+            tunnel.from_client(early_bytes)
+        self._set_reading(True)
 
     def send(self, data: bytes) -> None:
-        if not self._gone():
+        if not self._is_closed():
             assert self.transport is not None
             self.transport.write(data)
 
     def shut(self) -> None:
-        if not self._gone():
+        if not self._is_closed():
             assert self.transport is not None
             self.transport.close()
             asyncio.get_running_loop().call_later(READ_STALL_S, self.abort)
 
     def finish(self) -> None:
-        if not self._gone():
+        if not self._is_closed():
             assert self.transport is not None
             self.end_writing()
 
     def _reject(self, status: int, why: str) -> None:
-        """Answered in its turn; nothing after it can be read."""
+        """Queue an error answer behind the earlier requests; nothing more is read from the connection."""
         self.closing = True
         if status in (400, 431, 501):
-            self.note_garbage()
+            self.record_malformed()
         self.listener.evictable.remove(self)
         self._release_body()
         self.waiting.append(Reply(status, why, True))
 
-    def _next(self) -> None:
-        """Serve what waits, in order, until one takes its time."""
-        while self.request is None and self.waiting and not self._gone():
+    def _serve_waiting(self) -> None:
+        """Serve the waiting requests in order, until one has been submitted to its pool."""
+        while self.request is None and self.waiting and not self._is_closed():
             item = self.waiting.popleft()
             self.close_after = item.close
             if isinstance(item, Reply):
-                self._write(item.status, self._own(item.status), item.why.encode() + b"\n", served=False)
-                self._after()
+                self._write(
+                    item.status, self._proxy_status(item.status), item.why.encode() + b"\n", served=False
+                )
+                self._finish_answer()
             elif self.overflow:
-                self._turn_away(item, 503, b"too many connections\n")
+                self._refuse_request(item, 503, b"too many connections\n")
             elif item.proxy.is_known(item.request):
-                self._turn_away(item, 409, b"this X-Txn has been used\n")
+                self._refuse_request(item, 409, b"this X-Txn has been used\n")
             elif item.proxy.is_shut_out():
                 lines = retry_after(item.proxy.retry_after_s)
-                self._turn_away(item, 503, b"this proxy is not of its fleet now\n", False, lines)
+                self._refuse_request(item, 503, b"this proxy is not of its fleet now\n", False, lines)
             elif not item.proxy.has_room():
-                self._turn_away(item, 503, b"this pool has all it can hold\n", False)
-            elif not self.may_ask():
+                self._refuse_request(item, 503, b"this pool has all it can hold\n", False)
+            elif not self.try_begin_request():
                 lines = retry_after(RETURN_S)
-                self._turn_away(item, 503, b"too many requests at once from this address\n", False, lines)
+                self._refuse_request(
+                    item, 503, b"too many requests at once from this address\n", False, lines
+                )
             else:
                 self.request = item.request
-                self.bodiless, self.old = item.request.bodiless, item.old
-                item.begin()
+                self.bodiless, self.is_http10 = item.request.bodiless, item.is_http10
+                item.submit()
         if not self.closing:
-            self._read_on(not self.waiting and not self.held)
+            self._set_reading(not self.waiting and not self.upload_paused)
 
-    def _own(self, status: int) -> list[bytes]:
-        """What names an answer as ours."""
-        return frontend_proxy_status(status) if self.listener.reader.names_itself else []
+    def _proxy_status(self, status: int) -> list[bytes]:
+        """Return the Proxy-Status header that marks an answer as made by the proxy, if the dialect adds it."""
+        return frontend_proxy_status(status) if self.listener.reader.adds_proxy_status else []
 
-    def _turn_away(
+    def _refuse_request(
         self, item: RoutedRequest, status: int, why: bytes, close: bool = True, lines: Sequence[bytes] = ()
     ) -> None:
-        """Answered before it was taken: it has not run."""
+        """Answer a request before it reaches its pool; it has not run."""
         item.proxy.count_rejected(item.request, item.cls, status)
         self.close_after = self.close_after or close or self.upload is not None
         if self.upload is not None:
             self.upload.close()
             self.upload = None
         self.bodiless = item.request.bodiless
-        self._write(status, [*lines, *self._own(status)], why)
-        self._after()
+        self._write(status, [*lines, *self._proxy_status(status)], why)
+        self._finish_answer()
 
-    def _read_on(self, on: bool) -> None:
-        """Guards against pipelining floods: nothing is read while a whole request waits."""
-        if on == self.paused and not self._gone():
+    def _set_reading(self, on: bool) -> None:
+        """Resume or pause reading. Guards against pipelining floods: nothing is read while a complete request waits."""
+        if on == self.paused and not self._is_closed():
             assert self.transport is not None
             self.paused = not on
             (self.transport.resume_reading if on else self.transport.pause_reading)()
 
-    def _gone(self) -> bool:
+    def _is_closed(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
     # Answering.
@@ -396,25 +406,28 @@
         length: int | None = None,
         reason: bytes = b"",
     ) -> None:
-        """`length`: the one that the answer to HEAD, or a 304, states without a body."""
-        # The rest of an upload is not waited for, and what came ahead of another protocol is nobody's.
-        self.close_after = self.close_after or close or self.upload is not None or bool(self.early)
+        """Write a whole answer; `length` is stated in the answer to HEAD, or in a 304, without a body."""
+        # Close the connection rather than wait for the rest of an upload, or if it has bytes of another protocol.
+        self.close_after = self.close_after or close or self.upload is not None or bool(self.early_bytes)
         self.upload = None
-        self.parts.clear()
+        self.upload_parts.clear()
         self._write(status, lines, body, length, reason)
         self.request = None
-        self.request_over(status < 500 and not self.blocked)
-        self._after()
+        self.end_request(status < 500 and not self.blocked)
+        self._finish_answer()
 
     def begin_answer(
         self, status: int, lines: list[bytes], length: int | None, reason: bytes, stream: Stream
     ) -> None:
-        """An answer of unknown length goes in chunks; to a client of HTTP/1.0 until the connection ends."""
+        """Write the head of a streamed answer.
+
+        An answer of unknown length is chunked; to an HTTP/1.0 client it ends with the connection.
+        """
         assert self.transport is not None
         self.stream = stream
-        self.chunked = length is None and not self.old
-        self.close_after = self.close_after or (length is None and self.old) or self._is_last(True)
-        # The kernel would take megabytes for a client that reads slowly, and hide for long whether it reads at all.
+        self.chunked = length is None and not self.is_http10
+        self.close_after = self.close_after or (length is None and self.is_http10) or self._is_last(True)
+        # By default the kernel buffers megabytes for a slow client, which long hides whether it reads at all.
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, STREAM_BUFFER)
         self.transport.write(
             encode_stream_head(
@@ -424,7 +437,7 @@
 
     def take_part(self, data: bytes) -> None:
         assert self.transport is not None
-        if self._gone():
+        if self._is_closed():
             return
         if self.chunked:
             self.transport.writelines((b"%x\r\n" % len(data), data, b"\r\n"))
@@ -433,22 +446,22 @@
 
     def take_end(self) -> None:
         assert self.transport is not None
-        if self.chunked and not self._gone():
+        if self.chunked and not self._is_closed():
             self.transport.write(b"0\r\n\r\n")
-        self._stream_over(True)
-        self._after()
+        self._end_stream(True)
+        self._finish_answer()
 
     def break_off(self) -> None:
-        """Reset: whatever the framing, the client sees that this was not all."""
-        self._stream_over(False)
+        """Abort the answer with a reset, so that the client sees that it is incomplete whatever its framing."""
+        self._end_stream(False)
         with suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.closing = True
         self.abort()
 
-    def _stream_over(self, good: bool) -> None:
+    def _end_stream(self, good: bool) -> None:
         self.stream = self.request = None
-        self.request_over(good and not self.blocked)
+        self.end_request(good and not self.blocked)
 
     def _write(
         self,
@@ -475,16 +488,18 @@
         self.bodiless = False
 
     def _is_last(self, served: bool) -> bool:
-        """Whether this answer ends the connection. Never one behind which another request waits or is being read: those
-        are ours already, at the end of the process too."""
+        """Return whether the connection is closed after this answer.
+
+        It is not while another request waits or is being received: that one must be served, during shutdown too.
+        """
         if self.phase != WHOLE or self.waiting:
             return False
         if self.listener.draining:
             return not self._peek()
-        return self.is_once() or not self.listener.pressure.keeps(self.asked, served)
+        return self.ends_after_answer() or not self.listener.pressure.keeps(self.request_count, served)
 
-    def _after(self) -> None:
-        """The answer is written: close, or wait for the next request."""
+    def _finish_answer(self) -> None:
+        """Close the connection after an answer, or go on to the next request."""
         assert self.transport is not None
         self.since = time.monotonic()
         if self.close_after:
@@ -492,18 +507,18 @@
             self.phase = LINGER
             self.listener.evictable.lingering[self] = None
             while self.waiting:
-                self._drop(self.waiting.popleft())
+                self._drop_waiting(self.waiting.popleft())
             self._release_body()
-            self._read_on(True)
-            if not self._gone():
+            self._set_reading(True)
+            if not self._is_closed():
                 self.end_writing()
         elif self.waiting:
-            asyncio.get_running_loop().call_soon(self._next)
+            asyncio.get_running_loop().call_soon(self._serve_waiting)
         elif self.phase == WHOLE:
             self.phase = IDLE
-            self.rest()
+            self.mark_idle()
 
-    def _drop(self, item: RoutedRequest | Reply) -> None:
+    def _drop_waiting(self, item: RoutedRequest | Reply) -> None:
         if isinstance(item, RoutedRequest):
             item.proxy.drop(item.request)
 
@@ -512,7 +527,7 @@
             self.head.destination.budget.release(len(self.body))
         self.body = None
 
-    # Flow control, and the end.
+    # Flow control, close and timeouts.
 
     def pause_writing(self) -> None:
         if self.tunnel is not None:
@@ -532,41 +547,41 @@
             self.stream.set_full(False)
 
     def eof_received(self) -> bool | None:
-        """The client has gone away; the transport closes. Of a tunnel, one direction does."""
+        """Cancel the requests of a client that has closed its side; in a tunnel, end only that direction."""
         if self.tunnel is not None:
             self.tunnel.finish(False)
             return True
-        self.withdraw_all()
+        self.cancel_all_requests()
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.tunnel is not None:
             self.tunnel.lost()
-        self.withdraw_all()
+        self.cancel_all_requests()
         self.uncharge()
-        self.listener.left(self)
-        self.parser = None  # they hold one another, and would stay until the collector comes by
+        self.listener.remove(self)
+        self.parser = None  # breaks a reference cycle, which would keep both until garbage collection
 
-    def withdraw_all(self) -> None:
+    def cancel_all_requests(self) -> None:
         self.closing = True
         request, self.request = self.request, None
         self.stream = self.upload = None
         if request is not None:
             request.owner.cancel_by_client(request)
         while self.waiting:
-            self._drop(self.waiting.popleft())
+            self._drop_waiting(self.waiting.popleft())
         self._release_body()
 
     def sweep(self, now: float) -> None:
-        """Limits in time. Those of a tunnel are its own (tunnels.py)."""
+        """Enforce timeouts; a tunnel has its own (tunnels.py)."""
         if self.phase != TUNNEL:
             self._sweep_request(now, now - self.since)
 
     def _sweep_request(self, now: float, waited: float) -> None:
-        if self.blocked and self.takes():
+        if self.blocked and self.has_write_progress():
             self.blocked = now
         if self.blocked and now - self.blocked > READ_STALL_S:
-            self.note_garbage()
+            self.record_malformed()
             self.abort()
         elif self.phase == LINGER:
             if waited > LINGER_S and not self.blocked:
@@ -574,50 +589,52 @@
         elif self.upload is not None:
             self._sweep_upload(now)
         elif self.phase in (HEAD, BODY) and self.request is None:
-            if waited > REQUEST_S and not self._moves(now, waited):
+            if waited > REQUEST_S and not self._is_body_arriving(now, waited):
                 self._expire()
         elif self.phase == IDLE:
-            self.note_quiet(now)
-            if waited > self.idle_most() and self.retire() and not self.asked:
-                self.note_silence()
+            self.record_unused(now)
+            if waited > self.idle_timeout_s() and self.retire() and not self.request_count:
+                self.record_silence()
 
     def _sweep_upload(self, now: float) -> None:
-        """Guards members against clients that stop half way, and clients against members that take nothing.
-
-        The time in which a member takes nothing is not the client's."""
-        if self.held and self.request is not None:
-            self.since += now - max(self.heard, self.held_at)
-            self.heard = now
-            if now - self.held_at > STALL_S:
-                self.request.owner.upload_failed(self.request, 503)  # no member has it whole: it has not run
-        elif now - self.since > REQUEST_S and not self._moves(now, now - self.since):
+        """Enforce the timeouts of a streamed body.
+
+        Guards members against clients that stop half way, and clients against members that read nothing. Time in which
+        the member applies backpressure does not count against the client.
+        """
+        if self.upload_paused and self.request is not None:
+            self.since += now - max(self.body_received_at, self.upload_paused_at)
+            self.body_received_at = now
+            if now - self.upload_paused_at > STALL_S:
+                self.request.owner.upload_failed(self.request, 503)  # no member has all of it: it has not run
+        elif now - self.since > REQUEST_S and not self._is_body_arriving(now, now - self.since):
             self._expire()
 
-    def _moves(self, now: float, waited: float) -> bool:
-        """Whether a body is still coming, and fast enough that it will end."""
-        if self.phase != BODY or now - self.heard > BODY_STALL_S:
+    def _is_body_arriving(self, now: float, waited: float) -> bool:
+        """Return whether a body is still arriving, and at the least rate."""
+        if self.phase != BODY or now - self.body_received_at > BODY_STALL_S:
             return False
-        return self.uploaded >= BODY_RATE * (waited - REQUEST_S)
+        return self.body_received >= BODY_RATE * (waited - REQUEST_S)
 
-    def refuse(self, words: bytes) -> None:
+    def refuse(self, response: bytes) -> None:
         assert self.transport is not None
         self.closing = True
         self.listener.evictable.remove(self)
-        self.transport.write(words)
+        self.transport.write(response)
         self.close_after = True
-        self._after()
+        self._finish_answer()
 
     def _expire(self) -> None:
-        self.note_silence()
+        self.record_silence()
         if self.request is not None:
             self.request.owner.upload_failed(self.request, 408)
             return
         self._reject(408, "the request did not come to its end")
-        self._next()
+        self._serve_waiting()
 
     def is_busy(self) -> bool:
-        """Whether anything is still owed on it."""
+        """Return whether the connection still has an answer to give or to write."""
         return self.phase != LINGER or bool(self.blocked)
 
-    def owes(self) -> bool:
+    def has_waiting_requests(self) -> bool:
         return bool(self.waiting)
--- a/loadbalancer/frontends/http1_answers.py
+++ b/loadbalancer/frontends/http1_answers.py
@@ -1,4 +1,4 @@
-"""Answers to clients in HTTP/1.1, as bytes (RFC 9112, 4). No connection is known here."""
+"""Encodes answers to clients in HTTP/1.1 (RFC 9112, 4). Independent of connections."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
     stated_length: int | None = None,
     reason: bytes = b"",
 ) -> bytes:
-    """Encode an answer that is held whole.
+    """Encode a complete answer.
 
     Args:
-        status: Its status.
-        lines: Headers, each with its end.
-        body: Its body.
-        is_last: Whether the connection ends with it.
-        is_bodiless: Whether the request asked for a head alone.
-        stated_length: Length that an answer without a body states.
-        reason: Its reason phrase, where it is not the usual one.
+        status: The status code.
+        lines: Header lines, each with its CRLF.
+        body: The body.
+        is_last: Whether the connection is closed after the answer.
+        is_bodiless: Whether the request was HEAD.
+        stated_length: Content-Length of an answer that has no body.
+        reason: The reason phrase; empty for the usual one.
     """
     framing = _length(len(body))
     if is_bodiless or status in BODILESS:
@@ -55,15 +55,15 @@
     is_chunked: bool,
     reason: bytes = b"",
 ) -> bytes:
-    """Encode the head of an answer whose body follows as it comes.
+    """Encode the head of an answer whose body is streamed.
 
     Args:
-        status: Its status.
-        lines: Headers, each with its end.
-        length: Of its body, where that is known.
-        is_last: Whether the connection ends with it.
-        is_chunked: Whether the body goes in chunks, where its length is not known.
-        reason: Its reason phrase, where it is not the usual one.
+        status: The status code.
+        lines: Header lines, each with its CRLF.
+        length: Length of the body; None if it is not known.
+        is_last: Whether the connection is closed after the answer.
+        is_chunked: Whether a body of unknown length is chunked.
+        reason: The reason phrase; empty for the usual one.
     """
     framing = b"Transfer-Encoding: chunked\r\n" if is_chunked else b""
     if length is not None:
@@ -72,17 +72,17 @@
 
 
 def encode_refusal(retry_after_s: float = 0.0) -> bytes:
-    """Encode the 503 of a connection of which nothing was read.
+    """Encode the 503 answer on a connection that is refused before a request was read.
 
     Args:
-        retry_after_s: Seconds after which the client may return; 0 says nothing.
+        retry_after_s: Seconds after which the client may retry; 0 for no Retry-After header.
     """
     lines = retry_after(retry_after_s) if retry_after_s else ()
     return _encode_head(503, lines, _length(0), True, b"")
 
 
 def retry_after(seconds: float) -> tuple[bytes]:
-    """How a refusal says when to return (RFC 9110, 10.2.3): whole seconds, one at least."""
+    """Return the Retry-After header of a refusal (RFC 9110, 10.2.3): whole seconds, at least one."""
     return (b"Retry-After: %d\r\n" % max(1, round(seconds)),)
 
 
--- a/loadbalancer/frontends/listener.py
+++ b/loadbalancer/frontends/listener.py
@@ -1,6 +1,6 @@
-"""A listener and its admission: accepting, making room, turning away, draining.
+"""A listening socket: the accept loop, admission, eviction of idle connections, refusals and draining.
 
-No byte of a request is read here: what a connection carries is the matter of the protocol's file.
+Requests are read by the protocol modules, not here.
 """
 
 from __future__ import annotations
@@ -22,42 +22,43 @@
 from loadbalancer.read_first_timer import read_what_has_arrived
 from loadbalancer.resource_limits import RateLimitedLogger
 
-if TYPE_CHECKING:  # loaded where a listener has rules of its own
+if TYPE_CHECKING:  # imported only where a listener has admission rules
     from loadbalancer.frontends.admission_gate import AdmissionGate, AdmittedConnection
     from loadbalancer.frontends.reserve_descriptors import ReserveDescriptors
-if TYPE_CHECKING:  # loaded where a listener speaks TLS
+if TYPE_CHECKING:  # imported only where a listener speaks TLS
     from loadbalancer.frontends.tls_listener import TlsAcceptor
 
-#: New connections taken in one go at least, whatever presses: so many times `accept` empties the kernel's queue.
+#: Least number of connections that one call of `accept` accepts, at the highest pressure; it bounds how many calls
+#: empty the kernel's queue.
 ACCEPT_LEAST = STEPS[-1].accepts
-#: A connection that has said nothing for this long is closed before all others to make room; until then its first
-#: bytes may be on their way, and one that has been answered and is idle makes room for it.
+#: A connection that has sent no request for this long is evicted before all others. Until then its first bytes may
+#: be in flight, and idle connections that have been answered are evicted before it.
 SILENT_S = 0.1
-#: For this long after an answer the next request may be on its way.
+#: For this long after an answer the next request may be in flight.
 RECENT_S = QUIET_S
-#: How long nothing is accepted after the kernel had no descriptor to give; trying on would take all the CPU.
-ACCEPT_REST_S = 0.05
-#: How often limits in time are looked at.
+#: Pause of the accept loop after the process ran out of descriptors; retrying at once would use all the CPU.
+ACCEPT_PAUSE_S = 0.05
+#: Interval between checks of the timeouts of connections.
 SWEEP_S = 0.25
-#: After SIGTERM new connections go on coming for 0.4 s; they are served for this long.
+#: How long new connections are accepted after SIGTERM; they keep coming for 0.4 s.
 DRAIN_OPEN_S = 0.5
-#: Between the block of new connections and the close: handshakes that have begun come to their end. A client may count
-#: as connected before, and its request would be reset.
-HANDSHAKE_S = 0.05
-#: While draining, a connection on which nothing has come for this long is idle.
+#: Time between blocking new connections and closing the socket, for handshakes that have begun to complete. A client
+#: may count as connected before its handshake completes, and its request would be reset.
+HANDSHAKE_WAIT_S = 0.05
+#: While draining, a connection that has waited for its next request for this long is closed as idle.
 DRAIN_IDLE_S = 0.2
-#: While another process takes the new clients, idle connections may stay until this long before the end,
-LAST_S = 0.4
-#: unless they have been idle for so long that hardly anybody will ask again on them, in seconds.
-KEPT_S = 2.0
-#: The last answers get this long to leave our buffers.
+#: While another process accepts the new clients, idle connections may stay until this long before the deadline,
+HANDOVER_MARGIN_S = 0.4
+#: unless they have been idle for this many seconds, after which another request on them is unlikely.
+HANDOVER_IDLE_S = 2.0
+#: Time for the last answers to leave the write buffers.
 FLUSH_S = 0.1
-#: Bytes read of a connection that is turned away on the spot.
-GLANCE_MOST = 16 << 10
+#: Bytes read from a connection that is refused right after it was accepted.
+REFUSAL_READ_MOST = 16 << 10
 
 
 class ConnectionFactory(Protocol):
-    """Makes the protocol's side of a connection."""
+    """Makes the protocol object of an accepted connection."""
 
     def __call__(
         self, listener: Listener, sock: socket.socket, overflow: bool, peer: str
@@ -65,61 +66,68 @@
 
 
 class Listener:
-    """One listening socket, and the connections of clients that came by it."""
+    """One listening socket, and the client connections accepted on it."""
 
     def __init__(
         self, reader: Reader, slots: tuple[int, int], logger: RateLimitedLogger, serve: ConnectionFactory
     ) -> None:
-        """`slots`: connections that it may hold, and more of them that it may hold to turn them away."""
+        """Create a listener that does not listen yet.
+
+        Args:
+            reader: The dialect of its clients.
+            slots: Connections that it may hold, and further ones that it may hold only to refuse their requests.
+            logger: Logs refusals and errors.
+            serve: Makes the protocol objects of connections.
+        """
         self.reader, self.logger, self._serve = reader, logger, serve
         self.most, self.overflow_most = slots
         self.connections: set[FrontConnection] = set()
         self.overflowing = 0
         self.pressure = Pressure()
-        self.gate: AdmissionGate | None = None  # rules for addresses
-        self.spares: ReserveDescriptors | None = None  # descriptors to refuse with when there are no others
-        self.tls: TlsAcceptor | None = None  # by which new connections come
-        self.speaks_http = True  # a refusal on the spot can be worded
+        self.gate: AdmissionGate | None = None  # admission rules for client addresses
+        self.spares: ReserveDescriptors | None = None  # for refusing connections when out of descriptors
+        self.tls: TlsAcceptor | None = None  # runs the handshakes of new connections; None without TLS
+        self.speaks_http = True  # an immediate refusal can carry a 503 answer
         self.evictable = EvictableConnections()
-        self._starting: set[asyncio.Task[None]] = set()
+        self._opening_tasks: set[asyncio.Task[None]] = set()
         self.draining = False
         self._loop = asyncio.get_running_loop()
         self._sock: socket.socket | None = None
         self._opening = 0
-        self._sweeping: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Bind and begin to accept; OSError where the address can't be had."""
+        """Bind and begin to accept; raise OSError if the address is not available."""
         return self.start(bind(address))
 
     def start(self, sock: socket.socket) -> tuple[str, int]:
-        """Accept on a socket that listens; it is the listener's from here on."""
+        """Begin to accept on a listening socket, which the listener now owns."""
         self._sock = sock
         self.shared = False  # another process listens on it too
-        self.was_offered = False  # another process may have it, and serve on it some time
+        self.was_offered = False  # another process may have received the socket, and may accept on it later
         self._loop.add_reader(sock, self.accept)
-        self._sweeping = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
         return self.address
 
     @property
     def listening(self) -> socket.socket | None:
-        """What it listens on, for one that takes over."""
+        """Return the listening socket, which a successor process may take over; None once it is closed."""
         return self._sock
 
     @property
     def accepting(self) -> bool:
-        """Whether new clients are taken."""
+        """Return whether new clients are accepted."""
         return self._sock is not None and not self.draining
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens; of a Unix socket `unix:` and the path, and 0."""
+        """Return host and port that it listens on; for a Unix socket `unix:` with the path, and 0."""
         assert self._sock is not None
         name = self._sock.getsockname()
         return (UNIX + name, 0) if isinstance(name, str) else (name[0], name[1])
 
     def accept(self) -> bool:
-        """Take what has connected; False once nothing waits any more."""
+        """Accept connections from the kernel's queue; return False once the queue is empty."""
         if self._sock is None:
             return False
         for _ in range(self.pressure.step.accepts):
@@ -131,15 +139,17 @@
                 self.logger("accept", problem)
                 self._evict()
                 self._refuse_with_spare()
-                self._rest()
+                self._pause_accepting()
                 return True
             self._admit(sock, address[0] if address else LOCAL)
         return True
 
     def _refuse_with_spare(self) -> None:
-        """Guards against clients that hang in the kernel's queue while there is no descriptor for them: each is taken
-        on a spare one, told to return later, and closed. Harm: one that a descriptor would soon have been free for
-        must come back."""
+        """Accept waiting connections on reserve descriptors, tell each client to retry later, and close them.
+
+        Guards against clients that hang in the kernel's queue while there is no descriptor for them. Harm: a client
+        must come back although a descriptor might soon have been free.
+        """
         if self.spares is None or self._sock is None:
             return
         for _ in range(self.pressure.step.accepts):
@@ -147,92 +157,96 @@
                 return
             try:
                 sock, _ = self._sock.accept()
-            except OSError:  # nobody waits any more, or somebody else has got the descriptor
+            except OSError:  # the queue is empty, or the freed descriptor was used elsewhere
                 self.spares.refill()
                 return
             self._turn_away(sock, RETURN_S)
             self.spares.refill()
 
-    def _rest(self) -> None:
-        """Guards against a listener that is always readable while there is no descriptor for what waits."""
+    def _pause_accepting(self) -> None:
+        """Pause the accept loop: without a free descriptor the socket stays readable and would wake it constantly."""
         if self._sock is not None and not self.draining:
             self._loop.remove_reader(self._sock)
-            self._loop.call_later(ACCEPT_REST_S, self._resume)
+            self._loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._sock is not None and not self.draining:
             self._loop.add_reader(self._sock, self.accept)
 
     def _admit(self, sock: socket.socket, peer: str) -> None:
-        """Past the limit idle connections make room; else the request is answered 503.
+        """Admit, refuse or overflow an accepted connection.
 
-        Guards against connections left in the kernel's queue: their requests are ours already."""
+        At the limit an idle connection is evicted; if there is none, the connection is kept only to answer its request
+        with 503. Guards against connections left in the kernel's queue, whose clients may already have sent a request.
+        """
         overflow, visit = False, None
         if self.gate is not None:
-            visit, ruling = self.gate.arrive(peer, self.most, self.taken)
-            if not self._obeys(visit, ruling):
+            visit, ruling = self.gate.admit_new(peer, self.most, self.taken)
+            if not self._apply_ruling(visit, ruling):
                 self._turn_away(sock, ruling.retry_after)
                 return
-        if self.taken >= self.most and not self._find_room(visit):
+        if self.taken >= self.most and not self._make_room(visit):
             overflow = True
             self.logger("too many connections", len(self.connections))
             if self.overflowing >= self.overflow_most:
-                self._forget_visit(visit)
+                self._release_admission(visit)
                 self._turn_away(sock)
                 return
             self.overflowing += 1
         self._opening += 1
-        self._measure()
+        self._measure_pressure()
         sock.setblocking(False)
         if sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        task = self._loop.create_task(self._start(sock, overflow, peer, visit))
-        self._starting.add(task)  # the loop alone would not keep it
-        task.add_done_callback(self._starting.discard)
-
-    def _find_room(self, visit: AdmittedConnection | None) -> bool:
-        """Whether one more gets in where all slots are taken: somebody else's idle connection makes room. Known clients
-        also get in past the limit, on the descriptors that are there for turning others away, and then for one
-        another."""
+        task = self._loop.create_task(self._open_connection(sock, overflow, peer, visit))
+        self._opening_tasks.add(task)  # the event loop keeps only a weak reference
+        task.add_done_callback(self._opening_tasks.discard)
+
+    def _make_room(self, visit: AdmittedConnection | None) -> bool:
+        """Return whether one more connection can be admitted while all slots are taken, after evicting an idle one.
+
+        Clients of known networks are also admitted past the limit, on the descriptors reserved for refusals; once those
+        are used up, they may evict one another.
+        """
         if self._evict():
             return True
         if visit is None or not visit.known:
             return False
-        past = max(0, self.taken - self.most) + self.overflowing
-        return past < self.overflow_most or self._evict(True)
+        over_limit = max(0, self.taken - self.most) + self.overflowing
+        return over_limit < self.overflow_most or self._evict(True)
 
     @property
     def taken(self) -> int:
-        """Slots, with those of connections that are being opened."""
+        """Return the number of slots in use, including connections that are still being opened."""
         return len(self.connections) + self._opening - self.overflowing
 
-    def _obeys(self, visit: AdmittedConnection, ruling: Ruling) -> bool:
-        """Carry a ruling out as far as it can be: False where the connection is refused."""
+    def _apply_ruling(self, visit: AdmittedConnection, ruling: Ruling) -> bool:
+        """Apply an admission ruling, with an eviction if it requires one; return False if the connection is refused."""
         if ruling.verdict == SWAP and not self._evict():
-            self._forget_visit(visit)
+            self._release_admission(visit)
         elif ruling.verdict != REFUSE:
             return True
         self.logger(f"refused: {ruling.why}", visit.address)
         return False
 
-    def _forget_visit(self, visit: AdmittedConnection | None) -> None:
+    def _release_admission(self, visit: AdmittedConnection | None) -> None:
         if visit is not None:
-            visit.gate.left(visit)
+            visit.gate.release(visit)
 
     def unwrap(self, connection: FrontConnection, visit: AdmittedConnection, data: bytes) -> bytes:
-        """What comes after a connection's PROXY header; nothing where it is not whole, or the client is refused."""
+        """Return the bytes after a connection's PROXY header; empty if it is incomplete, or the client is refused."""
         try:
             rest, ruling = visit.gate.unwrap(visit, data, self.most, self.taken)
         except ValueError as problem:
             self.logger(f"no PROXY header from {visit.address}", problem)
             connection.abort()
             return b""
-        if ruling is not None and not self._obeys(visit, ruling):
+        if ruling is not None and not self._apply_ruling(visit, ruling):
             connection.refuse(encode_refusal(ruling.retry_after) if self.speaks_http else b"")
             return b""
         return rest
 
-    async def _start(
+    async def _open_connection(
         self, sock: socket.socket, overflow: bool, peer: str, visit: AdmittedConnection | None
     ) -> None:
         def serve() -> FrontConnection:
@@ -244,97 +258,102 @@
             if self.tls is None:
                 await self._loop.connect_accepted_socket(serve, sock)
             else:
-                await self.tls.enter(serve, sock, peer, visit is not None and visit.known)
+                await self.tls.handshake(serve, sock, peer, visit is not None and visit.known)
         except OSError:
             sock.close()
-            self._forget_visit(visit)
+            self._release_admission(visit)
             self._opening -= 1
             self.overflowing -= overflow
 
     def _turn_away(self, sock: socket.socket, retry_after: float = 0.0) -> None:
-        """The last resort: answered 503 on the spot, where clients speak HTTP, and closed."""
+        """Close an accepted socket at once, with a 503 answer if its client speaks HTTP without TLS."""
         with sock:
             sock.setblocking(False)
             with suppress(OSError):
-                sock.recv(GLANCE_MOST)  # unread bytes would turn the close into a reset
+                sock.recv(REFUSAL_READ_MOST)  # closing a socket with unread bytes would send a reset
             with suppress(OSError):
                 sock.send(encode_refusal(retry_after) if self.speaks_http and self.tls is None else b"")
                 sock.shutdown(socket.SHUT_WR)
 
-    def _evict(self, known_too: bool = False) -> bool:
-        """Close a connection on which no request is open: one that has long said nothing first, so that those who
-        connect and say nothing cost the others nothing; then the one that has been idle for longest, of those that
-        were used once before those that were used again. Of those that have just connected and those that were just
-        answered the more numerous make room. Known clients' are spared, or not (`known_too`)."""
+    def _evict(self, evicts_known: bool = False) -> bool:
+        """Close one connection without an open request; return whether one was closed.
+
+        Connections that have long been open without a request go first, so that clients that send nothing cost the
+        others nothing. Then goes the connection that has been idle longest: those used once before those used again.
+        Of connections just opened and connections just answered, the larger group is evicted from first. Connections of
+        known networks are evicted only if `evicts_known` is set.
+        """
         now = time.monotonic()
         for connection in self.evictable.candidates(
-            now - SILENT_S, now - RECENT_S, self._opening, not known_too
+            now - SILENT_S, now - RECENT_S, self._opening, not evicts_known
         ):
             if connection.retire():
                 self.connections.discard(connection)
                 return True
         return False
 
-    def _measure(self) -> None:
+    def _measure_pressure(self) -> None:
         self.pressure.measure(self.taken, self.most)
 
     def resize(self, most: int, overflow_most: int) -> None:
-        """Another number of slots; what is idle past it makes room."""
+        """Change the number of slots, and evict connections past the new limit."""
         self.most, self.overflow_most = most, overflow_most
         while self.taken > self.most and self._evict():
             pass
-        self._measure()
+        self._measure_pressure()
 
-    def joined(self, connection: FrontConnection) -> None:
+    def add(self, connection: FrontConnection) -> None:
+        """Add a connection that is open now."""
         self._opening -= 1
         self.connections.add(connection)
-        if not connection.overflow:  # closing those makes no room
+        if not connection.overflow:  # closing an overflow connection frees no slot
             self.evictable.unused[connection] = None
 
     @property
     def idle(self) -> Mapping[FrontConnection, None]:
-        """Connections that are idle after their first request."""
+        """Return the connections that are idle after their first request."""
         return self.evictable.idle
 
-    def left(self, connection: FrontConnection) -> None:
+    def remove(self, connection: FrontConnection) -> None:
+        """Remove a closed connection."""
         self.connections.discard(connection)
         self.evictable.remove(connection)
         self.overflowing -= connection.overflow
-        self._forget_visit(connection.visit)
-        self._measure()
+        self._release_admission(connection.visit)
+        self._measure_pressure()
 
     def _sweep(self) -> None:
         now = time.monotonic()
         for connection in list(self.connections):
             connection.sweep(now)
-        self._sweeping = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
 
-    # The end.
+    # Shutdown.
 
     def retire(self) -> None:
-        """New clients are no longer wanted: whoever asks hears so, and each answer ends its connection."""
+        """Begin to drain: report not ready, and close each connection with its next answer."""
         self.draining = True
         self.reader.draining = True
 
-    def hush(self) -> None:
-        """Nothing is accepted by the loop any more; `accept` still takes what the kernel holds."""
+    def stop_accepting(self) -> None:
+        """Stop the accept loop; calling `accept` still accepts what is in the kernel's queue."""
         if self._sock is not None:
             self._loop.remove_reader(self._sock)
 
     def block(self) -> None:
-        """Nobody else connects; those who have can still be accepted. Not for a socket that another process has too."""
+        """Block new connections, except on a socket that another process has; the queue can still be accepted."""
         if self._sock is not None and not self.shared and not self.was_offered:
             block_new_connections(self._sock)
 
     def close(self) -> None:
-        """The socket goes; the connections stay. One that another process has too leaves its file."""
+        """Close the listening socket but not the connections. The file of a shared Unix socket stays."""
         if self._sock is not None:
             self._loop.remove_reader(self._sock)
             release(self._sock, is_shared=self.shared)
             self._sock = None
 
     def is_busy(self, idle_s: float = DRAIN_IDLE_S) -> bool:
-        """Close what has been idle for `idle_s`; whether any connection has not, or is still being opened."""
+        """Close connections that have been idle for `idle_s`; return whether others are still busy or being opened."""
         now = time.monotonic()
         for connection in [*self.evictable.idle, *self.evictable.reused]:
             if now - connection.since > idle_s:
@@ -342,13 +361,15 @@
         return bool(self._opening) or any(c.is_busy() for c in self.connections)
 
     def is_flushing(self) -> bool:
-        return any(c.phase == Phase.LINGER or c.owes() for c in self.connections)
+        """Return whether any connection still has answers to write or its close to complete."""
+        return any(c.phase == Phase.LINGER or c.has_waiting_requests() for c in self.connections)
 
     def stop(self) -> None:
+        """Close the socket and abort all connections."""
         self.close()
-        if self._sweeping is not None:
-            self._sweeping.cancel()
-            self._sweeping = None
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
+            self._sweep_timer = None
         if self.tls is not None:
             self.tls.close()
         for connection in list(self.connections):
@@ -362,11 +383,16 @@
     succeeded: bool = False,
     blocks: bool = False,
 ) -> None:
-    """After SIGTERM: serve for a while, then close what is idle and answer what is held.
-
-    `longest`: seconds that a request may take at most; `most`: that all of it may take, by the platform's terms if it
-    is not given; `succeeded`: another process accepts on the same sockets; `blocks`: the sockets are of this process
-    alone, and the system keeps new connections away before the last ones are accepted."""
+    """Drain listeners after SIGTERM: serve for a while, then close idle connections and answer the open requests.
+
+    Args:
+        listeners: The listeners.
+        longest: Longest time that a request may take, in seconds.
+        most: Time limit for the whole drain in seconds; by default it follows from the platform's rules.
+        succeeded: Whether another process accepts on the same sockets.
+        blocks: Whether new connections are blocked in the kernel before the last ones are accepted; only for sockets
+            that no other process has.
+    """
     began = time.monotonic()
     end = began + (platform_shutdown_duration(longest) if most is None else most)
     for listener in listeners:
@@ -374,17 +400,17 @@
     if succeeded:
         for listener in listeners:
             listener.close()
-        await _let_go(listeners, end - LAST_S)
+        await _wait_for_last_answers(listeners, end - HANDOVER_MARGIN_S)
     else:
         await _stop_accepting(listeners, end, blocks)
     while any([listener.is_busy() for listener in listeners]) and time.monotonic() < end:
         await asyncio.sleep(0.01)
-    await read_what_has_arrived()  # answers among it, where the process was held up
+    await read_what_has_arrived()  # may include answers, if the process was stalled
     for listener in listeners:
         for proxy in listener.reader.proxies():
             proxy.end_all()
-    # Guards against requests that wait behind others on their connections, which are turned away now, and against
-    # answers that are still in our buffers when the process ends: their clients close once they have read them.
+    # Guards against losing the answers to requests that waited behind others on their connections and are rejected now,
+    # and answers still in the write buffers when the process ends: clients close once they have read them.
     while any(listener.is_flushing() for listener in listeners) and time.monotonic() < end + FLUSH_S:
         await asyncio.sleep(0.01)
     for listener in listeners:
@@ -392,22 +418,25 @@
 
 
 async def _stop_accepting(listeners: Sequence[Listener], end: float, blocks: bool) -> None:
-    """Nobody else accepts: go on for a while, then take what the kernel holds, for it is ours."""
+    """Accept for a while longer, then accept what is in the kernel's queue, which no other process will, and close."""
     await asyncio.sleep(DRAIN_OPEN_S)
     if blocks:
         for listener in listeners:
             listener.block()
-        await asyncio.sleep(HANDSHAKE_S)
+        await asyncio.sleep(HANDSHAKE_WAIT_S)
     for listener in listeners:
-        listener.hush()
+        listener.stop_accepting()
     for listener in listeners:
         while listener.accept() and time.monotonic() < end:
             await asyncio.sleep(0)
         listener.close()
 
 
-async def _let_go(listeners: Sequence[Listener], until: float) -> None:
-    """Clients' connections end with an answer each, as long as there is time: closing an idle one under its client
-    costs a request whenever the two cross. Harm: a process that ends some seconds later than it could."""
-    while time.monotonic() < until and any(listener.is_busy(KEPT_S) for listener in listeners):
+async def _wait_for_last_answers(listeners: Sequence[Listener], until: float) -> None:
+    """Wait until connections end with their next answer, and close those that have long been idle.
+
+    Closing an idle connection loses a request whenever the client sends one at the same time. Harm: the process ends
+    some seconds later than it could.
+    """
+    while time.monotonic() < until and any(listener.is_busy(HANDOVER_IDLE_S) for listener in listeners):
         await asyncio.sleep(0.02)
--- a/loadbalancer/frontends/platform_http.py
+++ b/loadbalancer/frontends/platform_http.py
@@ -1,6 +1,6 @@
-"""The platform's dialect on the clients' side: ids, classes and deadlines by its headers (X-Txn and others).
+"""The platform's dialect for clients: ids, classes and deadlines are given in headers (X-Txn and others).
 
-No I/O but the clock. The headers' forms are those of the platform's protocol.
+No I/O except reading the clock. The platform's protocol defines the formats of the headers.
 """
 
 from __future__ import annotations
@@ -26,33 +26,37 @@
 
 REMAINING = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 UNITS = {b"m": 1e-3, b"u": 1e-6}
-KEY = re.compile(rb"(?:^|;)\s*obj=([^;]*)")
+OBJECT_KEY = re.compile(rb"(?:^|;)\s*obj=([^;]*)")
 
 
-def pass_on(head: Head, body: bytearray | None, framed: bool) -> bytes:
-    """The request line and headers as they go on, without those that `Connection` names (RFC 9110, 7.6.1).
+def encode_forwarded_head(head: Head, body: bytearray | None, states_length: bool) -> bytes:
+    """Return the request line and headers to forward, without those that `Connection` names (RFC 9110, 7.6.1).
 
-    `framed`: a length is stated, also one of 0."""
-    lines, named, upload = head.lines, head.noted.get(b"connection", b"").lower(), head.upload
-    if named not in (b"", b"keep-alive", b"close"):  # it names headers of this connection alone
-        names = {name.strip() for name in named.split(b",")}
+    Args:
+        head: The head of the request.
+        body: The body, if it is buffered.
+        states_length: Whether to state a length even if it is 0.
+    """
+    lines, connection_header, upload = head.lines, head.inspected.get(b"connection", b"").lower(), head.upload
+    if connection_header not in (b"", b"keep-alive", b"close"):  # it names hop-by-hop headers
+        names = {name.strip() for name in connection_header.split(b",")}
         lines = [line for line in lines if line.partition(b":")[0].lower() not in names]
     if upload is not None:
-        stated = upload.length
+        length = upload.length
         lines.append(
-            b"Transfer-Encoding: chunked\r\n" if stated is None else b"Content-Length: %d\r\n" % stated
+            b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
         )
-    elif body or framed:
+    elif body or states_length:
         lines.append(b"Content-Length: %d\r\n" % len(body or b""))
     return b"%b %b HTTP/1.1\r\n%b" % (head.method, head.url, b"".join(lines))
 
 
 class PlatformReader:
-    """One pool, and all that a request says of itself in the platform's headers."""
+    """Reads the platform's headers of requests, which all go to one pool."""
 
-    #: Headers that are not passed on as they came: of this connection alone, or written anew.
+    #: Headers that are not forwarded unchanged: hop-by-hop headers, and those that are rewritten.
     not_passed = CONNECTION_HEADERS | {b"x-remaining"}
-    noted = frozenset(
+    inspected = frozenset(
         (
             b"connection",
             b"content-length",
@@ -69,16 +73,16 @@
             b"x-txn",
         )
     )
-    single = noted - {b"cookie"}
+    not_repeatable = inspected - {b"cookie"}
     ignores_upgrade = False
-    names_itself = False
+    adds_proxy_status = False
     body_most = MAX_HELD_BODY_BYTES
 
     def __init__(self, proxy: Proxy, deployment: Deployment) -> None:
         self.proxy, self.deployment = proxy, deployment
         self.budget = proxy.budget
         self.upload_most = MAX_STREAMED_BODY_BYTES if proxy.takes_uploads else 0
-        self.draining = False  # new clients are no longer wanted
+        self.draining = False  # set during shutdown: new clients are not wanted
 
     def proxies(self) -> Iterable[Proxy]:
         return (self.proxy,)
@@ -89,61 +93,67 @@
     def new_head(self, peer: str) -> Head:
         return Head(self, peer)
 
-    def believes(self, peer: str) -> bool:
+    def trusts(self, peer: str) -> bool:
         return False
 
-    def place(self, head: Head) -> PlatformReader:
+    def find_destination(self, head: Head) -> PlatformReader:
         return self
 
     def read(self, head: Head, body: bytearray | None, client: Client) -> RoutedRequest | Reply:
-        method, url, noted = head.method, head.url, head.noted
+        method, url, inspected = head.method, head.url, head.inspected
         if url == b"/ready" and method == b"GET":
             ready = self.ready()
             return Reply(200 if ready else 503, "ready" if ready else "not ready", head.close)
         if method not in (b"GET", b"POST"):
             raise RejectError(400, "the method is neither GET nor POST")
-        if not url.startswith(b"/") or (b"host" not in noted and not head.old):
+        if not url.startswith(b"/") or (b"host" not in inspected and not head.is_http10):
             raise RejectError(400, "no path or no host")
         return self.read_platform(head, body, client)
 
     def read_platform(self, head: Head, body: bytearray | None, client: Client) -> RoutedRequest:
-        """The platform's headers, once the request line is known to be good."""
-        noted, deployment = head.noted, self.deployment
-        if not noted.get(b"x-txn"):
+        """Interpret the platform's headers, after the request line has been checked."""
+        inspected, deployment = head.inspected, self.deployment
+        if not inspected.get(b"x-txn"):
             raise RejectError(404, "no X-Txn")
-        cls = deployment.classes.get(noted.get(b"x-lane", b"").decode("latin-1"))
+        cls = deployment.classes.get(inspected.get(b"x-lane", b"").decode("latin-1"))
         if cls is None:
             raise RejectError(400, "no or unknown X-Lane")
-        effect, give_up = (
+        effect, client_timeout_s = (
             deployment.settings.classes[cls].effect,
             deployment.settings.classes[cls].client_timeout,
         )
-        if effect == Effect.KEYED and not noted.get(b"idempotency-key"):
-            raise RejectError(400, "no Idempotency-Key")  # a repeat could not be told from another request
+        if effect == Effect.KEYED and not inspected.get(b"idempotency-key"):
+            # Without a key a repeat cannot be told from another request.
+            raise RejectError(400, "no Idempotency-Key")
         if (head.method == b"GET") != (effect == Effect.SAFE):
             raise RejectError(400, "the method does not fit the class")
-        tenant = deployment.tenants.get(noted.get(b"x-org", b"").decode("latin-1"), 0)
-        left = _time_left(noted[b"x-remaining"], give_up) if b"x-remaining" in noted else give_up
-        key = KEY.search(noted[b"cookie"]) if b"cookie" in noted else None
-        estimate = noted.get(b"x-estimate", b"")
-        sent = pass_on(head, body, head.method == b"POST")
+        tenant = deployment.tenants.get(inspected.get(b"x-org", b"").decode("latin-1"), 0)
+        remaining_s = (
+            _parse_remaining(inspected[b"x-remaining"], client_timeout_s)
+            if b"x-remaining" in inspected
+            else client_timeout_s
+        )
+        key = OBJECT_KEY.search(inspected[b"cookie"]) if b"cookie" in inspected else None
+        estimate = inspected.get(b"x-estimate", b"")
+        forwarded_head = encode_forwarded_head(head, body, head.method == b"POST")
         return RoutedRequest(
             self.proxy,
-            OpenRequest(client, hash(noted[b"x-txn"]), sent, body),
+            OpenRequest(client, hash(inspected[b"x-txn"]), forwarded_head, body),
             cls,
-            time.monotonic() + left,
+            time.monotonic() + remaining_s,
             tenant,
             key[1].decode("latin-1") if key else None,
             int(estimate) / 1e6 if estimate.isdigit() and len(estimate) <= 12 else None,
-            noted.get(b"x-resent") == b"1",
+            inspected.get(b"x-resent") == b"1",
             head.close,
             None,
-            head.old,
+            head.is_http10,
         )
 
 
-def _time_left(value: bytes, give_up: float) -> float:
+def _parse_remaining(value: bytes, client_timeout_s: float) -> float:
     match = REMAINING.fullmatch(value.strip())
     if match is None:
         raise RejectError(400, "unreadable X-Remaining")
-    return min(float(match[1]) * UNITS[match[2]], give_up)  # a wrong one may not hold a request for long
+    # A wrong value must not hold a request for long.
+    return min(float(match[1]) * UNITS[match[2]], client_timeout_s)
--- a/loadbalancer/frontends/plugin_hooks.py
+++ b/loadbalancer/frontends/plugin_hooks.py
@@ -1,4 +1,4 @@
-"""Between a route and its plug-ins: the head as they see it, and what they said carried into it."""
+"""Runs the plug-ins of a route on a request head, and applies their results to it."""
 
 from __future__ import annotations
 
@@ -10,28 +10,31 @@
 from loadbalancer.plugins.runner import Plugin, Runner, Turned
 from loadbalancer.routing.targets import Target
 
-#: Tags go on to the member as headers of this name; a client's own are taken off, or it could forge them.
+#: Prefix of the headers that carry tags to the member. Those that a client sends are removed, as it could forge tags.
 TAG = b"x-tag-"
 
 
 class PluginHooks(NamedTuple):
-    """One route's plug-ins, with all they need."""
+    """The plug-ins of one route, and the context that they run in."""
 
     runner: Runner
     plugins: Sequence[Plugin]
     world: World
-    classes: Sequence[str]  # names by number
-    tenants: Sequence[str]  # the same; the first is where none is named
+    classes: Sequence[str]  # names by class number
+    tenants: Sequence[str]  # names by tenant number; the first is the default
     zone: str
     listener: str
 
     def run(self, head: Head, target: Target, cls: int, tenant: int) -> tuple[int, int] | Reply:
-        """Class and tenant of a request, once its plug-ins have spoken and its headers are as they want; or what it is
-        turned away with."""
+        """Run the plug-ins on a request, and edit its headers as they ask.
+
+        Returns:
+            The class and the tenant of the request, or the answer with which a plug-in rejected it.
+        """
         head.lines = [line for line in head.lines if not line[: len(TAG)].lower() == TAG]
         name = self.tenants[tenant] if tenant < len(self.tenants) else ""
         headers = [("host", target.authority), *_pairs(head.lines)]
-        seen = Seen(
+        plugin_request = Seen(
             head.method.decode("latin-1"),
             target.path + target.query,
             headers,
@@ -42,13 +45,13 @@
             time.time(),
             NONE,
         )
-        said = self.runner.run(self.plugins, seen, self.world)
-        if isinstance(said, Turned):
-            return Reply(said.status, said.reason, head.close)
-        _apply(head, said)
+        result = self.runner.run(self.plugins, plugin_request, self.world)
+        if isinstance(result, Turned):
+            return Reply(result.status, result.reason, head.close)
+        _apply(head, result)
         return (
-            self.classes.index(said.cls) if said.cls is not None else cls,
-            self.tenants.index(said.tenant) if said.tenant is not None else tenant,
+            self.classes.index(result.cls) if result.cls is not None else cls,
+            self.tenants.index(result.tenant) if result.tenant is not None else tenant,
         )
 
 
@@ -56,7 +59,7 @@
 
 
 def _pairs(lines: Sequence[bytes]) -> list[tuple[str, str]]:
-    """Headers that go on, as a plug-in sees them."""
+    """Return the forwarded headers as the name and value pairs that plug-ins receive."""
     pairs = []
     for line in lines:
         name, _, value = line.partition(b":")
@@ -64,12 +67,12 @@
     return pairs
 
 
-def _apply(head: Head, said: Said) -> None:
-    gone = {name.encode() for name in (*said.drop, *said.set)}
-    if gone:
-        head.lines = [line for line in head.lines if line.partition(b":")[0].lower() not in gone]
-    head.lines += [b"%b: %b\r\n" % (name.encode(), value.encode()) for name, value in said.set.items()]
-    tags = dict(said.tags)
-    if said.priority != "normal":
-        tags["priority"] = said.priority
+def _apply(head: Head, result: Said) -> None:
+    replaced = {name.encode() for name in (*result.drop, *result.set)}
+    if replaced:
+        head.lines = [line for line in head.lines if line.partition(b":")[0].lower() not in replaced]
+    head.lines += [b"%b: %b\r\n" % (name.encode(), value.encode()) for name, value in result.set.items()]
+    tags = dict(result.tags)
+    if result.priority != "normal":
+        tags["priority"] = result.priority
     head.lines += [b"X-Tag-%b: %b\r\n" % (name.encode(), value.encode()) for name, value in tags.items()]
--- a/loadbalancer/frontends/reserve_descriptors.py
+++ b/loadbalancer/frontends/reserve_descriptors.py
@@ -1,4 +1,4 @@
-"""Spare descriptors: held open so that there is one to use when the system has no other to give."""
+"""Reserves file descriptors, so that a few can still be opened when the process is out of them."""
 
 from __future__ import annotations
 
@@ -6,16 +6,21 @@
 from contextlib import suppress
 from typing import Callable
 
-#: As many as the process can need at one moment: one for a refusal, some for members of requests in flight, the rest
-#: for discovery and a reload.
+#: Enough for the needs of one moment: one for refusing a connection, some for connections to members for requests in
+#: flight, the rest for discovery and a reload.
 SPARES = 8
 
 
 class ReserveDescriptors:
-    """Owns them; `take` closes one, so that the next thing opened finds its number free."""
+    """Holds reserve descriptors open; `take` closes one, so that the next open succeeds."""
 
     def __init__(self, most: int = SPARES, opening: Callable[[], int] | None = None) -> None:
-        """`opening` makes one more descriptor, or raises OSError."""
+        """Open the reserve.
+
+        Args:
+            most: Number of descriptors to hold.
+            opening: Opens one more descriptor or raises OSError; by default it opens the null device.
+        """
         self.most = most
         self._opening = opening or _open
         self._held: list[int] = []
@@ -25,14 +30,14 @@
         return len(self._held)
 
     def take(self) -> bool:
-        """Make room for one descriptor; False where no spare is left."""
+        """Close one reserve descriptor; return False if none is left."""
         if not self._held:
             return False
         os.close(self._held.pop())
         return True
 
     def refill(self) -> None:
-        """Hold as many as there should be, as far as the system gives them."""
+        """Reopen descriptors up to the full reserve, as far as the system permits."""
         with suppress(OSError):
             while len(self._held) < self.most:
                 self._held.append(self._opening())
--- a/loadbalancer/frontends/sockets.py
+++ b/loadbalancer/frontends/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets, of TCP and Unix: bound, and released."""
+"""Binds and releases listening sockets (TCP and Unix)."""
 
 from __future__ import annotations
 
@@ -8,26 +8,33 @@
 import struct
 from contextlib import suppress
 
-#: Connections that the kernel may hold for us; a burst past it would be left hanging.
+#: Connections that the kernel may queue before they are accepted; in a larger burst the others would hang.
 BACKLOG = 1024
-#: An address that begins so is the path of a Unix socket.
+#: Prefix of an address that is the path of a Unix socket.
 UNIX = "unix:"
-#: Peer of a connection that came by one.
+#: Peer address of connections over a Unix socket.
 LOCAL = "local"
 #: Socket option of Linux that attaches a packet filter (`asm/socket.h`).
 SO_ATTACH_FILTER = 26
 #: Operation codes of packet filters (`linux/bpf_common.h`): load a byte, jump if any bit is set, return a constant.
 BPF_LOAD_BYTE, BPF_JUMP_IF_SET, BPF_RETURN = 0x30, 0x45, 0x06
-#: Where a segment has its flags, in bytes from its beginning, and the flag that opens a connection (RFC 9293, 3.1).
+#: Offset of the flags in a TCP segment, in bytes, and the flag that opens a connection (RFC 9293, 3.1).
 TCP_FLAGS_OFFSET, TCP_SYN = 13, 0x02
-#: What a filter returns to drop a packet, and to let all of it pass.
+#: Return values of a filter: drop the packet, or accept all of it.
 BPF_DROP, BPF_PASS = 0, 0xFFFFFFFF
-#: Bytes of an instruction (`struct sock_filter`).
+#: Size of an instruction in bytes (`struct sock_filter`).
 BPF_INSTRUCTION_BYTES = 8
 
 
 def bind(address: tuple[str, int]) -> socket.socket:
-    """A socket that listens; OSError where the address can't be had. `unix:` and a path is a Unix socket."""
+    """Return a listening socket.
+
+    Args:
+        address: Host and port; or `unix:` with the path of a Unix socket, and any port.
+
+    Raises:
+        OSError: The address is not available.
+    """
     path = address[0].removeprefix(UNIX) if address[0].startswith(UNIX) else None
     sock = socket.socket(socket.AF_INET if path is None else socket.AF_UNIX, socket.SOCK_STREAM)
     try:
@@ -45,8 +52,10 @@
 
 
 def _clear(path: str) -> None:
-    """Remove the socket that a process left when it died; one on which somebody listens stays, and so does whatever
-    is no socket: bind then says so."""
+    """Remove the socket file that a dead process left behind.
+
+    A socket on which a process listens stays, and so does a file that is not a socket; `bind` then fails.
+    """
     with suppress(OSError):
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             return
@@ -58,12 +67,12 @@
 
 
 def _instruction(code: int, constant: int, skip_if_true: int = 0, skip_if_false: int = 0) -> bytes:
-    """One instruction of a packet filter (`struct sock_filter`)."""
+    """Encode one instruction of a packet filter (`struct sock_filter`)."""
     return struct.pack("HBBI", code, skip_if_true, skip_if_false, constant)
 
 
-#: Drops the segments that open a connection. All others pass: a connection whose handshake ends while the filter is
-#: attached inherits it.
+#: Filter that drops the segments that open a connection. All other segments must pass, because a connection whose
+#: handshake ends while the filter is attached inherits it.
 DROP_SYN = b"".join(
     (
         _instruction(BPF_LOAD_BYTE, TCP_FLAGS_OFFSET),
@@ -75,14 +84,15 @@
 
 
 def block_new_connections(sock: socket.socket) -> None:
-    """Have the system drop new connections to a listening TCP socket; those whose handshake has begun go on.
+    """Make the kernel drop new connections to a listening TCP socket; handshakes that have begun still complete.
 
-    What connects between the last accept and the close would be reset after it has sent its request. Whoever connects
-    in that moment tries again after a second, and is refused then. Where the system can't, all is as without it.
+    A client that connects between the last accept and the close would be reset after it has sent its request. With the
+    filter its kernel retries after a second and is refused then. If the system does not support the filter, nothing
+    changes.
     """
     if sock.family != socket.AF_INET:
         return
-    import ctypes  # only where a listener ends
+    import ctypes  # imported only when a listener closes
 
     instructions = ctypes.create_string_buffer(DROP_SYN, len(DROP_SYN))
     count = len(DROP_SYN) // BPF_INSTRUCTION_BYTES
@@ -96,10 +106,10 @@
 
     Args:
         sock: The socket.
-        is_shared: Whether another process listens on it too, which has the file then.
+        is_shared: Whether another process listens on it too and still needs the file.
     """
     name = sock.getsockname()
     if isinstance(name, str) and not is_shared:
-        with suppress(OSError):  # removed while it listens: nobody else can have bound the name yet
+        with suppress(OSError):  # removed before the close, so no other process can have bound the path yet
             os.unlink(name)
     sock.close()
--- a/loadbalancer/frontends/tls_listener.py
+++ b/loadbalancer/frontends/tls_listener.py
@@ -1,4 +1,4 @@
-"""Handshakes of a listener's new connections: each waits for its turn, and is made by the loop's transport."""
+"""Runs the TLS handshakes of new connections, limited in number and rate; the event loop's transport does them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,15 @@
 from loadbalancer.tls.keeper import ServerKeys
 from loadbalancer.tls.pairs import subjects_of
 
-#: Seconds that a client has to answer the end of a connection.
+#: Time limit for a client to answer the TLS close, in seconds.
 SHUTDOWN_S = 1.0
 
 
 class TlsAcceptor:
-    """Of one listener. It owns the turns and one timer; `close` drops those that wait."""
+    """Runs the TLS handshakes of one listener.
+
+    It owns the queue of handshakes and one timer; `close` cancels the timer.
+    """
 
     def __init__(self, keys: ServerKeys, logger: RateLimitedLogger) -> None:
         table = keys.table
@@ -35,22 +38,32 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
 
-    async def enter(
+    async def handshake(
         self, make: Callable[[], asyncio.Protocol], sock: socket.socket, peer: str, known: bool
     ) -> None:
-        """Shake hands once it is this one's turn; OSError where it comes to nothing."""
+        """Run the handshake of a connection once it may begin.
+
+        Args:
+            make: Makes the protocol object of the connection.
+            sock: The accepted socket.
+            peer: The peer address of the connection.
+            known: Whether the client is of a known network.
+
+        Raises:
+            OSError: The handshake was refused or failed.
+        """
         ready: asyncio.Future[None] = self._loop.create_future()
 
-        def drop(why: str) -> None:
-            self.logger("handshake refused", f"{why}: {peer}")
+        def drop(reason: str) -> None:
+            self.logger("handshake refused", f"{reason}: {peer}")
             if not ready.done():
-                ready.set_exception(ConnectionRefusedError(why))
+                ready.set_exception(ConnectionRefusedError(reason))
 
         turn = Turn(
             peer, known, time.monotonic(), lambda: None if ready.done() else ready.set_result(None), drop
         )
         self.handshakes.want(turn, turn.came)
-        self._look()
+        self._begin_due_handshakes()
         try:
             await ready
             await self._loop.connect_accepted_socket(
@@ -67,21 +80,21 @@
             raise
         finally:
             self.handshakes.ended(turn, time.monotonic())
-            self._look()
+            self._begin_due_handshakes()
 
     @staticmethod
-    def names_of(ssl_object: Any) -> tuple[str, ...]:
-        """The names in the certificate that a client has shown, if it has."""
+    def certificate_names(ssl_object: Any) -> tuple[str, ...]:
+        """Return the subject names in the client's certificate; empty if it presented none."""
         certificate = ssl_object.getpeercert(True)
         return subjects_of(certificate) if certificate is not None else ()
 
-    def _look(self) -> None:
+    def _begin_due_handshakes(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        after = self.handshakes.look(time.monotonic())
-        if after is not None:
-            self._timer = self._loop.call_later(after, self._look)
+        delay = self.handshakes.look(time.monotonic())
+        if delay is not None:
+            self._timer = self._loop.call_later(delay, self._begin_due_handshakes)
 
     def close(self) -> None:
         if self._timer is not None:
--- a/tests/test_evictable_connections.py
+++ b/tests/test_evictable_connections.py
@@ -12,10 +12,10 @@
 
     def __init__(self, since: float, is_known: bool = False) -> None:
         self.since = since
-        self.asked = 1
+        self.request_count = 1
         self._is_known = is_known
 
-    def is_guarded(self) -> bool:
+    def is_protected(self) -> bool:
         return self._is_known
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -84,7 +84,7 @@
             await client.send(request() + whole[:-5])
             assert LAST not in (await client.read())[1]
             here.server.retire()
-            while here.connections()[0].uploaded < 5:
+            while here.connections()[0].body_received < 5:
                 await asyncio.sleep(0)
             await client.send(whole[-5:])
             status, head, _ = await client.read()
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -247,7 +247,7 @@
             await client.send(long_head() + PART)
             await here.proxy.until(lambda: here.proxy.uploads)
             (connection,) = here.connections()
-            while connection.held:  # until the member takes it
+            while connection.upload_paused:  # until the member takes it
                 await asyncio.sleep(0.01)
             connection.sweep(time.monotonic())
             assert connection.request is not None
@@ -288,7 +288,7 @@
             (connection,) = here.connections()
             (request_,) = here.proxy.open.values()
             (attempt,) = request_.attempts
-            while attempt.connection is None or not connection.held:
+            while attempt.connection is None or not connection.upload_paused:
                 await asyncio.sleep(0.01)
             assert attempt.connection.transport.get_write_buffer_size() < 2 << 20  # type: ignore[attr-defined]
             connection.sweep(time.monotonic() + STALL_S - 1)  # not the client's fault
@@ -298,7 +298,7 @@
                 await asyncio.wait_for(sending, PATIENCE)
                 assert (await client.read())[0] == 200
             else:
-                connection.sweep(connection.held_at + STALL_S + 1)
+                connection.sweep(connection.upload_paused_at + STALL_S + 1)
                 assert (await client.read())[0] == 503
                 sending.cancel()
             await settled(here)
