--- a/loadbalancer/frontends/connection.py
+++ b/loadbalancer/frontends/connection.py
@@ -55,7 +55,7 @@
     _charged_to: BufferBudget | None = None
     _last_buffer_size: int = 0  # size of the write buffer at the last check, in bytes
 
-    def retire(self) -> bool:
+    def close_if_idle(self) -> bool:
         """Close the connection if no request is open on it; return whether it was closed.
 
         It stays open if a request waits unread in the kernel, because that request must be served, or if part of an
--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -368,8 +368,8 @@
             request.release_body()
         self.requests.clear()
 
-    def retire(self) -> bool:
-        return not self.requests and super().retire()
+    def close_if_idle(self) -> bool:
+        return not self.requests and super().close_if_idle()
 
     def sweep(self, now: float) -> None:
         """Enforce timeouts."""
@@ -381,7 +381,7 @@
                 self.abort()
         elif self.phase == Phase.IDLE:
             self.record_unused(now)
-            if now - self.since > self.idle_timeout_s() and self.retire() and not self.request_count:
+            if now - self.since > self.idle_timeout_s() and self.close_if_idle() and not self.request_count:
                 self.record_silence()
         else:
             self._sweep_requests(now)
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -593,7 +593,7 @@
                 self._expire()
         elif self.phase == IDLE:
             self.record_unused(now)
-            if waited > self.idle_timeout_s() and self.retire() and not self.request_count:
+            if waited > self.idle_timeout_s() and self.close_if_idle() and not self.request_count:
                 self.record_silence()
 
     def _sweep_upload(self, now: float) -> None:
--- a/loadbalancer/frontends/listener.py
+++ b/loadbalancer/frontends/listener.py
@@ -287,7 +287,7 @@
         for connection in self.evictable.candidates(
             now - SILENT_S, now - RECENT_S, self._opening, not evicts_known
         ):
-            if connection.retire():
+            if connection.close_if_idle():
                 self.connections.discard(connection)
                 return True
         return False
@@ -357,7 +357,7 @@
         now = time.monotonic()
         for connection in [*self.evictable.idle, *self.evictable.reused]:
             if now - connection.since > idle_s:
-                connection.retire()
+                connection.close_if_idle()
         return bool(self._opening) or any(c.is_busy() for c in self.connections)
 
     def is_flushing(self) -> bool:
--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -79,24 +79,28 @@
 class RedirectTarget(NamedTuple):
     """The migration of a part of a pool's traffic to another pool, for one route."""
 
-    moves: Migrations
-    away: RouteTarget | None  # the same route to the other pool; None if nothing is being moved
-    draw: Callable[[], float]
+    migrations: Migrations
+    other_target: RouteTarget | None  # the same route to the other pool; None if nothing is being moved
+    random: Callable[[], float]
     clock: Callable[[], float]  # Unix time in seconds
 
-    def choose_target(self, home: RouteTarget, head: PlainHead) -> RouteTarget:
+    def choose_target(self, own_target: RouteTarget, head: PlainHead) -> RouteTarget:
         """Choose the target of a request; one with an idempotency key or a session stays with the pool that has it."""
-        header, away = home.classes.key_header, self.away
+        header, other_target = own_target.classes.key_header, self.other_target
         key = head.inspected.get(header.encode()) if header is not None and head.method not in SAFE else None
-        stays_home = None
-        if home.sticky is not None:
-            session = find_session(home.sticky, head.inspected.get(b"cookie", b""), head.target.path)
-            if session in home.members:
-                stays_home = True
-            elif away is not None and session in away.members:
-                stays_home = False
-        other = self.moves.place(self.clock(), self.draw(), key or None, stays_home)
-        return home if other is None or away is None or away.proxy.name != other else away
+        stays = None
+        if own_target.sticky is not None:
+            session = find_session(own_target.sticky, head.inspected.get(b"cookie", b""), head.target.path)
+            if session in own_target.members:
+                stays = True
+            elif other_target is not None and session in other_target.members:
+                stays = False
+        other_pool = self.migrations.place(self.clock(), self.random(), key or None, stays)
+        return (
+            own_target
+            if other_pool is None or other_target is None or other_target.proxy.name != other_pool
+            else other_target
+        )
 
 
 class RouteTarget(NamedTuple):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests share."""
+"""Fixtures and hooks for all tests."""
 
 from typing import Iterator
 
@@ -6,17 +6,17 @@
 import pytest
 from hypothesis import settings
 from known_red import KNOWN_RED, find_known_failure, read_known_failures
-from ports import give_back
+from ports import release_ports
 
 from loadbalancer.upstreams import connections
 
-# The same examples every time: a failure in CI is of the change, not of the draw.
+# Use the same examples in every run, so that a failure in CI comes from the change and not from random examples.
 settings.register_profile("same", derandomize=True)
 settings.load_profile("same")
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Add the options that are used by hand."""
+    """Add the options that stall tests."""
     hold_ups.add_options(parser)
 
 
@@ -32,19 +32,20 @@
 
 
 @pytest.fixture(autouse=True)
-def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections to backends are used again at once, so that which one is used does not hang on time."""
+def reuse_connections_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let connections to backends be reused at once, so that the choice of connection does not depend on time."""
     monkeypatch.setattr(connections, "REST_S", 0.0)
 
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_call(item: pytest.Item) -> Iterator[None]:
-    """Hold the test up, where that was asked for."""
-    with hold_ups.held_up(item.config, item.nodeid):
+    """Stall the test if the options say so."""
+    with hold_ups.stall_once(item.config, item.nodeid):
         return (yield)
 
 
 @pytest.fixture(autouse=True)
-def ports_go_back() -> Iterator[None]:
+def release_ports_after_test() -> Iterator[None]:
+    """Release the reserved ports at the end of each test."""
     yield
-    give_back()
+    release_ports()
--- a/tests/hold_ups.py
+++ b/tests/hold_ups.py
@@ -1,6 +1,6 @@
-"""Holds the test's process up at seeded moments: `./micastand test --hold-up 0.15 --hold-up-seed 3 TEST`.
+"""Stalls the test process at seeded moments: `./micastand test --hold-up 0.15 --hold-up-seed 3 TEST`.
 
-By hand only: a failure that a busy machine brings now and then can be called for.
+Used by hand only, to reproduce failures that occur now and then on a busy machine.
 """
 
 from __future__ import annotations
@@ -14,48 +14,50 @@
 
 import pytest
 
-#: Seconds from a test's start within which its hold-up begins, unless --hold-up-within says otherwise.
+#: Default of --hold-up-within: the stall begins within this many seconds after the start of a test.
 DEFAULT_WITHIN_S = 1.0
 
 
 def add_options(parser: pytest.Parser) -> None:
-    """Add the options of hold-ups."""
+    """Add the command-line options for stalls."""
     group = parser.getgroup("hold-ups")
     group.addoption(
-        "--hold-up", type=float, default=0.0, metavar="S", help="hold each test up once, for S seconds"
+        "--hold-up", type=float, default=0.0, metavar="S", help="stall each test once, for S seconds"
+    )
+    group.addoption(
+        "--hold-up-seed", type=int, default=1, metavar="N", help="seed that determines the moment"
     )
-    group.addoption("--hold-up-seed", type=int, default=1, metavar="N", help="draws the moment")
     group.addoption(
         "--hold-up-within",
         type=float,
         default=DEFAULT_WITHIN_S,
         metavar="S",
-        help="latest moment, in seconds",
+        help="latest moment of the stall, in seconds from the start of the test",
     )
 
 
 @contextmanager
-def held_up(config: pytest.Config, test: str) -> Iterator[None]:
-    """Hold the process up once while the block runs, if that was asked for.
+def stall_once(config: pytest.Config, test: str) -> Iterator[None]:
+    """Stall the process once while the block runs, if --hold-up is given.
 
     Args:
-        config: With the options.
-        test: Name of the test; it and the seed draw the moment.
+        config: The configuration with the options.
+        test: Id of the test; together with the seed it determines the moment.
     """
-    length_s: float = config.getoption("--hold-up")
-    if not length_s:
+    stall_s: float = config.getoption("--hold-up")
+    if not stall_s:
         yield
         return
-    draws = random.Random(f"{test} {config.getoption('--hold-up-seed')}")
-    moment_s = draws.uniform(0.001, config.getoption("--hold-up-within"))
+    random_numbers = random.Random(f"{test} {config.getoption('--hold-up-seed')}")
+    moment_s = random_numbers.uniform(0.001, config.getoption("--hold-up-within"))
 
-    def hold_up(_number: int, _frame: FrameType | None) -> None:
-        time.sleep(length_s)
+    def stall(_number: int, _frame: FrameType | None) -> None:
+        time.sleep(stall_s)
 
-    before = signal.signal(signal.SIGALRM, hold_up)
+    previous_handler = signal.signal(signal.SIGALRM, stall)
     signal.setitimer(signal.ITIMER_REAL, moment_s)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0.0)
-        signal.signal(signal.SIGALRM, before)
+        signal.signal(signal.SIGALRM, previous_handler)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -16,7 +16,7 @@
     command: str
     """The command, and the seed, that show the fault."""
     seen: str
-    """What was seen."""
+    """The failure that was observed."""
     issue: str
     """The issue that is open for it."""
 
@@ -25,29 +25,29 @@
     """Read the list.
 
     Args:
-        text: The file's content; empty lines and lines that begin with ``#`` are passed over.
+        text: The file's content; empty lines and lines that begin with ``#`` are ignored.
 
     Returns:
         The entries, in the file's order.
 
     Raises:
-        ValueError: An entry does not have four fields; names its line.
+        ValueError: An entry does not have four fields; the message gives its line.
     """
-    found = []
+    entries = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
         fields = [field.strip() for field in line.split(" | ")]
         if len(fields) != len(KnownFailure._fields) or not all(fields):
             raise ValueError(
-                f"KNOWN-RED.txt, line {number}: not 'test | command and seed | seen | issue': {line!r}"
+                f"KNOWN-RED.txt, line {number}: expected 'test | command and seed | seen | issue', got {line!r}"
             )
-        found.append(KnownFailure(*fields))
-    return found
+        entries.append(KnownFailure(*fields))
+    return entries
 
 
 def find_known_failure(entries: list[KnownFailure], node_id: str) -> KnownFailure | None:
-    """The entry that names this test, if there is one; an entry without parameters names all of them."""
+    """Return the entry that names this test, or None; an entry without parameters covers all parameters of a test."""
     for entry in entries:
         if node_id == entry.test or node_id.startswith(f"{entry.test}["):
             return entry
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,7 +1,7 @@
-"""Scripted peers on loopback sockets, and a proxy between them.
+"""Scripted clients, backends and discovery on loopback sockets, with a proxy between them.
 
-Each peer is a plain stream server or client whose script says, byte by byte, what the other side sees.
-Ports come from the kernel and tests wait for events, never for a while.
+Each peer is a plain stream server or client whose script determines, byte by byte, what it sends. The kernel assigns
+the ports, and tests wait for events rather than for a fixed time.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 from loadbalancer.upstreams.fastcgi import FastCgiUpstreamConnection, application
 from loadbalancer.upstreams.http1 import Http1UpstreamConnection
 
-#: What clients and members speak in the worlds to come.
+#: Protocols of clients and of members in the proxies that `world` starts.
 COMBINATION = ["http/1.1", "http/1.1"]
-#: Time for anything that should happen; only a failing test waits for so long.
+#: Timeout of every wait for an expected event, in seconds; only a failing test waits this long.
 PATIENCE = 10.0
 
 SETTINGS: dict[str, Any] = {
@@ -61,7 +61,7 @@
 
 
 class Call:
-    """One request that a scripted backend has read whole, and the connection to answer on."""
+    """A complete request that a scripted backend has read, with the connection to answer on."""
 
     def __init__(
         self,
@@ -80,6 +80,7 @@
         )
 
     async def say(self, data: bytes) -> None:
+        """Write to the proxy."""
         self.writer.write(data)
         await self.writer.drain()
 
@@ -87,7 +88,7 @@
         self.writer.transport.abort()
 
     async def left(self) -> None:
-        """Until the proxy has closed the connection."""
+        """Wait until the proxy has closed the connection."""
         try:
             await asyncio.wait_for(self.reader.read(), PATIENCE)
         except ConnectionError:
@@ -95,7 +96,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Head and body of a request or an answer with a Content-Length or in chunks."""
+    """Read the head and body of a request or an answer with Content-Length or chunks."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = re.search(rb"(?i)\r\ncontent-length: *(\d+)", head)
     if length:
@@ -109,7 +110,7 @@
 
 
 class ScriptedBackend:
-    """Follows its scripts, one a request; the last one goes on."""
+    """A backend that runs one script for each request, and the last script for all further ones."""
 
     def __init__(self, name: str, *scripts: Script, state: str = "SERVING") -> None:
         self.name, self.scripts, self.state = name, list(scripts), state
@@ -121,26 +122,26 @@
         self.protocol = "http/1.1"
 
     async def start(self) -> None:
-        secure = certs.member_side() if self.protocol == "https" else None
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=64 << 20, ssl=secure)
+        ssl_context = certs.member_side() if self.protocol == "https" else None
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=64 << 20, ssl=ssl_context)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        number = self.connections
+        connection_number = self.connections
         try:
             if self.protocol == "fastcgi":
-                await serve_fcgi(self, reader, writer, number)
+                await serve_fcgi(self, reader, writer, connection_number)
             while self.protocol != "fastcgi":
                 head, body = await read_message(reader)
-                await self.handed(Call(head, body, reader, writer, number))
+                await self.handed(Call(head, body, reader, writer, connection_number))
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         finally:
             writer.close()
 
     async def handed(self, call: Any) -> None:
-        """A request has come whole."""
+        """Run the next script on a complete request."""
         TALLY["effects"] += 1
         script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
         async with self.called:
@@ -172,6 +173,8 @@
 
 
 def answering(data: bytes) -> Script:
+    """Return a script that answers with these bytes."""
+
     async def script(call: Call) -> None:
         await call.say(data)
 
@@ -179,15 +182,17 @@
 
 
 async def resetting(call: Call) -> None:
+    """Reset the connection without an answer."""
     call.reset()
 
 
 async def silent(call: Call) -> None:
+    """Never answer."""
     await call.left()
 
 
 class ScriptedDiscovery:
-    """A watch whose lines the test writes."""
+    """A discovery service whose watch lines are written by the test."""
 
     def __init__(self) -> None:
         self.asked: list[bytes] = []
@@ -224,11 +229,11 @@
 
 
 class RecordingProxy(Proxy):
-    """Keeps what the module is told."""
+    """A proxy that records the events that it passes to its balancer."""
 
     def __init__(self, *args: Any) -> None:
         self.told: list[Event] = []
-        self.news = asyncio.Condition()
+        self.changed = asyncio.Condition()
         super().__init__(*args)
 
     def post(self, event: Event) -> None:
@@ -237,12 +242,12 @@
         asyncio.get_running_loop().create_task(self._notify())
 
     async def _notify(self) -> None:
-        async with self.news:
-            self.news.notify_all()
+        async with self.changed:
+            self.changed.notify_all()
 
-    async def until(self, true: Callable[[], object]) -> None:
-        async with self.news:
-            await asyncio.wait_for(self.news.wait_for(true), PATIENCE)
+    async def until(self, condition: Callable[[], object]) -> None:
+        async with self.changed:
+            await asyncio.wait_for(self.changed.wait_for(condition), PATIENCE)
 
     def outcomes(self) -> list[Outcome]:
         return [event for event in self.told if isinstance(event, Outcome)]
@@ -253,7 +258,7 @@
 
 
 class Client:
-    """A client's connection."""
+    """A client connection to the proxy."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -263,19 +268,20 @@
         await self.writer.drain()
 
     async def read(self) -> tuple[int, bytes, bytes]:
-        """Status, head and body of one answer."""
+        """Read one answer; return its status, head and body."""
         head, body = await asyncio.wait_for(read_message(self.reader), PATIENCE)
         status = int(head.split(b" ", 2)[1])
         tally(status)
         return status, head, body
 
     async def ask(self, data: bytes) -> tuple[int, bytes]:
+        """Send a request, and return the status and body of its answer."""
         await self.send(data)
         status, _, body = await self.read()
         return status, body
 
     async def ended(self) -> bytes:
-        """What is left until the proxy closes the connection."""
+        """Return the remaining bytes once the proxy has closed the connection."""
         return await asyncio.wait_for(self.reader.read(), PATIENCE)
 
 
@@ -283,7 +289,7 @@
 
 
 def request(cls: str = "safe", body: bytes | None = None, remaining: str = "4000m", *extra: str) -> bytes:
-    """A well-formed request of a class."""
+    """Return a well-formed request of a class."""
     global _number
     _number += 1
     lines = ["Host: app.svc", f"X-Txn: t{_number}", f"X-Lane: {cls}", f"X-Remaining: {remaining}", *extra]
@@ -298,7 +304,7 @@
 
 
 class World:
-    """A proxy with its scripted peers."""
+    """A running proxy with its scripted peers."""
 
     def __init__(
         self, proxy: RecordingProxy, server: Listener, address: tuple[str, int], discovery: ScriptedDiscovery
@@ -316,8 +322,10 @@
             self.clients.append(client)
             return client
         tls = self.front == "https"
-        secure: dict[str, Any] = {"ssl": certs.client_side(), "server_hostname": certs.HOST} if tls else {}
-        client = Client(*await asyncio.open_connection(*self.address, limit=64 << 20, **secure))
+        tls_options: dict[str, Any] = (
+            {"ssl": certs.client_side(), "server_hostname": certs.HOST} if tls else {}
+        )
+        client = Client(*await asyncio.open_connection(*self.address, limit=64 << 20, **tls_options))
         self.clients.append(client)
         return client
 
@@ -329,12 +337,13 @@
     memory_mb: float = 128,
     sockets: int = 1024,
 ) -> AsyncIterator[World]:
+    """Run a proxy with these backends, one listener and scripted discovery."""
     front, upstream = COMBINATION
     for backend in backends:
         backend.protocol = upstream
         await backend.start()
     discovery = ScriptedDiscovery()
-    where = await discovery.start()
+    discovery_address = await discovery.start()
     deployment = read_deployment(settings or SETTINGS)
     limits, logger = ResourceLimits(memory_mb, sockets), RateLimitedLogger()
     connect = (
@@ -343,7 +352,7 @@
         else partial(FastCgiUpstreamConnection, application=application({}, True, False))
     )
     proxy = RecordingProxy(deployment, 1, limits, logger, None, connect)
-    discovery_of_proxy = proxy.source = DiscoveryClient(proxy, deployment, where, logger)
+    discovery_client = proxy.source = DiscoveryClient(proxy, deployment, discovery_address, logger)
     slots = limits.client_sockets, limits.overflow_sockets
     serve: ConnectionFactory = (
         ClientConnection if front != "fastcgi" else partial(FastCgiFront, requests_most=64)
@@ -353,7 +362,7 @@
         proxy.upstreams.tls = certs.member_keys()
     if front == "https":
         server.tls = TlsAcceptor(certs.server_keys(), logger)
-    discovery_of_proxy.start({"version": 1, "full": True, "servers": [b.entry() for b in backends]})
+    discovery_client.start({"version": 1, "full": True, "servers": [b.entry() for b in backends]})
     here = World(proxy, server, server.listen(("127.0.0.1", 0)), discovery)
     try:
         yield here
@@ -367,7 +376,7 @@
 
 
 def play(scene: Callable[[], Awaitable[None]]) -> None:
-    """Run a scene on the loop that the proxy runs on."""
+    """Run a test coroutine on the kind of event loop that the proxy uses, with a timeout."""
 
     async def run() -> None:
         await asyncio.wait_for(scene(), 6 * PATIENCE)
@@ -376,6 +385,7 @@
 
 
 def lists(here: World) -> list[EndpointList]:
+    """Return the endpoint lists that the proxy has received."""
     return [e for e in here.proxy.told if isinstance(e, EndpointList)]
 
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""What clients do on their connections: each request ends in one answer, or the connection is closed."""
+"""Client connections: each request gets exactly one answer, or the connection is closed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 from loadbalancer.upstreams import connections as backend_module
 
-BAD: dict[str, tuple[bytes, int]] = {
+MALFORMED_REQUESTS: dict[str, tuple[bytes, int]] = {
     "not HTTP": (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400),
     "no class": (b"GET /api HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\n\r\n", 400),
     "unknown class": (request().replace(b"safe", b"none"), 400),
@@ -46,15 +46,15 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("kind", BAD)
-def test_bad_input_is_answered_and_goes_no_further(kind: str) -> None:
-    data, status = BAD[kind]
+@pytest.mark.parametrize("kind", MALFORMED_REQUESTS)
+def test_malformed_request_is_refused_and_not_forwarded(kind: str) -> None:
+    data, status = MALFORMED_REQUESTS[kind]
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
         async with world(backend) as here:
             client = await here.connect()
-            got, head, _ = await _ask_all(client, data)
+            got, head, _ = await _send_and_read(client, data)
             assert got == status and b"Connection: close" in head
             assert await client.ended() == b""
             assert not backend.calls
@@ -64,12 +64,12 @@
     play(scene)
 
 
-async def _ask_all(client: Client, data: bytes) -> tuple[int, bytes, bytes]:
+async def _send_and_read(client: Client, data: bytes) -> tuple[int, bytes, bytes]:
     await client.send(data)
     return await client.read()
 
 
-def test_a_head_byte_by_byte_and_a_body_in_pieces() -> None:
+def test_request_sent_byte_by_byte_is_served() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
         async with world(backend) as here:
@@ -83,7 +83,7 @@
     play(scene)
 
 
-def test_a_chunked_request_reaches_the_backend_whole() -> None:
+def test_chunked_request_is_forwarded_whole_with_its_length() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
         async with world(backend) as here:
@@ -96,7 +96,7 @@
     play(scene)
 
 
-def test_expect_continue_is_answered() -> None:
+def test_expect_continue_is_answered_100() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
         async with world(backend) as here:
@@ -120,15 +120,15 @@
         backend = ScriptedBackend("s", script)
         async with world(backend) as here:
             client = await here.connect()
-            asked = [request() for _ in range(5)]
-            await client.send(b"".join(asked))
-            for data in asked:
+            requests = [request() for _ in range(5)]
+            await client.send(b"".join(requests))
+            for data in requests:
                 assert (await client.read())[2] == data.split(b"\r\n")[2]
 
     play(scene)
 
 
-def test_a_pipelining_flood_is_cut_short() -> None:
+def test_pipelining_flood_is_limited_and_closes_the_connection() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", silent)) as here:
             client = await here.connect()
@@ -136,12 +136,12 @@
             await here.proxy.until(lambda: here.proxy.open)
             (connection,) = here.connections()
             assert len(connection.waiting) <= server_module.PIPELINE_MOST + 1
-            assert connection.closing  # and what comes after is thrown away
+            assert connection.closing  # later data is discarded
 
     play(scene)
 
 
-def test_a_client_that_leaves_is_withdrawn_and_its_attempt_cancelled() -> None:
+def test_client_disconnect_cancels_its_attempt() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", silent)
         async with world(backend) as here:
@@ -158,7 +158,7 @@
     play(scene)
 
 
-def test_an_abandoned_upload_leaves_nothing_behind() -> None:
+def test_aborted_upload_releases_its_buffers() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("cut", [20, -1])
-def test_a_request_that_never_ends_is_answered_408(cut: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_request_is_answered_408(cut: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_module, "REQUEST_S", 0.0)
 
     async def scene() -> None:
@@ -187,24 +187,24 @@
     play(scene)
 
 
-def test_a_connection_that_says_nothing_is_closed_and_one_that_has_asked_stays(
+def test_unused_connection_times_out_and_a_used_one_stays(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_module, "REQUEST_S", 0.0)
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
-            asked = await here.connect()
-            assert (await asked.ask(request()))[0] == 200
-            silent_one = await here.connect()
-            assert await silent_one.ended() == b""
-            assert (await asked.ask(request()))[0] == 200
+            used = await here.connect()
+            assert (await used.ask(request()))[0] == 200
+            unused = await here.connect()
+            assert await unused.ended() == b""
+            assert (await used.ask(request()))[0] == 200
 
     play(scene)
 
 
-def test_the_time_for_the_first_request_counts_from_connecting() -> None:
-    """A byte just before the time is up earns no second time."""
+def test_timeout_of_the_first_request_counts_from_connecting() -> None:
+    """Guards against a client that sends a byte just before the timeout and so gets a second timeout."""
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
@@ -222,7 +222,7 @@
     play(scene)
 
 
-def test_an_upload_in_pieces_within_its_time_goes_on() -> None:
+def test_upload_in_pieces_within_its_timeout_is_served() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
@@ -238,7 +238,7 @@
     play(scene)
 
 
-def test_a_reader_that_stops_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_stops_reading_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_module, "READ_STALL_S", 0.0)
 
     async def scene() -> None:
@@ -249,7 +249,7 @@
             while not here.server.connections:
                 await asyncio.sleep(0)
             (connection,) = here.connections()
-            while here.server.connections:  # ask on, and take nothing
+            while here.server.connections:  # send requests without reading the answers
                 if not connection.request and not connection.closing:
                     await client.send(request())
                 await asyncio.sleep(0)
@@ -258,7 +258,7 @@
     play(scene)
 
 
-def test_64_kib_both_ways() -> None:
+def test_64_kib_body_is_echoed_unchanged() -> None:
     async def scene() -> None:
         async def echo(call: Call) -> None:
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(call.body) + call.body)
@@ -272,7 +272,7 @@
     play(scene)
 
 
-def test_the_rest_of_an_upload_that_was_turned_away_is_not_read() -> None:
+def test_rest_of_a_rejected_upload_is_not_read() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
@@ -287,7 +287,7 @@
     play(scene)
 
 
-def test_uploads_past_the_budget_are_refused_and_others_served() -> None:
+def test_upload_past_the_budget_is_refused_and_other_requests_are_served() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), memory_mb=16) as here:
             data, count = request("unsafe", bytes(60_000)), here.proxy.budget.max_upload_bytes // 60_000
@@ -306,17 +306,17 @@
     play(scene)
 
 
-def test_connections_past_the_limit_are_answered() -> None:
+def test_connections_past_the_limit_are_answered_503() -> None:
     async def scene() -> None:
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(call: Call) -> None:
-            await free.wait()
+            await release.wait()
             await call.say(OK)
 
         async with world(ScriptedBackend("s", script), sockets=128) as here:
-            taken = [await here.connect() for _ in range(here.server.most)]
-            for client in taken:
+            open_clients = [await here.connect() for _ in range(here.server.most)]
+            for client in open_clients:
                 await client.send(request())
             await here.proxy.until(lambda: len(here.proxy.open) == here.server.most)
             extra = [await here.connect() for _ in range(60)]
@@ -324,49 +324,49 @@
                 await client.send(request())
             for client in extra:
                 assert (await client.read())[0] == 503
-            free.set()
-            for client in taken:
+            release.set()
+            for client in open_clients:
                 assert (await client.read())[0] == 200
 
     play(scene)
 
 
-def test_those_that_say_nothing_make_room_before_those_that_have_asked(
+def test_connections_without_a_request_are_evicted_before_used_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(listener_module, "SILENT_S", 0.0)
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
-            asked = await here.connect()
-            assert (await asked.ask(request()))[0] == 200
-            mute = [await here.connect() for _ in range(here.server.most - 1)]
+            used = await here.connect()
+            assert (await used.ask(request()))[0] == 200
+            silent_clients = [await here.connect() for _ in range(here.server.most - 1)]
             while len(here.server.connections) < here.server.most:
                 await asyncio.sleep(0)
             new = await here.connect()
             assert (await new.ask(request()))[0] == 200
-            assert await mute[0].ended() == b""
-            assert (await asked.ask(request()))[0] == 200
+            assert await silent_clients[0].ended() == b""
+            assert (await used.ask(request()))[0] == 200
 
     play(scene)
 
 
-def test_the_id_of_an_open_request_is_not_taken_again() -> None:
+def test_repeated_id_of_an_open_request_is_answered_409() -> None:
     async def scene() -> None:
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(call: Call) -> None:
-            await free.wait()
+            await release.wait()
             await call.say(OK)
 
         backend = ScriptedBackend("s", script)
         async with world(backend) as here:
-            client, thief, data = await here.connect(), await here.connect(), request("keyed")
+            client, other_client, data = await here.connect(), await here.connect(), request("keyed")
             await client.send(data)
             await backend.until_called()
-            assert (await thief.ask(data))[0] == 409
-            assert await thief.ended() == b""
-            free.set()
+            assert (await other_client.ask(data))[0] == 409
+            assert await other_client.ended() == b""
+            release.set()
             assert (await client.read())[0] == 200
             assert len(backend.calls) == 1
 
@@ -374,13 +374,16 @@
 
 
 @pytest.mark.parametrize("cls", ["safe", "keyed", "unsafe"])
-def test_what_a_backend_cannot_use_fails_once_and_blackens_nobody(cls: str) -> None:
+def test_request_that_backends_reject_fails_once_and_counts_against_none(cls: str) -> None:
     async def scene() -> None:
         bad = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
         backend = ScriptedBackend("s", answering(bad), answering(OK))
         async with world(backend, ScriptedBackend("t", answering(bad))) as here:
             data = request(cls)
-            for client in [await here.connect(), await here.connect()]:  # the second asks the same again
+            for client in [
+                await here.connect(),
+                await here.connect(),
+            ]:  # the second client repeats the request
                 assert (await client.ask(data))[0] in (400, 409)
                 assert await client.ended() == b""
             (outcome,) = await here.proxy.until_outcomes(1)
@@ -390,16 +393,16 @@
     play(scene)
 
 
-def test_a_defect_in_the_decisions_fails_its_request_and_no_other() -> None:
+def test_exception_in_the_policy_fails_only_its_request() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
             client, handle = await here.connect(), here.proxy.balancer.handle
 
-            def broken(*args: object) -> object:
+            def raise_error(*args: object) -> object:
                 here.proxy.balancer.handle = handle  # type: ignore[method-assign]
                 raise RuntimeError("a defect")
 
-            here.proxy.balancer.handle = broken  # type: ignore[method-assign, assignment]
+            here.proxy.balancer.handle = raise_error  # type: ignore[method-assign, assignment]
             assert (await client.ask(request()))[0] == 502
             assert (await client.ask(request()))[0] == 200
             assert not here.proxy.open and not here.proxy.ids.open
@@ -407,7 +410,7 @@
     play(scene)
 
 
-def test_a_request_that_the_decisions_forget_is_failed_when_its_time_is_up() -> None:
+def test_request_that_the_policy_ignores_fails_at_its_deadline() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
@@ -418,10 +421,10 @@
     play(scene)
 
 
-def test_idle_connections_make_room_for_new_ones() -> None:
+def test_oldest_idle_connection_is_evicted_for_a_new_one() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
-            here.server.pressure.reuse.chance = 1.0  # of clients that come back: no answer closes
+            here.server.pressure.reuse.chance = 1.0  # chance of reuse, so no answer closes its connection
             idle = [await here.connect() for _ in range(here.server.most)]
             for client in idle:
                 assert (await client.ask(request()))[0] == 200
@@ -433,26 +436,26 @@
     play(scene)
 
 
-def test_hundreds_at_once_are_all_served() -> None:
+def test_300_concurrent_requests_are_all_served() -> None:
     async def scene() -> None:
         backends = [ScriptedBackend(f"s{n}", answering(OK)) for n in range(8)]
         async with world(*backends) as here:
             for client in [await here.connect() for _ in range(20)]:
                 await client.ask(request())
 
-            async def one() -> int:
+            async def serve_one() -> int:
                 client = await here.connect()
                 status, _ = await client.ask(request())
                 return status
 
-            statuses = await asyncio.gather(*[one() for _ in range(300)])
+            statuses = await asyncio.gather(*[serve_one() for _ in range(300)])
             assert statuses.count(200) == 300
             assert here.proxy.upstreams.open <= here.proxy.upstreams.sockets
 
     play(scene)
 
 
-def test_old_clients_are_answered_and_closed() -> None:
+def test_http_1_0_client_is_answered_and_closed() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
@@ -462,32 +465,34 @@
     play(scene)
 
 
-def test_ready_once_a_list_is_held() -> None:
+def test_ready_is_200_once_an_endpoint_list_has_arrived() -> None:
     async def scene() -> None:
         async with world() as here:
             client = await here.connect()
-            asked = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
-            assert (await client.ask(asked))[0] == 503
+            ready_request = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
+            assert (await client.ask(ready_request))[0] == 503
             await here.discovery.until_watched()
             backend = ScriptedBackend("s", answering(OK))
             await backend.start()
             await here.discovery.line(2, backend.entry())
             await here.proxy.until(lambda: here.proxy.listed)
-            assert (await client.ask(asked))[0] == 200
+            assert (await client.ask(ready_request))[0] == 200
             await backend.stop()
 
     play(scene)
 
 
-def test_sigterm_with_requests_held_and_new_ones_arriving(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_serves_open_and_new_requests_and_closes_idle_connections(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scene() -> None:
-        hold = asyncio.Event()
+        release = asyncio.Event()
 
-        async def held(call: Call) -> None:
-            await hold.wait()
+        async def script(call: Call) -> None:
+            await release.wait()
             await call.say(OK)
 
-        backend = ScriptedBackend("s", answering(OK), held, answering(OK))
+        backend = ScriptedBackend("s", answering(OK), script, answering(OK))
         async with world(backend) as here:
             first, idle = await here.connect(), await here.connect()
             await first.ask(request())
@@ -505,7 +510,7 @@
             assert (await late.ask(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 503
             assert await idle.ended() == b""
             assert not drain.done()
-            hold.set()
+            release.set()
             status, head, _ = await first.read()
             assert status == 200 and b"Connection: close" in head
             await drain
@@ -516,7 +521,7 @@
 
 
 def test_an_idle_connection_with_an_unread_request_is_not_closed() -> None:
-    """Guards against requests lost where the proxy is short of CPU and reads late."""
+    """Guards against requests lost when the proxy is short of CPU and reads late."""
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", answering(OK))) as here:
@@ -524,22 +529,22 @@
             assert (await client.ask(request()))[0] == 200
             (connection,) = here.connections()
             sock = client.writer.get_extra_info("socket")
-            os.write(sock.fileno(), request())  # it is in the kernel before the loop can read it
-            assert not connection.retire()
+            os.write(sock.fileno(), request())  # in the kernel before the event loop can read it
+            assert not connection.close_if_idle()
             assert (await client.read())[0] == 200
-            assert connection.retire()
+            assert connection.close_if_idle()
             assert await client.ended() == b""
 
     play(scene)
 
 
-def test_nothing_is_left_after_a_busy_time() -> None:
+def test_many_concurrent_requests_release_all_resources() -> None:
     async def scene() -> None:
         scripts = [answering(OK), resetting, answering(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")]
         backends = [ScriptedBackend(f"s{n}", *scripts * 3, answering(OK)) for n in range(6)]
         async with world(*backends) as here:
 
-            async def busy(number: int) -> None:
+            async def run_client(number: int) -> None:
                 for turn in range(50):
                     client = await here.connect()
                     await client.send(request(("safe", "keyed", "unsafe")[turn % 3]))
@@ -547,12 +552,12 @@
                         assert (await client.read())[0] in (200, 502, 503)
                     client.writer.close()
 
-            await asyncio.gather(*[busy(number) for number in range(20)])
+            await asyncio.gather(*[run_client(number) for number in range(20)])
             pool = here.proxy.upstreams
             while here.server.connections or here.proxy.open:
                 await asyncio.sleep(0)
             while pool.open != (idle := sum(len(b.idle) for b in pool.endpoints.values())):
-                await asyncio.sleep(0)  # one that was being opened is still to be given up
+                await asyncio.sleep(0)  # a connection that was being opened is still to be closed
             assert idle <= 6 * backend_module.IDLE_MOST
             assert here.proxy.budget.held_bytes == 0 and not here.server.idle
             assert not here.proxy.balancer.requests
--- a/tests/test_closing_listener.py
+++ b/tests/test_closing_listener.py
@@ -1,4 +1,4 @@
-"""A listener that closes: connections cross the moment between its last accept and its end."""
+"""Closing a listener while clients connect between its last accept and its close."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from loadbalancer.frontends.listener import Listener, drain
 
 
-def connects(address: tuple[str, int]) -> bool:
-    """Whether a connection is established at once, as it is on the loopback where somebody listens."""
+def is_connected_at_once(address: tuple[str, int]) -> bool:
+    """Return whether a connection is established at once, as it is on the loopback if a process listens."""
     with socket.socket() as sock:
         sock.setblocking(False)
         assert sock.connect_ex(address) in (0, errno.EINPROGRESS)
@@ -23,8 +23,8 @@
         return bool(poller.poll(0))
 
 
-def connect_in_two_steps(address: tuple[str, int]) -> socket.socket:
-    """A client that counts as connected, while the segment that ends its handshake waits for its first bytes."""
+def connect_with_delayed_ack(address: tuple[str, int]) -> socket.socket:
+    """Return a connected client socket whose last handshake segment is delayed until it sends its first bytes."""
     sock = socket.socket()
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 0)
     sock.connect(address)
@@ -33,12 +33,12 @@
 
 
 # Guards against a connection that is accepted as the listener closes, and on which nothing is ever received.
-def test_a_handshake_that_ends_while_new_connections_are_blocked_is_served() -> None:
+def test_handshake_that_completes_while_connections_are_blocked_is_served() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("a", answering(OK))) as here:
-            sock = connect_in_two_steps(here.address)
+            sock = connect_with_delayed_ack(here.address)
             here.server.block()
-            assert not connects(here.address)
+            assert not is_connected_at_once(here.address)
             client = Client(*await asyncio.open_connection(sock=sock))
             here.clients.append(client)
             assert (await client.ask(request()))[0] == 200
@@ -47,32 +47,34 @@
 
 
 # Guards against a new connection that is established, sends its request, and is reset as the listener closes.
-def test_nobody_connects_between_the_last_accept_and_the_close(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_connection_is_established_between_the_last_accept_and_the_close(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     close = Listener.close
-    found: list[bool] = []
+    connected_before_close: list[bool] = []
 
     def connect_and_close(self: Listener) -> None:
         if self._sock is not None:
-            found.append(connects(self.address))
+            connected_before_close.append(is_connected_at_once(self.address))
         close(self)
 
     async def scene() -> None:
         async with world(ScriptedBackend("a", answering(OK))) as here:
-            assert connects(here.address)
+            assert is_connected_at_once(here.address)
             client = await here.connect()
             assert (await client.ask(request()))[0] == 200
             waiting = await asyncio.open_connection(*here.address)
             monkeypatch.setattr(Listener, "close", connect_and_close)
             await drain([here.server], 0.1, blocks=True)
             monkeypatch.undo()
-            assert found == [False]
+            assert connected_before_close == [False]
             waiting[1].close()
 
     play(scene)
 
 
 # Guards against a client that counts as connected before its handshake has ended, and whose request is reset.
-def test_a_handshake_that_ends_after_new_connections_were_blocked_is_served(
+def test_handshake_that_completes_during_the_drain_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     block = Listener.block
@@ -82,7 +84,7 @@
             connected: list[socket.socket] = []
 
             def connect_and_block(self: Listener) -> None:
-                connected.append(connect_in_two_steps(self.address))
+                connected.append(connect_with_delayed_ack(self.address))
                 block(self)
                 asyncio.get_running_loop().call_soon(connected[0].send, request())
 
@@ -95,15 +97,15 @@
     play(scene)
 
 
-# Guards against a successor that hears nobody, since the process before it blocked the socket that both have.
-def test_a_socket_that_was_offered_to_a_successor_is_not_blocked() -> None:
+# Guards against a successor that receives no connections, because its predecessor blocked the socket they share.
+def test_socket_that_was_offered_to_a_successor_is_not_blocked() -> None:
     async def scene() -> None:
         async with world(ScriptedBackend("a", answering(OK))) as here:
             here.server.was_offered = True
             here.server.block()
-            assert connects(here.address)
+            assert is_connected_at_once(here.address)
             here.server.was_offered = False
             here.server.block()
-            assert not connects(here.address)
+            assert not is_connected_at_once(here.address)
 
     play(scene)
--- a/tests/test_combinations.py
+++ b/tests/test_combinations.py
@@ -23,33 +23,33 @@
 
 #: Tests that are of HTTP alone, and why.
 BYTES_OF_HTTP = {
-    "test_bad_input_is_answered_and_goes_no_further": "malformed heads; FastCGI's own are in test_fastcgi.py",
-    "test_a_head_byte_by_byte_and_a_body_in_pieces": "bytes of a head",
-    "test_a_chunked_request_reaches_the_backend_whole": "chunks",
-    "test_expect_continue_is_answered": "100 Continue",
+    "test_malformed_request_is_refused_and_not_forwarded": "malformed heads; FastCGI's own are in test_fastcgi.py",
+    "test_request_sent_byte_by_byte_is_served": "bytes of a head",
+    "test_chunked_request_is_forwarded_whole_with_its_length": "chunks",
+    "test_expect_continue_is_answered_100": "100 Continue",
     "test_pipelined_requests_are_answered_in_order": "FastCGI multiplexes instead",
-    "test_a_pipelining_flood_is_cut_short": "FastCGI multiplexes instead",
+    "test_pipelining_flood_is_limited_and_closes_the_connection": "FastCGI multiplexes instead",
     "test_an_answer_that_ends_with_its_connection_is_whole": "a FastCGI answer ends with its END_REQUEST",
     "test_each_end_of_an_attempt_is_told_as_its_result['a reset without a length']": "the same",
-    "test_an_abandoned_upload_leaves_nothing_behind": "half a message",
-    "test_a_request_that_never_ends_is_answered_408": "half a message",
-    "test_a_connection_that_says_nothing_is_closed_and_one_that_has_asked_stays": "a limit patched in http1",
-    "test_the_time_for_the_first_request_counts_from_connecting": "bytes of a head",
-    "test_an_upload_in_pieces_within_its_time_goes_on": "half a message",
-    "test_a_reader_that_stops_is_given_up": "a limit patched in http1",
-    "test_the_rest_of_an_upload_that_was_turned_away_is_not_read": "a length that is refused unread",
-    "test_uploads_past_the_budget_are_refused_and_others_served": "half messages",
-    "test_connections_past_the_limit_are_answered": "Connection: close",
-    "test_old_clients_are_answered_and_closed": "HTTP/1.0",
-    "test_sigterm_with_requests_held_and_new_ones_arriving": "Connection: close",
+    "test_aborted_upload_releases_its_buffers": "half a message",
+    "test_incomplete_request_is_answered_408": "half a message",
+    "test_unused_connection_times_out_and_a_used_one_stays": "a limit patched in http1",
+    "test_timeout_of_the_first_request_counts_from_connecting": "bytes of a head",
+    "test_upload_in_pieces_within_its_timeout_is_served": "half a message",
+    "test_client_that_stops_reading_is_disconnected": "a limit patched in http1",
+    "test_rest_of_a_rejected_upload_is_not_read": "a length that is refused unread",
+    "test_upload_past_the_budget_is_refused_and_other_requests_are_served": "half messages",
+    "test_connections_past_the_limit_are_answered_503": "Connection: close",
+    "test_http_1_0_client_is_answered_and_closed": "HTTP/1.0",
+    "test_drain_serves_open_and_new_requests_and_closes_idle_connections": "Connection: close",
     "test_an_idle_connection_with_an_unread_request_is_not_closed": "bytes in the kernel",
-    "test_hundreds_at_once_are_all_served": "hangs on the machine's speed: the translating peers are slow ones",
+    "test_300_concurrent_requests_are_all_served": "hangs on the machine's speed: the translating peers are slow ones",
     "test_a_break_before_the_last_byte_is_written_is_no_connection": "the opposite holds for FastCGI",
     "test_an_answer_without_end_is_spoilt_and_the_request_goes_again": "framing of answers",
     "test_what_comes_right_behind_an_answer_is_not_the_next_one": "bytes behind an answer",
 }
 #: Tests whose draws and order hang on time: only how many answers there are is the same.
-BY_CHANCE = {"test_nothing_is_left_after_a_busy_time"}
+BY_CHANCE = {"test_many_concurrent_requests_release_all_resources"}
 #: Rows of a test that can't be said in FastCGI.
 ROWS_OF_HTTP = {
     "served in fragments", "served in chunks", "served after interim answers", "an end without a length", "not HTTP",
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown, from SIGTERM to the end: what crosses it, forced."""
+"""Graceful shutdown from SIGTERM to the end, with requests that arrive or end at the same time."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from loadbalancer.frontends.http1 import HEAD, LINGER
 from loadbalancer.frontends.listener import drain
 
-LAST = b"Connection: close"
+CLOSE_HEADER = b"Connection: close"
 
 
-class Held:
-    """A member that answers when the test says so."""
+class WaitingMember:
+    """A member that answers once its event is set."""
 
     def __init__(self) -> None:
         self.gate = asyncio.Event()
@@ -27,37 +27,37 @@
         await call.say(OK)
 
 
-async def paused(here: World) -> None:
-    """Until nothing is read any more, since a request waits behind another one."""
+async def wait_until_paused(here: World) -> None:
+    """Wait until reading is paused because a request waits behind another one."""
     while not here.connections()[0].paused:
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("unread", [0, 3])
-def test_what_is_pipelined_behind_an_open_request_is_answered_whole(unread: int) -> None:
-    """`unread`: so many of the requests are still in the kernel when the process is told to end."""
+def test_pipelined_requests_are_all_answered_during_shutdown(unread: int) -> None:
+    """Guards against lost pipelined requests; `unread` of them are still in the kernel when the shutdown begins."""
 
     async def scene() -> None:
-        held = Held()
-        async with world(held.member) as here:
+        waiting = WaitingMember()
+        async with world(waiting.member) as here:
             client = await here.connect()
             await client.send(request() * 3)
-            await held.member.until_called()
-            await paused(here)
+            await waiting.member.until_called()
+            await wait_until_paused(here)
             await client.send(request() * unread)
             here.server.retire()
-            held.gate.set()
-            for left in reversed(range(3 + unread)):
+            waiting.gate.set()
+            for remaining in reversed(range(3 + unread)):
                 status, head, _ = await client.read()
-                assert status == 200 and (LAST in head) == (left == 0)
+                assert status == 200 and (CLOSE_HEADER in head) == (remaining == 0)
             assert await client.ended() == b""
-            assert len(held.member.calls) == 3 + unread
+            assert len(waiting.member.calls) == 3 + unread
 
     play(scene)
 
 
-def test_when_the_time_is_up_each_pipelined_request_has_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first is with a member that hangs; the others are told that they have not run."""
+def test_pipelined_requests_are_answered_at_the_shutdown_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against pipelined requests without an answer: the first is with a member that hangs, the others wait."""
     monkeypatch.setattr(listener, "DRAIN_OPEN_S", 0.0)
     monkeypatch.setattr(listener, "FLUSH_S", 10.0)
 
@@ -67,57 +67,57 @@
             client = await here.connect()
             await client.send(request("unsafe") + request() * 3)
             await a.until_called()
-            ended = asyncio.ensure_future(drain([here.server], 4.0, most=0.0))
+            drained = asyncio.ensure_future(drain([here.server], 4.0, most=0.0))
             assert [(await client.read())[0] for _ in range(4)] == [502, 503, 503, 503]
             assert await client.ended() == b""
-            await ended
+            await drained
             assert len(a.calls) == 1 and not here.proxy.open
 
     play(scene)
 
 
-def test_a_request_half_read_is_answered_once_it_has_come() -> None:
+def test_partly_received_request_is_answered_during_shutdown() -> None:
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
         async with world(a) as here:
             client, whole = await here.connect(), request("unsafe", b"0123456789")
             await client.send(request() + whole[:-5])
-            assert LAST not in (await client.read())[1]
+            assert CLOSE_HEADER not in (await client.read())[1]
             here.server.retire()
             while here.connections()[0].body_received < 5:
                 await asyncio.sleep(0)
             await client.send(whole[-5:])
             status, head, _ = await client.read()
-            assert status == 200 and LAST in head
+            assert status == 200 and CLOSE_HEADER in head
             assert await client.ended() == b"" and len(a.calls) == 2
 
     play(scene)
 
 
-def test_a_request_half_read_behind_an_open_one_is_not_cut_off() -> None:
-    """The last answer is due while the head of the next request is being read."""
+def test_partly_received_head_behind_an_open_request_is_answered() -> None:
+    """Guards against closing with an answer while the head of the next request is being read."""
 
     async def scene() -> None:
-        held = Held()
-        async with world(held.member) as here:
+        waiting = WaitingMember()
+        async with world(waiting.member) as here:
             client, second = await here.connect(), request()
             await client.send(request() + second[:20])
-            await held.member.until_called()
+            await waiting.member.until_called()
             while here.connections()[0].phase != HEAD:
                 await asyncio.sleep(0)
             here.server.retire()
-            held.gate.set()
+            waiting.gate.set()
             status, head, _ = await client.read()
-            assert status == 200 and LAST not in head
+            assert status == 200 and CLOSE_HEADER not in head
             await client.send(second[20:])
             status, head, _ = await client.read()
-            assert status == 200 and LAST in head
+            assert status == 200 and CLOSE_HEADER in head
             assert await client.ended() == b""
 
     play(scene)
 
 
-def test_a_request_that_comes_after_our_end_is_not_sent_on_and_resets_nothing() -> None:
+def test_request_after_the_last_answer_is_discarded_without_a_reset() -> None:
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
         async with world(a) as here:
@@ -130,13 +130,13 @@
             while not here.connections()[0].discarded:
                 await asyncio.sleep(0)
             assert (await client.read())[0] == 200
-            assert await client.ended() == b""  # and no reset
+            assert await client.ended() == b""  # closed without a reset
             assert len(a.calls) == 1
 
     play(scene)
 
 
-def long_answer(gate: asyncio.Event, size: int) -> ScriptedBackend:
+def member_with_long_answer(gate: asyncio.Event, size: int) -> ScriptedBackend:
     async def script(call: Call) -> None:
         await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + bytes(size // 2))
         await gate.wait()
@@ -146,15 +146,15 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_stream_comes_to_its_end_or_is_seen_to_be_cut(whole: bool) -> None:
+def test_streamed_answer_completes_or_is_reset_at_the_deadline(whole: bool) -> None:
     async def scene() -> None:
         gate, size = asyncio.Event(), 8 << 20
-        async with world(long_answer(gate, size)) as here:
+        async with world(member_with_long_answer(gate, size)) as here:
             client = await here.connect()
             await client.send(request())
             await client.reader.readuntil(b"\r\n\r\n")
             await client.reader.readexactly(size // 2)
-            ended = asyncio.ensure_future(drain([here.server], 4.0, most=3.4 if whole else 0.0))
+            drained = asyncio.ensure_future(drain([here.server], 4.0, most=3.4 if whole else 0.0))
             if whole:
                 while not here.server.draining:
                     await asyncio.sleep(0)
@@ -163,14 +163,14 @@
             else:
                 with pytest.raises(ConnectionResetError):
                     await client.ended()
-            await ended
+            await drained
             assert not here.proxy.open and not here.connections()
 
     play(scene)
 
 
 @pytest.mark.parametrize("cls", ["keyed", "unsafe"])
-def test_an_upload_under_way_is_served(cls: str) -> None:
+def test_upload_in_progress_is_served(cls: str) -> None:
     async def scene() -> None:
         a, body = ScriptedBackend("a", answering(OK)), bytes(8 << 20)
         async with world(a) as here:
@@ -181,14 +181,14 @@
             here.server.retire()
             await client.send(whole[-(1 << 20) :])
             status, head, _ = await client.read()
-            assert status == 200 and LAST in head
+            assert status == 200 and CLOSE_HEADER in head
             assert len(a.calls) == 1 and len(a.calls[0].body) == len(body)
             assert await client.ended() == b""
 
     play(scene)
 
 
-def test_an_upload_that_is_not_whole_when_the_time_is_up_reaches_no_member_whole() -> None:
+def test_incomplete_upload_is_aborted_at_the_deadline() -> None:
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
         async with world(a) as here:
@@ -204,7 +204,7 @@
     play(scene)
 
 
-def test_an_attempt_that_opens_when_the_process_is_told_to_end_is_served(
+def test_attempt_that_is_connecting_when_the_shutdown_begins_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scene() -> None:
@@ -218,42 +218,42 @@
             holder.on = False
             holder.gate.set()
             status, head, _ = await client.read()
-            assert status == 200 and LAST in head and len(a.calls) == 1
+            assert status == 200 and CLOSE_HEADER in head and len(a.calls) == 1
 
     play(scene)
 
 
-def test_a_repeat_that_is_due_still_goes() -> None:
+def test_retry_is_still_made_during_shutdown() -> None:
     async def scene() -> None:
-        told = asyncio.Event()
+        draining = asyncio.Event()
 
-        async def reset_once_told(call: Call) -> None:
-            await told.wait()
+        async def reset_when_draining(call: Call) -> None:
+            await draining.wait()
             call.reset()
 
-        members = [ScriptedBackend(name, reset_once_told, answering(OK)) for name in ("a", "b")]
+        members = [ScriptedBackend(name, reset_when_draining, answering(OK)) for name in ("a", "b")]
         async with world(*members) as here:
             client = await here.connect()
             await client.send(request("keyed"))
             while not any(member.calls for member in members):
                 await asyncio.sleep(0)
             here.server.retire()
-            told.set()
+            draining.set()
             for member in members:
                 member.scripts = [answering(OK)]
             status, head, _ = await client.read()
-            assert status == 200 and LAST in head
+            assert status == 200 and CLOSE_HEADER in head
             assert sum(len(member.calls) for member in members) == 2
 
     play(scene)
 
 
-def test_clients_that_come_again_at_once_are_each_answered_and_closed() -> None:
-    """On new connections, up to the end of accepting, and on those that stay open."""
+def test_clients_that_reconnect_during_drain_are_answered_and_closed() -> None:
+    """Guards against requests lost on new connections until accepting stops."""
 
     async def scene() -> None:
         async with world(ScriptedBackend("a", answering(OK))) as here:
-            ended = asyncio.ensure_future(drain([here.server], 0.2))
+            drained = asyncio.ensure_future(drain([here.server], 0.2))
             count = 0
             while True:
                 try:
@@ -264,10 +264,10 @@
                 if here.server.listening is None:
                     break
                 status, head, _ = await client.read()
-                assert status == 200 and LAST in head
+                assert status == 200 and CLOSE_HEADER in head
                 assert await client.ended() == b""
                 count += 1
-            await ended
+            await drained
             assert count and not here.connections() and not here.proxy.open
 
     play(scene)
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""A process that is held up: what peers have sent meanwhile lies in the kernel when timers are due."""
+"""Stalls of the process: data that peers sent meanwhile is in the kernel when timers expire."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from loadbalancer.read_first_timer import ReadFirstTimer
 from loadbalancer.upstreams.connections import UpstreamPools
 
-#: Seconds that the process is held up for: longer than the timer that each scene is about.
+#: Length of a stall in seconds; longer than the timer that each test is about.
 STALL_S = 0.3
 
 
 def stall(*_: Any) -> None:
-    """Hold the whole process up."""
+    """Block the whole process."""
     time.sleep(STALL_S)
 
 
 class Answering:
-    """A backend whose answer the test writes, in the callback in which it holds the process up."""
+    """A backend whose answer the test writes in the same callback that stalls the process."""
 
     def __init__(self, name: str) -> None:
         self.backend = ScriptedBackend(name, self._wait)
@@ -35,22 +35,20 @@
         await call.left()
 
     def answer_and_stall(self) -> None:
-        """The answer is in the kernel, the next timers are due, and the loop knows the time."""
+        """Write the answers into the kernel, stall until timers are due, and make the event loop update its clock."""
         for call in self._calls:
             call.writer.write(OK)
         stall()
-        asyncio.get_running_loop().call_later(0.0, stall_is_over)
+        asyncio.get_running_loop().call_later(0.0, do_nothing)
 
 
-def stall_is_over() -> None:
-    """A timer that is set after a stall makes the loop read its clock before it reads its sockets."""
+def do_nothing() -> None:
+    """Does nothing: setting a timer after a stall makes the loop update its clock before it reads its sockets."""
 
 
 # Guards against an attempt that counts as failed although its connection was up in time.
 @pytest.mark.parametrize("cls", ["safe", "keyed", "unsafe"])
-def test_a_connection_that_came_up_while_the_process_was_held_up_is_used(
-    cls: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_connection_established_during_a_stall_is_used(cls: str, monkeypatch: pytest.MonkeyPatch) -> None:
     open_connection = UpstreamPools._open
 
     def open_and_stall(self: UpstreamPools, *arguments: Any) -> None:
@@ -70,9 +68,9 @@
     play(scene)
 
 
-# Guards against a time-out, and a second attempt, for an answer that had arrived.
+# Guards against a timeout and a second attempt although the answer had arrived.
 @pytest.mark.parametrize("cls", ["safe", "keyed", "unsafe"])
-def test_an_answer_that_arrived_while_the_process_was_held_up_is_given(cls: str) -> None:
+def test_answer_that_arrived_during_a_stall_is_passed_on(cls: str) -> None:
     async def scene() -> None:
         peer = Answering("a")
         async with world(peer.backend) as here:
@@ -88,8 +86,8 @@
     play(scene)
 
 
-# Guards against a shutdown that answers 503 for work that was done before its end.
-def test_an_answer_that_arrived_before_the_end_of_a_shutdown_is_given(
+# Guards against a shutdown that answers 503 although the member had answered before its end.
+def test_answer_that_arrived_before_the_shutdown_deadline_is_passed_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     is_busy = Listener.is_busy
@@ -116,15 +114,15 @@
     play(scene)
 
 
-# Guards against a timer that fires once it was cancelled, also between its expiry and its call.
-def test_a_timer_is_cancelled_at_any_time_before_its_call() -> None:
+# Guards against a timer that fires after it was cancelled, also between its expiry and its call.
+def test_timer_can_be_cancelled_until_its_callback_runs() -> None:
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         fired: list[str] = []
         early = ReadFirstTimer(loop, 10.0, fired.append, "early")
         early.cancel()
         late = ReadFirstTimer(loop, 0.0, fired.append, "late")
-        await asyncio.sleep(0)  # it has expired, and waits for the loop to read
+        await asyncio.sleep(0)  # it has expired, and waits until the loop has read its sockets
         late.cancel()
         done = asyncio.Event()
         ReadFirstTimer(loop, 0.01, done.set)
