--- a/loadbalancer/frontends/admission_gate.py
+++ b/loadbalancer/frontends/admission_gate.py
@@ -77,13 +77,13 @@
 
     def is_like(self, other: AdmissionGate) -> bool:
         """Return whether both gates have the same rules."""
-        mine, its = self.admission, other.admission
-        return (self.proxy_sources, mine.caps, mine.known, mine.floor, mine.exempt) == (
+        rules, other_rules = self.admission, other.admission
+        return (self.proxy_sources, rules.caps, rules.known, rules.floor, rules.exempt) == (
             other.proxy_sources,
-            its.caps,
-            its.known,
-            its.floor,
-            its.exempt,
+            other_rules.caps,
+            other_rules.known,
+            other_rules.floor,
+            other_rules.exempt,
         )
 
     def admit_new(self, peer: str, most: int, taken: int) -> tuple[AdmittedConnection, Ruling]:
@@ -141,13 +141,13 @@
         began(visit.rows)
         return True
 
-    def end_request(self, visit: AdmittedConnection, good: bool) -> None:
-        """Count a request as ended; `good`: it was complete and has been answered."""
+    def end_request(self, visit: AdmittedConnection, was_answered: bool) -> None:
+        """Count a request as ended; `was_answered`: it was complete and has been answered."""
         if not visit.rows:
             return
         visit.requests -= 1
         ended(visit.rows)
-        visit.uncredited_answers += good
+        visit.uncredited_answers += was_answered
         if visit.uncredited_answers >= CREDIT or not visit.credited:
             self._credit(visit)
 
--- a/loadbalancer/frontends/connection.py
+++ b/loadbalancer/frontends/connection.py
@@ -155,10 +155,10 @@
         """Return whether the address may open one more request; if so, it counts as open until `end_request`."""
         return self.visit is None or self.visit.gate.try_begin_request(self.visit)
 
-    def end_request(self, good: bool) -> None:
-        """Count an open request as ended; `good`: it was complete and has been answered."""
+    def end_request(self, was_answered: bool) -> None:
+        """Count an open request as ended; `was_answered`: it was complete and has been answered."""
         if self.visit is not None:
-            self.visit.gate.end_request(self.visit, good)
+            self.visit.gate.end_request(self.visit, was_answered)
 
     def record_malformed(self) -> None:
         """Record that the client sent unreadable data, or did not read its answer."""
--- a/loadbalancer/frontends/dialect.py
+++ b/loadbalancer/frontends/dialect.py
@@ -37,9 +37,9 @@
 class RejectError(Exception):
     """The proxy answers the request itself with an error status; with HTTP it then closes the connection."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status, self.why = status, why
+    def __init__(self, status: int, message: str) -> None:
+        super().__init__(message)
+        self.status, self.message = status, message
 
 
 class Destination(Protocol):
@@ -158,7 +158,7 @@
     """An answer that the proxy gives itself, without a pool."""
 
     status: int
-    why: str
+    message: str
     close: bool
 
 
--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -84,10 +84,10 @@
         """End this request as failed by its application; the other requests on the connection go on."""
         self._end_stream(False)
 
-    def _end_stream(self, good: bool) -> None:
+    def _end_stream(self, is_complete: bool) -> None:
         self.open_request = self.stream = None
-        self.connection.end_request(good and not self.connection.blocked)
-        self.connection.end_streamed(self, 0 if good else 1)
+        self.connection.end_request(is_complete and not self.connection.blocked)
+        self.connection.end_streamed(self, 0 if is_complete else 1)
 
     def answer(
         self,
@@ -191,7 +191,7 @@
         except CgiError as problem:
             self._reject(request, 400, str(problem))
         except RejectError as problem:
-            self._reject(request, problem.status, problem.why)
+            self._reject(request, problem.status, problem.message)
 
     def _receive_body(self, request: FcgiRequest, data: bytes) -> None:
         destination = request.head.destination
@@ -213,10 +213,10 @@
         try:
             item = request.head.reader.read(request.head, request.body, request)
         except RejectError as problem:
-            self._reject(request, problem.status, problem.why)
+            self._reject(request, problem.status, problem.message)
             return
         if isinstance(item, Reply):
-            self._reject(request, item.status, item.why)
+            self._reject(request, item.status, item.message)
         else:
             request.body = None  # now owned by the open request
             self._submit(request, item)
@@ -224,28 +224,28 @@
     def _submit(self, request: FcgiRequest, item: RoutedRequest) -> None:
         proxy = item.proxy
         if self.overflow:
-            status, why = 503, "too many connections"
+            status, message = 503, "too many connections"
         elif proxy.is_known(item.request):
-            status, why = 409, "this X-Txn has been used"
+            status, message = 409, "this X-Txn has been used"
         elif proxy.is_shut_out():
-            status, why = 503, "this proxy is not of its fleet now"
+            status, message = 503, "this proxy is not of its fleet now"
         elif not proxy.has_room():
-            status, why = 503, "this pool has all it can hold"
+            status, message = 503, "this pool has all it can hold"
         elif not self.try_begin_request():
-            status, why = 503, "too many requests at once from this address"
+            status, message = 503, "too many requests at once from this address"
         else:
             request.open_request = item.request
             item.submit()
             return
         proxy.count_rejected(item.request, item.cls, status)
-        self._reject(request, status, why)
+        self._reject(request, status, message)
 
-    def _reject(self, request: FcgiRequest, status: int, why: str) -> None:
+    def _reject(self, request: FcgiRequest, status: int, message: str) -> None:
         """Answer a request without a pool; its remaining input is discarded until its STDIN ends."""
         request.release_body()
         lines = frontend_proxy_status(status) if self.listener.reader.adds_proxy_status else []
         self.write_response(
-            request, status, REASONS.get(status, b"No Reason"), lines, why.encode() + b"\n", None
+            request, status, REASONS.get(status, b"No Reason"), lines, message.encode() + b"\n", None
         )
 
     def _abort_request(self, request: FcgiRequest) -> None:
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -232,7 +232,7 @@
             item = head.reader.read(head, None, self)
         except RejectError as problem:
             item = None
-            self._reject(problem.status, problem.why)
+            self._reject(problem.status, problem.message)
         if not isinstance(item, RoutedRequest) or not item.proxy.may_upload():
             upload.close()
             self.upload = None
@@ -268,7 +268,7 @@
     def _handle_parser_error(self, problem: httptools.HttpParserError) -> None:
         cause = problem.__context__
         if isinstance(cause, RejectError):
-            self._reject(cause.status, cause.why)
+            self._reject(cause.status, cause.message)
         elif isinstance(problem, httptools.HttpParserCallbackError) and cause is not None:
             raise cause from None  # a defect in this program
         else:
@@ -328,14 +328,14 @@
             assert self.transport is not None
             self.end_writing()
 
-    def _reject(self, status: int, why: str) -> None:
+    def _reject(self, status: int, message: str) -> None:
         """Queue an error answer behind the earlier requests; nothing more is read from the connection."""
         self.closing = True
         if status in (400, 431, 501):
             self.record_malformed()
         self.listener.evictable.remove(self)
         self._release_body()
-        self.waiting.append(Reply(status, why, True))
+        self.waiting.append(Reply(status, message, True))
 
     def _serve_waiting(self) -> None:
         """Serve the waiting requests in order, until one has been submitted to its pool."""
@@ -344,7 +344,7 @@
             self.close_after = item.close
             if isinstance(item, Reply):
                 self._write(
-                    item.status, self._proxy_status(item.status), item.why.encode() + b"\n", served=False
+                    item.status, self._proxy_status(item.status), item.message.encode() + b"\n", served=False
                 )
                 self._finish_answer()
             elif self.overflow:
@@ -373,7 +373,12 @@
         return frontend_proxy_status(status) if self.listener.reader.adds_proxy_status else []
 
     def _refuse_request(
-        self, item: RoutedRequest, status: int, why: bytes, close: bool = True, lines: Sequence[bytes] = ()
+        self,
+        item: RoutedRequest,
+        status: int,
+        message: bytes,
+        close: bool = True,
+        lines: Sequence[bytes] = (),
     ) -> None:
         """Answer a request before it reaches its pool; it has not run."""
         item.proxy.count_rejected(item.request, item.cls, status)
@@ -382,7 +387,7 @@
             self.upload.close()
             self.upload = None
         self.bodiless = item.request.bodiless
-        self._write(status, [*lines, *self._proxy_status(status)], why)
+        self._write(status, [*lines, *self._proxy_status(status)], message)
         self._finish_answer()
 
     def _set_reading(self, on: bool) -> None:
@@ -459,9 +464,9 @@
         self.closing = True
         self.abort()
 
-    def _end_stream(self, good: bool) -> None:
+    def _end_stream(self, is_complete: bool) -> None:
         self.stream = self.request = None
-        self.end_request(good and not self.blocked)
+        self.end_request(is_complete and not self.blocked)
 
     def _write(
         self,
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -380,10 +380,7 @@
         backend = ScriptedBackend("s", answering(bad), answering(OK))
         async with world(backend, ScriptedBackend("t", answering(bad))) as here:
             data = request(cls)
-            for client in [
-                await here.connect(),
-                await here.connect(),
-            ]:  # the second client repeats the request
+            for client in [await here.connect(), await here.connect()]:  # the second repeats the request
                 assert (await client.ask(data))[0] in (400, 409)
                 assert await client.ended() == b""
             (outcome,) = await here.proxy.until_outcomes(1)
