--- a/loadbalancer/daemon/daemon.py
+++ b/loadbalancer/daemon/daemon.py
@@ -275,7 +275,7 @@
         for pool in self.pools.values():
             pool.proxy.tunnels.retire()
         listeners = [*self.listeners.values(), *self.retirement.listeners]
-        await drain(listeners, longest, shutdown_duration(longest), succeeded, blocks=True)
+        await drain(listeners, longest, shutdown_duration(longest), succeeded, blocks_connections=True)
         self.close()
 
     def close(self) -> None:
--- a/loadbalancer/daemon/listener_factory.py
+++ b/loadbalancer/daemon/listener_factory.py
@@ -49,7 +49,7 @@
     )
     rules = Admission(caps, _networks(admission.known), admission.reserve, _networks(admission.exempt))
     gate = AdmissionGate(rules, _networks(table.proxy_protocol_from))
-    return old if old is not None and old.is_like(gate) else gate
+    return old if old is not None and old.has_same_rules(gate) else gate
 
 
 def _networks(texts: Sequence[str]) -> list[ipaddress.IPv4Network | ipaddress.IPv6Network]:
--- a/loadbalancer/daemon/retirement.py
+++ b/loadbalancer/daemon/retirement.py
@@ -45,7 +45,7 @@
 
     def retire_listener(self, listener: Listener) -> None:
         """Close a listener's socket at once; its connections end after the answer that they wait for."""
-        listener.retire()
+        listener.begin_draining()
         listener.block()
         for _ in range(BACKLOG // ACCEPT_LEAST + 1):  # connections that the kernel has accepted are served
             if not listener.accept():
--- a/loadbalancer/daemon/route_targets.py
+++ b/loadbalancer/daemon/route_targets.py
@@ -58,7 +58,7 @@
             return target
         other = migrations.move.other if migrations.move is not None else None
         away = self._pool_target(name, other) if other is not None and other in self._pools else None
-        return target._replace(moved=RedirectTarget(migrations, away, self._random, time.time))
+        return target._replace(migration=RedirectTarget(migrations, away, self._random, time.time))
 
     def _pool_target(self, name: str, pool_name: str) -> RouteTarget:
         route = self._plan.routes[name]
@@ -79,5 +79,5 @@
             attempts=route.attempts,
             repeat_on=route.repeat_on,
             repeat_statuses=route.repeat_statuses,
-            remembers=None if storage is None else storage.remembers(self._plan, route),
+            idempotency=None if storage is None else storage.remembers(self._plan, route),
         )
--- a/loadbalancer/daemon/storage.py
+++ b/loadbalancer/daemon/storage.py
@@ -11,7 +11,7 @@
 from loadbalancer.config.reader import ConfigError, Problem
 from loadbalancer.config.types import StoreTable
 from loadbalancer.daemon.components import Component
-from loadbalancer.frontends.routed_http import RecordsKeys
+from loadbalancer.frontends.routed_http import IdempotencyRecording
 from loadbalancer.policy.settings import DeduplicationScope
 from loadbalancer.proxy.idempotent_requests import IdempotencyLedger, KeyTerms
 from loadbalancer.resource_limits import RateLimitedLogger
@@ -152,7 +152,7 @@
         self.ledger.lent = False
         self._reopening = None
 
-    def remembers(self, plan: Plan, route: RoutePlan) -> RecordsKeys | None:
+    def remembers(self, plan: Plan, route: RoutePlan) -> IdempotencyRecording | None:
         """How a route's keyed requests are recorded, if they are."""
         table = route.remember
         if table is None:
@@ -168,7 +168,7 @@
             table.remember_answer,
         )
         tenant = plan.file.tenant[route.tenant].name if plan.file.tenant else ""
-        return RecordsKeys(self.ledger, terms, tenant)
+        return IdempotencyRecording(self.ledger, terms, tenant)
 
     def end(self) -> None:
         """Write what waits, and close the store unless it is lent."""
--- a/loadbalancer/frontends/admission_gate.py
+++ b/loadbalancer/frontends/admission_gate.py
@@ -75,7 +75,7 @@
         # Every address and prefix may have this many open requests, whatever its score, so no cap is computed below it.
         self._always_allowed = admission.caps.requests * LEAST_SHARE
 
-    def is_like(self, other: AdmissionGate) -> bool:
+    def has_same_rules(self, other: AdmissionGate) -> bool:
         """Return whether both gates have the same rules."""
         rules, other_rules = self.admission, other.admission
         return (self.proxy_sources, rules.caps, rules.known, rules.floor, rules.exempt) == (
@@ -88,99 +88,99 @@
 
     def admit_new(self, peer: str, most: int, taken: int) -> tuple[AdmittedConnection, Ruling]:
         """Decide on a new connection. One that must send a PROXY header first is admitted for now."""
-        visit = AdmittedConnection(self, peer)
+        admitted = AdmittedConnection(self, peer)
         if peer in self.proxy_sources:
-            visit.header = ProxyHeader()
-            return visit, Ruling(ADMIT)
-        return visit, self.admit_address(visit, most, taken)
+            admitted.header = ProxyHeader()
+            return admitted, Ruling(ADMIT)
+        return admitted, self.admit_address(admitted, most, taken)
 
-    def admit_address(self, visit: AdmittedConnection, most: int, taken: int) -> Ruling:
+    def admit_address(self, admitted: AdmittedConnection, most: int, taken: int) -> Ruling:
         """Decide on a connection whose client address is known, and count it unless it is refused."""
         now = time.monotonic()
-        rows = self.admission.rows(visit.address, now)
-        ruling = self.admission.connect(visit.address, now, Slots(most, taken, self.known), rows)
+        rows = self.admission.rows(admitted.address, now)
+        ruling = self.admission.connect(admitted.address, now, Slots(most, taken, self.known), rows)
         if ruling.verdict != REFUSE:
-            visit.counted = True
-            visit.ends_after_answer = ruling.verdict != ADMIT
-            visit.known = self.admission.is_known(visit.address)
-            self.known += visit.known
-            visit.rows = rows
+            admitted.counted = True
+            admitted.ends_after_answer = ruling.verdict != ADMIT
+            admitted.known = self.admission.is_known(admitted.address)
+            self.known += admitted.known
+            admitted.rows = rows
             opened(rows)
         return ruling
 
     def unwrap(
-        self, visit: AdmittedConnection, data: bytes, most: int, taken: int
+        self, admitted: AdmittedConnection, data: bytes, most: int, taken: int
     ) -> tuple[bytes, Ruling | None]:
         """Return the bytes after the PROXY header, and the decision on the connection once the header is complete.
 
         Raises:
             ProxyHeaderError: The bytes are not a PROXY header.
         """
-        assert visit.header is not None
+        assert admitted.header is not None
         try:
-            rest = visit.header.feed(data)
+            rest = admitted.header.feed(data)
         except ProxyHeaderError:
             now = time.monotonic()
-            self.admission.mark(self.admission.rows(visit.address, now), GARBAGE, now)
+            self.admission.mark(self.admission.rows(admitted.address, now), GARBAGE, now)
             raise
-        if not visit.header.done:
+        if not admitted.header.done:
             return b"", None
-        visit.address = visit.header.address or visit.address
-        visit.header = None
-        return rest, self.admit_address(visit, most, taken)
+        admitted.address = admitted.header.address or admitted.address
+        admitted.header = None
+        return rest, self.admit_address(admitted, most, taken)
 
-    def try_begin_request(self, visit: AdmittedConnection) -> bool:
+    def try_begin_request(self, admitted: AdmittedConnection) -> bool:
         """Return whether the address may open one more request; if so, the request is counted as open."""
-        if not visit.rows:
+        if not admitted.rows:
             return True
-        own, prefix = visit.rows
+        own, prefix = admitted.rows
         if own.requests + 1 > self._always_allowed or prefix.requests + 1 > self._always_allowed:
-            if not self.admission.request(visit.rows, time.monotonic()):
+            if not self.admission.request(admitted.rows, time.monotonic()):
                 return False
-        visit.requests += 1
-        began(visit.rows)
+        admitted.requests += 1
+        began(admitted.rows)
         return True
 
-    def end_request(self, visit: AdmittedConnection, was_answered: bool) -> None:
+    def end_request(self, admitted: AdmittedConnection, was_answered: bool) -> None:
         """Count a request as ended; `was_answered`: it was complete and has been answered."""
-        if not visit.rows:
+        if not admitted.rows:
             return
-        visit.requests -= 1
-        ended(visit.rows)
-        visit.uncredited_answers += was_answered
-        if visit.uncredited_answers >= CREDIT or not visit.credited:
-            self._credit(visit)
+        admitted.requests -= 1
+        ended(admitted.rows)
+        admitted.uncredited_answers += was_answered
+        if admitted.uncredited_answers >= CREDIT or not admitted.credited:
+            self._credit(admitted)
 
-    def _credit(self, visit: AdmittedConnection) -> None:
+    def _credit(self, admitted: AdmittedConnection) -> None:
         """Credit the address with the answers not yet credited.
 
         The first answer of a connection is credited at once, so that many clients behind one address are admitted soon;
         later answers are credited in batches of `CREDIT`.
         """
-        if visit.uncredited_answers:
-            self.admission.mark(visit.rows, GOOD * visit.uncredited_answers, time.monotonic())
-            visit.uncredited_answers, visit.credited = 0, True
+        if admitted.uncredited_answers:
+            self.admission.mark(admitted.rows, GOOD * admitted.uncredited_answers, time.monotonic())
+            admitted.uncredited_answers, admitted.credited = 0, True
 
-    def record_wasted(self, visit: AdmittedConnection) -> None:
+    def record_wasted(self, admitted: AdmittedConnection) -> None:
         """Record that the connection was kept open after its first request and not used again."""
-        self.admission.mark(visit.rows, WASTED, time.monotonic())
+        self.admission.mark(admitted.rows, WASTED, time.monotonic())
 
-    def record_silence(self, visit: AdmittedConnection) -> None:
+    def record_silence(self, admitted: AdmittedConnection) -> None:
         """Record that no complete request arrived in time."""
-        self.admission.mark(visit.rows, SILENT, time.monotonic())
+        self.admission.mark(admitted.rows, SILENT, time.monotonic())
 
-    def record_malformed(self, visit: AdmittedConnection) -> None:
+    def record_malformed(self, admitted: AdmittedConnection) -> None:
         """Record that the client sent unreadable data, or did not read its answer."""
-        self.admission.mark(visit.rows, GARBAGE, time.monotonic())
+        self.admission.mark(admitted.rows, GARBAGE, time.monotonic())
 
-    def release(self, visit: AdmittedConnection) -> None:
+    def release(self, admitted: AdmittedConnection) -> None:
         """Release everything that a closed connection holds; nothing else releases it."""
-        self._credit(visit)
-        while visit.requests:
-            visit.requests -= 1
-            ended(visit.rows)
-        if visit.counted:
-            visit.counted = False
-            self.known -= visit.known
-            closed(visit.rows)
-            visit.rows = ()
+        self._credit(admitted)
+        while admitted.requests:
+            admitted.requests -= 1
+            ended(admitted.rows)
+        if admitted.counted:
+            admitted.counted = False
+            self.known -= admitted.known
+            closed(admitted.rows)
+            admitted.rows = ()
--- a/loadbalancer/frontends/connection.py
+++ b/loadbalancer/frontends/connection.py
@@ -43,12 +43,12 @@
     sock: socket.socket
     transport: asyncio.Transport | None
     overflow: bool  # past the connection limit: accepted only to be refused
-    visit: AdmittedConnection | None = None  # set if the listener has an admission gate
+    admitted: AdmittedConnection | None = None  # set if the listener has an admission gate
     phase: Phase
     request_count: int = 0  # complete requests received
     recorded_unused: bool = False  # already recorded as not reused, after a long idle time
     since: float  # monotonic time at which the phase began
-    blocked: float = 0.0  # monotonic time since which the client has not read what was written; 0 if it reads
+    blocked_since: float = 0.0  # monotonic time since which the client has not read its answer; 0 if it reads
     secure: bool = False  # over TLS
     certificate_names: tuple[str, ...] = ()  # subject names in the client's certificate
     _charged: int = 0  # bytes charged to the budget below
@@ -124,7 +124,7 @@
     def charge(self, budget: BufferBudget | None) -> None:
         """Charge the unread part of the answer to the budget, and record since when the client has not read."""
         assert self.transport is not None
-        self.blocked = time.monotonic()
+        self.blocked_since = time.monotonic()
         if budget is not None:
             self._charged = self.transport.get_write_buffer_size()
             self._charged_to = budget
@@ -137,7 +137,7 @@
         return self._last_buffer_size < before
 
     def uncharge(self) -> None:
-        self.blocked = 0.0
+        self.blocked_since = 0.0
         if self._charged_to is not None:
             self._charged_to.release(self._charged)
         self._charged, self._charged_to = 0, None
@@ -146,37 +146,37 @@
 
     def unwrap(self, data: bytes) -> bytes:
         """Return the data without a due PROXY header; close the connection if it is refused."""
-        visit = self.visit
-        if visit is None or visit.header is None:
+        admitted = self.admitted
+        if admitted is None or admitted.header is None:
             return data
-        return self.listener.unwrap(self, visit, data)
+        return self.listener.unwrap(self, admitted, data)
 
     def try_begin_request(self) -> bool:
         """Return whether the address may open one more request; if so, it counts as open until `end_request`."""
-        return self.visit is None or self.visit.gate.try_begin_request(self.visit)
+        return self.admitted is None or self.admitted.gate.try_begin_request(self.admitted)
 
     def end_request(self, was_answered: bool) -> None:
         """Count an open request as ended; `was_answered`: it was complete and has been answered."""
-        if self.visit is not None:
-            self.visit.gate.end_request(self.visit, was_answered)
+        if self.admitted is not None:
+            self.admitted.gate.end_request(self.admitted, was_answered)
 
     def record_malformed(self) -> None:
         """Record that the client sent unreadable data, or did not read its answer."""
-        if self.visit is not None:
-            self.visit.gate.record_malformed(self.visit)
+        if self.admitted is not None:
+            self.admitted.gate.record_malformed(self.admitted)
 
     def record_silence(self) -> None:
         """Record that no complete request arrived in time."""
-        if self.visit is not None:
-            self.visit.gate.record_silence(self.visit)
+        if self.admitted is not None:
+            self.admitted.gate.record_silence(self.admitted)
 
     def ends_after_answer(self) -> bool:
         """Return whether the first answer closes the connection, because it uses a slot reserved for known networks."""
-        return self.visit is not None and self.visit.ends_after_answer
+        return self.admitted is not None and self.admitted.ends_after_answer
 
     def is_protected(self) -> bool:
-        """Return whether the client is of a known network, so that other clients may not evict the connection."""
-        return self.visit is not None and self.visit.known
+        """Return whether the client is of a known network; only other such clients may evict the connection."""
+        return self.admitted is not None and self.admitted.known
 
     def record_request(self) -> None:
         """Record that a complete request has arrived."""
@@ -203,8 +203,8 @@
         if not self.recorded_unused and self.request_count == 1 and now - self.since > QUIET_S:
             self.recorded_unused = True
             self.listener.pressure.reuse.note(False)
-            if self.visit is not None:
-                self.visit.gate.record_wasted(self.visit)
+            if self.admitted is not None:
+                self.admitted.gate.record_wasted(self.admitted)
 
     def sweep(self, now: float) -> None:
         """Enforce the timeouts of the connection; the listener calls this periodically."""
--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -86,7 +86,7 @@
 
     def _end_stream(self, is_complete: bool) -> None:
         self.open_request = self.stream = None
-        self.connection.end_request(is_complete and not self.connection.blocked)
+        self.connection.end_request(is_complete and not self.connection.blocked_since)
         self.connection.end_streamed(self, 0 if is_complete else 1)
 
     def answer(
@@ -100,7 +100,7 @@
     ) -> None:
         """Write a whole answer. `close` is ignored: each request has its own records, so the connection goes on."""
         self.open_request = None
-        self.connection.end_request(status < 500 and not self.connection.blocked)
+        self.connection.end_request(status < 500 and not self.connection.blocked_since)
         self.connection.write_response(
             self, status, reason or REASONS.get(status, b"No Reason"), lines, body, length
         )
@@ -373,11 +373,11 @@
 
     def sweep(self, now: float) -> None:
         """Enforce timeouts."""
-        if self.blocked and now - self.blocked > READ_STALL_S:
+        if self.blocked_since and now - self.blocked_since > READ_STALL_S:
             self.record_malformed()
             self.abort()
         elif self.phase == Phase.LINGER:
-            if now - self.since > LINGER_S and not self.blocked:
+            if now - self.since > LINGER_S and not self.blocked_since:
                 self.abort()
         elif self.phase == Phase.IDLE:
             self.record_unused(now)
@@ -406,4 +406,4 @@
         self.end_writing()
 
     def is_busy(self) -> bool:
-        return self.phase != Phase.LINGER or bool(self.blocked)
+        return self.phase != Phase.LINGER or bool(self.blocked_since)
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -418,7 +418,7 @@
         self.upload_parts.clear()
         self._write(status, lines, body, length, reason)
         self.request = None
-        self.end_request(status < 500 and not self.blocked)
+        self.end_request(status < 500 and not self.blocked_since)
         self._finish_answer()
 
     def begin_answer(
@@ -466,7 +466,7 @@
 
     def _end_stream(self, is_complete: bool) -> None:
         self.stream = self.request = None
-        self.end_request(is_complete and not self.blocked)
+        self.end_request(is_complete and not self.blocked_since)
 
     def _write(
         self,
@@ -583,13 +583,13 @@
             self._sweep_request(now, now - self.since)
 
     def _sweep_request(self, now: float, waited: float) -> None:
-        if self.blocked and self.has_write_progress():
-            self.blocked = now
-        if self.blocked and now - self.blocked > READ_STALL_S:
+        if self.blocked_since and self.has_write_progress():
+            self.blocked_since = now
+        if self.blocked_since and now - self.blocked_since > READ_STALL_S:
             self.record_malformed()
             self.abort()
         elif self.phase == LINGER:
-            if waited > LINGER_S and not self.blocked:
+            if waited > LINGER_S and not self.blocked_since:
                 self.abort()
         elif self.upload is not None:
             self._sweep_upload(now)
@@ -639,7 +639,7 @@
 
     def is_busy(self) -> bool:
         """Return whether the connection still has an answer to give or to write."""
-        return self.phase != LINGER or bool(self.blocked)
+        return self.phase != LINGER or bool(self.blocked_since)
 
     def has_waiting_requests(self) -> bool:
         return bool(self.waiting)
--- a/loadbalancer/frontends/listener.py
+++ b/loadbalancer/frontends/listener.py
@@ -179,17 +179,17 @@
         At the limit an idle connection is evicted; if there is none, the connection is kept only to answer its request
         with 503. Guards against connections left in the kernel's queue, whose clients may already have sent a request.
         """
-        overflow, visit = False, None
+        overflow, admitted = False, None
         if self.gate is not None:
-            visit, ruling = self.gate.admit_new(peer, self.most, self.taken)
-            if not self._apply_ruling(visit, ruling):
+            admitted, ruling = self.gate.admit_new(peer, self.most, self.taken)
+            if not self._apply_ruling(admitted, ruling):
                 self._turn_away(sock, ruling.retry_after)
                 return
-        if self.taken >= self.most and not self._make_room(visit):
+        if self.taken >= self.most and not self._make_room(admitted):
             overflow = True
             self.logger("too many connections", len(self.connections))
             if self.overflowing >= self.overflow_most:
-                self._release_admission(visit)
+                self._release_admission(admitted)
                 self._turn_away(sock)
                 return
             self.overflowing += 1
@@ -198,11 +198,11 @@
         sock.setblocking(False)
         if sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        task = self._loop.create_task(self._open_connection(sock, overflow, peer, visit))
+        task = self._loop.create_task(self._open_connection(sock, overflow, peer, admitted))
         self._opening_tasks.add(task)  # the event loop keeps only a weak reference
         task.add_done_callback(self._opening_tasks.discard)
 
-    def _make_room(self, visit: AdmittedConnection | None) -> bool:
+    def _make_room(self, admitted: AdmittedConnection | None) -> bool:
         """Return whether one more connection can be admitted while all slots are taken, after evicting an idle one.
 
         Clients of known networks are also admitted past the limit, on the descriptors reserved for refusals; once those
@@ -210,7 +210,7 @@
         """
         if self._evict():
             return True
-        if visit is None or not visit.known:
+        if admitted is None or not admitted.known:
             return False
         over_limit = max(0, self.taken - self.most) + self.overflowing
         return over_limit < self.overflow_most or self._evict(True)
@@ -220,48 +220,48 @@
         """Return the number of slots in use, including connections that are still being opened."""
         return len(self.connections) + self._opening - self.overflowing
 
-    def _apply_ruling(self, visit: AdmittedConnection, ruling: Ruling) -> bool:
+    def _apply_ruling(self, admitted: AdmittedConnection, ruling: Ruling) -> bool:
         """Apply an admission ruling, with an eviction if it requires one; return False if the connection is refused."""
         if ruling.verdict == SWAP and not self._evict():
-            self._release_admission(visit)
+            self._release_admission(admitted)
         elif ruling.verdict != REFUSE:
             return True
-        self.logger(f"refused: {ruling.why}", visit.address)
+        self.logger(f"refused: {ruling.why}", admitted.address)
         return False
 
-    def _release_admission(self, visit: AdmittedConnection | None) -> None:
-        if visit is not None:
-            visit.gate.release(visit)
+    def _release_admission(self, admitted: AdmittedConnection | None) -> None:
+        if admitted is not None:
+            admitted.gate.release(admitted)
 
-    def unwrap(self, connection: FrontConnection, visit: AdmittedConnection, data: bytes) -> bytes:
+    def unwrap(self, connection: FrontConnection, admitted: AdmittedConnection, data: bytes) -> bytes:
         """Return the bytes after a connection's PROXY header; empty if it is incomplete, or the client is refused."""
         try:
-            rest, ruling = visit.gate.unwrap(visit, data, self.most, self.taken)
+            rest, ruling = admitted.gate.unwrap(admitted, data, self.most, self.taken)
         except ValueError as problem:
-            self.logger(f"no PROXY header from {visit.address}", problem)
+            self.logger(f"no PROXY header from {admitted.address}", problem)
             connection.abort()
             return b""
-        if ruling is not None and not self._apply_ruling(visit, ruling):
+        if ruling is not None and not self._apply_ruling(admitted, ruling):
             connection.refuse(encode_refusal(ruling.retry_after) if self.speaks_http else b"")
             return b""
         return rest
 
     async def _open_connection(
-        self, sock: socket.socket, overflow: bool, peer: str, visit: AdmittedConnection | None
+        self, sock: socket.socket, overflow: bool, peer: str, admitted: AdmittedConnection | None
     ) -> None:
         def serve() -> FrontConnection:
             connection = self._serve(self, sock, overflow, peer)
-            connection.visit = visit
+            connection.admitted = admitted
             return connection
 
         try:
             if self.tls is None:
                 await self._loop.connect_accepted_socket(serve, sock)
             else:
-                await self.tls.handshake(serve, sock, peer, visit is not None and visit.known)
+                await self.tls.handshake(serve, sock, peer, admitted is not None and admitted.known)
         except OSError:
             sock.close()
-            self._release_admission(visit)
+            self._release_admission(admitted)
             self._opening -= 1
             self.overflowing -= overflow
 
@@ -319,7 +319,7 @@
         self.connections.discard(connection)
         self.evictable.remove(connection)
         self.overflowing -= connection.overflow
-        self._release_admission(connection.visit)
+        self._release_admission(connection.admitted)
         self._measure_pressure()
 
     def _sweep(self) -> None:
@@ -330,7 +330,7 @@
 
     # Shutdown.
 
-    def retire(self) -> None:
+    def begin_draining(self) -> None:
         """Begin to drain: report not ready, and close each connection with its next answer."""
         self.draining = True
         self.reader.draining = True
@@ -378,31 +378,31 @@
 
 async def drain(
     listeners: Sequence[Listener],
-    longest: float,
-    most: float | None = None,
-    succeeded: bool = False,
-    blocks: bool = False,
+    longest_deadline_s: float,
+    time_limit_s: float | None = None,
+    has_successor: bool = False,
+    blocks_connections: bool = False,
 ) -> None:
     """Drain listeners after SIGTERM: serve for a while, then close idle connections and answer the open requests.
 
     Args:
         listeners: The listeners.
-        longest: Longest time that a request may take, in seconds.
-        most: Time limit for the whole drain in seconds; by default it follows from the platform's rules.
-        succeeded: Whether another process accepts on the same sockets.
-        blocks: Whether new connections are blocked in the kernel before the last ones are accepted; only for sockets
-            that no other process has.
+        longest_deadline_s: Longest time that a request may take, in seconds.
+        time_limit_s: Time limit for the whole drain in seconds; by default it follows from the platform's rules.
+        has_successor: Whether another process accepts on the same sockets.
+        blocks_connections: Whether new connections are blocked in the kernel before the last ones are accepted; only
+            for sockets that no other process has.
     """
     began = time.monotonic()
-    end = began + (platform_shutdown_duration(longest) if most is None else most)
+    end = began + (platform_shutdown_duration(longest_deadline_s) if time_limit_s is None else time_limit_s)
     for listener in listeners:
-        listener.retire()
-    if succeeded:
+        listener.begin_draining()
+    if has_successor:
         for listener in listeners:
             listener.close()
         await _wait_for_last_answers(listeners, end - HANDOVER_MARGIN_S)
     else:
-        await _stop_accepting(listeners, end, blocks)
+        await _stop_accepting(listeners, end, blocks_connections)
     while any([listener.is_busy() for listener in listeners]) and time.monotonic() < end:
         await asyncio.sleep(0.01)
     await read_what_has_arrived()  # may include answers, if the process was stalled
--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -52,7 +52,7 @@
 VIA = b"Via: 1.1 micastand\r\n"
 
 
-class RecordsKeys(NamedTuple):
+class IdempotencyRecording(NamedTuple):
     """The ledger that remembers the keyed requests of one route, and the terms under which it does."""
 
     ledger: IdempotencyLedger
@@ -118,12 +118,12 @@
     upload_most: int = 0
     hooks: PluginHooks | None = None  # runs the plug-ins of the route
     rewrites: Rewrites | None = None
-    remembers: RecordsKeys | None = None
+    idempotency: IdempotencyRecording | None = None
     upgrade: frozenset[bytes] = frozenset()  # protocols that its requests may switch to
     attempts: int = 0  # limit for one request; 0 for that of the pool
     repeat_on: frozenset[AttemptResult] | None = None  # results of attempts after which a retry may follow
     repeat_statuses: frozenset[int] | None = None
-    moved: RedirectTarget | None = None  # set while operators may send a part of the pool's traffic elsewhere
+    migration: RedirectTarget | None = None  # set if operators may move a part of the pool's traffic
 
     @property
     def budget(self) -> BufferBudget:
@@ -248,8 +248,8 @@
         if rule is None:
             return 404, "no route takes this request"
         found = self.targets[rule.name]
-        if isinstance(found, RouteTarget) and found.moved is not None:
-            found = found.moved.choose_target(found, head)
+        if isinstance(found, RouteTarget) and found.migration is not None:
+            found = found.migration.choose_target(found, head)
         return found if isinstance(found, RouteTarget) else (found.status, f"by the route {found.name}")
 
     def _find_rule(self, head: PlainHead) -> Rule | None:
@@ -357,7 +357,7 @@
             route.members.get(member) if member is not None else None,
             head.is_http10,
             route.sticky is not None and route.sticky.bound,
-            None if route.remembers is None else route.remembers.find_terms(route, head, cls, body),
+            None if route.idempotency is None else route.idempotency.find_terms(route, head, cls, body),
         )
 
     def _tenant(self, head: PlainHead, route: RouteTarget) -> int:
--- a/loadbalancer/platform/main.py
+++ b/loadbalancer/platform/main.py
@@ -60,7 +60,7 @@
         await drain([node.listener], longest)
         return
     upgrade.end()
-    await drain([node.listener], longest, succeeded=upgrade.succeeded())
+    await drain([node.listener], longest, has_successor=upgrade.succeeded())
     upgrade.close()
 
 
--- a/tests/admin/test_tokens.py
+++ b/tests/admin/test_tokens.py
@@ -10,7 +10,7 @@
 import pytest
 from administered import run, text
 from daemons import Ground, Heard, ground
-from ports import kept_port
+from ports import reserve_port
 
 from loadbalancer.admin.tokens import (
     MAX_TOKEN_CHARACTERS,
@@ -119,7 +119,7 @@
 
 
 def test_calls_by_tcp_have_the_holders_role_and_name(tmp_path: Path, capsys: Any) -> None:
-    port = kept_port()
+    port = reserve_port()
     keep(tmp_path / "tokens", line_of("look", "reads", "rita") + line_of("do", "changes", "sam"))
     keep(tmp_path / "mine", "do\n")
 
@@ -154,7 +154,7 @@
     async def scene() -> None:
         member = Member("a")
         with pytest.raises(ConfigError, match="management.tokens"):
-            async with ground(tmp_path, [member], lambda: text([member], managed(kept_port()))):
+            async with ground(tmp_path, [member], lambda: text([member], managed(reserve_port()))):
                 pass
         assert not (tmp_path / "s").exists()
         await member.stop()
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -13,8 +13,8 @@
 
 import pytest
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
-from peers import Call, ScriptedBackend, answering, play, request, silent
-from ports import kept_port
+from peers import Call, ScriptedBackend, answering, request, run_with_timeout, silent
+from ports import reserve_port
 
 from loadbalancer.discovery.static_list import MembersFile
 from standins.member import Behaviour, Member
@@ -64,7 +64,7 @@
             assert (await client.ask(requests_to("/", "POST", b"z")))[0] == 200 and len(new.calls) == 2
             assert first
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_request_whose_head_came_before_the_reload_ends_under_the_old_routes(tmp_path: Path) -> None:
@@ -83,7 +83,7 @@
             assert len(old.calls) == 1 and not new.calls
             assert (await client.ask(whole))[0] == 200 and len(new.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("bad", ["", "x = 1\n", "[[pool]]\n", None])
@@ -103,7 +103,7 @@
             assert here.heard.count("not taken") and not here.heard.count("configuration taken")
             assert (await here.ask(requests_to()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_address_that_cannot_be_had_changes_nothing(tmp_path: Path) -> None:
@@ -127,7 +127,7 @@
                 assert len(os.listdir("/proc/self/fd")) == open_before
                 assert (await here.ask(requests_to()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_listener_that_moves_is_bound_before_the_old_one_goes(tmp_path: Path) -> None:
@@ -158,13 +158,13 @@
             assert await idle.ended() == b""
             await here.until(lambda: not here.daemon.retirement.listeners)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_listener_keeps_its_socket_when_its_name_changes(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        listener = LISTENER.replace(":0", f":{kept_port()}")
+        listener = LISTENER.replace(":0", f":{reserve_port()}")
 
         def rest() -> str:
             return route("all", "a") + pool("a", [backend])
@@ -176,7 +176,7 @@
             assert list(here.daemon.listeners) == ["other"] and here.daemon.reloads == 1
             assert (await client.ask(requests_to()))[0] == 200  # on the same connection
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_members_that_vanish_at_a_reload_drain(tmp_path: Path) -> None:
@@ -200,7 +200,7 @@
             held.go.set()
             assert (await client.read())[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_members_that_appear_at_a_reload_are_not_pushed_over(tmp_path: Path) -> None:
@@ -218,7 +218,7 @@
             statuses = [(await client.ask(requests_to()))[0] for _ in range(100)]
             assert set(statuses) == {200, 503} and new.counts.requests == statuses.count(200) < 40
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_reload_that_crosses_another_is_followed_by_one_more(tmp_path: Path) -> None:
@@ -235,7 +235,7 @@
             await here.settled()
             assert here.daemon.plan is not None and list(here.daemon.plan.routes) == ["other"]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 class Caller:
@@ -266,7 +266,7 @@
 
 def test_500_reloads_under_load_lose_no_answer_and_leave_nothing(tmp_path: Path) -> None:
     """Members, pools, routes and listeners change in turn; every request has its one answer."""
-    ports = [kept_port(), kept_port()]
+    ports = [reserve_port(), reserve_port()]
 
     async def scene() -> None:
         members = [Member(f"m{n}") for n in range(4)]
@@ -305,9 +305,11 @@
             # Beside the 500 reloads' requests and connections, which are gone, nothing has grown.
             assert sizes[1] < sizes[0] * 1.5
 
-    play(partial(asyncio.sleep, 0))  # the loop's library opens a pipe for signals, once for the whole process
+    run_with_timeout(
+        partial(asyncio.sleep, 0)
+    )  # the loop's library opens a pipe for signals, once for the whole process
     before = len(os.listdir("/proc/self/fd"))
-    play(scene)
+    run_with_timeout(scene)
     gc.collect()
     assert len(os.listdir("/proc/self/fd")) <= before
 
@@ -356,7 +358,7 @@
             assert (await here.ask(requests_to()))[0] == 200 and len(b.calls) == 1
             assert here.heard.count("members file taken")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_members_file_caught_half_written_changes_nothing(tmp_path: Path) -> None:
@@ -385,7 +387,7 @@
             await looked(source)
             assert here.heard.count("members file taken")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_file_that_is_still_being_written_is_not_read(tmp_path: Path) -> None:
@@ -406,7 +408,7 @@
             source.look()
             assert source._reading is not None
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Sets and sessions.
@@ -440,7 +442,7 @@
             await here.reload(text("serving"))
             assert (await client.ask(requests_to()))[0] == 200 and a.counts.requests == 201
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("cookie", ["x.b", 'a=1; S="x.b"', "x.y.b"])
@@ -453,7 +455,7 @@
                 assert (await here.ask(requests_to("/", "GET", b"", f"Cookie: {line}")))[0] == 200
             assert [len(m.calls) for m in three] == [0, 20, 0]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("value", ["x.stopped", "x.unknown", "x.", "x", "", ".", "x." + "a" * 4000, "x.\xff"])
@@ -474,7 +476,7 @@
                 assert (await client.ask(data))[0] == 200
             assert not stopped.calls and all(m.calls for m in two)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("keeps", [True, False])
@@ -493,7 +495,7 @@
                 assert (await client.ask(requests_to()))[0] == 200
             assert (len(a.calls), len(b.calls)) == ((10, 10) if keeps else (0, 20))
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_session_in_the_path(tmp_path: Path) -> None:
@@ -509,7 +511,7 @@
                 assert (await here.ask(requests_to("/x;v=1;jsessionid=AB.b/y?z")))[0] == 200
             assert len(b.calls) == 10 and b.calls[0].head.startswith(b"GET /x;v=1;jsessionid=AB.b/y?z ")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Pools beside one another.
@@ -548,7 +550,7 @@
                 assert (await client.read())[0] == 503  # turned away at once, before it ran
             assert ill.counts.requests <= bound
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_same_id_on_two_listeners_goes_to_one_request(tmp_path: Path) -> None:
@@ -582,7 +584,7 @@
             assert (await third.ask(request("safe")))[0] == 200
             assert b"X-Txn" in b.calls[0].head and b.calls[0].head.count(b"X-Remaining") == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_platform_pool_wants_the_platforms_headers(tmp_path: Path) -> None:
@@ -597,7 +599,7 @@
             assert (await here.ask(requests_to()))[0] == 404
             assert (await here.ask(request("safe")))[0] == 200 and len(a.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_end_answers_what_is_held(tmp_path: Path) -> None:
@@ -620,7 +622,7 @@
             await end
             assert not here.daemon.listeners and not here.daemon.pools
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_never_answers_has_failed_at_the_end(tmp_path: Path) -> None:
@@ -634,4 +636,4 @@
             await here.daemon.end()
             assert (await client.read())[0] in (502, 504)
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/daemon/test_hot_restart.py
+++ b/tests/daemon/test_hot_restart.py
@@ -17,7 +17,7 @@
 import pytest
 from administered import MANAGED, call, served_by, text
 from daemons import ground
-from ports import kept_port
+from ports import reserve_port
 
 from loadbalancer.admin.snapshot import decode
 from loadbalancer.cli.__main__ import main
@@ -128,7 +128,7 @@
     async def scene() -> None:
         fleet = Fleet(3)
         await fleet.start()
-        port = kept_port()
+        port = reserve_port()
         path = tmp_path / "c.toml"
         path.write_text(CONFIG.format(address=f"127.0.0.1:{port}", folder=tmp_path) + fleet.tables())
         first = await started(path)
@@ -183,7 +183,7 @@
     async def scene() -> None:
         fleet = Fleet(1)
         await fleet.start()
-        port = kept_port()
+        port = reserve_port()
         path = tmp_path / "c.toml"
         path.write_text(CONFIG.format(address=f"127.0.0.1:{port}", folder=tmp_path) + fleet.tables())
         old = await started(path)
@@ -207,7 +207,9 @@
         fleet = Fleet(1)
         await fleet.start()
         path = tmp_path / "c.toml"
-        path.write_text(CONFIG.format(address=f"127.0.0.1:{kept_port()}", folder=tmp_path) + fleet.tables())
+        path.write_text(
+            CONFIG.format(address=f"127.0.0.1:{reserve_port()}", folder=tmp_path) + fleet.tables()
+        )
         old = await started(path)
         offer = offer_path(tmp_path / "s")
         loop = asyncio.get_running_loop()
@@ -231,7 +233,7 @@
 
 def test_a_store_passes_under_keyed_load_and_no_key_runs_twice(tmp_path: Path) -> None:
     async def scene() -> None:
-        tally = await Killing(tmp_path, kept_port(), seed=3, clients=4).upgrades(3)
+        tally = await Killing(tmp_path, reserve_port(), seed=3, clients=4).upgrades(3)
         assert tally.acknowledged >= 60 and not tally.differ and not tally.doubled
         assert tally.repeated == len(tally.answers)
 
@@ -245,7 +247,7 @@
         effects = Effects(2.0)
         fleet = KeyedFleet(1, effects)
         await fleet.start()
-        port = kept_port()
+        port = reserve_port()
         path = tmp_path / "micastand.toml"
         path.write_text('[management]\nsocket = "s"\n' + KEYED.format(port=port) + fleet.tables())
         killing = Killing(tmp_path, port, seed=1)
@@ -315,7 +317,7 @@
         fleet = Fleet(4)
         await fleet.start()
         fleet.members[0].behaviour.status = 500
-        port = kept_port()
+        port = reserve_port()
         path = tmp_path / "c.toml"
         path.write_text(CONFIG.format(address=f"127.0.0.1:{port}", folder=tmp_path) + fleet.tables())
         old = await started(path)
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, AsyncIterator, Callable, Sequence
 
-from peers import PATIENCE, Client, ScriptedBackend
+from peers import TIMEOUT_S, Client, ScriptedBackend
 
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
@@ -92,7 +92,7 @@
             await asyncio.sleep(0)
 
     async def until(self, true: Callable[[], object]) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while not true():
                 await asyncio.sleep(0)
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -12,15 +12,15 @@
 from peers import (
     OK,
     SETTINGS,
+    RunningProxy,
     ScriptedBackend,
     ScriptedDiscovery,
-    World,
     answering,
     lists,
-    play,
     request,
+    run_with_timeout,
+    running_proxy,
     until_lists,
-    world,
 )
 
 from loadbalancer.discovery import watch as discovery_module
@@ -49,7 +49,7 @@
 
 def test_an_entry_in_the_modules_form() -> None:
     async def scene() -> None:
-        async with world() as here:
+        async with running_proxy() as here:
             await here.discovery.until_watched()
             await here.discovery.line(2, entry("s", odd=1), entry("t", zone="?", kind="?"), full=True)
             event = await until_lists(here, 2)
@@ -58,24 +58,24 @@
             assert known == EndpointEntry("s", 1, 2, 0, EndpointState.READY, 1.5, 12.0)
             assert (unknown.zone, unknown.kind) == (-1, -1)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_list_from_before_is_stale_and_the_watch_begins_after_it() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             assert lists(here)[0].stale and lists(here)[0].entries[0].endpoint == "s"
             await here.discovery.until_watched()
             assert b"GET /v1/endpoints?watch=1&from=1 " in here.discovery.asked[0]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
 def test_a_drain_ends_what_goes_to_a_backend(state: str) -> None:
     async def scene() -> None:
         a, b = ScriptedBackend("a", answering(OK)), ScriptedBackend("b", answering(OK))
-        async with world(a, b) as here:
+        async with running_proxy(a, b) as here:
             client = await here.connect()
             while not (a.calls and b.calls):
                 await client.ask(request())
@@ -91,13 +91,13 @@
             here.proxy.upstreams.sweep(0.0)
             assert ("a" in here.proxy.upstreams.endpoints) == (state == "DRAINING")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_whole_list_that_shrinks() -> None:
     async def scene() -> None:
         a, b = ScriptedBackend("a", answering(OK)), ScriptedBackend("b", answering(OK))
-        async with world(a, b) as here:
+        async with running_proxy(a, b) as here:
             await here.discovery.until_watched()
             await here.discovery.line(2, b.entry(), full=True)
             await until_lists(here, 2)
@@ -106,13 +106,13 @@
                 assert (await client.ask(request()))[0] == 200
             assert not a.calls and here.proxy.listed == {"b"}
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_id_with_another_address_or_start_gets_new_connections() -> None:
     async def scene() -> None:
         old, new = ScriptedBackend("s", answering(OK)), ScriptedBackend("s", answering(OK))
-        async with world(old) as here:
+        async with running_proxy(old) as here:
             await new.start()
             client = await here.connect()
             await client.ask(request())
@@ -125,23 +125,23 @@
             assert (await client.ask(request()))[0] == 200 and new.connections == 2
             await new.stop()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
-async def end(here: World) -> None:
+async def end(here: RunningProxy) -> None:
     here.discovery.writers[-1].close()
 
 
-async def cut_in_mid_line(here: World) -> None:
+async def cut_in_mid_line(here: RunningProxy) -> None:
     await here.discovery.raw(b'{"version":2,"full":false,"servers":[{"id":')
     here.discovery.writers[-1].transport.abort()
 
 
-async def garbage(here: World) -> None:
+async def garbage(here: RunningProxy) -> None:
     await here.discovery.raw(b"{nonsense}\n")
 
 
-async def go_back(here: World) -> None:
+async def go_back(here: RunningProxy) -> None:
     await here.discovery.line(0)
 
 
@@ -160,7 +160,7 @@
     break_it, same_version = BREAKS[how]
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), settings=settings) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), settings=settings) as here:
             await here.discovery.until_watched()
             await break_it(here)
             await here.discovery.until_watched(2)
@@ -169,7 +169,7 @@
             client = await here.connect()
             assert (await client.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_silent_watch_is_dead_and_heartbeats_keep_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -177,13 +177,13 @@
     monkeypatch.setattr(watch_connection, "FIRST_S", 0.05)
 
     async def scene() -> None:
-        async with world(settings=ASKED) as here:
+        async with running_proxy(settings=ASKED) as here:
             await here.discovery.until_watched()
             event = await until_lists(here, 2)
             assert event.failed
             await here.discovery.until_watched(2)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_silence_of_our_own_is_not_the_services(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -191,7 +191,7 @@
     monkeypatch.setattr(watch_connection, "SILENT_S", 0.2)
 
     async def scene() -> None:
-        async with world(settings=ASKED) as here:
+        async with running_proxy(settings=ASKED) as here:
             await here.discovery.until_watched()
             await here.discovery.line(2, entry("s"))
             await until_lists(here, 2)
@@ -202,7 +202,7 @@
                 await until_lists(here, version)
             assert not any(e.failed for e in lists(here)) and len(here.discovery.asked) == 1
 
-    def stand_still(loop: asyncio.AbstractEventLoop, here: World, for_s: float) -> None:
+    def stand_still(loop: asyncio.AbstractEventLoop, here: RunningProxy, for_s: float) -> None:
         """As after SIGSTOP: the bytes are there, and so is the end of the silence."""
         asked = here.proxy.source.current  # type: ignore[union-attr]
         assert asked is not None and asked._silence is not None
@@ -212,12 +212,12 @@
         asked._on_silence()  # whatever the order in which a loop looks at timers and sockets
         time.sleep(for_s)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_lists_come_indented_and_in_pieces() -> None:
     async def scene() -> None:
-        async with world() as here:
+        async with running_proxy() as here:
             await here.discovery.until_watched()
             for version, indent in ((2, None), (3, 2), (4, 0), (5, 4)):
                 box = {
@@ -235,18 +235,18 @@
                 ]
             assert len(here.discovery.asked) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
-async def next_before_the_end(here: World) -> None:
+async def next_before_the_end(here: RunningProxy) -> None:
     await here.discovery.raw(b'{"version":2,"servers":[\n{"id":"s"\n{"version":3,"servers":[]}\n')
 
 
-async def rest_before_the_end(here: World) -> None:
+async def rest_before_the_end(here: RunningProxy) -> None:
     await here.discovery.raw(b'{"version":2,"servers":[\n\n')
 
 
-async def trickle(here: World) -> None:
+async def trickle(here: RunningProxy) -> None:
     await here.discovery.raw(b'{"version":2,"servers":[')
     with suppress(ConnectionError):
         while len(here.discovery.writers) == 1:
@@ -256,23 +256,23 @@
 
 @pytest.mark.parametrize("how", [next_before_the_end, rest_before_the_end, trickle])
 def test_a_list_that_does_not_come_to_its_end_is_asked_for_anew(
-    how: Callable[[World], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+    how: Callable[[RunningProxy], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watch_connection, "SILENT_S", 0.2)
 
     async def scene() -> None:
-        async with world(settings=ASKED) as here:
+        async with running_proxy(settings=ASKED) as here:
             await here.discovery.until_watched()
             await how(here)
             await here.discovery.until_watched(2)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_discovery_down_at_the_start() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
-        async with world(backend, settings=ASKED) as here:
+        async with running_proxy(backend, settings=ASKED) as here:
             assert here.discovery.server is not None
             here.discovery.server.close()
             await here.discovery.server.wait_closed()
@@ -280,12 +280,12 @@
             client = await here.connect()
             assert (await client.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_bad_entries_are_skipped_and_good_ones_kept() -> None:
     async def scene() -> None:
-        async with world() as here:
+        async with running_proxy() as here:
             await here.discovery.until_watched()
             bad = [
                 entry("a", addr="nowhere"),
@@ -299,12 +299,12 @@
             event = await until_lists(here, 2)
             assert [e.endpoint for e in event.entries] == ["good"]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_thousands_of_entries() -> None:
     async def scene() -> None:
-        async with world() as here:
+        async with running_proxy() as here:
             await here.discovery.until_watched()
             await here.discovery.line(2, *[entry(f"s{n}") for n in range(5000)], full=True)
             event = await until_lists(here, 2)
@@ -314,12 +314,12 @@
             here.proxy.upstreams.sweep(0.0)
             assert not here.proxy.upstreams.endpoints and not here.proxy.listed
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_empty_line_says_nothing() -> None:
     async def scene() -> None:
-        async with world() as here:
+        async with running_proxy() as here:
             await here.discovery.until_watched()
             await here.discovery.raw(b"\n")
             await here.discovery.line(2, entry("s"))
@@ -327,7 +327,7 @@
             await asyncio.sleep(0)
             assert len(lists(here)) == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("how", ["moved", "silent"])
@@ -338,7 +338,7 @@
     monkeypatch.setattr(discovery_module, "ADDRESS_CHANGE_SPREAD_S", 0.0)
 
     async def scene() -> None:
-        async with world(settings=SETTINGS if how == "silent" else ASKED) as here:
+        async with running_proxy(settings=SETTINGS if how == "silent" else ASKED) as here:
             source = here.proxy.source
             assert isinstance(source, discovery_module.DiscoveryClient)
             source.watch(True)
@@ -365,4 +365,4 @@
             assert not now and source.version != 6 and "late" not in here.proxy.listed
             assert source.current is not None and source.current is not old
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -11,18 +11,18 @@
 import pytest
 from peers import (
     OK,
-    PATIENCE,
     SETTINGS,
+    TIMEOUT_S,
     Call,
+    RunningProxy,
     ScriptedBackend,
-    World,
     answering,
-    play,
     request,
     resetting,
+    run_with_timeout,
+    running_proxy,
     silent,
     until_lists,
-    world,
 )
 
 from loadbalancer.deployment import read_deployment
@@ -36,7 +36,7 @@
 class Desked:
     """A world, and its operators' address."""
 
-    def __init__(self, here: World, address: tuple[str, int], operations: PlatformOperations) -> None:
+    def __init__(self, here: RunningProxy, address: tuple[str, int], operations: PlatformOperations) -> None:
         self.here, self.address, self.operations = here, address, operations
 
     async def call(self, method: str, path: str) -> tuple[int, bytes]:
@@ -45,7 +45,7 @@
     async def raw(self, data: bytes) -> tuple[int, bytes]:
         reader, writer = await asyncio.open_connection(*self.address)
         writer.write(data)
-        said = await asyncio.wait_for(reader.read(), PATIENCE)
+        said = await asyncio.wait_for(reader.read(), TIMEOUT_S)
         writer.close()
         head, _, body = said.partition(b"\r\n\r\n")
         return int(head.split(b" ")[1]), body
@@ -60,7 +60,7 @@
 
 @asynccontextmanager
 async def desk(*backends: ScriptedBackend) -> AsyncIterator[Desked]:
-    async with world(*backends) as here:
+    async with running_proxy(*backends) as here:
         marks = PlatformOverrides(here.proxy, None, time.time)
         here.proxy.overrides = marks
         marks.listed(here.proxy.listed)
@@ -93,7 +93,7 @@
         async with desk(ScriptedBackend("a", answering(OK))) as here:
             assert (await here.raw(call))[0] == status
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_callers_who_say_nothing_give_way_to_one_who_calls() -> None:
@@ -107,11 +107,11 @@
                 assert (await here.call("GET", "/admin/health"))[0] == 200
             reader, writer = held[-1]  # the youngest may still end its call
             writer.write(b"st: a\r\n\r\n")
-            assert (await asyncio.wait_for(reader.read(), PATIENCE)).startswith(b"HTTP/1.1 200")
+            assert (await asyncio.wait_for(reader.read(), TIMEOUT_S)).startswith(b"HTTP/1.1 200")
             for _, writer in held:
                 writer.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def half_of_a_long_answer(call: Call) -> None:
@@ -150,7 +150,7 @@
             assert box["upstream_tries"] == sum(len(backend.calls) for backend in backends)
             assert box["in_progress"] == 0 and box["known_backends"] == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_is_open_is_counted_as_open_and_its_attempt_as_written() -> None:
@@ -166,7 +166,7 @@
             assert box["in_progress"] == 5
             assert box["upstream_tries"] == sum(here.here.proxy.attempt_counts()) == 5
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_member_taken_out_gets_nothing_until_it_is_put_back_whatever_lists_say() -> None:
@@ -192,4 +192,4 @@
             assert len(a.calls) == 1  # the very next request
             assert (await here.figures())["skipped_backends"] == 0
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -34,10 +34,10 @@
 from loadbalancer.upstreams.fastcgi import FastCgiUpstreamConnection, application
 from loadbalancer.upstreams.http1 import Http1UpstreamConnection
 
-#: Protocols of clients and of members in the proxies that `world` starts.
+#: Protocols of clients and of members in the proxies that `running_proxy` starts.
 COMBINATION = ["http/1.1", "http/1.1"]
 #: Timeout of every wait for an expected event, in seconds; only a failing test waits this long.
-PATIENCE = 10.0
+TIMEOUT_S = 10.0
 
 SETTINGS: dict[str, Any] = {
     "me": 0, "n-instances": 2, "zones": ["a", "b"], "kinds": ["std"], "locality": 0,
@@ -90,7 +90,7 @@
     async def left(self) -> None:
         """Wait until the proxy has closed the connection."""
         try:
-            await asyncio.wait_for(self.reader.read(), PATIENCE)
+            await asyncio.wait_for(self.reader.read(), TIMEOUT_S)
         except ConnectionError:
             pass
 
@@ -151,7 +151,7 @@
 
     async def until_called(self, times: int = 1) -> Call:
         async with self.called:
-            await asyncio.wait_for(self.called.wait_for(lambda: len(self.calls) >= times), PATIENCE)
+            await asyncio.wait_for(self.called.wait_for(lambda: len(self.calls) >= times), TIMEOUT_S)
         return self.calls[times - 1]
 
     def entry(self, **other: Any) -> dict[str, Any]:
@@ -218,7 +218,7 @@
 
     async def until_watched(self, times: int = 1) -> None:
         async with self.watched:
-            await asyncio.wait_for(self.watched.wait_for(lambda: len(self.writers) >= times), PATIENCE)
+            await asyncio.wait_for(self.watched.wait_for(lambda: len(self.writers) >= times), TIMEOUT_S)
 
     async def raw(self, data: bytes) -> None:
         self.writers[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
@@ -232,12 +232,12 @@
     """A proxy that records the events that it passes to its balancer."""
 
     def __init__(self, *args: Any) -> None:
-        self.told: list[Event] = []
+        self.events: list[Event] = []
         self.changed = asyncio.Condition()
         super().__init__(*args)
 
     def post(self, event: Event) -> None:
-        self.told.append(event)
+        self.events.append(event)
         super().post(event)
         asyncio.get_running_loop().create_task(self._notify())
 
@@ -247,10 +247,10 @@
 
     async def until(self, condition: Callable[[], object]) -> None:
         async with self.changed:
-            await asyncio.wait_for(self.changed.wait_for(condition), PATIENCE)
+            await asyncio.wait_for(self.changed.wait_for(condition), TIMEOUT_S)
 
     def outcomes(self) -> list[Outcome]:
-        return [event for event in self.told if isinstance(event, Outcome)]
+        return [event for event in self.events if isinstance(event, Outcome)]
 
     async def until_outcomes(self, count: int) -> list[Outcome]:
         await self.until(lambda: len(self.outcomes()) >= count)
@@ -269,7 +269,7 @@
 
     async def read(self) -> tuple[int, bytes, bytes]:
         """Read one answer; return its status, head and body."""
-        head, body = await asyncio.wait_for(read_message(self.reader), PATIENCE)
+        head, body = await asyncio.wait_for(read_message(self.reader), TIMEOUT_S)
         status = int(head.split(b" ", 2)[1])
         tally(status)
         return status, head, body
@@ -282,7 +282,7 @@
 
     async def ended(self) -> bytes:
         """Return the remaining bytes once the proxy has closed the connection."""
-        return await asyncio.wait_for(self.reader.read(), PATIENCE)
+        return await asyncio.wait_for(self.reader.read(), TIMEOUT_S)
 
 
 _number = 0
@@ -303,7 +303,7 @@
     )
 
 
-class World:
+class RunningProxy:
     """A running proxy with its scripted peers."""
 
     def __init__(
@@ -331,12 +331,12 @@
 
 
 @asynccontextmanager
-async def world(
+async def running_proxy(
     *backends: ScriptedBackend,
     settings: dict[str, Any] | None = None,
     memory_mb: float = 128,
     sockets: int = 1024,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[RunningProxy]:
     """Run a proxy with these backends, one listener and scripted discovery."""
     front, upstream = COMBINATION
     for backend in backends:
@@ -363,7 +363,7 @@
     if front == "https":
         server.tls = TlsAcceptor(certs.server_keys(), logger)
     discovery_client.start({"version": 1, "full": True, "servers": [b.entry() for b in backends]})
-    here = World(proxy, server, server.listen(("127.0.0.1", 0)), discovery)
+    here = RunningProxy(proxy, server, server.listen(("127.0.0.1", 0)), discovery)
     try:
         yield here
     finally:
@@ -375,20 +375,20 @@
         proxy.close()
 
 
-def play(scene: Callable[[], Awaitable[None]]) -> None:
+def run_with_timeout(scene: Callable[[], Awaitable[None]]) -> None:
     """Run a test coroutine on the kind of event loop that the proxy uses, with a timeout."""
 
     async def run() -> None:
-        await asyncio.wait_for(scene(), 6 * PATIENCE)
+        await asyncio.wait_for(scene(), 6 * TIMEOUT_S)
 
     uvloop.run(run())
 
 
-def lists(here: World) -> list[EndpointList]:
+def lists(here: RunningProxy) -> list[EndpointList]:
     """Return the endpoint lists that the proxy has received."""
-    return [e for e in here.proxy.told if isinstance(e, EndpointList)]
+    return [e for e in here.proxy.events if isinstance(e, EndpointList)]
 
 
-async def until_lists(here: World, count: int) -> EndpointList:
+async def until_lists(here: RunningProxy, count: int) -> EndpointList:
     await here.proxy.until(lambda: len(lists(here)) >= count)
     return lists(here)[count - 1]
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -12,7 +12,7 @@
 _reserved: list[socket.socket] = []
 
 
-def kept_port() -> int:
+def reserve_port() -> int:
     """Reserve a port of 127.0.0.1 until the test ends, and return it."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,7 +5,16 @@
 import asyncio
 from typing import Any
 
-from peers import OK, Client, ScriptedBackend, World, answering, play, request, world
+from peers import (
+    OK,
+    Client,
+    RunningProxy,
+    ScriptedBackend,
+    answering,
+    request,
+    run_with_timeout,
+    running_proxy,
+)
 
 from loadbalancer.admission.pressure import STEPS, TRIAL
 from loadbalancer.frontends import listener as listener_module
@@ -39,7 +48,7 @@
     """One half of the incident: each asked once and kept its connection, until nobody else could get one."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=256) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=256) as here:
             most = here.server.most
             clients, closed = [], 0
             for _ in range(5 * most):
@@ -54,14 +63,14 @@
             assert closed >= 4 * most and here.server.overflowing == 0
             assert len(here.server.connections) < 0.9 * most
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_burst_that_asks_ready_and_stays_leaves_room_for_requests() -> None:
     """The other half: hundreds at once ask whether the proxy is ready, and keep their connections."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=256) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=256) as here:
             most = here.server.most
 
             async def ready() -> int:
@@ -79,12 +88,12 @@
             assert len(answers) == 5 * most + 50 and set(answers) <= {200, 503}
             assert [await asked() for _ in range(50)] == [200] * 50
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_client_that_has_come_back_keeps_its_connection_whatever_presses() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             note(here, True)
             good = await here.connect()
             for _ in range(2):
@@ -96,24 +105,24 @@
                 status, head = await heard(good)
                 assert status == 200 and b"Connection: close" not in head
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_no_answer_closes_while_slots_are_free() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=256) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=256) as here:
             note(here, False)
             for _ in range(10):
                 client = await here.connect()
                 assert b"Connection: close" not in (await heard(client))[1]
             assert len(here.server.connections) == 10 and here.server.pressure.number == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_was_used_once_makes_room_before_what_was_used_again() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             note(here, True)
             proven = await here.connect()
             for _ in range(2):
@@ -124,14 +133,14 @@
             assert await once[0].ended() == b""
             assert (await proven.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_one_that_has_just_connected_makes_room_last_but_for_what_was_used_again() -> None:
     """Its first request may be on the way: closing it would lose that one."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             note(here, True)
             young = await here.connect()
             (connection,) = [await first(here)]
@@ -144,10 +153,10 @@
             assert await once[0].ended() == b""
             assert (await young.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
-async def first(here: World) -> Any:
+async def first(here: RunningProxy) -> Any:
     while not here.server.connections:
         await asyncio.sleep(0)
     return next(iter(here.server.connections))
@@ -157,7 +166,7 @@
     """Closing would lose what has come whole already."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             note(here, True)
             await full(here, 0.95)
             note(here, False)
@@ -167,12 +176,12 @@
             assert [status for status, _, _ in answers] == [200] * 5
             assert not any(b"Connection: close" in head for _, head, _ in answers)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_idle_times_shrink_with_the_steps_and_reuse_is_measured() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             client = await here.connect()
             assert (await client.ask(request()))[0] == 200
             connection = await first(here)
@@ -190,4 +199,4 @@
             connection.sweep(connection.since + STEPS[-1].idle_s + 0.01)
             assert await client.ended() == b""
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -8,7 +8,18 @@
 from typing import Any, cast
 
 import pytest
-from peers import OK, Call, Script, ScriptedBackend, answering, play, request, resetting, silent, world
+from peers import (
+    OK,
+    Call,
+    Script,
+    ScriptedBackend,
+    answering,
+    request,
+    resetting,
+    run_with_timeout,
+    running_proxy,
+    silent,
+)
 
 from loadbalancer.policy.events import (
     AttemptResult,
@@ -77,7 +88,7 @@
     script, result = ROWS[row]
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", script)) as here:
+        async with running_proxy(ScriptedBackend("s", script)) as here:
             client = await here.connect()
             status, body = await client.ask(request("unsafe", b"x"))
             outcomes = await here.proxy.until_outcomes(1)
@@ -90,13 +101,13 @@
                 assert status == 502  # it may have run
             assert not here.proxy.open and here.proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_refused_connection_is_no_connection() -> None:
     async def scene() -> None:
         dead = ScriptedBackend("s", silent)
-        async with world(dead) as here:
+        async with running_proxy(dead) as here:
             await dead.stop()
             assert dead.server is not None
             await dead.server.wait_closed()
@@ -106,13 +117,13 @@
             assert {o.result for o in outcomes} == {AttemptResult.NO_CONNECTION}
             assert status == 503
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_silence_is_a_time_out_and_the_connection_is_not_used_again() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", silent, answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             status, _ = await client.ask(request("unsafe", b"", "100m"))
             assert status == 502
@@ -120,7 +131,7 @@
             assert (await client.ask(request()))[0] == 200
             assert [call.connection for call in backend.calls] == [1, 2]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_break_before_the_last_byte_is_written_is_no_connection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -146,7 +157,7 @@
         listener.bind(("127.0.0.1", 0))
         server = await asyncio.start_server(serve, sock=listener, limit=1 << 10)
         backend = ScriptedBackend("s", silent)
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             host, port = server.sockets[0].getsockname()
             here.proxy.upstreams.listed("s", ((host, port), 0.0), True)
             client = await here.connect()
@@ -156,7 +167,7 @@
             await ended.wait()
         server.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_load_reports_come_in_the_words_of_the_settings() -> None:
@@ -165,20 +176,20 @@
         bad = b'X-Pressure: {"util":\r\n'
         odd = b'X-Pressure: {"util":"much","qps":true}\r\n'
         scripts = [answering(OK.replace(b"Content", line + b"Content")) for line in (good, bad, odd)]
-        async with world(ScriptedBackend("s", *scripts)) as here:
+        async with running_proxy(ScriptedBackend("s", *scripts)) as here:
             client = await here.connect()
             for _ in scripts:
                 assert (await client.ask(request()))[0] == 200
             reports = [o.report for o in await here.proxy.until_outcomes(3)]
             assert reports == [{"utilization": 0.5, "throughput": 7.0, "recent_ms": 20.0}, None, None]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_goes_to_a_backend() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             data = request(
                 "keyed", b"body", "2000m", "Connection: keep-alive, X-Mine", "X-Mine: 1", "X-Kept: 2"
@@ -192,7 +203,7 @@
             assert b"X-Mine" not in call.head and b"Connection" not in call.head
             assert call.head.count(b"X-Remaining: ") == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_connection_is_kept_and_the_newest_is_used() -> None:
@@ -204,7 +215,7 @@
             await call.say(OK)
 
         backend = ScriptedBackend("s", answering(OK), held, held, answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             first, second = await here.connect(), await here.connect()
             await first.ask(request())  # the backend is past its probation then
             await first.send(request())
@@ -219,7 +230,7 @@
             assert backend.connections == 2
             assert here.proxy.upstreams.endpoints["s"].idle[-1] is newest
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("end", [
@@ -230,14 +241,14 @@
 def test_a_connection_past_its_use_is_not_kept(end: bytes) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(end), answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             assert await client.ask(request()) == (200, b"hi")
             assert not here.proxy.upstreams.endpoints["s"].idle
             assert await client.ask(request()) == (200, b"hi")
             assert backend.connections == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_kept_connection_that_the_backend_closed_is_not_used() -> None:
@@ -249,13 +260,13 @@
             call.writer.close()
 
         backend = ScriptedBackend("s", answer_and_close, answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             await client.ask(request())
             assert await client.ask(request("unsafe")) == (200, b"hi")
             assert {o.result for o in here.proxy.outcomes()} == {AttemptResult.SERVED}
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_idle_connections_are_retired_and_few_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -269,7 +280,7 @@
             await call.say(OK)
 
         backend = ScriptedBackend("s", answering(OK), held)
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             clients = [await here.connect() for _ in range(3)]
             await clients[0].ask(request())
             for number, client in enumerate(clients):
@@ -285,13 +296,13 @@
             pool.sweep(idle.idle_since + 0.3 * 30.0 + 0.1)
             assert not pool.endpoints["s"].idle and pool.open == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_first_of_two_copies_wins_and_the_other_is_cancelled() -> None:
     async def scene() -> None:
         slow, quick = ScriptedBackend("a", silent), ScriptedBackend("b", silent)
-        async with world(slow, quick) as here:
+        async with running_proxy(slow, quick) as here:
             for backend in (slow, quick):  # whichever is asked second answers
                 backend.scripts = [silent]
             client = await here.connect()
@@ -310,14 +321,14 @@
             loser = slow if first == "a" else quick
             await loser.calls[0].left()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(("cls", "calls", "status"), [("keyed", 2, 200), ("unsafe", 1, 502)])
 def test_after_a_reset_only_what_may_be_repeated_is(cls: str, calls: int, status: int) -> None:
     async def scene() -> None:
         a, b = ScriptedBackend("a", resetting), ScriptedBackend("b", resetting)
-        async with world(a, b) as here:
+        async with running_proxy(a, b) as here:
             client = await here.connect()
             reset = here.proxy.finish_attempt
 
@@ -329,7 +340,7 @@
             assert (await client.ask(request(cls, b"x")))[0] == status
             assert len(a.calls) + len(b.calls) == calls
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Answers that are none.
@@ -348,11 +359,11 @@
 
 def test_an_answer_that_ends_with_its_connection_is_whole() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("a", unframed_then_end)) as here:
+        async with running_proxy(ScriptedBackend("a", unframed_then_end)) as here:
             client = await here.connect()
             assert await client.ask(request("unsafe")) == (200, b"hi")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 ENDLESS = {
@@ -374,25 +385,25 @@
             await for_ever(call, *ENDLESS[kind])
 
         a, b = ScriptedBackend("a", script), ScriptedBackend("b", script)
-        async with world(a, b) as here:
+        async with running_proxy(a, b) as here:
             client = await here.connect()
             assert await client.ask(request("keyed")) == (200, b"hi")
             outcomes = await here.proxy.until_outcomes(2)
             assert [o.result for o in outcomes] == [AttemptResult.RESET, AttemptResult.SERVED]
             assert here.proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_spoilt_answer_that_says_turned_away_may_have_run() -> None:
     async def scene() -> None:
         head = b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
-        async with world(ScriptedBackend("a", answering(head))) as here:
+        async with running_proxy(ScriptedBackend("a", answering(head))) as here:
             client = await here.connect()
             assert (await client.ask(request("unsafe")))[0] == 502
             assert [o.result for o in here.proxy.outcomes()] == [AttemptResult.RESET]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("behind", [OK, b"\x00\xff noise", b"HTTP/1.1 2"])
@@ -415,7 +426,7 @@
                 await call.say(answer)
 
         backend = ScriptedBackend("a", script)
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             assert await client.ask(request()) == (200, b"1")
             assert await client.ask(request()) == (200, b"2")
@@ -426,7 +437,7 @@
             assert await client.ask(request()) == (200, b"3")
             assert [call.connection for call in backend.calls] == [1, 2, 3]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_connection_is_not_used_before_it_has_rested(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -434,7 +445,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("a", answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             for _ in range(2):
                 assert (await client.ask(request()))[0] == 200
@@ -444,14 +455,14 @@
             assert (await client.ask(request()))[0] == 200
             assert backend.calls[2].connection == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_attempts_cancelled_while_they_open_leave_nothing_counted() -> None:
     """Before the task has begun, while it connects, and on an address that no socket takes."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("a", silent)) as here:
+        async with running_proxy(ScriptedBackend("a", silent)) as here:
             backends = here.proxy.upstreams
             backends.listed("odd", (("127.0.0.1", 70_000), 0.0), True)
             client = await here.connect()
@@ -470,7 +481,7 @@
                 await asyncio.sleep(0)
             assert backends.endpoints["odd"].open == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_time_out_while_connecting_never_ran() -> None:
@@ -485,7 +496,7 @@
         for filler in fillers:
             filler.setblocking(False)
             filler.connect_ex(address)
-        async with world(ScriptedBackend("s", silent)) as here:
+        async with running_proxy(ScriptedBackend("s", silent)) as here:
             here.proxy.upstreams.listed("s", (address, 0.0), True)
             client = await here.connect()
             assert (await client.ask(request("unsafe", None, "60m")))[0] == 503
@@ -493,14 +504,14 @@
         for sock in [listener, *fillers]:
             sock.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("heard", [False, True])
 def test_idle_connections_of_a_backend_that_has_gone_silent_are_closed(heard: bool) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             first, second = await here.connect(), await here.connect()
             assert (await first.ask(request()))[0] == 200
             backend.scripts = [silent, answering(OK)]
@@ -514,4 +525,4 @@
             assert (await first.read())[0] == 502
             assert len(state.idle) == heard
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -6,7 +6,18 @@
 import os
 
 import pytest
-from peers import OK, Call, Client, ScriptedBackend, answering, play, request, resetting, silent, world
+from peers import (
+    OK,
+    Call,
+    Client,
+    ScriptedBackend,
+    answering,
+    request,
+    resetting,
+    run_with_timeout,
+    running_proxy,
+    silent,
+)
 
 from loadbalancer.frontends import connection as connection_module
 from loadbalancer.frontends import http1 as server_module
@@ -52,7 +63,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             got, head, _ = await _send_and_read(client, data)
             assert got == status and b"Connection: close" in head
@@ -61,7 +72,7 @@
             after = await here.connect()
             assert await after.ask(request()) == (200, b"hi")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def _send_and_read(client: Client, data: bytes) -> tuple[int, bytes, bytes]:
@@ -72,7 +83,7 @@
 def test_request_sent_byte_by_byte_is_served() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             for byte in request("unsafe", b"abc"):
                 await client.send(bytes([byte]))
@@ -80,26 +91,26 @@
             assert (await client.read())[0] == 200
             assert backend.calls[0].body == b"abc"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_chunked_request_is_forwarded_whole_with_its_length() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             head = request("unsafe").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
             status, _ = await client.ask(head + b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\n")
             assert status == 200 and backend.calls[0].body == b"abcde"
             assert b"Content-Length: 5" in backend.calls[0].head and b"X-Trailer" not in backend.calls[0].head
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_expect_continue_is_answered_100() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             data = request("unsafe", b"abc", "4000m", "Expect: 100-continue")
             await client.send(data[:-3])
@@ -108,7 +119,7 @@
             assert (await client.read())[0] == 200
             assert b"Expect" not in backend.calls[0].head
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
@@ -118,19 +129,19 @@
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
         backend = ScriptedBackend("s", script)
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             requests = [request() for _ in range(5)]
             await client.send(b"".join(requests))
             for data in requests:
                 assert (await client.read())[2] == data.split(b"\r\n")[2]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_pipelining_flood_is_limited_and_closes_the_connection() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", silent)) as here:
+        async with running_proxy(ScriptedBackend("s", silent)) as here:
             client = await here.connect()
             await client.send(b"".join(request() for _ in range(100)))
             await here.proxy.until(lambda: here.proxy.open)
@@ -138,29 +149,29 @@
             assert len(connection.waiting) <= server_module.PIPELINE_MOST + 1
             assert connection.closing  # later data is discarded
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_client_disconnect_cancels_its_attempt() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", silent)
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             await client.send(request())
             call = await backend.until_called()
             client.writer.close()
             outcomes = await here.proxy.until_outcomes(1)
             assert outcomes[0].result == AttemptResult.CANCELLED and outcomes[0].request_ended
-            assert sum(isinstance(e, ClientCancelled) for e in here.proxy.told) == 1
+            assert sum(isinstance(e, ClientCancelled) for e in here.proxy.events) == 1
             await call.left()
             assert not here.proxy.open
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_aborted_upload_releases_its_buffers() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
             await client.send(request("unsafe", bytes(60_000))[:-20_000])
             while here.proxy.budget.held_bytes == 0:
@@ -168,9 +179,9 @@
             client.writer.transport.abort()
             while here.server.connections:
                 await asyncio.sleep(0)
-            assert here.proxy.budget.held_bytes == 0 and not here.proxy.told[1:]
+            assert here.proxy.budget.held_bytes == 0 and not here.proxy.events[1:]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("cut", [20, -1])
@@ -178,13 +189,13 @@
     monkeypatch.setattr(server_module, "REQUEST_S", 0.0)
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
             await client.send(request("unsafe", b"x" * 100)[:cut])
             assert (await client.read())[0] == 408
             assert await client.ended() == b"" and here.proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_unused_connection_times_out_and_a_used_one_stays(
@@ -193,21 +204,21 @@
     monkeypatch.setattr(connection_module, "REQUEST_S", 0.0)
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             used = await here.connect()
             assert (await used.ask(request()))[0] == 200
             unused = await here.connect()
             assert await unused.ended() == b""
             assert (await used.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_timeout_of_the_first_request_counts_from_connecting() -> None:
     """Guards against a client that sends a byte just before the timeout and so gets a second timeout."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
             while not here.server.connections:
                 await asyncio.sleep(0)
@@ -219,12 +230,12 @@
             connection.sweep(connection.since + connection_module.REQUEST_S + 0.001)
             assert (await client.read())[0] == 408
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_upload_in_pieces_within_its_timeout_is_served() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
             data = request("unsafe", bytes(64_000))
             await client.send(data[:-32_000])
@@ -235,7 +246,7 @@
             await client.send(data[-32_000:])
             assert (await client.read())[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_client_that_stops_reading_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -243,7 +254,7 @@
 
     async def scene() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + bytes(1 << 16)
-        async with world(ScriptedBackend("s", answering(large))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(large))) as here:
             client = await here.connect()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             while not here.server.connections:
@@ -255,7 +266,7 @@
                 await asyncio.sleep(0)
             assert here.proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_64_kib_body_is_echoed_unchanged() -> None:
@@ -263,18 +274,18 @@
         async def echo(call: Call) -> None:
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(call.body) + call.body)
 
-        async with world(ScriptedBackend("s", echo)) as here:
+        async with running_proxy(ScriptedBackend("s", echo)) as here:
             client = await here.connect()
             body = bytes(range(256)) * 256
             assert await client.ask(request("unsafe", body)) == (200, body)
             assert here.proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_rest_of_a_rejected_upload_is_not_read() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
             client.writer.write(request("unsafe").replace(b"Length: 0", b"Length: 60000000") + bytes(8 << 20))
             assert (await client.read())[0] == 413
@@ -284,12 +295,12 @@
             assert connection.discarded < 1 << 20
             client.writer.transport.abort()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_upload_past_the_budget_is_refused_and_other_requests_are_served() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), memory_mb=16) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), memory_mb=16) as here:
             data, count = request("unsafe", bytes(60_000)), here.proxy.budget.max_upload_bytes // 60_000
             first = [await here.connect() for _ in range(count)]
             for client in first:
@@ -303,7 +314,7 @@
             await first[0].send(data[-1:])
             assert (await first[0].read())[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_connections_past_the_limit_are_answered_503() -> None:
@@ -314,7 +325,7 @@
             await release.wait()
             await call.say(OK)
 
-        async with world(ScriptedBackend("s", script), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", script), sockets=128) as here:
             open_clients = [await here.connect() for _ in range(here.server.most)]
             for client in open_clients:
                 await client.send(request())
@@ -328,7 +339,7 @@
             for client in open_clients:
                 assert (await client.read())[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_connections_without_a_request_are_evicted_before_used_ones(
@@ -337,7 +348,7 @@
     monkeypatch.setattr(listener_module, "SILENT_S", 0.0)
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             used = await here.connect()
             assert (await used.ask(request()))[0] == 200
             silent_clients = [await here.connect() for _ in range(here.server.most - 1)]
@@ -348,7 +359,7 @@
             assert await silent_clients[0].ended() == b""
             assert (await used.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_repeated_id_of_an_open_request_is_answered_409() -> None:
@@ -360,7 +371,7 @@
             await call.say(OK)
 
         backend = ScriptedBackend("s", script)
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client, other_client, data = await here.connect(), await here.connect(), request("keyed")
             await client.send(data)
             await backend.until_called()
@@ -370,7 +381,7 @@
             assert (await client.read())[0] == 200
             assert len(backend.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("cls", ["safe", "keyed", "unsafe"])
@@ -378,7 +389,7 @@
     async def scene() -> None:
         bad = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
         backend = ScriptedBackend("s", answering(bad), answering(OK))
-        async with world(backend, ScriptedBackend("t", answering(bad))) as here:
+        async with running_proxy(backend, ScriptedBackend("t", answering(bad))) as here:
             data = request(cls)
             for client in [await here.connect(), await here.connect()]:  # the second repeats the request
                 assert (await client.ask(data))[0] in (400, 409)
@@ -387,12 +398,12 @@
             assert outcome.result == AttemptResult.UNUSABLE
             assert all(server.error_rate == 0.0 for server in here.proxy.balancer.endpoints.values())
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_exception_in_the_policy_fails_only_its_request() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             client, handle = await here.connect(), here.proxy.balancer.handle
 
             def raise_error(*args: object) -> object:
@@ -404,23 +415,23 @@
             assert (await client.ask(request()))[0] == 200
             assert not here.proxy.open and not here.proxy.ids.open
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_request_that_the_policy_ignores_fails_at_its_deadline() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
             here.proxy.balancer.handle = lambda *_: []  # type: ignore[method-assign]
             assert (await client.ask(request("safe", None, "20m")))[0] == 502
             assert not here.proxy.open
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_oldest_idle_connection_is_evicted_for_a_new_one() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             here.server.pressure.reuse.chance = 1.0  # chance of reuse, so no answer closes its connection
             idle = [await here.connect() for _ in range(here.server.most)]
             for client in idle:
@@ -430,13 +441,13 @@
             assert await idle[0].ended() == b""
             assert (await idle[-1].ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_300_concurrent_requests_are_all_served() -> None:
     async def scene() -> None:
         backends = [ScriptedBackend(f"s{n}", answering(OK)) for n in range(8)]
-        async with world(*backends) as here:
+        async with running_proxy(*backends) as here:
             for client in [await here.connect() for _ in range(20)]:
                 await client.ask(request())
 
@@ -449,22 +460,22 @@
             assert statuses.count(200) == 300
             assert here.proxy.upstreams.open <= here.proxy.upstreams.sockets
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_http_1_0_client_is_answered_and_closed() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
             assert (await client.ask(request().replace(b"HTTP/1.1", b"HTTP/1.0")))[0] == 200
             assert await client.ended() == b""
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_ready_is_200_once_an_endpoint_list_has_arrived() -> None:
     async def scene() -> None:
-        async with world() as here:
+        async with running_proxy() as here:
             client = await here.connect()
             ready_request = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
             assert (await client.ask(ready_request))[0] == 503
@@ -476,7 +487,7 @@
             assert (await client.ask(ready_request))[0] == 200
             await backend.stop()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_drain_serves_open_and_new_requests_and_closes_idle_connections(
@@ -490,7 +501,7 @@
             await call.say(OK)
 
         backend = ScriptedBackend("s", answering(OK), script, answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             first, idle = await here.connect(), await here.connect()
             await first.ask(request())
             await idle.ask(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -514,14 +525,14 @@
             with pytest.raises(OSError):
                 await here.connect()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_idle_connection_with_an_unread_request_is_not_closed() -> None:
     """Guards against requests lost when the proxy is short of CPU and reads late."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK))) as here:
             client = await here.connect()
             assert (await client.ask(request()))[0] == 200
             (connection,) = here.connections()
@@ -532,14 +543,14 @@
             assert connection.close_if_idle()
             assert await client.ended() == b""
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_many_concurrent_requests_release_all_resources() -> None:
     async def scene() -> None:
         scripts = [answering(OK), resetting, answering(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")]
         backends = [ScriptedBackend(f"s{n}", *scripts * 3, answering(OK)) for n in range(6)]
-        async with world(*backends) as here:
+        async with running_proxy(*backends) as here:
 
             async def run_client(number: int) -> None:
                 for turn in range(50):
@@ -560,4 +571,4 @@
             assert not here.proxy.balancer.requests
             assert not any(s.in_flight or s.responding for s in here.proxy.balancer.endpoints.values())
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_closing_listener.py
+++ b/tests/test_closing_listener.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from peers import OK, Client, ScriptedBackend, answering, play, request, world
+from peers import OK, Client, ScriptedBackend, answering, request, run_with_timeout, running_proxy
 
 from loadbalancer.frontends.listener import Listener, drain
 
@@ -35,7 +35,7 @@
 # Guards against a connection that is accepted as the listener closes, and on which nothing is ever received.
 def test_handshake_that_completes_while_connections_are_blocked_is_served() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("a", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("a", answering(OK))) as here:
             sock = connect_with_delayed_ack(here.address)
             here.server.block()
             assert not is_connected_at_once(here.address)
@@ -43,7 +43,7 @@
             here.clients.append(client)
             assert (await client.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Guards against a new connection that is established, sends its request, and is reset as the listener closes.
@@ -59,18 +59,18 @@
         close(self)
 
     async def scene() -> None:
-        async with world(ScriptedBackend("a", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("a", answering(OK))) as here:
             assert is_connected_at_once(here.address)
             client = await here.connect()
             assert (await client.ask(request()))[0] == 200
             waiting = await asyncio.open_connection(*here.address)
             monkeypatch.setattr(Listener, "close", connect_and_close)
-            await drain([here.server], 0.1, blocks=True)
+            await drain([here.server], 0.1, blocks_connections=True)
             monkeypatch.undo()
             assert connected_before_close == [False]
             waiting[1].close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Guards against a client that counts as connected before its handshake has ended, and whose request is reset.
@@ -80,7 +80,7 @@
     block = Listener.block
 
     async def scene() -> None:
-        async with world(ScriptedBackend("a", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("a", answering(OK))) as here:
             connected: list[socket.socket] = []
 
             def connect_and_block(self: Listener) -> None:
@@ -89,18 +89,18 @@
                 asyncio.get_running_loop().call_soon(connected[0].send, request())
 
             monkeypatch.setattr(Listener, "block", connect_and_block)
-            await drain([here.server], 1.5, blocks=True)
+            await drain([here.server], 1.5, blocks_connections=True)
             client = Client(*await asyncio.open_connection(sock=connected[0]))
             here.clients.append(client)
             assert (await client.read())[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Guards against a successor that receives no connections, because its predecessor blocked the socket they share.
 def test_socket_that_was_offered_to_a_successor_is_not_blocked() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("a", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("a", answering(OK))) as here:
             here.server.was_offered = True
             here.server.block()
             assert is_connected_at_once(here.address)
@@ -108,4 +108,4 @@
             here.server.block()
             assert not is_connected_at_once(here.address)
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,19 @@
 
 import peers
 import pytest
-from peers import OK, SETTINGS, Call, Client, ScriptedBackend, World, answering, play, request, silent, world
+from peers import (
+    OK,
+    SETTINGS,
+    Call,
+    Client,
+    RunningProxy,
+    ScriptedBackend,
+    answering,
+    request,
+    run_with_timeout,
+    running_proxy,
+    silent,
+)
 
 from loadbalancer.policy.events import (
     AttemptResult,
@@ -45,40 +57,40 @@
     return holder
 
 
-async def drains(here: World, client: Client, a: ScriptedBackend) -> None:
+async def drains(here: RunningProxy, client: Client, a: ScriptedBackend) -> None:
     await here.discovery.line(2, a.entry(state="DRAINING"))
     await here.proxy.until(lambda: not here.proxy.upstreams.endpoints["a"].is_serving)
 
 
-async def ends(here: World, client: Client, a: ScriptedBackend) -> None:
+async def ends(here: RunningProxy, client: Client, a: ScriptedBackend) -> None:
     await here.discovery.line(2, a.entry(state="DELETED"))
     await here.proxy.until(lambda: here.proxy.upstreams.endpoints["a"].is_gone)
 
 
-async def moves(here: World, client: Client, a: ScriptedBackend) -> None:
+async def moves(here: RunningProxy, client: Client, a: ScriptedBackend) -> None:
     """Its address belongs to another one by now."""
     await here.discovery.line(2, a.entry(addr="127.0.0.1:9", started_ms=5), a.entry(id="b"))
     await here.proxy.until(lambda: "b" in here.proxy.listed)
 
 
-async def leaves(here: World, client: Client, a: ScriptedBackend) -> None:
+async def leaves(here: RunningProxy, client: Client, a: ScriptedBackend) -> None:
     client.writer.close()
     await here.proxy.until(lambda: not here.proxy.balancer.requests)
 
 
-async def half_closes(here: World, client: Client, a: ScriptedBackend) -> None:
+async def half_closes(here: RunningProxy, client: Client, a: ScriptedBackend) -> None:
     client.writer.write_eof()
     await here.proxy.until(lambda: not here.proxy.balancer.requests)
 
 
-async def resets(here: World, client: Client, a: ScriptedBackend) -> None:
+async def resets(here: RunningProxy, client: Client, a: ScriptedBackend) -> None:
     sock = client.writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.writer.transport.abort()
     await here.proxy.until(lambda: not here.proxy.balancer.requests)
 
 
-CROSSINGS: dict[str, tuple[Callable[[World, Client, ScriptedBackend], Awaitable[None]], bool]] = {
+CROSSINGS: dict[str, tuple[Callable[[RunningProxy, Client, ScriptedBackend], Awaitable[None]], bool]] = {
     "its member drains": (drains, True),
     "its member has gone": (ends, True),
     "its member's address is another's": (moves, True),
@@ -100,7 +112,7 @@
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
         holder = hold_connects(monkeypatch)
-        async with world(a, settings=with_limits(cancelling=cancelling)) as here:
+        async with running_proxy(a, settings=with_limits(cancelling=cancelling)) as here:
             await here.discovery.until_watched()
             client, holder.on = await here.connect(), True
             await client.send(request(cls))
@@ -120,7 +132,7 @@
                 outcome = (await here.proxy.until_outcomes(1))[0]
                 assert outcome.result in (AttemptResult.NOT_SENT, AttemptResult.CANCELLED) and not a.calls
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("front", ["https", "fastcgi"])
@@ -151,7 +163,7 @@
         settings = with_limits(cancelling=cancelling)
         settings["classes"] = [{**c, "aim-s": 0.2} for c in SETTINGS["classes"]]
         holder = hold_connects(monkeypatch)
-        async with world(*backends, settings=settings) as here:
+        async with running_proxy(*backends, settings=settings) as here:
             client = await here.connect()
             await client.send(request("safe"))
             while not any(b.calls for b in backends):
@@ -165,7 +177,7 @@
             await here.proxy.until_outcomes(2)
             assert sum(len(b.calls) for b in backends) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("scope", ["all", "zone", "cell"])
@@ -184,7 +196,7 @@
             for c in SETTINGS["classes"]
         ]
         holder = hold_connects(monkeypatch)
-        async with world(a, b, settings=settings) as here:
+        async with running_proxy(a, b, settings=settings) as here:
             client = await here.connect()
             await client.send(request("keyed"))
             await asyncio.wait_for(holder.held.wait(), 10)
@@ -197,7 +209,7 @@
             assert (await client.read())[0] == (503 if scope == "all" else 502)
             assert len(a.calls) + len(b.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("behind", [b"", b"GET /api HTTP/1.1\r\n"], ids=["at once", "behind bytes"])
@@ -207,7 +219,7 @@
 
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
-        async with world(a) as here:
+        async with running_proxy(a) as here:
             with socket.create_connection(here.address) as sock:
                 while not here.connections():
                     await asyncio.sleep(0)
@@ -221,7 +233,7 @@
                 assert outcomes[-1].result == AttemptResult.NOT_SENT and not a.calls
                 assert not here.proxy.balancer.requests and not here.proxy.open
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_repeat_is_not_sent_for_a_client_that_has_left_while_reading_is_paused() -> None:
@@ -235,7 +247,7 @@
             call.reset()
 
         backends = [ScriptedBackend(name, reset_once_gone, silent) for name in ("a", "b")]
-        async with world(*backends) as here:
+        async with running_proxy(*backends) as here:
             with socket.create_connection(here.address) as sock:
                 sock.sendall(request() + request())
                 while not any(b.calls for b in backends):
@@ -246,7 +258,7 @@
                 await here.proxy.until(lambda: not here.proxy.open)
                 assert sum(len(b.calls) for b in backends) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_burst_of_clients_that_leave_begins_nothing() -> None:
@@ -254,7 +266,7 @@
 
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
-        async with world(a) as here:
+        async with running_proxy(a) as here:
             for _ in range(300):
                 sock = socket.create_connection(here.address)  # the loop stands still meanwhile
                 sock.sendall(request())
@@ -263,7 +275,7 @@
             assert (await client.ask(request()))[0] == 200
             assert len(a.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_idle_clients_that_fill_every_slot_keep_nobody_out_while_discovery_is_away() -> None:
@@ -271,7 +283,7 @@
 
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
-        async with world(a, settings={**SETTINGS, "registry-mode": "subscribe"}, sockets=64) as here:
+        async with running_proxy(a, settings={**SETTINGS, "registry-mode": "subscribe"}, sockets=64) as here:
             await here.discovery.until_watched()
             idle = [await here.connect() for _ in range(100)]
             assert len(idle) > here.server.most
@@ -284,4 +296,4 @@
                 ready = await here.connect()
                 assert (await ready.ask(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -7,7 +7,7 @@
 
 import pytest
 from daemons import ground, requests_to
-from peers import ScriptedBackend, answering, play, resetting
+from peers import ScriptedBackend, answering, resetting, run_with_timeout
 from test_ordinary import one_pool
 
 from loadbalancer.metrics import RETRYABLE_STATUSES
@@ -79,7 +79,7 @@
             assert proxy.budget.held_bytes == 0
             assert sum(map(sum, proxy.metrics.ended)) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_of_several_members_that_fail_the_one_that_says_most_is_heard(tmp_path: Path) -> None:
@@ -96,7 +96,7 @@
                 # Whoever was asked: where the one with an answer of its own was, its answer is heard.
                 assert status == (500 if len(members[1].calls) > before else 503)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_pool_without_members_still_says_503_in_its_own_words(tmp_path: Path) -> None:
@@ -107,4 +107,4 @@
             status, head, body = await here.ask(requests_to("/"))
             assert (status, body) == (503, b"") and b"Own Words" not in head
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -6,7 +6,7 @@
 from typing import Callable, cast
 
 import pytest
-from peers import play, request, world
+from peers import request, run_with_timeout, running_proxy
 from test_stalls import Answering
 
 from loadbalancer.event_loop_lag import (
@@ -129,7 +129,7 @@
 def test_the_outcome_tells_the_hold_up_of_its_attempt() -> None:
     async def scene() -> None:
         peer = Answering("a")
-        async with world(peer.backend) as here:
+        async with running_proxy(peer.backend) as here:
             clients = [await here.connect() for _ in range(MIN_OPEN)]
             for client in clients:
                 await client.send(request())
@@ -142,4 +142,4 @@
                 assert 0.0 < outcome.lag < outcome.elapsed
                 assert outcome.response_time < outcome.elapsed
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -6,7 +6,16 @@
 import socket
 
 import pytest
-from peers import OK, Client, ScriptedBackend, World, answering, play, request, world
+from peers import (
+    OK,
+    Client,
+    RunningProxy,
+    ScriptedBackend,
+    answering,
+    request,
+    run_with_timeout,
+    running_proxy,
+)
 
 from loadbalancer.frontends import listener as listener_module
 
@@ -15,7 +24,7 @@
 SOCKETS = 96
 
 
-async def answered(here: World, times: int) -> Client:
+async def answered(here: RunningProxy, times: int) -> Client:
     """A client with so many answers on one connection, that keeps it."""
     client = await here.connect()
     for _ in range(times):
@@ -23,7 +32,7 @@
     return client
 
 
-def connect_silently(here: World, count: int) -> list[socket.socket]:
+def connect_silently(here: RunningProxy, count: int) -> list[socket.socket]:
     """So many connections that say nothing, all in the kernel before the listener accepts the first one."""
     return [socket.create_connection(here.address) for _ in range(count)]
 
@@ -42,14 +51,14 @@
     monkeypatch.setattr(listener_module, "RECENT_S", LONG_S, raising=False)
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
             client = await answered(here, times)
             for _ in range(2 * here.server.most):
                 await here.connect()
             assert here.server.taken <= here.server.most
             assert (await client.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Guards against a request that is lost as its connection makes room for one of many that connect in the same moment.
@@ -60,7 +69,7 @@
     monkeypatch.setattr(listener_module, "RECENT_S", LONG_S, raising=False)
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
             client = await answered(here, times)
             crowd = connect_silently(here, 2 * here.server.most)
             while here.server.taken < here.server.most:
@@ -68,4 +77,4 @@
             assert (await client.ask(request()))[0] == 200
             close_all(crowd)
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -9,7 +9,7 @@
 
 import pytest
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
-from peers import Call, ScriptedBackend, answering, play
+from peers import Call, ScriptedBackend, answering, run_with_timeout
 
 from loadbalancer.fastcgi.cgi import write_answer
 from loadbalancer.fastcgi.records import Status, Type, encode, encode_begin, encode_end, encode_stream
@@ -80,7 +80,7 @@
             assert params[b"REMOTE_ADDR"] == b"127.0.0.1" and 0 < int(params[b"REQUEST_TIMEOUT_MS"]) <= 30_000
             assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_connections_are_kept_where_the_application_does(tmp_path: Path) -> None:
@@ -102,7 +102,7 @@
         call.say(write_answer(200, b"OK", [], b"x"))
         call.connection.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("unix", [False, True])
@@ -117,7 +117,7 @@
             assert app.address.startswith("unix:") == unix
             assert (await here.ask(requests_to()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 ANSWER = write_answer(200, b"OK", [b"X: y\r\n"], b"whole body")
@@ -163,7 +163,7 @@
                 assert (await client.read())[2] == b"whole body"
             assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_answer_that_stalls_at_any_byte_ends_at_the_deadline(tmp_path: Path) -> None:
@@ -185,7 +185,7 @@
                 assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 504
                 assert len(app.calls) == number + 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def dies(call: FcgiCall) -> None:
@@ -286,7 +286,7 @@
             assert status == (200 if result in (AttemptResult.FULL, AttemptResult.SERVED) else expected)
             assert len(well.calls) == asked - (0 if result == AttemptResult.FULL else 1)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_connection_with_something_left_on_it_is_not_used_again(tmp_path: Path) -> None:
@@ -299,7 +299,7 @@
                 assert (await client.ask(requests_to()))[1] == b"hi"
             assert app.connections == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_break_before_the_params_have_ended_proves_that_it_never_ran(tmp_path: Path) -> None:
@@ -314,7 +314,7 @@
             assert (await here.ask(requests_to("/", "POST", bytes(8 << 20))))[0] == 502
             assert seen == [AttemptResult.RESET]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_head_and_answers_without_a_body(tmp_path: Path) -> None:
@@ -328,7 +328,7 @@
                 assert line in head
             assert (await client.ask(requests_to()))[1] == b"hi"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_stderr_goes_to_the_log_bounded(tmp_path: Path) -> None:
@@ -342,7 +342,7 @@
             (line,) = [line for line in here.heard.lines if "stderr" in line]
             assert "trouble" in line and len(line) < 20_000
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Front.
@@ -388,7 +388,7 @@
             ):
                 assert head.count(b"\n" + line + b"\r\n") == 1, line
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_stranger_does_not_speak_for_its_client(tmp_path: Path) -> None:
@@ -398,7 +398,7 @@
             await web.ask(1)
             assert b"X-Forwarded-For: 127.0.0.1\r\n" in backend.calls[0].head
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("keep", [True, False])
@@ -412,7 +412,7 @@
             else:
                 assert await web.ended() == b""
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_requests_at_once_each_get_their_own_answer_in_any_order(tmp_path: Path) -> None:
@@ -436,7 +436,7 @@
                 assert answer.body == b"%d" % number
             assert len(backend.calls) == 4
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("how", ["closed", "killed"])
@@ -459,7 +459,7 @@
             proxy = here.daemon.pools["p"].proxy
             assert not proxy.open and proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_request_in_single_bytes(tmp_path: Path) -> None:
@@ -471,7 +471,7 @@
                 await asyncio.sleep(0)
             assert (await web.read(1)).status == 200 and len(backend.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_request_that_stalls_is_answered_408(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -483,7 +483,7 @@
             await web.send(web.request(1, "POST", "/", b"body")[:-8])
             assert (await web.read(1)).status == 408 and not backend.calls
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_request_that_stalls_at_any_byte_is_ended_and_reaches_nobody(
@@ -512,7 +512,7 @@
                 await here.until(lambda: all(c.phase == 0 for c in listener.connections))
             assert not backend.calls and here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 BAD: dict[str, tuple[bytes, int]] = {
@@ -536,7 +536,7 @@
             assert (await web.ask(2)).status == 200
             assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -558,7 +558,7 @@
             assert (await web.ask(1, **params)).status in (400, 501) and not backend.calls
             assert (await web.ask(2)).status == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -589,7 +589,7 @@
             assert (await web.read(9)).body == b"hi"
             assert await web.ended() == b""
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_abort_gives_up_the_attempt_and_frees_the_id(tmp_path: Path) -> None:
@@ -608,7 +608,7 @@
             assert not here.daemon.pools["p"].proxy.open
             assert (await web.ask(1)).status == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_web_server_that_leaves_withdraws_all_its_requests(tmp_path: Path) -> None:
@@ -625,7 +625,7 @@
             await here.until(lambda: not here.daemon.pools["p"].proxy.open)
             assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_slow_reader_holds_its_budget_and_is_cut(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -647,7 +647,7 @@
                     await asyncio.sleep(0)
             assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_end_answers_all_multiplexed_requests(tmp_path: Path) -> None:
@@ -673,7 +673,7 @@
             web.close()
             await end
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_member_that_drains_with_multiplexed_requests_open(tmp_path: Path) -> None:
@@ -706,7 +706,7 @@
             assert (len(old.calls), len(new.calls)) == (3, 5)
             web.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_listener_on_a_unix_socket(tmp_path: Path) -> None:
@@ -725,7 +725,7 @@
             here.daemon.close()
             assert not path.exists()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_fastcgi_to_fastcgi(tmp_path: Path) -> None:
@@ -741,7 +741,7 @@
             assert answer.status == 502 and len(app.calls) == 2  # one effect, one answer
             web.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Long answers.
@@ -792,7 +792,7 @@
             await here.until(lambda: not proxy.open)
             assert proxy.budget.held_bytes == 0 and not proxy.streams
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 #: What an application does once 200,000 bytes of its answer have gone on; with the length that it states.
@@ -833,7 +833,7 @@
             assert seen == [AttemptResult.RESET] and sum(len(app.calls) for app in apps) == 1
             assert proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_client_that_reads_nothing_holds_the_application(tmp_path: Path) -> None:
@@ -849,7 +849,7 @@
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await client.send(requests_to("/"))
             connections = here.daemon.listeners["main"].connections
-            await here.until(lambda: any(c.blocked for c in connections))
+            await here.until(lambda: any(c.blocked_since for c in connections))
             (connection,) = connections
             assert connection.transport is not None
             assert connection.transport.get_write_buffer_size() < 2 << 20
@@ -857,4 +857,4 @@
             status, _, body = await client.read()
             assert status == 200 and len(body) == 16 << 20
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -10,7 +10,7 @@
 
 import pytest
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
-from peers import Client, play
+from peers import Client, run_with_timeout
 from test_fastcgi_random import noise
 
 from loadbalancer.fastcgi.cgi import write_answer
@@ -73,7 +73,7 @@
             proxy = here.daemon.pools["p"].proxy
             assert proxy.budget.held_bytes == 0 and proxy.upstreams.open == app.connections
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_connection_that_breaks_ends_each_request_once(tmp_path: Path) -> None:
@@ -92,7 +92,7 @@
             assert proxy.upstreams.open == 0 and proxy.budget.held_bytes == 0 and not proxy.open
             assert not well.calls
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_client_that_leaves_aborts_its_own_request_alone(tmp_path: Path) -> None:
@@ -112,7 +112,7 @@
                 lambda: len(proxy.upstreams.endpoints["a"].idle) == 1
             )  # its END_REQUEST has come
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_request_that_times_out_leaves_the_others_alone(tmp_path: Path) -> None:
@@ -128,7 +128,7 @@
             gate.let(b"1")
             assert (await clients[1].read())[0] == 200 and app.connections == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_is_spoilt_on_one_stream_is_its_own(tmp_path: Path) -> None:
@@ -146,7 +146,7 @@
             gate.let(b"3")
             assert (await clients[3].read())[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_application_that_goes_on_after_an_abort_is_cut(
@@ -167,7 +167,7 @@
             assert (await clients[1].read())[0] == 502
             await here.until(lambda: proxy.upstreams.open == 0)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("seed", range(25))
@@ -205,4 +205,4 @@
             assert not proxy.open and proxy.budget.held_bytes == 0 and not proxy.balancer.requests
             assert not here.heard.count("defect") and not here.heard.count("overdue")
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_fastcgi_random.py
+++ b/tests/test_fastcgi_random.py
@@ -8,7 +8,7 @@
 
 import pytest
 from daemons import LISTENER, ground, pool, requests_to, route
-from peers import ScriptedBackend, answering, play
+from peers import ScriptedBackend, answering, run_with_timeout
 
 from loadbalancer.fastcgi.cgi import write_answer
 from loadbalancer.fastcgi.records import Type, encode, encode_begin, encode_end
@@ -71,7 +71,7 @@
             assert not proxy.open and proxy.budget.held_bytes == 0 and not proxy.balancer.requests
             assert proxy.upstreams.open == sum(len(b.idle) for b in proxy.upstreams.endpoints.values())
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -104,7 +104,7 @@
             assert not here.heard.count("defect")
             assert proxy.budget.held_bytes == 0 and not proxy.balancer.requests
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -138,4 +138,4 @@
             assert all(count == 1 for count in effects.values())
             assert statuses.count(200) <= len(effects) <= 20
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -20,7 +20,7 @@
 
 import pytest
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
-from peers import PATIENCE, Call, Client, ScriptedBackend, answering, play, read_message
+from peers import TIMEOUT_S, Call, Client, ScriptedBackend, answering, read_message, run_with_timeout
 
 from loadbalancer.admission.admission import FLOOR_KEPT, GARBAGE, SILENT
 from loadbalancer.frontends.admission_gate import AdmissionGate
@@ -56,7 +56,7 @@
     try:
         if data:
             await client.send(data)
-        head, _ = await asyncio.wait_for(read_message(client.reader), PATIENCE)
+        head, _ = await asyncio.wait_for(read_message(client.reader), TIMEOUT_S)
         return int(head.split(b" ", 2)[1]), head
     except (ConnectionError, asyncio.IncompleteReadError):
         return 0, b""
@@ -117,7 +117,7 @@
             await here.until(lambda: held_of(here, FLOOD) == 0)
             assert (await once(address, FLOOD, requests_to()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_honest_screens_behind_one_address_get_past_the_cap_of_a_flooder(tmp_path: Path) -> None:
@@ -153,7 +153,7 @@
             for client in [*screens, *flood]:
                 client.writer.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_flood_of_silence_loses_its_cap(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -167,11 +167,11 @@
             entry = gate(here).admission.addresses.find(FLOOD, 0.0)
             while entry.marks > -50:
                 client = await connect(address, FLOOD)
-                await asyncio.wait_for(client.reader.read(), PATIENCE)
+                await asyncio.wait_for(client.reader.read(), TIMEOUT_S)
                 client.writer.close()
             assert entry.factor(entry.marked_at, 16.0) < 0.3
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_requests_open_at_once_of_one_address(tmp_path: Path) -> None:
@@ -198,7 +198,7 @@
             entry = gate(here).admission.addresses.find(FLOOD, 0.0)
             await here.until(lambda: not entry.held)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_known_clients_find_slots_whatever_strangers_hold(tmp_path: Path) -> None:
@@ -244,7 +244,7 @@
             for client in [*strangers, *known]:
                 client.writer.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_strangers_never_push_out_known_clients(tmp_path: Path) -> None:
@@ -263,7 +263,7 @@
             for client in [*strangers, *known]:
                 client.writer.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_reload_in_a_flood_keeps_what_is_known_of_addresses(tmp_path: Path) -> None:
@@ -291,7 +291,7 @@
             entry = before.admission.addresses.find(FLOOD, 0.0)
             await here.until(lambda: not entry.held)  # each gives back where it was let in
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # The PROXY protocol.
@@ -326,7 +326,7 @@
                 client.writer.close()
             await here.until(lambda: held_of(here, "203.0.113.9") == 0)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_front_must_write_the_header_and_nobody_else_may(tmp_path: Path) -> None:
@@ -343,7 +343,7 @@
             assert (await once(address, "127.5.0.1", requests_to()))[0] == 200
             await here.until(lambda: not here.daemon.listeners["main"].connections)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # FastCGI.
@@ -359,7 +359,7 @@
             listener = here.daemon.listeners["main"]
             first, second, third = [await WebServer.connect(listener.address) for _ in range(3)]
             await here.until(lambda: len(listener.connections) == 2)
-            assert await asyncio.wait_for(third.reader.read(), PATIENCE) == b""
+            assert await asyncio.wait_for(third.reader.read(), TIMEOUT_S) == b""
             await first.send(first.request(1, "GET", "/"))
             assert (await first.read(1)).status == 200
             held = Held()
@@ -375,7 +375,7 @@
             await here.until(lambda: not listener.connections)
             assert held_of(here, "127.0.0.1") == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Descriptors.
@@ -437,7 +437,7 @@
             listener._sock = real
             assert (await once(address, KNOWN, requests_to()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_member_is_reached_on_a_spare_descriptor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -459,7 +459,7 @@
             monkeypatch.undo()
             assert (await client.read())[0] == 200 and len(member.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # In a process of its own, whose limit can be lowered.
@@ -522,14 +522,14 @@
                 assert (await client.read())[0] == 200
                 client.writer.close()
             assert len(member.calls) == 40
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_S):
                 while (await once(address, KNOWN, requests_to()))[0] != 200:
                     pass
                 while b"new configuration taken" not in (tmp_path / "log").read_bytes():
                     await asyncio.sleep(0)
         await member.stop()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_three_thousand_connections_of_one_address_and_known_clients_get_through(tmp_path: Path) -> None:
@@ -572,7 +572,7 @@
             assert len(member.calls) <= served + asked
         await member.stop()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_clients_do_counts_for_their_address(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -602,20 +602,20 @@
             )
             cast(asyncio.ReadTransport, reader.writer.transport).pause_reading()
             await reader.send(requests_to() * 8)
-            await here.until(lambda: any(c.blocked for c in listener.connections))
-            (stalled,) = (c for c in listener.connections if c.blocked)
-            stalled.sweep(stalled.blocked + 100.0)
+            await here.until(lambda: any(c.blocked_since for c in listener.connections))
+            (stalled,) = (c for c in listener.connections if c.blocked_since)
+            stalled.sweep(stalled.blocked_since + 100.0)
             assert table.find("127.13.0.1", 0.0).marks <= GARBAGE + 8
             await here.until(lambda: stalled not in listener.connections)
             for client in (half, reader):
                 client.writer.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def has_read(connection: Any, count: int) -> bool:
     """Whether so much of a PROXY header has come."""
-    return len(connection.visit.header._held) == count
+    return len(connection.admitted.header._held) == count
 
 
 def test_a_proxy_header_that_stalls_is_silence_and_holds_nothing(tmp_path: Path) -> None:
@@ -636,4 +636,4 @@
                 await here.until(lambda: not listener.connections)
             assert held_of(here, "203.0.113.9") == 0 and not member.calls
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -15,7 +15,7 @@
 
 import pytest
 from peers import SETTINGS, request
-from ports import kept_port
+from ports import reserve_port
 
 
 def run(path: str | None) -> subprocess.CompletedProcess[bytes]:
@@ -43,7 +43,7 @@
 
 
 def configuration(**other: Any) -> dict[str, Any]:
-    free = [f"127.0.0.1:{kept_port()}" for _ in range(2)]
+    free = [f"127.0.0.1:{reserve_port()}" for _ in range(2)]
     return {
         "name": "n0",
         "listen": free[0],
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -7,7 +7,7 @@
 
 import pytest
 from daemons import LISTENER, ground, pool, requests_to, route
-from peers import Call, ScriptedBackend, answering, play, resetting, silent
+from peers import Call, ScriptedBackend, answering, resetting, run_with_timeout, silent
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 KEYED = '[[class]]\nname = "book"\naim = "1s"\ndeadline = "4s"\neffect = "keyed"\ndedup_window = "3s"\n'
@@ -49,7 +49,7 @@
             assert head.count(b"Set-Cookie") == 2 and b"X-Own: a" in head
             assert len(backend.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("status", [204, 304])
@@ -67,7 +67,7 @@
             assert (await client.read())[2] == b"hi"  # and the next answer stands right behind
             assert backend.connections == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_304_may_state_the_length_that_it_stands_for(tmp_path: Path) -> None:
@@ -79,7 +79,7 @@
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
             assert b"Content-Length: 700" in head
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
             assert (await client.read())[2] == b"hi"
             assert backend.connections == 1 and backend.calls[0].head.startswith(b"HEAD / ")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_body_behind_the_answer_to_head_reaches_nobody(tmp_path: Path) -> None:
@@ -114,7 +114,7 @@
             assert (await client.read())[2] == b"hi"
             assert backend.connections == 2  # what stood behind the head made the first one useless
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_refused_head_requests_are_framed_without_a_body(tmp_path: Path) -> None:
@@ -131,7 +131,7 @@
                 head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
                 assert head.startswith(b"HTTP/1.1 503")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_headers_of_one_connection_go_no_further_either_way(tmp_path: Path) -> None:
@@ -172,7 +172,7 @@
             for name in (b"X-Theirs", b"Keep-Alive", b"Trailer", b"Upgrade"):
                 assert name not in head
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_upgrade_is_not_taken_up_and_the_request_served(tmp_path: Path) -> None:
@@ -186,7 +186,7 @@
             assert (await client.read())[0] == 200
             assert "upgrade" not in seen(backend)[1] and seen(backend, 1)[0] == "GET /next HTTP/1.1"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_strangers_are_not_believed_and_trusted_proxies_are(tmp_path: Path) -> None:
@@ -220,7 +220,7 @@
                 and seen(backend, 2)[1]["x-request-id"] == "mine"
             )
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -255,7 +255,7 @@
                 assert not backend.calls
             assert (await here.ask(requests_to()))[0] == 200  # and nothing is the worse for it
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_no_route_is_404_and_the_connection_stays(tmp_path: Path) -> None:
@@ -272,7 +272,7 @@
             status, head, _ = await here.ask(requests_to("/other", "POST", b"abc"))
             assert status == 404 and b"Connection: close" in head  # the body is read by nobody
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Effects.
@@ -292,7 +292,7 @@
             assert set(statuses) == {200, 502}
             assert statuses.count(502) == len(ill.calls) and len(ill.calls) + len(well.calls) == 30
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("with_key", [True, False])
@@ -312,7 +312,7 @@
             if not with_key:
                 assert len(ill.calls) + len(well.calls) == 12
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_safe_class_covers_other_methods_only_where_the_route_names_them(tmp_path: Path) -> None:
@@ -332,7 +332,7 @@
             other = [(await here.ask(requests_to("/else", "POST", b"x")))[0] for _ in range(30)]
             assert len(ill.calls) + len(well.calls) == 30 and other.count(502) == len(ill.calls) > 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_a_member_says_of_its_failure_reaches_the_client(tmp_path: Path) -> None:
@@ -345,7 +345,7 @@
             assert (status, body) == (500, b"why") and b"text/plain" in head
             assert here.daemon.pools["web"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("method, status", [("POST", 502), ("GET", 503)])
@@ -357,7 +357,7 @@
         async with ground(tmp_path, [backend], lambda: one_pool([backend])) as here:
             assert (await here.ask(requests_to("/", method)))[0] == status
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_503_with_the_pools_header_is_a_refusal(tmp_path: Path) -> None:
@@ -374,7 +374,7 @@
             statuses = {(await here.ask(requests_to("/", "POST", b"x")))[0] for _ in range(12)}
             assert statuses == {200} and full.calls  # it never ran, so it went elsewhere
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_deadline_of_the_route_ends_in_504(tmp_path: Path) -> None:
@@ -384,7 +384,7 @@
         async with ground(tmp_path, [backend], lambda: one_pool([backend], routes=routes)) as here:
             assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 504
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Bodies.
@@ -411,7 +411,7 @@
             assert headers["content-length"] == str(len(whole)) and "transfer-encoding" not in headers
             assert here.daemon.pools["web"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("taken", [True, False])
@@ -427,7 +427,7 @@
             status, _, body = await here.ask(requests_to("/", "POST", b"x"))
             assert (status, body) == ((200, b"the rest") if taken else (502, b""))
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_load_report_is_read_and_kept_from_clients(tmp_path: Path) -> None:
@@ -440,4 +440,4 @@
             assert b"X-Load" not in head
             assert here.daemon.pools["web"].proxy.balancer.endpoints["s"].utilization == 0.7
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -12,7 +12,7 @@
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from peers import ScriptedBackend, answering, play
+from peers import ScriptedBackend, answering, run_with_timeout
 
 from loadbalancer.plugins.breaker import OPEN_S, ROW, SAVED_S, Breaker, CpuBudget
 from loadbalancer.plugins.hook import (
@@ -386,7 +386,7 @@
         async with ground(folder, [member], text) as here:
             await scene(here, member, text)
 
-    play(run)
+    run_with_timeout(run)
 
 
 def test_tags_headers_and_tenants_go_on_to_the_member(tmp_path: Path) -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -5,7 +5,17 @@
 import asyncio
 
 import pytest
-from peers import OK, Call, ScriptedBackend, World, answering, play, request, silent, world
+from peers import (
+    OK,
+    Call,
+    RunningProxy,
+    ScriptedBackend,
+    answering,
+    request,
+    run_with_timeout,
+    running_proxy,
+    silent,
+)
 from test_crossings import hold_connects, with_limits
 
 from loadbalancer.frontends import listener
@@ -27,7 +37,7 @@
         await call.say(OK)
 
 
-async def wait_until_paused(here: World) -> None:
+async def wait_until_paused(here: RunningProxy) -> None:
     """Wait until reading is paused because a request waits behind another one."""
     while not here.connections()[0].paused:
         await asyncio.sleep(0)
@@ -39,13 +49,13 @@
 
     async def scene() -> None:
         waiting = WaitingMember()
-        async with world(waiting.member) as here:
+        async with running_proxy(waiting.member) as here:
             client = await here.connect()
             await client.send(request() * 3)
             await waiting.member.until_called()
             await wait_until_paused(here)
             await client.send(request() * unread)
-            here.server.retire()
+            here.server.begin_draining()
             waiting.gate.set()
             for remaining in reversed(range(3 + unread)):
                 status, head, _ = await client.read()
@@ -53,7 +63,7 @@
             assert await client.ended() == b""
             assert len(waiting.member.calls) == 3 + unread
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_pipelined_requests_are_answered_at_the_shutdown_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -63,27 +73,27 @@
 
     async def scene() -> None:
         a = ScriptedBackend("a", silent)
-        async with world(a) as here:
+        async with running_proxy(a) as here:
             client = await here.connect()
             await client.send(request("unsafe") + request() * 3)
             await a.until_called()
-            drained = asyncio.ensure_future(drain([here.server], 4.0, most=0.0))
+            drained = asyncio.ensure_future(drain([here.server], 4.0, time_limit_s=0.0))
             assert [(await client.read())[0] for _ in range(4)] == [502, 503, 503, 503]
             assert await client.ended() == b""
             await drained
             assert len(a.calls) == 1 and not here.proxy.open
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_partly_received_request_is_answered_during_shutdown() -> None:
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
-        async with world(a) as here:
+        async with running_proxy(a) as here:
             client, whole = await here.connect(), request("unsafe", b"0123456789")
             await client.send(request() + whole[:-5])
             assert CLOSE_HEADER not in (await client.read())[1]
-            here.server.retire()
+            here.server.begin_draining()
             while here.connections()[0].body_received < 5:
                 await asyncio.sleep(0)
             await client.send(whole[-5:])
@@ -91,7 +101,7 @@
             assert status == 200 and CLOSE_HEADER in head
             assert await client.ended() == b"" and len(a.calls) == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_partly_received_head_behind_an_open_request_is_answered() -> None:
@@ -99,13 +109,13 @@
 
     async def scene() -> None:
         waiting = WaitingMember()
-        async with world(waiting.member) as here:
+        async with running_proxy(waiting.member) as here:
             client, second = await here.connect(), request()
             await client.send(request() + second[:20])
             await waiting.member.until_called()
             while here.connections()[0].phase != HEAD:
                 await asyncio.sleep(0)
-            here.server.retire()
+            here.server.begin_draining()
             waiting.gate.set()
             status, head, _ = await client.read()
             assert status == 200 and CLOSE_HEADER not in head
@@ -114,15 +124,15 @@
             assert status == 200 and CLOSE_HEADER in head
             assert await client.ended() == b""
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_request_after_the_last_answer_is_discarded_without_a_reset() -> None:
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
-        async with world(a) as here:
+        async with running_proxy(a) as here:
             client = await here.connect()
-            here.server.retire()
+            here.server.begin_draining()
             await client.send(request())
             while not here.connections() or here.connections()[0].phase != LINGER:
                 await asyncio.sleep(0)
@@ -133,7 +143,7 @@
             assert await client.ended() == b""  # closed without a reset
             assert len(a.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def member_with_long_answer(gate: asyncio.Event, size: int) -> ScriptedBackend:
@@ -149,12 +159,12 @@
 def test_streamed_answer_completes_or_is_reset_at_the_deadline(whole: bool) -> None:
     async def scene() -> None:
         gate, size = asyncio.Event(), 8 << 20
-        async with world(member_with_long_answer(gate, size)) as here:
+        async with running_proxy(member_with_long_answer(gate, size)) as here:
             client = await here.connect()
             await client.send(request())
             await client.reader.readuntil(b"\r\n\r\n")
             await client.reader.readexactly(size // 2)
-            drained = asyncio.ensure_future(drain([here.server], 4.0, most=3.4 if whole else 0.0))
+            drained = asyncio.ensure_future(drain([here.server], 4.0, time_limit_s=3.4 if whole else 0.0))
             if whole:
                 while not here.server.draining:
                     await asyncio.sleep(0)
@@ -166,42 +176,42 @@
             await drained
             assert not here.proxy.open and not here.connections()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("cls", ["keyed", "unsafe"])
 def test_upload_in_progress_is_served(cls: str) -> None:
     async def scene() -> None:
         a, body = ScriptedBackend("a", answering(OK)), bytes(8 << 20)
-        async with world(a) as here:
+        async with running_proxy(a) as here:
             client, whole = await here.connect(), request(cls, body)
             await client.send(whole[: -(1 << 20)])
             while not here.proxy.uploads:
                 await asyncio.sleep(0)
-            here.server.retire()
+            here.server.begin_draining()
             await client.send(whole[-(1 << 20) :])
             status, head, _ = await client.read()
             assert status == 200 and CLOSE_HEADER in head
             assert len(a.calls) == 1 and len(a.calls[0].body) == len(body)
             assert await client.ended() == b""
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_incomplete_upload_is_aborted_at_the_deadline() -> None:
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
-        async with world(a) as here:
+        async with running_proxy(a) as here:
             client, whole = await here.connect(), request("unsafe", bytes(8 << 20))
             await client.send(whole[: -(1 << 20)])
             while not here.proxy.uploads:
                 await asyncio.sleep(0)
-            await drain([here.server], 4.0, most=0.0)
+            await drain([here.server], 4.0, time_limit_s=0.0)
             while here.connections():
                 await asyncio.sleep(0)
             assert not a.calls and not here.proxy.open
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_attempt_that_is_connecting_when_the_shutdown_begins_is_served(
@@ -210,17 +220,17 @@
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
         holder = hold_connects(monkeypatch)
-        async with world(a, settings=with_limits()) as here:
+        async with running_proxy(a, settings=with_limits()) as here:
             client, holder.on = await here.connect(), True
             await client.send(request("unsafe"))
             await asyncio.wait_for(holder.held.wait(), 10)
-            here.server.retire()
+            here.server.begin_draining()
             holder.on = False
             holder.gate.set()
             status, head, _ = await client.read()
             assert status == 200 and CLOSE_HEADER in head and len(a.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_retry_is_still_made_during_shutdown() -> None:
@@ -232,12 +242,12 @@
             call.reset()
 
         members = [ScriptedBackend(name, reset_when_draining, answering(OK)) for name in ("a", "b")]
-        async with world(*members) as here:
+        async with running_proxy(*members) as here:
             client = await here.connect()
             await client.send(request("keyed"))
             while not any(member.calls for member in members):
                 await asyncio.sleep(0)
-            here.server.retire()
+            here.server.begin_draining()
             draining.set()
             for member in members:
                 member.scripts = [answering(OK)]
@@ -245,14 +255,14 @@
             assert status == 200 and CLOSE_HEADER in head
             assert sum(len(member.calls) for member in members) == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_clients_that_reconnect_during_drain_are_answered_and_closed() -> None:
     """Guards against requests lost on new connections until accepting stops."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("a", answering(OK))) as here:
+        async with running_proxy(ScriptedBackend("a", answering(OK))) as here:
             drained = asyncio.ensure_future(drain([here.server], 0.2))
             count = 0
             while True:
@@ -270,4 +280,4 @@
             await drained
             assert count and not here.connections() and not here.proxy.open
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_slow_attempts.py
+++ b/tests/test_slow_attempts.py
@@ -7,7 +7,7 @@
 
 import pytest
 from daemons import LISTENER, ground, pool, requests_to, route
-from peers import OK, PATIENCE, Call, ScriptedBackend, play, request, resetting, world
+from peers import OK, TIMEOUT_S, Call, ScriptedBackend, request, resetting, run_with_timeout, running_proxy
 from test_crossings import hold_connects, with_limits
 
 from loadbalancer.policy.events import AttemptResult, TimerFired
@@ -44,7 +44,7 @@
             assert (await here.ask(requests_to()))[0] == 200
             assert script.calls == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 class FirstCallResets:
@@ -68,10 +68,10 @@
         members = [ScriptedBackend(name, script) for name in "abc"]
         connects = hold_connects(monkeypatch)
         limits = with_limits(**{"max-attempts": 2, "second-copies": False, "cancelling": True})
-        async with world(*members, settings=limits) as here:
+        async with running_proxy(*members, settings=limits) as here:
             client, connects.on = await here.connect(), True
             await client.send(request(cls))
-            await asyncio.wait_for(connects.held.wait(), PATIENCE)
+            await asyncio.wait_for(connects.held.wait(), TIMEOUT_S)
             connects.on = False
             (number,) = here.proxy.open
             here.proxy.post(TimerFired(number + 1))
@@ -79,4 +79,4 @@
             results = [outcome.result for outcome in await here.proxy.until_outcomes(3)]
             assert results == [AttemptResult.NOT_SENT, AttemptResult.RESET, AttemptResult.SERVED]
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from peers import OK, Call, ScriptedBackend, answering, play, request, world
+from peers import OK, Call, ScriptedBackend, answering, request, run_with_timeout, running_proxy
 
 from loadbalancer.frontends.listener import Listener, drain
 from loadbalancer.policy.events import AttemptResult
@@ -59,13 +59,13 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("a", answering(OK))
-        async with world(backend, ScriptedBackend("b", answering(OK))) as here:
+        async with running_proxy(backend, ScriptedBackend("b", answering(OK))) as here:
             client = await here.connect()
             assert (await client.ask(request(cls)))[0] == 200
             (outcome,) = await here.proxy.until_outcomes(1)
             assert outcome.result == AttemptResult.SERVED
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Guards against a timeout and a second attempt although the answer had arrived.
@@ -73,7 +73,7 @@
 def test_answer_that_arrived_during_a_stall_is_passed_on(cls: str) -> None:
     async def scene() -> None:
         peer = Answering("a")
-        async with world(peer.backend) as here:
+        async with running_proxy(peer.backend) as here:
             client = await here.connect()
             await client.send(request(cls, None, "200m"))
             await peer.backend.until_called()
@@ -83,7 +83,7 @@
             assert outcome.result == AttemptResult.SERVED
             assert len(peer.backend.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Guards against a shutdown that answers 503 although the member had answered before its end.
@@ -100,7 +100,7 @@
             peer.answer_and_stall()
             return busy
 
-        async with world(peer.backend) as here:
+        async with running_proxy(peer.backend) as here:
             client = await here.connect()
             await client.send(request())
             await peer.backend.until_called()
@@ -111,7 +111,7 @@
             monkeypatch.undo()
             await ended
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Guards against a timer that fires after it was cancelled, also between its expiry and its call.
@@ -129,4 +129,4 @@
         await done.wait()
         assert fired == []
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from peers import PATIENCE, Call, ScriptedBackend, answering, play, request, world
+from peers import TIMEOUT_S, Call, ScriptedBackend, answering, request, run_with_timeout, running_proxy
 
 from loadbalancer.policy.events import (
     AttemptResult,
@@ -70,20 +70,20 @@
             elif framing == "connection":
                 call.writer.close()
 
-        async with world(ScriptedBackend("a", script)) as here:
+        async with running_proxy(ScriptedBackend("a", script)) as here:
             client = await here.connect()
             await client.send(request("unsafe"))
             reader = client.reader
-            await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
-            await asyncio.wait_for(reader.readexactly(90_000), PATIENCE)  # while the member waits
-            assert any(isinstance(event, FirstByte) for event in here.proxy.told)
+            await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
+            await asyncio.wait_for(reader.readexactly(90_000), TIMEOUT_S)  # while the member waits
+            assert any(isinstance(event, FirstByte) for event in here.proxy.events)
             assert here.proxy.metrics.open == 1
             go_on.set()
             (outcome,) = await here.proxy.until_outcomes(1)
             assert outcome.result == AttemptResult.SERVED and outcome.request_ended
             assert here.proxy.metrics.ended[2] == [1, 0, 0] and not here.proxy.streams
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_long_answer_that_breaks_is_seen_to_and_is_neither_repeated_nor_refused() -> None:
@@ -93,7 +93,7 @@
             await call.say(b"%x\r\n%b\r\nzz\r\n" % (LONG, bytes(LONG)))
 
         a, b = ScriptedBackend("a", script), ScriptedBackend("b", script)
-        async with world(a, b) as here:
+        async with running_proxy(a, b) as here:
             client = await here.connect()
             await client.send(request("safe"))
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
@@ -101,7 +101,7 @@
             assert len(a.calls) + len(b.calls) == 1
             assert here.proxy.metrics.ended[0] == [0, 0, 1]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("behind", [b"", b"noise"])
@@ -111,11 +111,11 @@
 
         async def script(call: Call) -> None:
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:70_000]))
-            await asyncio.wait_for(begun.wait(), PATIENCE)
+            await asyncio.wait_for(begun.wait(), TIMEOUT_S)
             await call.say(body[70_000:] + behind)
 
         backend = ScriptedBackend("a", script)
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             for number in range(2):
                 begun = asyncio.Event()
                 client = await here.connect()
@@ -128,19 +128,19 @@
                 await asyncio.sleep(2 * REST_S)  # a connection rests before it is used again
             assert backend.connections == (2 if behind else 1)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_known_length_that_is_cut_short_is_seen_to() -> None:
     async def scene() -> None:
         async def script(call: Call) -> None:
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (LONG, bytes(70_000)))
-            await asyncio.wait_for(begun.wait(), PATIENCE)
+            await asyncio.wait_for(begun.wait(), TIMEOUT_S)
             await call.say(bytes(LONG - 70_001))
             call.writer.close()
 
         begun = asyncio.Event()
-        async with world(ScriptedBackend("a", script)) as here:
+        async with running_proxy(ScriptedBackend("a", script)) as here:
             client = await here.connect()
             await client.send(request("unsafe"))
             await here.proxy.until(lambda: here.proxy.streams)
@@ -151,7 +151,7 @@
             assert outcome.result == AttemptResult.RESET
             assert here.proxy.metrics.ended[2] == [0, 0, 1]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_client_that_reads_nothing_holds_its_member_and_not_our_memory() -> None:
@@ -163,14 +163,14 @@
             for _ in range(most >> 16):
                 await call.say(bytes(1 << 16))
 
-        async with world(ScriptedBackend("a", script)) as here:
+        async with running_proxy(ScriptedBackend("a", script)) as here:
             client = await here.connect()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await client.send(request("unsafe"))
             while not here.proxy.streams:
                 await asyncio.sleep(0.01)
             (connection,) = here.connections()
-            while not connection.blocked:
+            while not connection.blocked_since:
                 await asyncio.sleep(0.01)
             assert connection.transport is not None
             assert connection.transport.get_write_buffer_size() < 2 << 20
@@ -179,7 +179,7 @@
             assert status == 200 and len(body) == most
             assert here.proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_client_that_leaves_ends_the_attempt() -> None:
@@ -188,24 +188,24 @@
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LONG + bytes(100_000))
             await call.left()
 
-        async with world(ScriptedBackend("a", script)) as here:
+        async with running_proxy(ScriptedBackend("a", script)) as here:
             client = await here.connect()
             await client.send(request("unsafe"))
-            await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE)
+            await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             client.writer.transport.abort()
             (outcome,) = await here.proxy.until_outcomes(1)
             assert outcome.result == AttemptResult.CANCELLED
             assert not here.proxy.streams and not here.proxy.open
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_spaces_behind_a_header_are_no_part_of_it() -> None:
     async def scene() -> None:
         good = b"HTTP/1.1 200 OK\r\nContent-Length: 2 \t\r\n\r\nhi"
-        async with world(ScriptedBackend("a", answering(good))) as here:
+        async with running_proxy(ScriptedBackend("a", answering(good))) as here:
             client = await here.connect()
             data = request("unsafe").replace(b"unsafe\r\n", b"unsafe \t\r\n").replace(b"4000m", b"4000m ")
             assert await client.ask(data) == (200, b"hi")
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -223,9 +223,9 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
-        from ports import kept_port
+        from ports import reserve_port
 
-        port = kept_port()
+        port = reserve_port()
 
         def both(tls: str) -> str:
             return text([backend], tls).replace(":0", f":{port}")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
 
 import pytest
 from peers import SETTINGS
-from ports import kept_port
+from ports import reserve_port
 
 from loadbalancer.hot_restart.phases import ACCEPTING, Observation, Phase, phase, share, start_sockets
 from loadbalancer.hot_restart.startup_pacing import PROCESS_FILE_PREFIX
@@ -112,7 +112,7 @@
             "cell": 0,
             "state": "SERVING",
         }
-        nowhere = f"127.0.0.1:{kept_port()}"
+        nowhere = f"127.0.0.1:{reserve_port()}"
         self.box = {
             "name": "n0",
             "listen": "{}:{}".format(*self.address),
@@ -138,7 +138,7 @@
 
     def spawn(self) -> tuple[subprocess.Popen[bytes], tuple[str, int]]:
         """One more process, which has just begun."""
-        where = "127.0.0.1", kept_port()
+        where = "127.0.0.1", reserve_port()
         path = self.folder / f"config-{where[1]}.json"
         path.write_text(json.dumps(self.box))
         environment = {
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -9,7 +9,17 @@
 from typing import AsyncIterator, Awaitable, Callable
 
 import pytest
-from peers import PATIENCE, SETTINGS, Client, ScriptedBackend, World, answering, play, request, world
+from peers import (
+    SETTINGS,
+    TIMEOUT_S,
+    Client,
+    RunningProxy,
+    ScriptedBackend,
+    answering,
+    request,
+    run_with_timeout,
+    running_proxy,
+)
 from test_streams import End
 
 from loadbalancer.frontends import http1
@@ -92,7 +102,7 @@
     return request(cls).replace(b"Content-Length: 0", b"Content-Length: %d" % length)
 
 
-async def wait_until_released(here: World) -> None:
+async def wait_until_released(here: RunningProxy) -> None:
     """Wait until no request is open, and check that all its resources were released."""
     await here.proxy.until(lambda: not here.proxy.open)
     assert here.proxy.uploads == 0 and here.proxy.budget.held_bytes == 0 and here.proxy.metrics.open == 0
@@ -104,7 +114,7 @@
     async def scene() -> None:
         body = os.urandom(1 << 16) * 200  # 12.5 MB
         backend = ScriptedBackend("a", answering(OK))
-        async with world(backend) as here:
+        async with running_proxy(backend) as here:
             client = await here.connect()
             if framing == "length":
                 status, answer = await client.ask(long_request_head(len(body), cls) + body)
@@ -116,15 +126,15 @@
             assert (status, answer) == (200, b"hi")
             (call,) = backend.calls
             assert call.body == body
-            asked = next(event for event in here.proxy.told if isinstance(event, Request))
+            asked = next(event for event in here.proxy.events if isinstance(event, Request))
             assert asked.body_pending
-            told = [event for event in here.proxy.told if isinstance(event, BodyProgress)]
+            told = [event for event in here.proxy.events if isinstance(event, BodyProgress)]
             assert [(event.complete, event.replayable) for event in told] == [(False, False), (True, False)]
             assert here.proxy.metrics.ended[asked.class_index] == [1, 0, 0]
             assert await client.ask(request()) == (200, b"hi")  # the connection stays usable
             await wait_until_released(here)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_attempt_time_counts_from_the_last_byte_of_the_body() -> None:
@@ -134,7 +144,7 @@
             writer.write(OK)
             await reader.read()
 
-        async with world(RawMember("a", script)) as here:
+        async with running_proxy(RawMember("a", script)) as here:
             client = await here.connect()
             await client.send(long_request_head() + PART)
             await here.proxy.until(lambda: here.proxy.uploads)
@@ -156,7 +166,7 @@
             )
             await wait_until_released(here)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def turn_away_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -193,7 +203,7 @@
 
     async def scene() -> None:
         members = [RawMember(name, script) for name in "ab"]
-        async with world(*members) as here:
+        async with running_proxy(*members) as here:
             client = await here.connect()
             await client.send(long_request_head() + PART)
             await here.proxy.until(lambda: here.proxy.uploads)
@@ -205,24 +215,24 @@
             await wait_until_released(here)
             assert here.proxy.metrics.ended[2] == ([0, 1, 0] if status == 503 else [0, 0, 0])
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_body_goes_to_another_member_if_the_first_is_unreachable() -> None:
     async def scene() -> None:
         reachable, unreachable = ScriptedBackend("a", answering(OK)), ScriptedBackend("b", answering(OK))
-        async with world(reachable, unreachable) as here:
+        async with running_proxy(reachable, unreachable) as here:
             await unreachable.stop()
             for _ in range(6):  # the random choice reaches both
                 client = await here.connect()
                 assert await client.ask(long_request_head() + bytes(LONG_BODY_BYTES)) == (200, b"hi")
-            ends = [event.result for event in here.proxy.told if isinstance(event, Outcome)]
+            ends = [event.result for event in here.proxy.events if isinstance(event, Outcome)]
             assert ends.count(AttemptResult.SERVED) == 6 == len(reachable.calls)
             assert AttemptResult.NO_CONNECTION in ends
             assert all(call.body == bytes(LONG_BODY_BYTES) for call in reachable.calls)
             await wait_until_released(here)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def read_until_closed(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -232,7 +242,7 @@
 
 def test_client_disconnect_during_an_upload_cancels_it_and_is_not_counted() -> None:
     async def scene() -> None:
-        async with world(RawMember("a", read_until_closed)) as here:
+        async with running_proxy(RawMember("a", read_until_closed)) as here:
             client = await here.connect()
             await client.send(long_request_head() + PART)
             await here.proxy.until(lambda: here.proxy.uploads)
@@ -242,12 +252,12 @@
             await wait_until_released(here)
             assert here.proxy.metrics.ended[2] == [0, 0, 0] and here.proxy.metrics.tries[2] == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_client_that_stops_during_an_upload_is_answered_408() -> None:
     async def scene() -> None:
-        async with world(RawMember("a", read_until_closed)) as here:
+        async with running_proxy(RawMember("a", read_until_closed)) as here:
             client = await here.connect()
             await client.send(long_request_head() + PART)
             await here.proxy.until(lambda: here.proxy.uploads)
@@ -261,7 +271,7 @@
             assert status == 408 and b"Connection: close" in head
             await wait_until_released(here)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @asynccontextmanager
@@ -284,7 +294,7 @@
 @pytest.mark.parametrize("member_resumes", [True, False])
 def test_member_that_reads_nothing_pauses_the_client_and_limits_memory(member_resumes: bool) -> None:
     async def scene() -> None:
-        async with paused_member() as (member, resume), world(member) as here:
+        async with paused_member() as (member, resume), running_proxy(member) as here:
             client = await here.connect()
             sending = asyncio.ensure_future(
                 client.send(long_request_head(MAX_STREAMED_BODY_BYTES) + bytes(MAX_STREAMED_BODY_BYTES))
@@ -300,7 +310,7 @@
             assert connection.request is not None
             if member_resumes:
                 resume.set()
-                await asyncio.wait_for(sending, PATIENCE)
+                await asyncio.wait_for(sending, TIMEOUT_S)
                 assert (await client.read())[0] == 200
             else:
                 connection.sweep(connection.upload_paused_at + STALL_S + 1)
@@ -308,12 +318,12 @@
                 sending.cancel()
             await wait_until_released(here)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_uploads_past_their_share_of_connections_are_refused() -> None:
     async def scene() -> None:
-        async with world(
+        async with running_proxy(
             RawMember("a", read_until_closed), RawMember("b", read_until_closed), sockets=64
         ) as here:
             clients: list[Client] = []
@@ -331,7 +341,7 @@
             await wait_until_released(here)
             assert here.proxy.may_upload()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 #: Bytes read from the proxy between two samples of what it buffers.
@@ -341,7 +351,7 @@
 class BufferPeak:
     """Records the peak of the bytes that the proxy buffers: its budget and the write buffers of its connections."""
 
-    def __init__(self, here: World) -> None:
+    def __init__(self, here: RunningProxy) -> None:
         self.here, self.peak, self.unsampled = here, 0, 0
 
     def count_read(self, count: int) -> None:
@@ -406,7 +416,7 @@
         classes_with_long_timeouts = [
             {**cls, "aim-s": 60.0, "give-up-s": 60.0} for cls in SETTINGS["classes"]
         ]
-        async with world(
+        async with running_proxy(
             *members, settings={**SETTINGS, "classes": classes_with_long_timeouts}, memory_mb=64
         ) as here:
             buffer_peak = BufferPeak(here)
@@ -415,7 +425,7 @@
             assert 0 < buffer_peak.peak < (32 << 20) - SAMPLE_BYTES
             await wait_until_released(here)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_long_body_behind_an_open_request_is_answered_413() -> None:
@@ -427,7 +437,7 @@
 
         release = asyncio.Event()
         member = RawMember("a", script)
-        async with world(member) as here:
+        async with running_proxy(member) as here:
             client = await here.connect()
             await client.send(request() + long_request_head() + PART)
             await here.proxy.until(lambda: here.proxy.open)
@@ -437,13 +447,13 @@
             assert len(member.heads) == 1
             await wait_until_released(here)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_forwarded_head_has_exactly_one_framing() -> None:
     async def scene() -> None:
         member = RawMember("a", read_until_closed)
-        async with world(member) as here:
+        async with running_proxy(member) as here:
             client = await here.connect()
             await client.send(long_request_head() + PART)
             while not member.heads:
@@ -457,4 +467,4 @@
             client.writer.transport.abort()
             await wait_until_released(here)
 
-    play(scene)
+    run_with_timeout(scene)
