--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -13,8 +13,8 @@
 
 import pytest
 from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
-from peers import Call, ScriptedBackend, answering, play, request, silent
-from ports import kept_port
+from peers import Call, ScriptedBackend, answering, request, run_with_timeout, silent
+from ports import reserve_port
 
 from loadbalancer.discovery.static_list import MembersFile
 from standins.member import Behaviour, Member
@@ -63,7 +63,7 @@
             assert (await client.ask(requests_to("/", "POST", b"z")))[0] == 200 and len(new.calls) == 2
             assert first
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_request_whose_head_arrived_before_reload_uses_old_routes(tmp_path: Path) -> None:
@@ -82,7 +82,7 @@
             assert len(old.calls) == 1 and not new.calls
             assert (await client.ask(whole))[0] == 200 and len(new.calls) == 1
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 @pytest.mark.parametrize("bad", ["", "x = 1\n", "[[pool]]\n", None])
@@ -102,7 +102,7 @@
             assert here.heard.count("not taken") and not here.heard.count("configuration taken")
             assert (await here.ask(requests_to()))[0] == 200
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_reload_with_unavailable_address_changes_nothing(tmp_path: Path) -> None:
@@ -126,7 +126,7 @@
                 assert len(os.listdir("/proc/self/fd")) == open_before
                 assert (await here.ask(requests_to()))[0] == 200
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_listener_with_new_address_is_bound_and_old_one_drains(tmp_path: Path) -> None:
@@ -157,13 +157,13 @@
             assert await idle.ended() == b""
             await here.until(lambda: not here.daemon.retirement.listeners)
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_renamed_listener_keeps_its_connections(tmp_path: Path) -> None:
     async def scenario() -> None:
         backend = ScriptedBackend("s", answering(GOOD))
-        listener = LISTENER.replace(":0", f":{kept_port()}")
+        listener = LISTENER.replace(":0", f":{reserve_port()}")
 
         def rest() -> str:
             return route("all", "a") + pool("a", [backend])
@@ -175,7 +175,7 @@
             assert list(here.daemon.listeners) == ["other"] and here.daemon.reloads == 1
             assert (await client.ask(requests_to()))[0] == 200  # on the same connection
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_members_removed_by_reload_drain(tmp_path: Path) -> None:
@@ -199,7 +199,7 @@
             delayed.release.set()
             assert (await client.read())[0] == 200
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_members_added_by_reload_start_cold_and_excess_requests_are_rejected(tmp_path: Path) -> None:
@@ -217,7 +217,7 @@
             statuses = [(await client.ask(requests_to()))[0] for _ in range(100)]
             assert set(statuses) == {200, 503} and new.counts.requests == statuses.count(200) < 40
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_reloads_requested_during_a_reload_run_once_after_it(tmp_path: Path) -> None:
@@ -234,7 +234,7 @@
             await here.settled()
             assert here.daemon.plan is not None and list(here.daemon.plan.routes) == ["other"]
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 class LoadClient:
@@ -265,7 +265,7 @@
 
 def test_500_reloads_under_load_lose_no_response_and_leak_nothing(tmp_path: Path) -> None:
     """Members, pools, routes and listeners change in turn; every request gets exactly one response."""
-    ports = [kept_port(), kept_port()]
+    ports = [reserve_port(), reserve_port()]
 
     async def scenario() -> None:
         members = [Member(f"m{n}") for n in range(4)]
@@ -304,9 +304,11 @@
             # The requests and connections of the 500 reloads are gone, and the number of objects has hardly grown.
             assert sizes[1] < sizes[0] * 1.5
 
-    play(partial(asyncio.sleep, 0))  # the event loop's library opens a pipe for signals once per process
+    run_with_timeout(
+        partial(asyncio.sleep, 0)
+    )  # the event loop's library opens a pipe for signals once per process
     before = len(os.listdir("/proc/self/fd"))
-    play(scenario)
+    run_with_timeout(scenario)
     gc.collect()
     assert len(os.listdir("/proc/self/fd")) <= before
 
@@ -355,7 +357,7 @@
             assert (await here.ask(requests_to()))[0] == 200 and len(b.calls) == 1
             assert here.heard.count("members file taken")
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_truncated_or_missing_members_file_changes_nothing(tmp_path: Path) -> None:
@@ -384,7 +386,7 @@
             await poll_twice(source)
             assert here.heard.count("members file taken")
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_members_file_that_is_still_changing_is_not_read(tmp_path: Path) -> None:
@@ -405,7 +407,7 @@
             source.poll()
             assert source._reading is not None
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 # Sets and sessions.
@@ -441,7 +443,7 @@
             await here.reload(text("serving"))
             assert (await client.ask(requests_to()))[0] == 200 and a.counts.requests == 201
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 @pytest.mark.parametrize("cookie", ["x.b", 'a=1; S="x.b"', "x.y.b"])
@@ -454,7 +456,7 @@
                 assert (await here.ask(requests_to("/", "GET", b"", f"Cookie: {line}")))[0] == 200
             assert [len(m.calls) for m in three] == [0, 20, 0]
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 @pytest.mark.parametrize("value", ["x.stopped", "x.unknown", "x.", "x", "", ".", "x." + "a" * 4000, "x.\xff"])
@@ -475,7 +477,7 @@
                 assert (await client.ask(data))[0] == 200
             assert not stopped.calls and all(m.calls for m in two)
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 @pytest.mark.parametrize("keeps", [True, False])
@@ -494,7 +496,7 @@
                 assert (await client.ask(requests_to()))[0] == 200
             assert (len(a.calls), len(b.calls)) == ((10, 10) if keeps else (0, 20))
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_session_in_path_parameter_is_routed_to_its_member(tmp_path: Path) -> None:
@@ -510,7 +512,7 @@
                 assert (await here.ask(requests_to("/x;v=1;jsessionid=AB.b/y?z")))[0] == 200
             assert len(b.calls) == 10 and b.calls[0].head.startswith(b"GET /x;v=1;jsessionid=AB.b/y?z ")
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 # Several pools.
@@ -549,7 +551,7 @@
                 assert (await client.read())[0] == 503  # rejected at once, before an attempt
             assert hanging.counts.requests <= limit
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_id_of_open_request_is_rejected_on_another_listener(tmp_path: Path) -> None:
@@ -583,7 +585,7 @@
             assert (await third.ask(request("safe")))[0] == 200
             assert b"X-Txn" in b.calls[0].head and b.calls[0].head.count(b"X-Remaining") == 1
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_platform_pool_rejects_request_without_platform_headers(tmp_path: Path) -> None:
@@ -598,7 +600,7 @@
             assert (await here.ask(requests_to()))[0] == 404
             assert (await here.ask(request("safe")))[0] == 200 and len(a.calls) == 1
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_shutdown_answers_open_request(tmp_path: Path) -> None:
@@ -621,7 +623,7 @@
             await end
             assert not here.daemon.listeners and not here.daemon.pools
 
-    play(scenario)
+    run_with_timeout(scenario)
 
 
 def test_shutdown_fails_request_without_response(tmp_path: Path) -> None:
@@ -637,4 +639,4 @@
             await here.daemon.end()
             assert (await client.read())[0] in (502, 504)
 
-    play(scenario)
+    run_with_timeout(scenario)
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -11,18 +11,18 @@
 import pytest
 from peers import (
     OK,
-    PATIENCE,
     SETTINGS,
+    TIMEOUT_S,
     Call,
+    RunningProxy,
     ScriptedBackend,
-    World,
     answering,
-    play,
     request,
     resetting,
+    run_with_timeout,
+    running_proxy,
     silent,
     until_lists,
-    world,
 )
 
 from loadbalancer.deployment import read_deployment
@@ -36,7 +36,7 @@
 class ManagedWorld:
     """A proxy with its peers, and its management address."""
 
-    def __init__(self, here: World, address: tuple[str, int], operations: PlatformOperations) -> None:
+    def __init__(self, here: RunningProxy, address: tuple[str, int], operations: PlatformOperations) -> None:
         self.here, self.address, self.operations = here, address, operations
 
     async def call(self, method: str, path: str) -> tuple[int, bytes]:
@@ -45,7 +45,7 @@
     async def raw(self, data: bytes) -> tuple[int, bytes]:
         reader, writer = await asyncio.open_connection(*self.address)
         writer.write(data)
-        answer = await asyncio.wait_for(reader.read(), PATIENCE)
+        answer = await asyncio.wait_for(reader.read(), TIMEOUT_S)
         writer.close()
         head, _, body = answer.partition(b"\r\n\r\n")
         return int(head.split(b" ")[1]), body
@@ -60,7 +60,7 @@
 
 @asynccontextmanager
 async def managed_world(*backends: ScriptedBackend) -> AsyncIterator[ManagedWorld]:
-    async with world(*backends) as here:
+    async with running_proxy(*backends) as here:
         overrides = PlatformOverrides(here.proxy, None, time.time)
         here.proxy.overrides = overrides
         overrides.add_listed(here.proxy.listed)
@@ -93,7 +93,7 @@
         async with managed_world(ScriptedBackend("a", answering(OK))) as here:
             assert (await here.raw(call))[0] == status
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_incomplete_calls_are_closed_for_a_complete_one() -> None:
@@ -107,11 +107,11 @@
                 assert (await here.call("GET", "/admin/health"))[0] == 200
             reader, writer = held[-1]  # the newest one may still complete its call
             writer.write(b"st: a\r\n\r\n")
-            assert (await asyncio.wait_for(reader.read(), PATIENCE)).startswith(b"HTTP/1.1 200")
+            assert (await asyncio.wait_for(reader.read(), TIMEOUT_S)).startswith(b"HTTP/1.1 200")
             for _, writer in held:
                 writer.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def half_of_a_long_answer(call: Call) -> None:
@@ -150,7 +150,7 @@
             assert box["upstream_tries"] == sum(len(backend.calls) for backend in backends)
             assert box["in_progress"] == 0 and box["known_backends"] == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_open_requests_and_their_attempts_are_counted() -> None:
@@ -166,7 +166,7 @@
             assert box["in_progress"] == 5
             assert box["upstream_tries"] == sum(here.here.proxy.attempt_counts()) == 5
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_cordoned_member_gets_no_requests_until_uncordoned_whatever_lists_contain() -> None:
@@ -192,4 +192,4 @@
             assert len(a.calls) == 1  # the next request
             assert (await here.stats())["skipped_backends"] == 0
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -7,7 +7,7 @@
 
 import pytest
 from daemons import requests_to, running_daemon
-from peers import ScriptedBackend, answering, play, resetting
+from peers import ScriptedBackend, answering, resetting, run_with_timeout
 from test_ordinary import one_pool
 
 from loadbalancer.metrics import RETRYABLE_STATUSES
@@ -80,7 +80,7 @@
             assert proxy.budget.held_bytes == 0
             assert sum(map(sum, proxy.metrics.ended)) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_500_of_one_member_is_preferred_to_a_503_of_another(tmp_path: Path) -> None:
@@ -97,7 +97,7 @@
                 # If the member that answers 500 was tried, its answer is preferred to the 503 of the other.
                 assert status == (500 if len(members[1].calls) > calls_before else 503)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_unreachable_member_gives_the_proxys_own_503(tmp_path: Path) -> None:
@@ -108,4 +108,4 @@
             status, head, body = await here.ask(requests_to("/"))
             assert (status, body) == (503, b"") and b"Own Words" not in head
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_ordinary.py
+++ b/tests/test_ordinary.py
@@ -7,7 +7,7 @@
 
 import pytest
 from daemons import LISTENER, pool, requests_to, route, running_daemon
-from peers import Call, ScriptedBackend, answering, play, resetting, silent
+from peers import Call, ScriptedBackend, answering, resetting, run_with_timeout, silent
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 KEYED = '[[class]]\nname = "book"\naim = "1s"\ndeadline = "4s"\neffect = "keyed"\ndedup_window = "3s"\n'
@@ -49,7 +49,7 @@
             assert head.count(b"Set-Cookie") == 2 and b"X-Own: a" in head
             assert len(backend.calls) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("status", [204, 304])
@@ -67,7 +67,7 @@
             assert (await client.read())[2] == b"hi"  # the next answer follows directly
             assert backend.connections == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_304_keeps_its_content_length(tmp_path: Path) -> None:
@@ -79,7 +79,7 @@
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
             assert b"Content-Length: 700" in head
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
             assert (await client.read())[2] == b"hi"
             assert backend.connections == 1 and backend.calls[0].head.startswith(b"HEAD / ")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_body_after_an_answer_to_head_is_discarded_with_its_connection(tmp_path: Path) -> None:
@@ -114,7 +114,7 @@
             assert (await client.read())[2] == b"hi"
             assert backend.connections == 2  # the bytes after the head made the first connection unusable
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_rejected_head_requests_are_framed_without_a_body(tmp_path: Path) -> None:
@@ -131,7 +131,7 @@
                 head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
                 assert head.startswith(b"HTTP/1.1 503")
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_hop_by_hop_headers_are_removed_in_both_directions(tmp_path: Path) -> None:
@@ -172,7 +172,7 @@
             for name in (b"X-Theirs", b"Keep-Alive", b"Trailer", b"Upgrade"):
                 assert name not in head
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_upgrade_that_is_not_allowed_is_ignored_and_the_request_is_served(tmp_path: Path) -> None:
@@ -189,7 +189,7 @@
                 and received_request(backend, 1)[0] == "GET /next HTTP/1.1"
             )
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_forwarding_headers_are_accepted_from_trusted_proxies_only(tmp_path: Path) -> None:
@@ -225,7 +225,7 @@
                 and received_request(backend, 2)[1]["x-request-id"] == "mine"
             )
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -262,7 +262,7 @@
                 assert not backend.calls
             assert (await here.ask(requests_to()))[0] == 200  # the proxy goes on serving
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_request_without_a_route_gets_404_and_keeps_the_connection(tmp_path: Path) -> None:
@@ -279,7 +279,7 @@
             status, head, _ = await here.ask(requests_to("/other", "POST", b"abc"))
             assert status == 404 and b"Connection: close" in head  # the body is not read
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Effects.
@@ -300,7 +300,7 @@
             assert set(statuses) == {200, 502}
             assert statuses.count(502) == len(failing.calls) and len(failing.calls) + len(healthy.calls) == 30
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("with_key", [True, False])
@@ -320,7 +320,7 @@
             if not with_key:
                 assert len(failing.calls) + len(healthy.calls) == 12
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_safe_class_retries_unsafe_methods_only_if_the_route_names_them(tmp_path: Path) -> None:
@@ -342,7 +342,7 @@
                 len(failing.calls) + len(healthy.calls) == 30 and other.count(502) == len(failing.calls) > 0
             )
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_500_answer_of_a_member_reaches_the_client(tmp_path: Path) -> None:
@@ -355,7 +355,7 @@
             assert (status, body) == (500, b"why") and b"text/plain" in head
             assert here.daemon.pools["web"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("method, status", [("POST", 502), ("GET", 503)])
@@ -369,7 +369,7 @@
         async with running_daemon(tmp_path, [backend], lambda: one_pool([backend])) as here:
             assert (await here.ask(requests_to("/", method)))[0] == status
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_503_with_the_refusal_header_is_retried_on_another_member(tmp_path: Path) -> None:
@@ -386,7 +386,7 @@
             statuses = {(await here.ask(requests_to("/", "POST", b"x")))[0] for _ in range(12)}
             assert statuses == {200} and full.calls  # it never ran, so it was sent to the other member
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_deadline_of_a_route_gives_504(tmp_path: Path) -> None:
@@ -396,7 +396,7 @@
         async with running_daemon(tmp_path, [backend], lambda: one_pool([backend], routes=routes)) as here:
             assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 504
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Bodies.
@@ -423,7 +423,7 @@
             assert headers["content-length"] == str(len(largest_body)) and "transfer-encoding" not in headers
             assert here.daemon.pools["web"].proxy.budget.held_bytes == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("accepted", [True, False])
@@ -439,7 +439,7 @@
             status, _, body = await here.ask(requests_to("/", "POST", b"x"))
             assert (status, body) == ((200, b"the rest") if accepted else (502, b""))
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_load_report_is_applied_and_removed_from_the_answer(tmp_path: Path) -> None:
@@ -454,4 +454,4 @@
             assert b"X-Load" not in head
             assert here.daemon.pools["web"].proxy.balancer.endpoints["s"].utilization == 0.7
 
-    play(scene)
+    run_with_timeout(scene)
