--- a/loadbalancer/store/engine.py
+++ b/loadbalancer/store/engine.py
@@ -1,17 +1,18 @@
-"""The storage engine: a key-value store that is opened, appended to in batches, compacted and closed.
+"""The storage engine: a key-value store on a segmented log, written in batches and compacted.
 
 It has no thread, event loop or clock of its own.
 
 **What an acknowledgement means**: `Engine.commit` returns once the batch is on disk in both copies of its segment, by
-an fsync of each file; the directory was synced when the segment was made. What `commit` raises for is not in the store.
+an fsync of each file; the directory was synced when the segment was created. A batch for which `commit` raises is not
+in the store.
 
-**Files**: `NUMBER.a` and `NUMBER.b`, alike byte for byte, and `lock`. A segment is sealed once the next one exists, so
-one that is missing is told from one that was never made. Opening always begins a new segment: nothing is appended
-behind bytes that this process has not written.
+**Files**: `NUMBER.a` and `NUMBER.b`, identical byte for byte, and `lock`. A segment is sealed once the next one exists,
+so a missing segment can be distinguished from one that was never created. Opening always begins a new segment: nothing
+is appended after bytes that this process has not written.
 
-**Compaction** takes the oldest segment: what is current in it is appended anew, then a DROP is written and both copies
-are removed. An interruption in between leaves a value twice, which is the same value; a DELETE may go with the oldest
-segment, since nothing older is left that it could hide.
+**Compaction** removes the oldest segment: its current records are appended to the newest segment, then a DROP is
+written and both copies are removed. An interruption in between leaves a record twice, with the same value. A DELETE
+may be removed with the oldest segment, since no older value is left that it would have to hide.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 
 class Put(NamedTuple):
-    """Store a value under a key."""
+    """A write that stores a value under a key."""
 
     key: bytes
     """The key."""
@@ -52,7 +53,7 @@
 
 
 class Delete(NamedTuple):
-    """Remove a key."""
+    """A write that removes a key."""
 
     key: bytes
     """The key."""
@@ -62,33 +63,36 @@
 
 
 class EncodedBatch(NamedTuple):
-    """A batch as it will stand in its segment."""
+    """A batch encoded for its position in a segment."""
 
     data: bytes
-    """Its bytes."""
+    """The bytes to append."""
     offsets: list[int]
-    """Where the record of each write begins, and, last, where the batch ends."""
+    """The segment offset at which the record of each write begins, and, last, the one at which the batch ends."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreBounds:
-    """How large a store may get."""
+    """Limits on the size of a store."""
 
     segment_bytes: int = 8 << 20
-    """Bytes after which the next segment is begun."""
+    """Size of a segment, in bytes, at which the next one is begun."""
     max_bytes: int = 256 << 20
-    """Bytes of all segments, one copy counted."""
+    """Total size of all segments, in bytes, with one of the two copies counted."""
     max_keys: int = 1_000_000
-    """Keys that have a value."""
+    """Number of keys that have a value."""
 
 
 DEFAULT_BOUNDS = StoreBounds()
 COMPACTION_STEP = 256
-"""Records that one step of compaction moves at most."""
+"""The most records that one step of compaction moves."""
 
 
 class Engine:
-    """One store. Every call is from one thread at a time. It owns the segment log until `close`."""
+    """A key-value store in one directory.
+
+    It must be used by one thread at a time, and owns the segment log until `close`.
+    """
 
     def __init__(
         self,
@@ -97,47 +101,47 @@
         bounds: StoreBounds = DEFAULT_BOUNDS,
         new_id: Callable[[int], bytes] = os.urandom,
     ) -> None:
-        """Work on a directory, which `open` reads.
+        """Create an engine for a directory; `open` reads it.
 
         Args:
             files: The directory.
-            clock: Unix seconds; it may go back.
-            bounds: How large the store may get.
-            new_id: Makes the id of a new store, of as many bytes as asked.
+            clock: Returns Unix seconds; it may step back.
+            bounds: Limits on the size of the store.
+            new_id: Creates the id of a new store, with the given number of bytes.
         """
         self.bounds = bounds
         self.log = SegmentLog(files, new_id)
         self.index = Index()
         self.recovery = RecoveryReport()
         self._clock = clock
-        self._latest_time = 0.0  # of all batches, Unix seconds
+        self._latest_time = 0.0  # the latest Unix time of all batches, in seconds
 
     @property
     def read_only(self) -> str:
-        """Why no changes are taken any more; empty where they are."""
+        """The reason why changes are rejected; empty while they are accepted."""
         return self.log.read_only
 
     def now(self) -> float:
-        """Unix seconds that never go back, not even over restarts: what has expired stays so, whatever the clock does.
+        """Return Unix seconds that never go back, not even across restarts, so that an expired key stays expired.
 
-        A clock that once was far ahead makes keys last until the right time has caught up.
+        After a clock was once far ahead, keys expire late: not before the correct time has caught up.
         """
         self._latest_time = max(self._latest_time, self._clock())
         return self._latest_time
 
     def open(self) -> RecoveryReport:
-        """Read the directory, repair copies, begin a new segment.
+        """Read the directory, repair damaged copies and begin a new segment.
 
-        Where acknowledged data is damaged in both copies, or a segment is missing, what is left can be read and the
-        store is read-only: nobody can say which keys it has lost.
+        Where acknowledged data is damaged in both copies, or a segment is missing, the remaining data can be read and
+        the store is read-only, since the lost keys are unknown.
 
         Returns:
-            What was found.
+            A report of the contents and of any damage.
 
         Raises:
             LockedError: Another process has the store open.
-            NewerError: It is of a newer format.
-            OSError: The directory cannot be read, or a new segment not be made.
+            NewerError: The store has a newer format.
+            OSError: The directory cannot be read, or a new segment cannot be created.
         """
         try:
             self.log.files.lock()
@@ -175,11 +179,11 @@
                 self._apply(segment, record)
         report.segments = len(self.log.segments)
         report.keys = len(self.index)
-        if report.is_intact:  # otherwise the files are left for whoever tries to rescue something
+        if report.is_intact:  # otherwise the files stay unchanged for a manual rescue
             self._repair(reader)
 
     def _repair(self, reader: StoreReader) -> None:
-        """Remove segments that are not part of the store, and write damaged copies anew."""
+        """Remove segments that are not part of the store, and rewrite damaged copies."""
         for number in reader.obsolete_segments:
             self.log.remove(number)
         for number, scan in reader.scans.items():
@@ -202,7 +206,7 @@
         self._count_removed(before)
 
     def _count_removed(self, number: int | None) -> None:
-        """Note that a record of this segment is not current any more; None for no segment."""
+        """Count one current record less in this segment; None stands for no segment."""
         if number is None:
             return
         segment = self.log.segments.get(number)
@@ -210,11 +214,11 @@
             segment.live_records -= 1
 
     def commit(self, writes: Sequence[Write]) -> None:
-        """Write a batch: all of it is on disk, or an error is raised and none of it is in the store.
+        """Write a batch atomically: either all of it is on disk, or an error is raised and none of it is in the store.
 
         Raises:
-            FullError: A bound or the disk has no room.
-            ReadOnlyError: No changes are taken any more.
+            FullError: A size limit is reached, or the disk is full.
+            ReadOnlyError: The store rejects changes.
             StoreError: A key or a value is too long.
         """
         if self.read_only:
@@ -223,7 +227,7 @@
         self._append(writes)
 
     def _append(self, writes: Sequence[Write]) -> None:
-        """Write a batch past the bounds; compaction moves what is counted already."""
+        """Write a batch without a check of the size limits; compaction moves records that are already counted."""
         if self.log.newest().end >= self.bounds.segment_bytes:
             try:
                 self.log.begin_segment()
@@ -235,7 +239,10 @@
         self._count(segment, writes, batch.offsets)
 
     def _check_room(self, writes: Sequence[Write]) -> None:
-        """Refuse rather than forget: at a bound no new key is taken, while deletes still are."""
+        """Raise FullError for new keys at a size limit; deletes and changes of existing keys are still accepted.
+
+        A full store rejects writes rather than evict stored keys.
+        """
         new = {write.key for write in writes if isinstance(write, Put) and write.key not in self.index}
         if not new:
             return
@@ -250,7 +257,7 @@
 
     @staticmethod
     def _encode(segment: Segment, now: float, writes: Sequence[Write]) -> EncodedBatch:
-        """Encode a batch that will stand at the segment's end; `now` in Unix seconds."""
+        """Encode a batch for the end of a segment; `now` is in Unix seconds."""
         encode = segment.codec.encode
         parts = [encode(segment.end, RecordKind.TIME, NUMBER_LAYOUT.pack(int(now * MS_PER_S)))]
         offset = segment.end + len(parts[0])
@@ -267,7 +274,7 @@
         return EncodedBatch(b"".join(parts), offsets)
 
     def _count(self, segment: Segment, writes: Sequence[Write], offsets: Sequence[int]) -> None:
-        """Enter a batch that is on disk into the index."""
+        """Add a batch that is on disk to the index."""
         for write, offset, end in zip(writes, offsets, offsets[1:], strict=False):
             if isinstance(write, Put):
                 expires_ms = int(write.expires * MS_PER_S)
@@ -277,10 +284,10 @@
                 self._count_removed(self.index.remove(write.key))
 
     def get(self, key: bytes) -> bytes | None:
-        """The value of a key; None where there is none or it has expired.
+        """Return the value of a key; None where there is none or it has expired.
 
         Raises:
-            StoreError: Neither copy gives it.
+            StoreError: The value can be read from neither copy.
         """
         location = self.index.find(key)
         if location is None or location.has_expired(self.now()):
@@ -293,7 +300,7 @@
         return decode_put(record.payload).value
 
     def keys(self, prefix: bytes = b"") -> Iterator[bytes]:
-        """The keys with a prefix that have not expired."""
+        """Yield the keys with a prefix that have not expired."""
         now = self.now()
         for key in list(self.index.keys()):
             if not key.startswith(prefix):
@@ -303,10 +310,10 @@
                 yield key
 
     def expire(self) -> int:
-        """Forget what has expired; its bytes go with their segment.
+        """Remove expired keys from the index; compaction reclaims their bytes.
 
         Returns:
-            How many keys that were.
+            The number of keys removed.
         """
         expired = self.index.take_expired(self.now())
         for key in expired:
@@ -314,7 +321,11 @@
         return len(expired)
 
     def wants_compaction(self) -> bool:
-        """Whether over half of the bytes, and more than a segment, are not current, or the oldest segment is empty."""
+        """Return whether compaction is worthwhile.
+
+        This is the case where over half of the bytes, and more than a segment's worth, are not current, or where the
+        oldest segment has no current records.
+        """
         if self.read_only or len(self.log.segments) < 2:
             return False
         if self.log.oldest().live_records <= 0:
@@ -322,15 +333,15 @@
         return self.log.size_bytes() > 2 * self.index.bytes + self.bounds.segment_bytes
 
     def compact(self, limit: int = COMPACTION_STEP) -> bool:
-        """One step of compaction: move records of the oldest segment, or remove it once none is current.
+        """Run one step of compaction: move records of the oldest segment, or remove it once none is current.
 
-        A step is one batch, so an append waits no longer than for that.
+        A step writes one batch, which bounds how long a concurrent append waits.
 
         Args:
-            limit: Records that are moved at most.
+            limit: The most records to move.
 
         Returns:
-            Whether there is more to do.
+            Whether there is more to compact.
         """
         self.expire()
         if not self.wants_compaction():
@@ -347,7 +358,7 @@
         return self.wants_compaction()
 
     def _move(self, segment: Segment, moving: list[tuple[bytes, RecordLocation]]) -> None:
-        """Append these records anew."""
+        """Append records of a segment to the newest segment; on failure they stay listed for the next step."""
         try:
             self._append(
                 [
@@ -360,5 +371,5 @@
             raise
 
     def close(self) -> None:
-        """Release files and lock; what is acknowledged is on disk already."""
+        """Release the files and the lock; acknowledged writes are on disk already."""
         self.log.close()
--- a/loadbalancer/store/errors.py
+++ b/loadbalancer/store/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the store. Each message says what could not be done, where, and what was found or is wanted."""
+"""Errors of the store. Each message says what failed, where, and what was found or expected."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """The store cannot do what was asked."""
+    """An operation of the store failed; the base class of the store's errors."""
 
 
 class NewerError(StoreError):
@@ -12,11 +12,11 @@
 
 
 class FullError(StoreError):
-    """A bound of the store, or the disk, has no room for more. What is stored stays, and may be deleted."""
+    """A size limit of the store is reached, or the disk is full. Stored values are kept, and can be deleted."""
 
 
 class ReadOnlyError(StoreError):
-    """The store takes no changes any more: an fsync has failed, or acknowledged data is damaged."""
+    """The store rejects all changes, since an fsync has failed or acknowledged data is damaged."""
 
 
 class LockedError(StoreError):
--- a/loadbalancer/store/files.py
+++ b/loadbalancer/store/files.py
@@ -1,4 +1,4 @@
-"""The store's interface to files, and the one implementation that does I/O; tests use another one."""
+"""The store's interface to files, and its implementation on a real disk; tests use one in memory."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 
 
 class File(Protocol):
-    """One file that is written at its end."""
+    """An append-only file."""
 
     def write(self, data: bytes) -> None:
-        """Append all of it.
+        """Append all of the data.
 
         Raises:
-            OSError: It could not all be written; a part of it may have been.
+            OSError: Not all of it could be written; a part may have been.
         """
 
     def sync(self) -> None:
-        """Return once what was written is on disk.
+        """Return once all written data is on disk.
 
         Raises:
-            OSError: It may not be; final for the file.
+            OSError: The data may not be on disk. A retry does not help, since the error is final for the file.
         """
 
     def truncate(self, size: int) -> None:
-        """Cut the file to a size in bytes."""
+        """Truncate the file to a size in bytes."""
 
     def read_at(self, at: int, size: int) -> bytes:
-        """Read from an offset, without moving the end."""
+        """Read from an offset, without effect on where data is appended."""
 
     def close(self) -> None:
         """Release the descriptor."""
 
 
 class Files(Protocol):
-    """One directory; names are those of the files in it."""
+    """A directory of files, which are addressed by name."""
 
     def list_names(self) -> list[str]:
-        """All names, sorted."""
+        """Return the names of all files, sorted."""
 
     def read(self, name: str) -> bytes:
-        """The whole content of a file."""
+        """Return the whole content of a file."""
 
     def create(self, name: str) -> File:
-        """A new file.
+        """Create a file.
 
         Raises:
-            FileExistsError: There is one of this name.
+            FileExistsError: A file of this name exists.
         """
 
     def open(self, name: str) -> File:
-        """An existing file, at its end."""
+        """Open an existing file for appending."""
 
     def replace(self, old: str, new: str) -> None:
         """Rename a file over another one."""
@@ -61,13 +61,13 @@
         """Remove a file."""
 
     def sync_directory(self) -> None:
-        """Return once created, renamed and removed names are on disk."""
+        """Return once the creation, renaming and removal of files are on disk."""
 
     def lock(self) -> None:
-        """Become the only writer, until `unlock` or the end of the process.
+        """Take the directory's lock, which is held until `unlock` or the end of the process.
 
         Raises:
-            BlockingIOError: Another process is the writer.
+            BlockingIOError: Another process holds it.
         """
 
     def unlock(self) -> None:
@@ -75,23 +75,23 @@
 
 
 class DiskFile:
-    """A file by its descriptor; whoever created or opened it closes it."""
+    """An append-only file on disk; the caller that created or opened it closes it."""
 
     def __init__(self, path: str, flags: int) -> None:
         self.descriptor = os.open(path, flags | os.O_RDWR | os.O_CLOEXEC, 0o600)
 
     def write(self, data: bytes) -> None:
-        """Append all of it."""
+        """Append all of the data."""
         view = memoryview(data)
         while view:
             view = view[os.write(self.descriptor, view) :]
 
     def sync(self) -> None:
-        """Return once what was written is on disk."""
+        """Return once all written data is on disk."""
         os.fdatasync(self.descriptor)
 
     def truncate(self, size: int) -> None:
-        """Cut the file to a size in bytes."""
+        """Truncate the file to a size in bytes."""
         os.ftruncate(self.descriptor, size)
 
     def read_at(self, at: int, size: int) -> bytes:
@@ -104,7 +104,7 @@
 
 
 class DiskFiles:
-    """A directory on disk, made for its owner alone if it does not exist."""
+    """A directory on disk; `lock` creates it, accessible to its owner only, if it does not exist."""
 
     LOCK_NAME = "lock"
 
@@ -116,20 +116,20 @@
         return os.path.join(self.folder, name)
 
     def list_names(self) -> list[str]:
-        """All names, sorted."""
+        """Return the names of all files, sorted."""
         return sorted(os.listdir(self.folder))
 
     def read(self, name: str) -> bytes:
-        """The whole content of a file."""
+        """Return the whole content of a file."""
         with open(self._path(name), "rb") as file:
             return file.read()
 
     def create(self, name: str) -> DiskFile:
-        """A new file."""
+        """Create a file that must not exist yet."""
         return DiskFile(self._path(name), os.O_CREAT | os.O_EXCL | os.O_APPEND)
 
     def open(self, name: str) -> DiskFile:
-        """An existing file, at its end."""
+        """Open an existing file for appending."""
         return DiskFile(self._path(name), os.O_APPEND)
 
     def replace(self, old: str, new: str) -> None:
@@ -141,11 +141,11 @@
         os.unlink(self._path(name))
 
     def sync_directory(self) -> None:
-        """Return once created, renamed and removed names are on disk."""
+        """Return once the creation, renaming and removal of files are on disk."""
         _sync_path(self.folder)
 
     def lock(self) -> None:
-        """Become the only writer."""
+        """Create the directory if needed, and take its lock; raise BlockingIOError where another process holds it."""
         if not self.folder.is_dir():
             self.folder.mkdir(parents=True, mode=0o700)
             _sync_path(self.folder.parent)
--- a/loadbalancer/store/index.py
+++ b/loadbalancer/store/index.py
@@ -1,7 +1,7 @@
-"""Index of the store: where the current record of each key stands. No I/O.
+"""The store's index: the location of each key's current record. No I/O.
 
-A million keys fit in a few hundred megabytes: an entry is one integer that packs expiry (ms, 48 bits), segment number
-(32), offset (32) and size (24).
+An entry is one integer that packs expiry (ms, 48 bits), segment number (32), offset (32) and size (24), so that a
+million keys fit in a few hundred megabytes.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 
 class RecordLocation(NamedTuple):
-    """Where a key's record stands."""
+    """The location of a key's record, and its expiry."""
 
     segment_number: int
-    """The segment."""
+    """The number of the segment that holds the record."""
     offset: int
-    """Bytes from the segment's start."""
+    """The record's offset from the segment's start, in bytes."""
     size: int
-    """Bytes of the record."""
+    """The size of the record in bytes."""
     expires_ms: int
     """Unix milliseconds after which the key is gone; 0 for never."""
 
     def has_expired(self, now: float) -> bool:
-        """Whether the key is gone at this Unix time, in seconds."""
+        """Return whether the key has expired by this Unix time, in seconds."""
         return 0 < self.expires_ms <= now * 1000
 
 
@@ -50,17 +50,19 @@
 
 
 class Index:
-    """Locations by key.
+    """Maps each key to the location of its current record.
 
-    Compaction walks a list of keys for each segment; a key that has moved on stays in its old list and is skipped
-    there.
+    Compaction walks a list of keys for each segment; a key whose record has moved to another segment stays in the old
+    list and is skipped there.
     """
 
     def __init__(self) -> None:
-        self.bytes = 0  # of the records that are current
+        self.bytes = 0  # total size of the current records
         self._entries: dict[bytes, int] = {}
         self._keys_by_segment: dict[int, list[bytes]] = {}
-        self._expiring: list[tuple[int, bytes]] = []  # a heap; a key that was put again has another entry
+        self._expiring: list[
+            tuple[int, bytes]
+        ] = []  # heap by expiry; each put with an expiry adds an entry, and outdated entries are skipped
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -69,19 +71,19 @@
         return key in self._entries
 
     def keys(self) -> Iterator[bytes]:
-        """All keys, expired ones among them."""
+        """Iterate over all keys, including expired ones."""
         return iter(self._entries)
 
     def find(self, key: bytes) -> RecordLocation | None:
-        """Where the key's record stands."""
+        """Return the location of the key's record; None where the key is not in the index."""
         entry = self._entries.get(key)
         return None if entry is None else _unpack(entry)
 
     def put(self, key: bytes, location: RecordLocation) -> int | None:
-        """Note that the key's record stands here now.
+        """Set the location of the key's record.
 
         Returns:
-            The number of the segment where it stood before, if it stood anywhere.
+            The number of the segment that held the previous record; None where there was none.
         """
         before = self.remove(key)
         self._entries[key] = _pack(location)
@@ -92,10 +94,10 @@
         return before
 
     def remove(self, key: bytes) -> int | None:
-        """Forget a key.
+        """Remove a key.
 
         Returns:
-            The number of the segment where it stood, if it stood anywhere.
+            The number of the segment that holds its record; None where the key was not in the index.
         """
         entry = self._entries.pop(key, None)
         if entry is None:
@@ -105,7 +107,7 @@
         return location.segment_number
 
     def take_expired(self, now: float) -> list[bytes]:
-        """The keys that have expired by this Unix time, in seconds; each is named once."""
+        """Return the keys that have expired by this Unix time, in seconds; each key is returned once."""
         expired = []
         while self._expiring and self._expiring[0][0] <= now * 1000:
             expires_ms, key = heapq.heappop(self._expiring)
@@ -115,9 +117,9 @@
         return list(dict.fromkeys(expired))
 
     def take_keys_of_segment(self, number: int, limit: int) -> list[tuple[bytes, RecordLocation]]:
-        """Up to `limit` keys whose current records stand in a segment, the latest first.
+        """Return up to `limit` keys whose current records are in a segment, the latest first.
 
-        A key is named once, unless `restore_keys_of_segment` gives it back.
+        Each key is returned once, unless `restore_keys_of_segment` puts it back.
         """
         keys = self._keys_by_segment.get(number, [])
         found: list[tuple[bytes, RecordLocation]] = []
@@ -133,5 +135,5 @@
         return found
 
     def restore_keys_of_segment(self, number: int, keys: list[bytes]) -> None:
-        """Give keys back that `take_keys_of_segment` has named and that could not be moved."""
+        """Put back keys that `take_keys_of_segment` returned and that could not be moved."""
         self._keys_by_segment.setdefault(number, []).extend(keys)
--- a/loadbalancer/store/keeper.py
+++ b/loadbalancer/store/keeper.py
@@ -1,8 +1,8 @@
-"""The store beside an event loop: one thread that writes, and one fsync for all jobs that wait.
+"""Runs the store in a thread beside an event loop; all waiting jobs share one fsync (group commit).
 
-A job is a function of a `StoreView`: it reads, decides and writes in the writer's thread, and sees what the jobs before
-it have done. Its result, or an error, is delivered on the loop once its writes are on disk. Between batches the thread
-compacts, a step at a time.
+A job is a function of a `StoreView`: it reads, decides and writes in the writer thread, and sees the writes of the jobs
+before it. Its result, or an error, is delivered on the loop once its writes are on disk. Between batches the thread
+runs compaction, one step at a time.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 T = TypeVar("T")
 MAX_BATCH_JOBS = 512
 BATCHES_PER_COMPACTION_STEP = 8
-"""Batches after which a step of compaction runs, however many jobs wait."""
+"""Batches after which a step of compaction runs even while jobs are waiting."""
 MAX_QUEUED_JOBS = 20_000
-"""Jobs that may wait; past that new ones are refused, since the disk does not keep up."""
+"""Limit of the job queue; further jobs are rejected, since the disk does not keep up."""
 IDLE_INTERVAL_S = 1.0
-"""Seconds after which an idle thread looks whether there is something to compact."""
+"""Seconds after which an idle thread checks whether compaction is needed."""
 
 
 class StoreView:
-    """The store as one job sees it: what is on disk, under the writes of its batch."""
+    """The view of the store that a job gets: the stored values, overlaid with the writes of the current batch."""
 
     def __init__(self, engine: Engine) -> None:
         self.writes: list[Write] = []
@@ -34,21 +34,21 @@
         self._written: dict[bytes, bytes | None] = {}  # None for a key that was deleted
 
     def now(self) -> float:
-        """Unix seconds that never go back."""
+        """Return Unix seconds that never go back."""
         return self._engine.now()
 
     def get(self, key: bytes) -> bytes | None:
-        """The value of a key, if it has one.
+        """Return the value of a key; None where it has none.
 
         Raises:
-            StoreError: It cannot be read.
+            StoreError: The value cannot be read.
         """
         if key in self._written:
             return self._written[key]
         return self._engine.get(key)
 
     def keys(self, prefix: bytes) -> list[bytes]:
-        """The keys with a prefix, sorted."""
+        """Return the keys with a prefix, sorted."""
         stored = {key for key in self._engine.keys(prefix) if self._written.get(key, b"") is not None}
         added = {key for key, value in self._written.items() if value is not None and key.startswith(prefix)}
         return sorted(stored | added)
@@ -59,44 +59,44 @@
         self.writes.append(Put(key, value, expires))
 
     def delete(self, key: bytes) -> None:
-        """Remove a key, if it has a value."""
+        """Remove a key; do nothing where it has no value."""
         if self.get(key) is not None:
             self._written[key] = None
             self.writes.append(Delete(key))
 
 
 Job = Callable[[StoreView], T]
-Done = Callable[[Any, "StoreError | None"], None]
-"""Called on the loop with a job's result, or None and an error."""
+JobCallback = Callable[[Any, "StoreError | None"], None]
+"""Receives a job's result, or None and an error; called on the loop."""
 
 
 class _QueuedJob(NamedTuple):
-    """A job that waits for the writer's thread."""
+    """A job that waits for the writer thread."""
 
     run: Job[Any]
-    done: Done
+    done: JobCallback
 
 
 class _JobResult(NamedTuple):
-    """What a job has come to."""
+    """The result or error of a job, with its callback."""
 
-    done: Done
+    done: JobCallback
     result: Any
     error: StoreError | None
 
 
 class Store:
-    """An engine and its thread, both owned until `close`, which writes what waits first."""
+    """Owns an engine and its writer thread until `close`, which first writes the queued jobs."""
 
     def __init__(self, engine: Engine, log_event: Callable[[str, object], None]) -> None:
-        """Start the thread; to be called on the loop.
+        """Start the writer thread; must be called on the loop.
 
         Args:
             engine: An open engine.
-            log_event: Called on the loop with an event and its text.
+            log_event: Logs an event and its text; called on the loop.
         """
         self.engine = engine
-        self.read_only = engine.read_only  # as the loop knows it
+        self.read_only = engine.read_only  # as of the last batch delivered on the loop
         self._log_event = log_event
         self._loop = asyncio.get_running_loop()
         self._ready = threading.Condition()
@@ -107,11 +107,11 @@
 
     @property
     def closed(self) -> bool:
-        """Whether `close` was called."""
+        """Whether `close` has been called."""
         return self._closing
 
-    def submit(self, job: Job[T], done: Done) -> None:
-        """Queue a job; `done` is called on the loop, later, also where the job is refused."""
+    def submit(self, job: Job[T], done: JobCallback) -> None:
+        """Queue a job; `done` is always called on the loop after this returns, even if the job is rejected."""
         with self._ready:
             if not self._closing and len(self._queue) < MAX_QUEUED_JOBS:
                 self._queue.append(_QueuedJob(job, done))
@@ -124,7 +124,7 @@
         """Run a job and wait for its result.
 
         Raises:
-            StoreError: The job or its writes failed; nothing of them is stored.
+            StoreError: The job or its writes failed; none of them is stored.
         """
         future: asyncio.Future[T] = self._loop.create_future()
 
@@ -140,19 +140,19 @@
         return await future
 
     def close(self) -> None:
-        """Write what waits, end the thread and close the engine."""
+        """Write the queued jobs, end the thread and close the engine."""
         with self._ready:
             self._closing = True
             self._ready.notify()
         self._thread.join()
         self.engine.close()
 
-    # The writer's thread.
+    # In the writer thread.
 
     def _run(self) -> None:
         batches = 0
         while True:
-            batch = self._take_batch()
+            batch = self._next_batch()
             if batch is None:
                 return
             if batch:
@@ -161,8 +161,12 @@
             if not batch or batches % BATCHES_PER_COMPACTION_STEP == 0:
                 self._compact()
 
-    def _take_batch(self) -> list[_QueuedJob] | None:
-        """The next jobs, none where there is something to compact; None once the store closes and none waits."""
+    def _next_batch(self) -> list[_QueuedJob] | None:
+        """Wait for jobs and return the next batch.
+
+        The batch is empty where compaction is due or the thread has been idle; None once the store is closing and no
+        job is left.
+        """
         with self._ready:
             while not self._queue and not self._closing:
                 if self.engine.wants_compaction() or not self._ready.wait(IDLE_INTERVAL_S):
@@ -180,7 +184,7 @@
     def _commit(self, batch: Sequence[_QueuedJob]) -> None:
         outcome = self._execute(batch)
         if isinstance(outcome, FullError) and len(batch) > 1:
-            # A job that asks for too much does not hold back the others, nor one that frees room.
+            # A job that exceeds a limit must not fail the others, which may even free room.
             results = [self._execute_alone(job) for job in batch]
         elif isinstance(outcome, StoreError):
             results = [_JobResult(job.done, None, outcome) for job in batch]
@@ -195,7 +199,7 @@
         return _JobResult(job.done, outcome[0], None)
 
     def _execute(self, batch: Sequence[_QueuedJob]) -> list[Any] | StoreError:
-        """Run the jobs and write what they have changed: their results, or the error that all of them get."""
+        """Run the jobs and commit their writes; return their results, or the error that all of them get."""
         view = StoreView(self.engine)
         try:
             results = [job.run(view) for job in batch]
@@ -203,7 +207,7 @@
                 self.engine.commit(view.writes)
         except StoreError as problem:
             return problem
-        except Exception as problem:  # a defect in a job must not end the thread
+        except Exception as problem:  # a bug in a job must not end the thread
             self._log_on_loop("defect in the store", repr(problem))
             return StoreError(f"a defect: {problem!r}")
         return results
--- a/loadbalancer/store/ledger.py
+++ b/loadbalancer/store/ledger.py
@@ -1,17 +1,18 @@
-"""The idempotency ledger: what a request with a repeated key gets. No I/O.
+"""The idempotency ledger: decides how a request with an idempotency key is handled. No I/O.
 
-| known of the key | the client gets |
+| state of the key | outcome of the request |
 | --- | --- |
-| nothing | it goes to an endpoint, once it is on disk that it has begun |
-| another request's body, method or path under it | 422: one key is one request |
-| begun here, and not ended | 409: in progress |
+| unknown | the first attempt is sent, once it is on disk that the key has begun |
+| used with another body, method or path | 422: a key identifies one request |
+| begun by this process, and not finished | 409: in progress |
 | begun, not resolved, inside the deduplication window, and all endpoints drop repeats | one more attempt, which must be answered inside the window; the answer resolves the key |
-| begun, not resolved, past that | 409: whether it ran is not known, and it is not sent blindly |
-| answered, and the answer is kept | the answer, marked `Idempotent-Replayed: true` |
-| answered, and the answer was too long to keep | 409, with its status and digest |
+| begun, not resolved, otherwise | 409: it is unknown whether the request ran, so it is not sent again |
+| answered, and the answer is stored | the stored answer, marked `Idempotent-Replayed: true` |
+| answered, and the answer was too long to store | 409, with the status and digest of the answer |
 
-`Begun` is on disk before the first attempt leaves, `Answered` before the client gets the answer: an interruption in
-between leaves a key that is begun and not resolved. A rejection of what never ran takes the key back.
+`Begun` is on disk before the first attempt is sent, `Answered` before the client gets the answer: an interruption in
+between leaves a key that is begun and not resolved. Where an endpoint rejects a request that has not run, the key is
+removed.
 """  # noqa: E501
 
 from __future__ import annotations
@@ -23,41 +24,42 @@
 import msgspec
 
 RETRY_MARGIN_S = 0.25
-"""Seconds before the end of the deduplication window by which a retry must have arrived, for delay and clocks."""
+"""How many seconds before the end of the deduplication window a retry must arrive: a margin for network delay and
+clock differences."""
 DIGEST_BYTES = 16
 SCOPED_KEY_BYTES = 32
 KEY_PREFIX = b"key\0"
-"""What the ledger's keys begin with in the store."""
+"""Prefix of the ledger's keys in the store."""
 
 
 class Begun(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A first attempt may have left."""
+    """The entry of a key whose first attempt may have been sent."""
 
     digest: bytes
-    """Of the request."""
+    """Digest of the request."""
     at: float
-    """When, in Unix seconds."""
+    """Unix time of the first attempt, in seconds."""
     window: float
-    """Seconds in which endpoints drop repeats."""
+    """The deduplication window: seconds during which endpoints drop repeats."""
 
 
 class Answered(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """An endpoint has answered."""
+    """The entry of a key whose request has been answered by an endpoint."""
 
     digest: bytes
-    """Of the request."""
+    """Digest of the request."""
     at: float
-    """When, in Unix seconds."""
+    """Unix time of the answer, in seconds."""
     status: int
-    """Of the answer."""
+    """Status of the answer."""
     reason: bytes
     """The reason phrase of the answer."""
     lines: list[bytes]
     """The header lines of the answer."""
     body: bytes | None
-    """Of the answer; None where it was too long."""
+    """Body of the answer; None where the answer was too long to store."""
     body_digest: bytes
-    """Of the answer's body, also where it is not kept."""
+    """Digest of the answer's body, even where the body is not stored."""
 
 
 Entry = Union[Begun, Answered]
@@ -66,23 +68,23 @@
 
 
 def encode(entry: Entry) -> bytes:
-    """An entry as it is stored."""
+    """Encode an entry for the store."""
     return _encode(entry)
 
 
 def decode(data: bytes | None) -> Entry | None:
-    """An entry from what is stored; None for none.
+    """Decode a stored entry; return None where there is none.
 
     Raises:
-        ValueError: The bytes are no entry.
+        ValueError: The bytes are not an entry.
     """
     return None if data is None else _decode(data)
 
 
 def scope(tenant: str, route: str, key: bytes) -> bytes:
-    """The key in the store: the same key of another tenant or route is another one.
+    """Return the store's key for an idempotency key, which is scoped to its tenant and route.
 
-    It is a hash (BLAKE2b, 32 bytes), so that keys of any length take the same room.
+    It is a hash (BLAKE2b, 32 bytes), so that keys of any length take the same space.
     """
     tenant_name = tenant.encode()
     route_name = route.encode()
@@ -91,14 +93,14 @@
 
 
 def digest(method: bytes, target: bytes, body: bytes | bytearray | None) -> bytes:
-    """What tells one request under a key from another."""
+    """Return the digest that tells requests with the same key apart."""
     hashed = hashlib.blake2b(b"%b %b\0" % (method, target), digest_size=DIGEST_BYTES)
     hashed.update(body or b"")
     return hashed.digest()
 
 
 class Disposition(enum.Enum):
-    """What becomes of a request with a key."""
+    """How a request with a key is handled."""
 
     FIRST = "it goes to an endpoint"
     AGAIN = "one more attempt, inside the window"
@@ -107,33 +109,33 @@
 
 
 class Ruling(NamedTuple):
-    """What a request with a key gets."""
+    """The decision on a request with a key."""
 
     disposition: Disposition
-    """What becomes of it."""
+    """How the request is handled."""
     time_remaining: float = 0.0
-    """Seconds in which it may be answered; of AGAIN."""
+    """With AGAIN: seconds within which the attempt must be answered."""
     status: int = 0
-    """Of the error; of REFUSED."""
+    """With REFUSED: status of the error."""
     reason: str = ""
-    """Why, for the client; of REFUSED."""
+    """With REFUSED: the reason, for the client."""
     answer: Answered | None = None
-    """The answer that was given; of REPLAY."""
+    """With REPLAY: the stored answer."""
 
 
 FIRST = Ruling(Disposition.FIRST)
 
 
 def decide(entry: Entry | None, request: bytes, now: float, in_progress: bool, all_drop: bool) -> Ruling:
-    """What a request gets, by the table above.
+    """Decide on a request with a key, by the table at the top of this module.
 
     Args:
-        entry: What is known of its key.
+        entry: The stored entry of its key, if any.
         request: The request's digest.
         now: Unix seconds by the store's clock.
-        in_progress: Whether a request with the key is open here.
-        all_drop: Whether every endpoint drops the repeats of every other, so that it does not matter which had the
-            first attempt.
+        in_progress: Whether a request with the key is in progress in this process.
+        all_drop: Whether every endpoint drops repeats of requests that any other endpoint has received, so that it
+            does not matter which one got the first attempt.
     """
     if entry is None:
         return FIRST
@@ -168,7 +170,7 @@
     body: bytes,
     max_bytes: int,
 ) -> Answered:
-    """The entry of an answer; the body is left out where it and the lines take over `max_bytes` bytes."""
+    """Make the entry of an answer; lines and body are left out where they exceed `max_bytes` bytes together."""
     body_digest = hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest()
     if len(body) + sum(map(len, lines)) > max_bytes:
         return Answered(begun_digest, now, status, reason, [], None, body_digest)
@@ -176,7 +178,7 @@
 
 
 def find_key(headers: Mapping[bytes, bytes], name: str | None) -> bytes | None:
-    """The key that a request carries in the header of this name; None for none."""
+    """Return the idempotency key in the header of this name; None where the request has none."""
     if name is None:
         return None
     return headers.get(name.encode()) or None
--- a/loadbalancer/store/log.py
+++ b/loadbalancer/store/log.py
@@ -1,4 +1,4 @@
-"""The segment log: two copies of each segment, and the one place where their bytes are written, sealed and removed."""
+"""The segment log: two copies of each segment. Only this module writes, seals and removes them."""
 
 from __future__ import annotations
 
@@ -15,62 +15,62 @@
 
 
 class Segment:
-    """One segment of the log."""
+    """One segment of the log, with its two files while it is written to."""
 
     __slots__ = ("codec", "end", "files", "live_records", "number", "sealed")
 
-    def __init__(self, number: int, store: bytes, files: tuple[File, File] | None, end: int) -> None:
+    def __init__(self, number: int, store_id: bytes, files: tuple[File, File] | None, end: int) -> None:
         """Describe a segment that is on disk.
 
         Args:
             number: Its number.
-            store: The store's id.
-            files: Its open copies; None where it is only read, by name.
-            end: Bytes of each copy that are on disk.
+            store_id: The id of the store.
+            files: Its two open copies; None where the segment is not written to, and is read by file name.
+            end: Size of each copy on disk, in bytes.
         """
         self.number = number
         self.files = files
         self.end = end
-        self.live_records = 0  # records that are current
+        self.live_records = 0  # records that are the current ones of their keys
         self.sealed = False
-        self.codec = RecordCodec.for_segment(store, number)
+        self.codec = RecordCodec.for_segment(store_id, number)
 
 
 class SegmentLog:
     """The segments of one store, the oldest first. It owns their files and the directory's lock until `close`."""
 
     def __init__(self, files: Files, new_id: Callable[[int], bytes]) -> None:
-        """Work on a directory.
+        """Create an empty log for a directory.
 
         Args:
             files: The directory.
-            new_id: Makes the id of a new store, of as many bytes as asked.
+            new_id: Creates the id of a new store, with the given number of bytes.
         """
         self.files = files
         self.segments: dict[int, Segment] = {}
         self.store_id = b""
-        self.first_segment = 0  # segments before this one are removed
-        self.read_only = ""  # why nothing is written any more
+        self.first_segment = 0  # all segments before this number have been removed
+        self.read_only = ""  # the reason why writes are rejected; empty while they are accepted
         self._new_id = new_id
         self._sync_pool = ThreadPoolExecutor(1, "store-sync")
 
     def size_bytes(self) -> int:
-        """Bytes of one copy of all segments."""
+        """Return the total size of all segments in bytes, with one copy counted."""
         return sum(segment.end for segment in self.segments.values())
 
     def oldest(self) -> Segment:
-        """The segment that was begun first."""
+        """Return the segment that was begun first."""
         return next(iter(self.segments.values()))
 
     def newest(self) -> Segment:
-        """The segment that is written to."""
+        """Return the segment that is written to."""
         return self.segments[next(reversed(self.segments))]
 
     def begin_segment(self) -> None:
-        """Begin the next segment; the one before is sealed only once the new one is on disk with its name.
+        """Begin the next segment; the previous one is sealed only once the new one and its name are on disk.
 
         Raises:
-            OSError: It could not be made; nothing of it is left.
+            OSError: The segment could not be created; its files are removed.
         """
         before = self.newest() if self.segments else None
         number = before.number + 1 if before is not None else self.first_segment
@@ -81,7 +81,7 @@
         self.segments[number] = segment
 
     def seal_segment(self, segment: Segment) -> None:
-        """Write the SEAL of a segment, unless it has one, and release its files."""
+        """Write the SEAL of a segment and close its files; do nothing if it is sealed already."""
         if segment.sealed:
             return
         if segment.files is None:
@@ -110,7 +110,7 @@
 
     @staticmethod
     def _release(segment: Segment) -> None:
-        """Close a segment's files; it is read by name from now on."""
+        """Close a segment's files; from now on it is read by file name."""
         if segment.files is not None:
             for file in segment.files:
                 file.close()
@@ -127,10 +127,10 @@
         """Append to a segment; the bytes are on disk in both copies when this returns.
 
         Raises:
-            FullError: The disk did not take them; what was written of them is cut off again, and that cut is on disk,
-                since a refused batch may not come back after a restart.
-            ReadOnlyError: An fsync failed, or the cut did: nothing is written any more, since asking again does not
-                write what a failed fsync has dropped.
+            FullError: The write failed. The files are truncated to their previous size, and the truncation is synced,
+                since a rejected batch must not reappear after a restart.
+            ReadOnlyError: An fsync or the truncation failed. All further writes are rejected, since a second fsync does
+                not write the data that a failed one has dropped.
         """
         assert segment.files is not None
         self._append(segment, segment.files, data)
@@ -142,20 +142,20 @@
             for file in files:
                 file.write(data)
         except OSError as problem:
-            self._take_back(segment, files, problem)
+            self._truncate_failed_write(segment, files, problem)
             raise FullError(f"the disk does not take it: {problem}") from None
 
-    def _take_back(self, segment: Segment, files: tuple[File, File], problem: OSError) -> None:
-        """Cut off what a failed write has left behind the segment's end."""
+    def _truncate_failed_write(self, segment: Segment, files: tuple[File, File], problem: OSError) -> None:
+        """Remove the bytes that a failed write has left after the segment's end."""
         try:
             for file in files:
                 file.truncate(segment.end)
                 file.sync()
-        except OSError as second:
-            self.fail(f"a write failed ({problem}) and could not be taken back ({second})")
+        except OSError as truncate_problem:
+            self.fail(f"a write failed ({problem}) and could not be taken back ({truncate_problem})")
 
     def _sync(self, files: tuple[File, File]) -> None:
-        """Sync both copies at the same time."""
+        """Sync both copies in parallel."""
         first = self._sync_pool.submit(files[0].sync)
         problems: list[OSError] = []
         for wait in (files[1].sync, first.result):
@@ -167,7 +167,7 @@
             self.fail(f"fsync failed: {problems[0]}")
 
     def fail(self, reason: str) -> NoReturn:
-        """Write nothing any more.
+        """Make the log read-only, for this reason.
 
         Raises:
             ReadOnlyError: Always.
@@ -176,9 +176,12 @@
         raise ReadOnlyError(reason)
 
     def repair(self, number: int, scan: SegmentScan, report: RecoveryReport) -> None:
-        """Write the copies anew that differ from what both say together, each by a rename: a cut leaves the old one."""
+        """Rewrite each copy that differs from the combined content of both.
+
+        A copy is replaced by a rename, so that an interruption leaves the old one.
+        """
         if scan.damage:
-            return  # the files are left for whoever tries to rescue something
+            return  # the files stay unchanged for a manual rescue
         content = bytearray(encode_header(self.store_id, number))
         codec = RecordCodec.for_segment(self.store_id, number)
         for record in scan.records:
@@ -199,10 +202,12 @@
         self.files.replace(f"{name}.new", name)
 
     def read_record(self, segment: Segment, offset: int, size: int) -> Record:
-        """Read a PUT from either copy. Its checksum is verified again: a disk may have rotted since it was opened.
+        """Read a PUT from either copy.
+
+        Its checksum is verified again, since data on disk may have decayed after the store was opened.
 
         Raises:
-            StoreError: Neither copy gives it.
+            StoreError: The record can be read from neither copy.
         """
         reason: object = "its checksum does not fit"
         for which in range(len(COPIES)):
@@ -225,7 +230,7 @@
             file.close()
 
     def drop_oldest(self) -> None:
-        """Remove the oldest segment: first the DROP is on disk, then its files go."""
+        """Remove the oldest segment: write a DROP first, and remove the files once it is on disk."""
         oldest = self.oldest()
         segment = self.newest()
         following = oldest.number + 1
@@ -237,7 +242,7 @@
         self.files.sync_directory()
 
     def close(self) -> None:
-        """Release files, thread and lock; what is acknowledged is on disk already."""
+        """Release the files, the sync thread and the lock; acknowledged writes are on disk already."""
         for segment in self.segments.values():
             self._release(segment)
         self._sync_pool.shutdown()
--- a/loadbalancer/store/records.py
+++ b/loadbalancer/store/records.py
@@ -1,15 +1,15 @@
-"""The store's format on disk: headers of segments and records. No I/O.
+"""The store's on-disk format: segment headers and records. No I/O.
 
-A segment is a header and records, one behind another. The checksum (CRC-32C) of a record covers the store's id, the
-segment's number and the record's offset as well as its content, so a record that stands anywhere but where it was
-written is not accepted.
+A segment is a header followed by records. The checksum (CRC-32C) of a record covers the store's id, the segment's
+number and the record's offset as well as its content, so that a record is accepted only at the position where it was
+written.
 
     header    MSST version:u16 store:8s number:u64 crc:u32
     record    length:u32 crc:u32 kind:u8 payload
     PUT       expires:u64 (Unix ms, 0: never) key length:u16 key value
     DELETE    key length:u16 key
-    TIME      u64 (Unix ms): begins each batch
-    DROP      u64: segments before this number are removed
+    TIME      u64 (Unix ms): the first record of each batch
+    DROP      u64: all segments before this number have been removed
     SEAL      no payload: the segment is complete, and the next one exists
 """
 
@@ -25,7 +25,7 @@
 
 MAGIC = b"MSST"
 FORMAT_VERSION = 1
-"""Version of the format; a newer one is refused as a whole."""
+"""Version of the format; a store with a newer one is not opened."""
 HEADER_LAYOUT = struct.Struct("<4sH8sQI")
 RECORD_LAYOUT = struct.Struct("<IIB")
 NUMBER_LAYOUT = struct.Struct("<Q")
@@ -38,7 +38,7 @@
 
 
 class RecordKind(enum.IntEnum):
-    """What a record says."""
+    """The kinds of records, by their number on disk."""
 
     PUT = 1
     DELETE = 2
@@ -51,20 +51,20 @@
 
 
 class Record(NamedTuple):
-    """One record as it stands in its segment."""
+    """A decoded record and its position in its segment."""
 
     kind: RecordKind
-    """What it says."""
+    """The kind of the record."""
     offset: int
-    """Bytes from the segment's start to its first byte."""
+    """Offset of the record's first byte from the segment's start."""
     end: int
-    """Bytes from the segment's start to the byte behind its last."""
+    """Offset of the byte after the record's last from the segment's start."""
     payload: bytes
-    """Its content; see the layouts in the module's docstring."""
+    """Content of the record; see the layouts in the module's docstring."""
 
     @property
     def size(self) -> int:
-        """Bytes of the whole record."""
+        """The size of the whole record in bytes."""
         return self.end - self.offset
 
 
@@ -79,59 +79,59 @@
     """Unix milliseconds after which the key is gone; 0 for never."""
 
 
-def encode_header(store: bytes, number: int) -> bytes:
-    """The header of a segment.
+def encode_header(store_id: bytes, number: int) -> bytes:
+    """Encode the header of a segment.
 
     Args:
-        store: The store's id, 8 bytes.
+        store_id: The store's id, 8 bytes.
         number: The segment's number.
     """
-    head = HEADER_LAYOUT.pack(MAGIC, FORMAT_VERSION, store, number, 0)[: -_CHECKSUM_LAYOUT.size]
+    head = HEADER_LAYOUT.pack(MAGIC, FORMAT_VERSION, store_id, number, 0)[: -_CHECKSUM_LAYOUT.size]
     return head + _CHECKSUM_LAYOUT.pack(crc32c(head))
 
 
 def decode_header(data: bytes) -> tuple[bytes, int] | None:
-    """The store's id and the segment's number.
+    """Decode the header of a segment.
 
     Returns:
-        None where the header is incomplete or damaged.
+        The store's id and the segment's number; None where the header is incomplete or damaged.
 
     Raises:
         NewerError: The format is newer than `FORMAT_VERSION`.
     """
     if len(data) < HEADER_LAYOUT.size:
         return None
-    magic, version, store, number, checksum = HEADER_LAYOUT.unpack_from(data)
+    magic, version, store_id, number, checksum = HEADER_LAYOUT.unpack_from(data)
     if magic != MAGIC or crc32c(data[: HEADER_LAYOUT.size - _CHECKSUM_LAYOUT.size]) != checksum:
         return None
     if version > FORMAT_VERSION:
         raise NewerError(
             f"the store is of version {version}, and this program knows {FORMAT_VERSION}: run the newer program"
         )
-    return store, number
+    return store_id, number
 
 
 class RecordCodec(NamedTuple):
     """Encodes and decodes the records of one segment."""
 
     seed: int
-    """The checksum of what all records of the segment have in common: the store's id and the segment's number."""
+    """Checksum of the store's id and the segment's number, from which the checksum of each record is continued."""
 
     @classmethod
-    def for_segment(cls, store: bytes, number: int) -> RecordCodec:
-        """The codec of a segment of a store."""
-        return cls(crc32c(store + NUMBER_LAYOUT.pack(number)))
+    def for_segment(cls, store_id: bytes, number: int) -> RecordCodec:
+        """Create the codec of a segment."""
+        return cls(crc32c(store_id + NUMBER_LAYOUT.pack(number)))
 
     def checksum(self, offset: int, kind: int, payload: bytes) -> int:
-        """The checksum of a record at an offset."""
+        """Return the checksum of a record at an offset."""
         return crc32c(payload, crc32c(_PLACE_LAYOUT.pack(offset, kind, len(payload)), self.seed))
 
     def encode(self, offset: int, kind: RecordKind, payload: bytes) -> bytes:
-        """The bytes of a record that will stand at an offset."""
+        """Encode a record for an offset of the segment."""
         return RECORD_LAYOUT.pack(len(payload), self.checksum(offset, kind, payload), kind) + payload
 
     def decode(self, segment: bytes, offset: int) -> Record | None:
-        """The record that stands at an offset of a segment; None where its checksum does not fit."""
+        """Decode the record at an offset of a segment; return None where no valid record begins there."""
         if offset + RECORD_LAYOUT.size > len(segment):
             return None
         length, checksum, kind = RECORD_LAYOUT.unpack_from(segment, offset)
@@ -144,7 +144,7 @@
         return Record(_KINDS[kind], offset, end, payload)
 
     def decode_alone(self, data: bytes, offset: int) -> Record | None:
-        """The record that `data` is, read by itself from an offset; None where its checksum does not fit."""
+        """Decode a record from exactly its own bytes, which were read at an offset; return None where it is invalid."""
         if len(data) < RECORD_LAYOUT.size:
             return None
         length, checksum, kind = RECORD_LAYOUT.unpack_from(data)
@@ -157,7 +157,7 @@
 
 
 def encode_put(key: bytes, value: bytes, expires_ms: int) -> bytes:
-    """The payload of a PUT.
+    """Encode the payload of a PUT.
 
     Raises:
         StoreError: The key or the value is too long, or the key is empty.
@@ -172,29 +172,29 @@
 
 
 def decode_put(payload: bytes) -> PutContent:
-    """Key, value and expiry of a PUT."""
+    """Decode the payload of a PUT."""
     expires_ms, length = PUT_LAYOUT.unpack_from(payload)
     value_offset = PUT_LAYOUT.size + length
     return PutContent(payload[PUT_LAYOUT.size : value_offset], payload[value_offset:], expires_ms)
 
 
 def decode_put_key(payload: bytes) -> tuple[bytes, int]:
-    """Key and expiry (Unix ms) of a PUT, without a copy of the value."""
+    """Decode the key and the expiry (Unix ms) of a PUT, without copying the value."""
     expires_ms, length = PUT_LAYOUT.unpack_from(payload)
     return payload[PUT_LAYOUT.size : PUT_LAYOUT.size + length], expires_ms
 
 
 def encode_delete(key: bytes) -> bytes:
-    """The payload of a DELETE."""
+    """Encode the payload of a DELETE."""
     return KEY_LAYOUT.pack(len(key)) + key
 
 
 def decode_delete(payload: bytes) -> bytes:
-    """The key of a DELETE."""
+    """Decode the key of a DELETE."""
     (length,) = KEY_LAYOUT.unpack_from(payload)
     return payload[KEY_LAYOUT.size : KEY_LAYOUT.size + length]
 
 
 def decode_number(payload: bytes) -> int:
-    """The number of a TIME (Unix ms) or a DROP (segment)."""
+    """Decode the number of a TIME (Unix ms) or a DROP (segment)."""
     return int(NUMBER_LAYOUT.unpack(payload)[0])
--- a/loadbalancer/store/recovery.py
+++ b/loadbalancer/store/recovery.py
@@ -1,7 +1,7 @@
-"""Opening a store: its segments, read as both copies say together, and what is wrong with them.
+"""Reads the segments of a store from both copies, and reports damage, when the store is opened.
 
-Nothing is changed here but the remains of an interrupted repair. What counts as acknowledged and lost is decided here:
-damage that both copies share, and a segment that must exist and does not.
+The only change made here is the removal of files that an interrupted repair has left. This module decides what counts
+as a loss of acknowledged data: damage at the same place in both copies, and a segment that must exist and does not.
 """
 
 from __future__ import annotations
@@ -21,49 +21,49 @@
 from loadbalancer.store.segment_scan import Damage, SegmentScan, scan_segment
 
 COPIES = ("a", "b")
-"""Endings of the names of a segment's two copies."""
+"""File name endings of a segment's two copies."""
 REPAIR_ENDING = "new"
-"""Ending of the name of a copy that is being written anew."""
+"""File name ending of a copy that is being rewritten."""
 LOCK_NAME = "lock"
 NUMBER_DIGITS = 16
-"""Hexadecimal digits of a segment's number in a name."""
+"""Hexadecimal digits of a segment's number in its file names."""
 
 
 def copy_name(number: int, copy: str) -> str:
-    """The name of a segment's copy."""
+    """Return the file name of a segment's copy."""
     return f"{number:0{NUMBER_DIGITS}x}.{copy}"
 
 
 @dataclass(slots=True)
 class RecoveryReport:
-    """What opening a store has found."""
+    """The contents and the damage that were found when a store was opened."""
 
     segments: int = 0
-    """Segments of the store."""
+    """Number of segments."""
     records: int = 0
-    """Valid records in them."""
+    """Number of valid records in the segments."""
     keys: int = 0
-    """Keys that have a value."""
+    """Number of keys that have a value."""
     damage: list[Damage] = field(default_factory=list)
-    """Acknowledged bytes that neither copy has."""
+    """Ranges of acknowledged bytes that are valid in neither copy."""
     missing_segments: list[int] = field(default_factory=list)
     """Numbers of segments that must exist and do not."""
     foreign_files: list[str] = field(default_factory=list)
-    """Files that are not of this store, or not of the segment that their name says."""
+    """Files that do not belong to this store, or not to the segment in their name."""
     repaired_files: list[str] = field(default_factory=list)
-    """Files that were written anew from their other copy."""
+    """Files that were rewritten from the other copy."""
     unreadable_files: list[str] = field(default_factory=list)
-    """Files that the disk did not give, with its reason."""
+    """Files that could not be read, each with the error."""
     torn_bytes: int = 0
-    """Bytes behind the last valid record, of a batch that was never acknowledged."""
+    """Bytes after the last valid record of a segment, from a batch that was never acknowledged."""
 
     @property
     def is_intact(self) -> bool:
-        """Whether all that was acknowledged is there."""
+        """Whether no acknowledged data is lost."""
         return not (self.damage or self.missing_segments)
 
     def lines(self) -> list[str]:
-        """What an operator should read, a line each; the first is a summary."""
+        """Return the report for operators, one line for each finding; the first is a summary."""
         lines = [f"{self.segments} segments, {self.records} records, {self.keys} keys"]
         for damage in self.damage:
             place = f"segment {damage.segment_number}, bytes {damage.start} to {damage.end}"
@@ -78,16 +78,16 @@
 
 
 class StoreReader:
-    """One look at a directory.
+    """Reads the files of a store once.
 
-    After `read`, `scans` has the segments of the store by number, `first_segment` the first that must exist, and
-    `obsolete_segments` the numbers whose files were never part of the store or are so no longer.
+    After `read`, `scans` holds the segments of the store by number, `first_segment` is the first one that must exist,
+    and `obsolete_segments` holds the numbers whose files never were, or no longer are, part of the store.
     """
 
     def __init__(self, files: Files) -> None:
         self.files = files
         self.report = RecoveryReport()
-        self.store_id = b""  # known once a header has told it
+        self.store_id = b""  # taken from the first valid header
         self.first_segment = 0
         self.scans: dict[int, SegmentScan] = {}
         self.obsolete_segments: list[int] = []
@@ -96,10 +96,10 @@
         """Read all segments.
 
         Returns:
-            What was found, and what is wrong with the files.
+            A report of the contents and the damage.
 
         Raises:
-            NewerError: The store is of a newer format.
+            NewerError: The store has a newer format.
             OSError: The directory cannot be read.
         """
         invalid_sizes: dict[int, int] = {}
@@ -116,7 +116,7 @@
         return self.report
 
     def _list_segments(self) -> dict[int, set[str]]:
-        """The copies that exist, by segment number; removes what an interrupted repair has left."""
+        """Return the existing copies by segment number, and remove files that an interrupted repair has left."""
         found: dict[int, set[str]] = {}
         for name in self.files.list_names():
             stem, _, ending = name.partition(".")
@@ -129,7 +129,7 @@
         return found
 
     def _read_copies(self, number: int, copies: set[str]) -> tuple[bytes, bytes]:
-        """Both copies; one that cannot be read counts as lost."""
+        """Read both copies of a segment; one that is missing or cannot be read is returned as empty."""
         first, second = (self._read_copy(number, copy) if copy in copies else b"" for copy in COPIES)
         return first, second
 
@@ -142,9 +142,9 @@
             return b""
 
     def _select_own(self, number: int, data: tuple[bytes, bytes]) -> tuple[bytes, bytes]:
-        """The copies that are of this store and this segment.
+        """Return the copies that belong to this store and this segment; others are returned as empty.
 
-        A damaged header is replaced by that of the other copy; a foreign file counts as nothing.
+        A damaged header is replaced by that of the other copy.
         """
         own = list(data)
         headers = [decode_header(content) for content in data]
@@ -165,15 +165,18 @@
         return own[0], own[1]
 
     def _check_completeness(self, invalid_sizes: dict[int, int]) -> None:
-        """Note the segments that must exist: from the latest DROP on, each up to the one after the last sealed one.
+        """Report missing segments and damage.
+
+        The segments from the latest DROP up to the one after the last sealed one must exist.
 
         Args:
-            invalid_sizes: Bytes of segments of which nothing is valid. The one after the last that can be read was
-                interrupted while it was made, unless that last one is sealed or it holds more than a header.
+            invalid_sizes: Sizes in bytes of segments without a valid header, by number. Such a segment after the last
+                readable one is the remains of an interrupted creation, unless the last readable one is sealed or the
+                segment holds more than a header.
         """
         self.first_segment = self._find_first_segment()
-        wanted = [number for number in self.scans if number >= self.first_segment]
-        last = max([*wanted, self.first_segment])
+        required = [number for number in self.scans if number >= self.first_segment]
+        last = max([*required, self.first_segment])
         if last in self.scans and self.scans[last].sealed:
             last += 1
         for number, size in invalid_sizes.items():
@@ -184,14 +187,14 @@
                 self.report.damage.append(Damage(number, 0, size))
             else:
                 self.obsolete_segments.append(number)
-        if wanted or self.first_segment:
+        if required or self.first_segment:
             expected = range(self.first_segment, last + 1)
             self.report.missing_segments += [number for number in expected if number not in self.scans]
-        for number in wanted:
+        for number in required:
             self._check_end(number)
 
     def _find_first_segment(self) -> int:
-        """The number that the latest DROP names."""
+        """Return the number in the latest DROP; 0 where there is none."""
         drops = [
             decode_number(record.payload)
             for scan in self.scans.values()
@@ -201,9 +204,10 @@
         return max([*drops, 0])
 
     def _check_end(self, number: int) -> None:
-        """Note damage inside a segment, and a lost end.
+        """Report damage inside a segment, and a lost end.
 
-        Nothing is written to a segment before the SEAL of the one before is on disk.
+        The end of an unsealed segment is lost where the next segment has records other than a SEAL, since nothing is
+        written to a segment before the SEAL of the previous one is on disk.
         """
         scan = self.scans[number]
         self.report.damage += scan.damage
@@ -214,7 +218,7 @@
             self.report.damage.append(Damage(number, scan.end, scan.end))
 
     def _discard_dropped(self) -> None:
-        """Leave out segments whose removal was interrupted after its DROP."""
+        """Discard segments that a DROP has removed, but whose files are still there after an interruption."""
         for number in [number for number in self.scans if number < self.first_segment]:
             del self.scans[number]
             self.obsolete_segments.append(number)
--- a/loadbalancer/store/segment_scan.py
+++ b/loadbalancer/store/segment_scan.py
@@ -1,4 +1,4 @@
-"""Reading the two copies of a segment as one. No I/O."""
+"""Combines the two copies of a segment into one sequence of records. No I/O."""
 
 from __future__ import annotations
 
@@ -8,54 +8,55 @@
 
 
 class Damage(NamedTuple):
-    """Bytes between valid records that are no record in either copy."""
+    """A range of bytes before a valid record that are not a record in either copy."""
 
     segment_number: int
-    """The segment that they stand in."""
+    """The number of the segment."""
     start: int
-    """Bytes from the segment's start to the first of them."""
+    """Offset of the first damaged byte from the segment's start."""
     end: int
-    """Bytes from the segment's start to the byte behind the last of them."""
+    """Offset of the byte after the last damaged one from the segment's start."""
 
 
 class SegmentScan(NamedTuple):
-    """What the two copies of a segment say together."""
+    """The combined content of the two copies of a segment."""
 
     records: list[Record]
     """The valid records, in order."""
     damage: list[Damage]
-    """Acknowledged bytes that neither copy has."""
+    """Ranges of acknowledged bytes that are valid in neither copy."""
     end: int
-    """Bytes from the segment's start to the end of its last valid record."""
+    """Offset of the end of the last valid record from the segment's start."""
     torn_bytes: int
-    """Bytes behind that end: a batch that was never acknowledged."""
+    """Number of bytes after that end, from a batch that was never acknowledged."""
     needs_repair: tuple[bool, bool]
-    """For each copy, whether it has to be written anew."""
+    """For each copy, whether it has to be rewritten."""
     sealed: bool
     """Whether the last record is a SEAL."""
 
 
 def scan_segment(number: int, codec: RecordCodec, copies: tuple[bytes, bytes]) -> SegmentScan:
-    """Read two copies as one: at each offset, the record that either has.
+    """Combine two copies: at each offset, take the record from either copy that has a valid one.
 
-    A copy may be cut, overwritten or lost while the other is not. Bytes that are no record in either copy are damage
-    where a valid record follows, since a batch is begun only once the one before is on disk in both; at the end they
-    are a batch that was never acknowledged. Two cases cannot be told from that: damage to both copies of the last
-    batch, and both copies of the newest segment cut at the same byte.
+    One copy may be truncated, overwritten or lost while the other is intact. Bytes that are not a record in either copy
+    count as damage where a valid record follows, since a batch is begun only once the previous one is on disk in both
+    copies; at the end of the segment they count as a batch that was never acknowledged. Two cases of damage cannot be
+    distinguished from such a batch: damage to both copies of the last batch, and both copies of the newest segment
+    truncated at the same byte.
 
     Args:
         number: The segment's number.
         codec: Decodes its records.
-        copies: Both files, empty where one is lost.
+        copies: The content of both files; empty where one is lost.
     """
     records: list[Record] = []
     damage: list[Damage] = []
     differs = [False, False]
-    alike = copies[0] == copies[1]
+    identical = copies[0] == copies[1]
     longest = max(map(len, copies))
     offset = HEADER_LAYOUT.size
     while offset < longest:
-        record = _decode_either(codec, copies, offset, alike, differs)
+        record = _decode_either(codec, copies, offset, identical, differs)
         if record is None:
             following = _find_next_record(codec, copies, offset + 1)
             if following is None:
@@ -76,13 +77,13 @@
 
 
 def _decode_either(
-    codec: RecordCodec, copies: tuple[bytes, bytes], offset: int, alike: bool, differs: list[bool]
+    codec: RecordCodec, copies: tuple[bytes, bytes], offset: int, identical: bool, differs: list[bool]
 ) -> Record | None:
-    """The record at an offset of either copy; notes in `differs` which copy does not have it."""
+    """Return the record at an offset of either copy, and record in `differs` which copies lack it."""
     first = codec.decode(copies[0], offset)
     if first is None:
         differs[0] = True
-    if alike:
+    if identical:
         differs[1] = differs[0]
         return first
     second = codec.decode(copies[1], offset)
@@ -92,7 +93,7 @@
 
 
 def _find_next_record(codec: RecordCodec, copies: tuple[bytes, bytes], start: int) -> int | None:
-    """The offset of the next valid record. Every byte is tried: a damaged length leads nowhere."""
+    """Return the offset of the next valid record; every offset is tried, since a damaged length can't be followed."""
     for offset in range(start, max(map(len, copies))):
         if any(codec.decode(data, offset) is not None for data in copies):
             return offset
