--- a/loadbalancer/admin/__init__.py
+++ b/loadbalancer/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators of our own installations see and change: calls as JSON, versioned; pure but for its server."""
+"""The administrative API for operators: versioned JSON calls, tokens, and snapshots of a daemon's state. No I/O."""
--- a/loadbalancer/admin/calls.py
+++ b/loadbalancer/admin/calls.py
@@ -1,8 +1,7 @@
-"""The administrative API: what a call asks for, and the sessions that answer calls.
+"""The administrative API: parses and validates calls, and answers them.
 
 `GET /v1/WHAT` reads, `POST /v1/VERB` changes, with a JSON body (`ChangeRequest`) that names the operator. A change is
-checked whole before anything of it is applied, and can be repeated: a second one finds what it asks for. Each answer
-says what is now true.
+validated completely before any part of it is applied, and is idempotent. Each answer states the resulting state.
 """
 
 from __future__ import annotations
@@ -18,41 +17,42 @@
 from loadbalancer.config.types import Duration
 from loadbalancer.management.calls import Response
 
-#: Texts and names stand in the audit log, so their length is bounded.
+#: Texts and names are written to the audit log, so their length is bounded.
 Text = Annotated[str, Meta(max_length=200)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 
-#: For so long an answer waits until all instances of a fleet have confirmed, if the request says nothing, and at most.
+#: Seconds for which an answer waits until all instances of a fleet have confirmed: the default, and the maximum.
 DEFAULT_WAIT_S = 4.0
 MAX_WAIT_S = 80.0
 
 
 class CallError(ValueError):
-    """A call that can't be done; says why.
+    """A call that cannot be carried out; the message gives the reason.
 
     Attributes:
-        status: Of the answer: 400 for the call's form, 404 for what is not there, 409 for a state that forbids it.
+        status: Status of the answer: 400 for a malformed call, 404 for something that does not exist, 409 for a state
+            that forbids the change.
     """
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class Verb(NamedTuple):
-    """A change that operators can ask for.
+    """A type of change that operators can request.
 
     Attributes:
-        required: Fields of `ChangeRequest` that it requires, beside `by`; it takes no other of those that say what to
-            change.
-        summary: What it does, in a line.
+        required: Fields of `ChangeRequest` that it requires, in addition to `by`; other fields of SUBJECT_FIELDS are
+            rejected.
+        summary: One line on what it does.
     """
 
     required: frozenset[str]
     summary: str
 
 
-#: Verbs by name; components add theirs as plain tuples of the same two values.
+#: Verbs by name; components add their own as plain tuples of the same two values.
 Verbs = Mapping[str, tuple[frozenset[str], str]]
 
 VERBS: Mapping[str, Verb] = {
@@ -71,47 +71,45 @@
     "log": Verb(frozenset(("level",)), "what the log tells from now on"),
 }
 READS = ("status", "pools", "members", "requests", "marks", "moves", "keys", "verbs")
-#: Fields that say what to change, each of which a verb either requires or does not take.
+#: Fields that specify the change; a verb either requires or rejects each of them.
 SUBJECT_FIELDS = ("pool", "weight", "address", "level", "other", "share", "name", "path")
 
 
 class ChangeRequest(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The body of a change. The fields are the API's keys."""
+    """The JSON body of a change. The field names are the API's keys."""
 
     by: Name  # the operator
     reason: Text = ""
     pool: str | None = None
     member: str | None = None  # id of an endpoint
-    members: list[str] = []  # several endpoints at once: all or none
+    members: list[str] = []  # ids of several endpoints, changed together: all or none
     weight: Annotated[float, Meta(gt=0, le=1e6)] | None = None
     address: str | None = None
-    until: str | None = None  # a duration, after which the override or migration ends
+    until: str | None = None  # duration after which the override or migration ends
     other: str | None = None  # the pool that traffic is migrated to
-    share: Annotated[float, Meta(ge=0, le=1)] | None = None  # of the pool's requests
-    level: Literal["debug", "info", "warning", "error"] | None = None  # of the log
-    last: bool = False  # also where it leaves a pool without any endpoint
-    here: bool = False  # at this instance alone, where the fleet has a replicated state
-    if_version: Annotated[int, Meta(ge=0)] | None = (
-        None  # only right after this version of the replicated state
-    )
-    wait: str | None = None  # a duration for which instances that have not confirmed are waited for
+    share: Annotated[float, Meta(ge=0, le=1)] | None = None  # fraction of the pool's requests
+    level: Literal["debug", "info", "warning", "error"] | None = None  # minimum level of the log
+    last: bool = False  # allow the change even where it leaves a pool without any endpoint
+    here: bool = False  # only at this instance, where the fleet has a replicated state
+    if_version: Annotated[int, Meta(ge=0)] | None = None  # apply only to this version of the replicated state
+    wait: str | None = None  # duration for which to wait for instances that have not confirmed
     name: Name | None = None  # of an instance
-    path: Annotated[str, Meta(max_length=1000)] | None = None  # of a file beside the daemon
-    roster: list[Name] = []  # names of instances that vote
-    group: Annotated[int, Meta(ge=1, le=1000)] = 1  # how many instances at once
+    path: Annotated[str, Meta(max_length=1000)] | None = None  # path of a file on the daemon's machine
+    roster: list[Name] = []  # names of the voting instances
+    group: Annotated[int, Meta(ge=1, le=1000)] = 1  # how many instances to change at once
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change request whose form has been checked.
+    """A change request whose form has been validated.
 
     Attributes:
-        verb: What to do.
-        request: The body.
-        endpoints: Ids of the endpoints it concerns, each once.
-        until: Seconds from now after which it ends; 0 for no end.
-        address: Of an endpoint that is added.
-        wait: Seconds for which instances that have not confirmed are waited for.
+        verb: Name of the verb.
+        request: The parsed body.
+        endpoints: Ids of the endpoints to change, without duplicates.
+        until: Seconds from now after which the change ends; 0 for no end.
+        address: Address of the endpoint to add.
+        wait: Seconds for which to wait for instances that have not confirmed.
     """
 
     verb: str
@@ -122,51 +120,55 @@
     wait: float = 0.0
 
 
-#: The answer to a change, as JSON has it; with the key `error` where nothing has changed.
+#: The answer to a change, as a JSON object; it has the key `error` where nothing has changed.
 ChangeResult = Mapping[str, Any]
 ChangeDone = Callable[[ChangeResult], None]
 
 
 class ManagedDaemon(Protocol):
-    """What calls are about."""
+    """The daemon that calls read and change."""
 
     def read(self, what: str) -> object:
-        """The answer to a path, as JSON has it."""
+        """Return the answer to a path, as a JSON value."""
 
     def readable(self, what: str) -> bool:
-        """Whether a path can be read beside READS."""
+        """Return whether a path that is not in READS can be read."""
 
     def ask(self, what: str, done: Callable[[object], None]) -> bool:
-        """Start a query that other instances answer; `done` gets the answer later.
+        """Start a query that other instances answer; `done` receives the answer later.
 
         Returns:
-            Whether there is such a query by this path.
+            Whether this path is such a query.
         """
 
     def verbs(self) -> Verbs:
-        """Changes beside VERBS."""
+        """Return the verbs that are not in VERBS."""
 
     def why(self, request: str) -> object:
-        """The decisions of a recent request, by its id; CallError where it is not known."""
+        """Return the decisions on a recent request, by its id.
+
+        Raises:
+            CallError: The request is not known.
+        """
 
     def change(self, change: Change, done: ChangeDone) -> None:
-        """Apply a change whole; `done` gets what is now true once it is stored.
+        """Apply a change atomically; `done` receives the resulting state once it is stored.
 
         Raises:
-            CallError: It can't be applied, and nothing has changed.
+            CallError: The change cannot be applied, and nothing has changed.
         """
 
 
 def read_change(verb: str, body: bytes, verbs: Verbs = VERBS) -> Change:
-    """Read and check a change request.
+    """Parse and validate a change request.
 
     Args:
         verb: The last part of the call's path.
         body: JSON of a `ChangeRequest`; empty for one without fields.
-        verbs: Those that there are.
+        verbs: All verbs that exist.
 
     Raises:
-        CallError: There is no such verb, or something is wrong with the body.
+        CallError: The verb does not exist, or the body is invalid.
     """
     if verb not in verbs:
         raise CallError(404, f"there is no verb {verb!r}; there are: {', '.join(verbs)}")
@@ -186,23 +188,23 @@
 
 
 def _check_fields(verb: str, required: frozenset[str], request: ChangeRequest) -> None:
-    given = {name for name in SUBJECT_FIELDS if getattr(request, name) is not None}
+    present = {name for name in SUBJECT_FIELDS if getattr(request, name) is not None}
     if request.member or request.members:
-        given.add("member")
+        present.add("member")
     if request.roster:
-        given.add("roster")
-    if missing := required - given:
+        present.add("roster")
+    if missing := required - present:
         raise CallError(400, f"{verb} wants {', '.join(sorted(missing))}")
-    if extra := given - required:
+    if extra := present - required:
         raise CallError(400, f"{verb} takes no {', '.join(sorted(extra))}")
 
 
 class AdminSession:
-    """Answers the calls of one socket, or of one holder of a token.
+    """Answers the calls on one socket, or by one token holder.
 
     Attributes:
-        reads_only: Whether it may look and change nothing.
-        by: Who calls, where that is authenticated; it replaces the name in requests.
+        reads_only: Whether changes are rejected.
+        by: Name of the authenticated operator, which replaces the name in requests; None where there is none.
     """
 
     def __init__(self, managed: ManagedDaemon, reads_only: bool = False, by: str | None = None) -> None:
@@ -210,55 +212,55 @@
         self.reads_only = reads_only
         self.by = by
 
-    def answer(self, method: str, path: str, say: Callable[[Response], None], body: bytes = b"") -> None:
+    def answer(self, method: str, path: str, respond: Callable[[Response], None], body: bytes = b"") -> None:
         """Answer a call.
 
         Args:
             method: GET or POST.
-            path: Without its query.
-            say: Gets the answer, once, now or later.
-            body: Of a change.
+            path: The path without a query.
+            respond: Receives the answer, exactly once, before this returns or later.
+            body: The body of a change.
         """
         try:
-            self._answer(method, path, body, say)
+            self._answer(method, path, body, respond)
         except CallError as problem:
-            say(_json_response(problem.status, {"error": str(problem)}))
+            respond(_json_response(problem.status, {"error": str(problem)}))
 
-    def _answer(self, method: str, path: str, body: bytes, say: Callable[[Response], None]) -> None:
+    def _answer(self, method: str, path: str, body: bytes, respond: Callable[[Response], None]) -> None:
         version, _, what = path.removeprefix("/").partition("/")
         if version != "v1":
             raise CallError(404, f"{path!r}: calls are below /v1/")
         if method == "GET":
-            self._read(what, say)
+            self._read(what, respond)
         elif method != "POST":
             raise CallError(405, "GET reads, POST changes")
         elif self.reads_only:
             raise CallError(403, "this is for reading alone")
         else:
-            self._change(what, body, say)
+            self._change(what, body, respond)
 
-    def _read(self, what: str, say: Callable[[Response], None]) -> None:
+    def _read(self, what: str, respond: Callable[[Response], None]) -> None:
         if what.startswith("why/"):
-            say(_json_response(200, self._managed.why(unquote(what.removeprefix("why/")))))
+            respond(_json_response(200, self._managed.why(unquote(what.removeprefix("why/")))))
             return
-        if self._managed.ask(what, lambda answer: say(_json_response(200, answer))):
+        if self._managed.ask(what, lambda answer: respond(_json_response(200, answer))):
             return
         if what not in READS and not self._managed.readable(what):
             raise CallError(404, f"{what!r} can't be read; there are: {', '.join(READS)}")
         answer = self._summaries() if what == "verbs" else self._managed.read(what)
-        say(_json_response(200, answer))
+        respond(_json_response(200, answer))
 
-    def _verbs(self) -> Verbs:
+    def _all_verbs(self) -> Verbs:
         return {**VERBS, **self._managed.verbs()}
 
     def _summaries(self) -> dict[str, str]:
-        return {verb: summary for verb, (_, summary) in self._verbs().items()}
+        return {verb: summary for verb, (_, summary) in self._all_verbs().items()}
 
-    def _change(self, verb: str, body: bytes, say: Callable[[Response], None]) -> None:
-        change = read_change(verb, body, self._verbs())
+    def _change(self, verb: str, body: bytes, respond: Callable[[Response], None]) -> None:
+        change = read_change(verb, body, self._all_verbs())
         if self.by is not None:
             change = replace(change, request=msgspec.structs.replace(change.request, by=self.by))
-        self._managed.change(change, lambda result: say(_json_response(200, result)))
+        self._managed.change(change, lambda result: respond(_json_response(200, result)))
 
 
 def _json_response(status: int, answer: object) -> Response:
--- a/loadbalancer/admin/snapshot.py
+++ b/loadbalancer/admin/snapshot.py
@@ -1,12 +1,13 @@
-"""What a daemon knows of endpoints, as bytes for the one that takes over from it, or for other instances of its fleet.
+"""Snapshots of a daemon's state, for the process that takes over in a hot restart and for other instances of its fleet.
 
-It has error rates, utilization, times and failures of endpoints, how long they have been warming up, the usual time of
-each request class, the level of load shedding, overrides and migrations, and the place in the fleet. It has no
-requests, keys or connections: those end where they began, and what must outlast a process is in the store.
+A snapshot holds error rates, utilization, response times and failures of endpoints, how long they have been warming up,
+the usual response time of each request class, the level of load shedding, overrides and migrations, and the membership
+in the fleet. It holds no requests, keys or connections: those end in the process where they began, and state that must
+outlast a process is in the store.
 
-The reader trusts nothing of it: it checks a checksum, a version, bounds of sizes and figures, and the age. What is
-older than MAX_AGE_S, or of another start of an endpoint, is not used; all else fades from its own time on, as if the
-reader had measured it then.
+A snapshot is untrusted input: the reader verifies its checksum, version, sizes, values and age. A snapshot older than
+MAX_AGE_S, or data of another start of an endpoint, is not used. Everything else decays from the time when it was
+measured, as if the reader had measured it.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 from loadbalancer.routing.traffic_migration import Migration
 
 MAGIC = b"micastand learnt 1\n"
-#: Some 30,000 endpoints.
+#: Enough for some 30,000 endpoints.
 MAX_SNAPSHOT_BYTES = 4 << 20
-#: By then endpoints may have recovered, and the new process has samples of its own.
+#: Older snapshots are not used: endpoints may have recovered, and the new process has samples of its own.
 MAX_AGE_S = 15.0
-#: How far a snapshot's time may lie in the future; more is of another clock.
+#: How far a snapshot's time may lie in the future; a later time comes from another clock.
 MAX_CLOCK_SKEW_S = 1.0
-#: An age that says that there was no sample.
+#: Stands for the age of a sample that does not exist.
 NEVER = -1.0
 MAX_CONSECUTIVE_FAILURES = 1000
 MAX_SHED_LEVEL = 100.0
@@ -42,15 +43,15 @@
 
 
 class SnapshotError(ValueError):
-    """The bytes are no snapshot that this program can use; says why."""
+    """The bytes are not a snapshot that this program can use; the message gives the reason."""
 
 
 class EndpointSnapshot(Struct, array_like=True):
-    """One endpoint. Ages are in seconds at the snapshot's time, NEVER where there was no sample."""
+    """The state of one endpoint. Ages are in seconds at the time of the snapshot; NEVER where there is no sample."""
 
     id: Text
-    started: float  # as its source says it, Unix seconds, 0 for long ago
-    warming_age: float  # since it began to count as just started
+    started: float  # Unix time of its start as stated by its source; 0 for long ago
+    warming_age: float  # since its warm-up began
     error_rate: Share
     error_rate_age: float
     utilization: Share
@@ -58,34 +59,34 @@
     time_per_attempt: Seconds
     time_per_attempt_age: float
     consecutive_failures: Annotated[int, Meta(ge=0, le=MAX_CONSECUTIVE_FAILURES)]
-    error_rate_by_class: dict[Text, tuple[Share, float]]  # with ages
+    error_rate_by_class: dict[Text, tuple[Share, float]]  # each with its age
 
 
 class PoolSnapshot(Struct, array_like=True):
-    """One pool."""
+    """The state of one pool."""
 
     name: Text
     endpoints: Annotated[list[EndpointSnapshot], Meta(max_length=50_000)]
-    usual_times: dict[Text, Seconds]  # of an answer, by request class
+    usual_times: dict[Text, Seconds]  # usual response time by request class
     shed_level: Annotated[float, Meta(ge=0, le=MAX_SHED_LEVEL)]
-    overrides: dict[Text, AdminOverride]  # by endpoint
+    overrides: dict[Text, AdminOverride]  # by endpoint id
     migration: Migration | None
 
 
 class FleetSnapshot(Struct, array_like=True):
-    """A place in the fleet."""
+    """The state of an instance's membership in the fleet."""
 
     name: Text
-    generation: Annotated[int, Meta(ge=0, lt=1 << 40)]  # of the process that passes it on
+    generation: Annotated[int, Meta(ge=0, lt=1 << 40)]  # of the process that takes the snapshot
     member_states: Annotated[list[MemberState], Meta(max_length=5_000)]
-    version: Annotated[int, Meta(ge=0)] = 0  # of the replicated state that it acts on
+    version: Annotated[int, Meta(ge=0)] = 0  # version of the replicated state that the process has applied
     lease_end: float = 0.0  # on the machine's clock, in seconds
 
 
 class Snapshot(Struct, array_like=True):
-    """All that one process knows."""
+    """The state of one process."""
 
-    at: float  # Unix seconds
+    at: float  # Unix time in seconds
     pools: Annotated[list[PoolSnapshot], Meta(max_length=5_000)]
     fleet: FleetSnapshot | None = None
 
@@ -97,7 +98,7 @@
     overrides: Mapping[str, AdminOverride],
     migration: Migration | None,
 ) -> PoolSnapshot:
-    """What a pool's balancer knows at a time of its own clock."""
+    """Take a snapshot of a pool; `now` is the time of the balancer's clock."""
     classes = [cls.name for cls in balancer.settings.classes]
     return PoolSnapshot(
         name,
@@ -134,17 +135,17 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """The snapshot as bytes; empty where it would be longer than MAX_SNAPSHOT_BYTES: then nothing is passed on."""
+    """Encode a snapshot; return no bytes, and so pass nothing on, where it exceeds MAX_SNAPSHOT_BYTES."""
     body = msgspec.msgpack.encode(snapshot)
     data = MAGIC + crc32c(body).to_bytes(4, "big") + body
     return data if len(data) <= MAX_SNAPSHOT_BYTES else b""
 
 
 def decode(data: bytes) -> Snapshot:
-    """Read and check a snapshot.
+    """Decode and validate a snapshot.
 
     Raises:
-        SnapshotError: It is not whole, not of this version, or holds figures that can't be.
+        SnapshotError: It is incomplete, damaged, of another version, or holds invalid values.
     """
     if len(data) > MAX_SNAPSHOT_BYTES:
         raise SnapshotError(f"{len(data)} bytes; at most {MAX_SNAPSHOT_BYTES}")
@@ -164,46 +165,47 @@
 
 
 def is_recent(snapshot: Snapshot, now: float) -> bool:
-    """Whether anything of it may be used at this Unix time."""
+    """Return whether a snapshot may be used at this Unix time."""
     return -MAX_CLOCK_SKEW_S <= now - snapshot.at <= MAX_AGE_S
 
 
 def restore_pool(snapshot: PoolSnapshot, balancer: Balancer, now: float, age: float) -> int:
-    """Let a pool's balancer go on from a snapshot.
+    """Restore a pool's balancer from a snapshot.
 
-    Without it a new process would select failing endpoints as often as others, and take those that are warming up for
-    warm ones. The trade-off: an endpoint that recovered in between is avoided until what was known of it has faded.
+    Otherwise a new process would select failing endpoints as often as others, and treat endpoints that are still
+    warming up as warm. The trade-off: an endpoint that recovered in between is avoided until the old samples have
+    decayed.
 
     Args:
-        snapshot: What is known of the pool.
-        balancer: Its balancer; endpoints and classes that it does not have are skipped.
+        snapshot: The snapshot of the pool.
+        balancer: The balancer to restore; endpoints and classes that it does not have are skipped.
         now: Time of the balancer's clock.
-        age: Seconds since the snapshot.
+        age: Seconds since the snapshot was taken.
 
     Returns:
-        For how many endpoints it was used.
+        The number of restored endpoints.
     """
-    numbers = {cls.name: number for number, cls in enumerate(balancer.settings.classes)}
+    class_numbers = {cls.name: number for number, cls in enumerate(balancer.settings.classes)}
     for name, usual_time in snapshot.usual_times.items():
-        if name in numbers and math.isfinite(usual_time):
-            balancer.typical_latency[numbers[name]] = usual_time
+        if name in class_numbers and math.isfinite(usual_time):
+            balancer.typical_latency[class_numbers[name]] = usual_time
     balancer.shed_level = snapshot.shed_level if math.isfinite(snapshot.shed_level) else 0.0
     restored = 0
     for endpoint_snapshot in snapshot.endpoints:
         endpoint = balancer.endpoints.get(endpoint_snapshot.id)
         if endpoint is not None and _is_same_start(endpoint_snapshot, endpoint):
-            _restore_endpoint(endpoint_snapshot, endpoint, numbers, now - age)
+            _restore_endpoint(endpoint_snapshot, endpoint, class_numbers, now - age)
             restored += 1
     return restored
 
 
 def _is_same_start(snapshot: EndpointSnapshot, endpoint: Endpoint) -> bool:
-    """Whether it is the endpoint's same start, where its source states one."""
+    """Return whether a snapshot is of the endpoint's current start; true where its source states no start."""
     return endpoint.started <= 0 or endpoint.started == snapshot.started
 
 
 def _restore_endpoint(
-    snapshot: EndpointSnapshot, endpoint: Endpoint, numbers: Mapping[str, int], taken_at: float
+    snapshot: EndpointSnapshot, endpoint: Endpoint, class_numbers: Mapping[str, int], taken_at: float
 ) -> None:
     def time_of(age: float) -> float:
         return taken_at - age if math.isfinite(age) and age >= 0 else -math.inf
@@ -220,5 +222,5 @@
     endpoint.consecutive_failures = snapshot.consecutive_failures
     endpoint.warm_started_at = max(endpoint.warm_started_at, time_of(snapshot.warming_age))
     for name, (rate, age) in snapshot.error_rate_by_class.items():
-        if name in numbers:
-            endpoint.error_rate_by_class[numbers[name]] = finite(rate), max(0.0, time_of(age))
+        if name in class_numbers:
+            endpoint.error_rate_by_class[class_numbers[name]] = finite(rate), max(0.0, time_of(age))
--- a/loadbalancer/admin/snapshot_merge.py
+++ b/loadbalancer/admin/snapshot_merge.py
@@ -1,8 +1,9 @@
-"""One snapshot of several instances' ones, such that a single one that is wrong does not decide.
+"""Merges the snapshots of several instances, so that a single wrong one does not determine the result.
 
-Of each figure of an endpoint the median counts, over the instances that know the endpoint's latest start; of two the
-worse: a failing endpoint that is taken for a sound one costs requests, and a sound one that is taken for failing only
-its share for a while. Usual times and the level of load shedding are medians too.
+Each value of an endpoint is the median over the instances that know the endpoint's latest start. Of two values the
+worse one is used: a failing endpoint that is considered healthy costs requests, while a healthy one that is considered
+failing only loses its share of requests for a while. Usual response times and the level of load shedding are medians
+too.
 """
 
 from __future__ import annotations
@@ -13,25 +14,25 @@
 
 from loadbalancer.admin.snapshot import EndpointSnapshot, PoolSnapshot, Snapshot, is_recent
 
-#: An endpoint that a smaller share of the instances knows is left out.
+#: Share of the instances that must know an endpoint; others are left out.
 MIN_KNOWN_SHARE = 0.5
 
 
 def median(values: Sequence[float]) -> float:
-    """The median; of an even number the greater of the two in the middle."""
+    """Return the median; for an even number of values, the greater of the two in the middle."""
     return sorted(values)[len(values) // 2]
 
 
 def merge_snapshots(snapshots: Sequence[Snapshot], now: float) -> Snapshot | None:
-    """Merge those that are recent.
+    """Merge the recent ones of these snapshots.
 
     Args:
-        snapshots: One of each instance that has answered.
+        snapshots: One snapshot from each instance that has answered.
         now: Unix time in seconds.
 
     Returns:
-        The merged snapshot, without overrides and migrations, which the replicated state has; None where none of
-        them is recent.
+        The merged snapshot, without overrides and migrations, since the replicated state holds them; None where no
+        snapshot is recent.
     """
     recent = [snapshot for snapshot in snapshots if is_recent(snapshot, now)]
     if not recent:
@@ -64,15 +65,16 @@
 
 
 def _of_latest_start(snapshots: Sequence[EndpointSnapshot]) -> list[EndpointSnapshot]:
+    """Return the snapshots of the latest start of an endpoint."""
     latest = max(snapshot.started for snapshot in snapshots)
     return [snapshot for snapshot in snapshots if snapshot.started == latest]
 
 
 def _merge_endpoints(snapshots: Sequence[EndpointSnapshot]) -> EndpointSnapshot:
-    """Merge the snapshots of one start of an endpoint; a figure and its age come from the same instance."""
+    """Merge snapshots of the same start of an endpoint; a value and its age come from the same instance."""
 
-    def median_by(figure: Callable[[EndpointSnapshot], float]) -> EndpointSnapshot:
-        return sorted(snapshots, key=figure)[len(snapshots) // 2]
+    def median_by(value: Callable[[EndpointSnapshot], float]) -> EndpointSnapshot:
+        return sorted(snapshots, key=value)[len(snapshots) // 2]
 
     by_error_rate = median_by(lambda snapshot: snapshot.error_rate)
     by_time = median_by(lambda snapshot: snapshot.time_per_attempt)
--- a/loadbalancer/admin/tokens.py
+++ b/loadbalancer/admin/tokens.py
@@ -1,8 +1,8 @@
-"""Tokens of administrative calls by TCP: their digests, whose they are, and what each may do.
+"""Tokens that authenticate administrative calls over TCP: their digests, holders and roles.
 
-A line of the file of tokens is `ROLE DIGEST NAME`, such as `changes sha256:9f86... rita`; lines that begin with `#` are
-comments. Nobody can call with what the file holds. Any number of tokens are valid at once, so a token is changed by
-adding the new one first. `micastand token` makes a token and its line.
+A line of the token file is `ROLE DIGEST NAME`, such as `changes sha256:9f86... rita`; lines that begin with `#` are
+comments. The file holds digests only, which do not authenticate a call. Any number of tokens are valid at once, so a
+token is rotated by adding the new one first. `micastand token` makes a token and its line.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from typing import Literal
 
 Role = Literal["reads", "changes"]
-#: Characters of a token; a longer one is nobody's.
+#: Longer tokens are rejected.
 MAX_TOKEN_CHARACTERS = 256
-#: Lines of a file.
+#: Longer token files are rejected.
 MAX_LINES = 1000
-#: Wrong tokens in a window, after which no call by TCP is answered until the window ends.
+#: Wrong tokens in a window after which all calls over TCP are rejected until the window ends.
 MAX_WRONG_TOKENS = 20
 WRONG_TOKEN_WINDOW_S = 10.0
 DIGEST_PREFIX = "sha256:"
@@ -25,37 +25,44 @@
 
 
 class TokenError(ValueError):
-    """The file of tokens can't be read; says which line, and what would be right."""
+    """The token file is invalid; the message names the line and the expected form."""
 
 
 @dataclass(frozen=True, slots=True)
 class TokenHolder:
-    """Whose a token is, and what it is for."""
+    """The operator who holds a token, and the role that the token grants."""
 
     name: str
     role: Role
 
 
 def digest(token: str) -> str:
-    """The digest of a token, in hexadecimal. A token is long and random, so a plain digest gives nothing away."""
+    """Return the digest of a token in hexadecimal.
+
+    A plain digest is enough, since a token is long and random and cannot be guessed from it.
+    """
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def line_of(token: str, role: Role, name: str) -> str:
-    """The line of a token in the file."""
+    """Return the line of the token file for a token."""
     return f"{role} {DIGEST_PREFIX}{digest(token)} {name}\n"
 
 
 class Tokens:
-    """The tokens of one file."""
+    """The tokens of one token file."""
 
     def __init__(self, holders: list[tuple[str, TokenHolder]]) -> None:
-        """Take digests in lower case, with whose they are."""
+        """Create from pairs of a digest, in lower case, and its holder."""
         self._holders = holders
 
     @classmethod
     def read(cls, text: str) -> Tokens:
-        """Read a file's text; TokenError with the first line that is wrong."""
+        """Parse the text of a token file.
+
+        Raises:
+            TokenError: A line is invalid, there are too many lines, or there is no token.
+        """
         lines = text.splitlines()
         if len(lines) > MAX_LINES:
             raise TokenError(f"{len(lines)} lines; at most {MAX_LINES}")
@@ -69,9 +76,9 @@
         return cls(holders)
 
     def holder(self, header: str | None) -> TokenHolder | None:
-        """Whose token an Authorization header has (RFC 6750, 2.1); None for nobody's.
+        """Return the holder of the token in an Authorization header (RFC 6750, 2.1); None where the token is not valid.
 
-        All digests are compared, each in constant time, so that the time taken says nothing of the token.
+        All digests are compared, each in constant time, so that the duration reveals nothing about the tokens.
         """
         scheme, _, token = (header or "").strip().partition(" ")
         token = token.strip()
@@ -109,9 +116,9 @@
 
 
 class GuessLimiter:
-    """Limits how many wrong tokens are tried: past MAX_WRONG_TOKENS in a window all calls by TCP are rejected.
+    """Limits token guessing: after MAX_WRONG_TOKENS in a window, all calls over TCP are rejected.
 
-    The trade-off: who can reach the address can keep operators off it. The Unix socket stays open to them.
+    The trade-off: anyone who can reach the address can lock operators out of it. They can still use the Unix socket.
     """
 
     def __init__(self) -> None:
@@ -119,7 +126,7 @@
         self._window_began = 0.0
 
     def may_try(self, now: float) -> bool:
-        """Whether a token is looked at now; in seconds on any clock that only advances."""
+        """Return whether a token may be checked now; `now` is in seconds of any monotonic clock."""
         if now - self._window_began >= WRONG_TOKEN_WINDOW_S:
             self._wrong_tokens = 0
             self._window_began = now
--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -1,4 +1,4 @@
-"""What calls of operators ask for, and what is wrong with them."""
+"""Tests of the validation of administrative calls."""
 
 from __future__ import annotations
 
@@ -28,7 +28,9 @@
         ("drain", b'{"by": "' + b"x" * 300 + b'", "pool": "p", "member": "a"}', 400, "length"),
     ],
 )
-def test_a_call_is_checked_whole(verb: str, body: bytes, status: int, words: str) -> None:
+def test_an_invalid_change_is_rejected_with_status_and_reason(
+    verb: str, body: bytes, status: int, words: str
+) -> None:
     with pytest.raises(CallError) as caught:
         read_change(verb, body)
     assert caught.value.status == status and words in str(caught.value)
--- a/tests/admin/test_tokens.py
+++ b/tests/admin/test_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens of those who call by TCP: wrong, long, rotated, guessed; and the door that reads their file."""
+"""Tests of tokens: their file, rotation, guess limiting, and the authentication of calls over TCP."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 from standins.member import Member
 
 
-def test_a_holder_is_found_by_the_token_alone() -> None:
+def test_a_valid_bearer_token_finds_its_holder() -> None:
     found = Tokens.read("# who\n\n" + line_of("one", "reads", "rita") + line_of("two", "changes", "sam"))
     assert [
-        h and (h.name, h.role) for h in map(found.holder, ("Bearer one", "bearer  two", " Bearer two "))
+        holder and (holder.name, holder.role)
+        for holder in map(found.holder, ("Bearer one", "bearer  two", " Bearer two "))
     ] == [
         ("rita", "reads"),
         ("sam", "changes"),
@@ -56,12 +57,12 @@
      ("writes sha256:" + "0" * 64 + " rita\n", "line 1"), ("reads sha256:" + "0" * 63 + " rita\n", "line 1"),
      ("reads sha256:" + "0" * 64 + "\n", "line 1"), ("#\n" * 1001, "at most")],
 )  # fmt: skip
-def test_a_file_that_is_wrong_says_where(content: str, words: str) -> None:
+def test_an_invalid_token_file_is_rejected_with_the_line(content: str, words: str) -> None:
     with pytest.raises(TokenError, match=words):
         Tokens.read(content)
 
 
-def test_guessing_ends() -> None:
+def test_wrong_tokens_block_attempts_until_the_window_ends() -> None:
     guesses = GuessLimiter()
     for _ in range(MAX_WRONG_TOKENS):
         assert guesses.may_try(100.0)
@@ -69,41 +70,43 @@
     assert not guesses.may_try(109.9) and guesses.may_try(110.0)
 
 
-def keep(path: Path, content: str, mode: int = 0o600) -> Path:
+def write_file(path: Path, content: str, mode: int = 0o600) -> Path:
     path.write_text(content)
     path.chmod(mode)
     return path
 
 
-def test_a_door_follows_its_file_and_keeps_the_last_good_one(tmp_path: Path) -> None:
-    path, heard, now = keep(tmp_path / "tokens", line_of("old", "reads", "rita")), Heard(), [0.0]
-    door = TokenAuthenticator(path, None, heard, lambda: now[0])  # type: ignore[arg-type]
-    assert not isinstance(door.session("Bearer old"), Response)
-    keep(path, line_of("old", "reads", "rita") + line_of("new", "changes", "rita"))
-    desk = door.session("Bearer new")
-    assert not isinstance(desk, Response) and desk.by == "rita" and not desk.reads_only
-    keep(path, "half a li")
-    assert not isinstance(door.session("Bearer new"), Response) and heard.count("tokens not taken")
+def test_token_changes_apply_and_an_invalid_file_keeps_the_last_valid_one(tmp_path: Path) -> None:
+    path, heard, now = write_file(tmp_path / "tokens", line_of("old", "reads", "rita")), Heard(), [0.0]
+    authenticator = TokenAuthenticator(path, None, heard, lambda: now[0])  # type: ignore[arg-type]
+    assert not isinstance(authenticator.session("Bearer old"), Response)
+    write_file(path, line_of("old", "reads", "rita") + line_of("new", "changes", "rita"))
+    session = authenticator.session("Bearer new")
+    assert not isinstance(session, Response) and session.by == "rita" and not session.reads_only
+    write_file(path, "half a li")
+    assert not isinstance(authenticator.session("Bearer new"), Response) and heard.count("tokens not taken")
     path.unlink()
-    assert not isinstance(door.session("Bearer old"), Response)
-    keep(path, line_of("new", "changes", "rita"))
-    refused = door.session("Bearer old")
+    assert not isinstance(authenticator.session("Bearer old"), Response)
+    write_file(path, line_of("new", "changes", "rita"))
+    refused = authenticator.session("Bearer old")
     assert isinstance(refused, Response) and refused.status == 401
     for _ in range(MAX_WRONG_TOKENS):
-        door.session("Bearer wrong")
-    shut = door.session("Bearer new")
-    assert isinstance(shut, Response) and shut.status == 429
+        authenticator.session("Bearer wrong")
+    limited = authenticator.session("Bearer new")
+    assert isinstance(limited, Response) and limited.status == 429
     now[0] = 11.0
-    assert not isinstance(door.session("Bearer new"), Response)
+    assert not isinstance(authenticator.session("Bearer new"), Response)
 
 
 @pytest.mark.parametrize("mode", [0o644, 0o620, 0o660, 0o604])
-def test_a_file_that_is_open_to_others_is_refused(tmp_path: Path, mode: int) -> None:
+def test_a_file_that_others_can_access_is_rejected(tmp_path: Path, mode: int) -> None:
     with pytest.raises(TokenError, match="chmod 600"):
-        read_tokens(keep(tmp_path / "tokens", line_of("t", "reads", "r"), mode))
+        read_tokens(write_file(tmp_path / "tokens", line_of("t", "reads", "r"), mode))
 
 
-async def by_tcp(port: int, token: str, data: bytes = b"GET /v1/status HTTP/1.1\r\n") -> tuple[int, bytes]:
+async def call_by_tcp(
+    port: int, token: str, data: bytes = b"GET /v1/status HTTP/1.1\r\n"
+) -> tuple[int, bytes]:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data + f"Authorization: Bearer {token}\r\n\r\n".encode())
     found = await reader.read()
@@ -112,25 +115,25 @@
     return int(head[9:12]), body
 
 
-def managed(port: int) -> str:
+def management_table(port: int) -> str:
     return (
         f'[management]\nsocket = "s"\naudit = "audit.log"\naddress = "127.0.0.1:{port}"\ntokens = "tokens"\n'
     )
 
 
-def test_calls_by_tcp_have_the_holders_role_and_name(tmp_path: Path, capsys: Any) -> None:
+def test_calls_over_tcp_have_the_role_and_name_of_the_token_holder(tmp_path: Path, capsys: Any) -> None:
     port = kept_port()
-    keep(tmp_path / "tokens", line_of("look", "reads", "rita") + line_of("do", "changes", "sam"))
-    keep(tmp_path / "mine", "do\n")
+    write_file(tmp_path / "tokens", line_of("look", "reads", "rita") + line_of("do", "changes", "sam"))
+    write_file(tmp_path / "mine", "do\n")
 
     async def scene() -> None:
         members = [Member(name) for name in "ab"]
-        async with ground(tmp_path, members, lambda: text(members, managed(port))) as here:
+        async with ground(tmp_path, members, lambda: text(members, management_table(port))) as here:
             await calls(here)
 
     async def calls(here: Ground) -> None:
-        assert (await by_tcp(port, "look"))[0] == 200
-        assert (await by_tcp(port, "guess"))[0] == 401
+        assert (await call_by_tcp(port, "look"))[0] == 200
+        assert (await call_by_tcp(port, "guess"))[0] == 401
         body = b'{"by": "somebody else", "pool": "p", "member": "a"}'
         post = b"POST /v1/cordon HTTP/1.1\r\nContent-Length: %d\r\nConnection: close\r\n" % len(body)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -138,11 +141,11 @@
         assert (await reader.read())[9:12] == b"403"
         writer.close()
         loop = asyncio.get_running_loop()
-        words = ["cordon", "p", "a", "--by", "nobody", "--tcp", f"127.0.0.1:{port}", "--token-file"]
-        assert await loop.run_in_executor(None, main, [*words, str(tmp_path / "mine")]) == 0
-        assert await loop.run_in_executor(None, main, [*words, str(tmp_path / "none")]) == 2
-        keep(tmp_path / "wrong", "x")
-        assert await loop.run_in_executor(None, main, [*words, str(tmp_path / "wrong")]) == 2
+        command = ["cordon", "p", "a", "--by", "nobody", "--tcp", f"127.0.0.1:{port}", "--token-file"]
+        assert await loop.run_in_executor(None, main, [*command, str(tmp_path / "mine")]) == 0
+        assert await loop.run_in_executor(None, main, [*command, str(tmp_path / "none")]) == 2
+        write_file(tmp_path / "wrong", "x")
+        assert await loop.run_in_executor(None, main, [*command, str(tmp_path / "wrong")]) == 2
         assert "Bearer TOKEN is wanted" in capsys.readouterr().err
         lines = [json.loads(line) for line in (tmp_path / "audit.log").read_text().splitlines()]
         assert [(line["by"], line["verb"]) for line in lines] == [("sam", "cordon")]
@@ -150,11 +153,11 @@
     run(scene)
 
 
-def test_a_start_without_a_usable_file_of_tokens_says_so(tmp_path: Path) -> None:
+def test_a_start_with_a_missing_token_file_is_a_config_error(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("a")
         with pytest.raises(ConfigError, match="management.tokens"):
-            async with ground(tmp_path, [member], lambda: text([member], managed(kept_port()))):
+            async with ground(tmp_path, [member], lambda: text([member], management_table(kept_port()))):
                 pass
         assert not (tmp_path / "s").exists()
         await member.stop()
@@ -168,14 +171,14 @@
      ('address = "10.0.0.1:9"\ntokens = "t"', "in the clear"),
      ('address = "nowhere"\ntokens = "t"', "management.address")],
 )  # fmt: skip
-def test_a_table_that_does_not_fit_is_refused(tmp_path: Path, lines: str, words: str) -> None:
+def test_an_invalid_management_table_is_a_config_error(tmp_path: Path, lines: str, words: str) -> None:
     path = tmp_path / "c.toml"
     path.write_text(f"[management]\n{lines}\n" + text([Member("a")]).replace(":0", ":1"))
     with pytest.raises(ConfigError, match=words):
         load(path)
 
 
-def test_the_verb_makes_a_line_for_a_token_that_it_keeps_nowhere(capsys: Any) -> None:
+def test_the_token_command_prints_a_line_without_the_token_itself(capsys: Any) -> None:
     assert main(["token", "rita", "--role", "changes"]) == 0
     out, err = capsys.readouterr()
     holder = Tokens.read(out).holder("Bearer " + err.split()[-1])
