--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -1,4 +1,4 @@
-"""Keys that are remembered: the rulings, the two waits for the disk, and a daemon that is cut and comes back."""
+"""Tests of the idempotency ledger: its decisions, the writer thread, and keys across restarts of a daemon."""
 
 from __future__ import annotations
 
@@ -37,54 +37,61 @@
 from standins.kills import Killing
 from standins.member import Member
 
-ONE, OTHER = digest(b"POST", b"/a", b"x"), digest(b"POST", b"/a", b"y")
-KEPT = Answered(ONE, 100.0, 201, b"Created", [b"A: b\r\n"], b"body", b"d" * DIGEST_BYTES)
+DIGEST, OTHER_DIGEST = digest(b"POST", b"/a", b"x"), digest(b"POST", b"/a", b"y")
+STORED_ANSWER = Answered(DIGEST, 100.0, 201, b"Created", [b"A: b\r\n"], b"body", b"d" * DIGEST_BYTES)
 
 
 @pytest.mark.parametrize(
-    "entry, request_, now, in_progress, all_drop, way, status",
+    "entry, request_digest, now, in_progress, all_drop, disposition, status",
     [
-        (None, ONE, 100.0, False, True, Disposition.FIRST, 0),
-        (Begun(ONE, 100.0, 3.0), OTHER, 101.0, False, True, Disposition.REFUSED, 422),
-        (KEPT, OTHER, 101.0, False, True, Disposition.REFUSED, 422),
-        (KEPT, ONE, 101.0, False, True, Disposition.REPLAY, 0),
-        (Answered(ONE, 1.0, 200, b"", [], None, b"d"), ONE, 2.0, False, True, Disposition.REFUSED, 409),
-        (Begun(ONE, 100.0, 3.0), ONE, 101.0, True, True, Disposition.REFUSED, 409),
-        (Begun(ONE, 100.0, 3.0), ONE, 101.0, False, True, Disposition.AGAIN, 0),
-        (Begun(ONE, 100.0, 3.0), ONE, 101.0, False, False, Disposition.REFUSED, 409),
-        (Begun(ONE, 100.0, 3.0), ONE, 103.0 - RETRY_MARGIN_S, False, True, Disposition.REFUSED, 409),
-        (Begun(ONE, 100.0, 3.0), ONE, 99.0, False, True, Disposition.REFUSED, 409),  # a time that can't be
+        (None, DIGEST, 100.0, False, True, Disposition.FIRST, 0),
+        (Begun(DIGEST, 100.0, 3.0), OTHER_DIGEST, 101.0, False, True, Disposition.REFUSED, 422),
+        (STORED_ANSWER, OTHER_DIGEST, 101.0, False, True, Disposition.REFUSED, 422),
+        (STORED_ANSWER, DIGEST, 101.0, False, True, Disposition.REPLAY, 0),
+        (Answered(DIGEST, 1.0, 200, b"", [], None, b"d"), DIGEST, 2.0, False, True, Disposition.REFUSED, 409),
+        (Begun(DIGEST, 100.0, 3.0), DIGEST, 101.0, True, True, Disposition.REFUSED, 409),
+        (Begun(DIGEST, 100.0, 3.0), DIGEST, 101.0, False, True, Disposition.AGAIN, 0),
+        (Begun(DIGEST, 100.0, 3.0), DIGEST, 101.0, False, False, Disposition.REFUSED, 409),
+        (Begun(DIGEST, 100.0, 3.0), DIGEST, 103.0 - RETRY_MARGIN_S, False, True, Disposition.REFUSED, 409),
+        # A clock that is before the time of the entry.
+        (Begun(DIGEST, 100.0, 3.0), DIGEST, 99.0, False, True, Disposition.REFUSED, 409),
     ],
 )
-def test_rulings(
-    entry: Any, request_: bytes, now: float, in_progress: bool, all_drop: bool, way: Disposition, status: int
+def test_the_decision_follows_from_the_entry_and_the_time(
+    entry: Any,
+    request_digest: bytes,
+    now: float,
+    in_progress: bool,
+    all_drop: bool,
+    disposition: Disposition,
+    status: int,
 ) -> None:
-    ruling = decide(entry, request_, now, in_progress, all_drop)
-    assert (ruling.disposition, ruling.status) == (way, status)
-    if way == Disposition.AGAIN:
+    ruling = decide(entry, request_digest, now, in_progress, all_drop)
+    assert (ruling.disposition, ruling.status) == (disposition, status)
+    if disposition == Disposition.AGAIN:
         assert 0 < ruling.time_remaining <= 3.0 - RETRY_MARGIN_S - (now - 100.0)
 
 
-def test_entries_and_scopes() -> None:
-    for entry in (KEPT, Begun(ONE, 1.0, 2.0)):
+def test_entries_are_decoded_as_encoded_and_scopes_differ() -> None:
+    for entry in (STORED_ANSWER, Begun(DIGEST, 1.0, 2.0)):
         assert decode(encode(entry)) == entry
     assert (
         len({scope("a", "bc", b"k"), scope("ab", "c", b"k"), scope("a", "b", b"ck"), scope("", "", b"k")})
         == 4
     )
-    assert answered(ONE, 1.0, 200, b"", [b"x" * 8], b"y" * 8, 16).body == b"y" * 8
-    long = answered(ONE, 1.0, 200, b"", [b"x" * 8], b"y" * 9, 16)
+    assert answered(DIGEST, 1.0, 200, b"", [b"x" * 8], b"y" * 8, 16).body == b"y" * 8
+    long = answered(DIGEST, 1.0, 200, b"", [b"x" * 8], b"y" * 9, 16)
     assert long.body is None and long.lines == [] and len(long.body_digest) == DIGEST_BYTES
 
 
-# The store's thread.
+# The writer thread of the store.
 
 
 def run(scene: Callable[[], Any]) -> Any:
     return asyncio.run(asyncio.wait_for(scene(), 60))
 
 
-def test_jobs_see_those_before_them_and_share_one_fsync() -> None:
+def test_jobs_see_the_writes_of_earlier_jobs_and_share_one_fsync() -> None:
     async def scene() -> None:
         disk = MemoryDisk()
         engine = Engine(disk, lambda: 1.0)
@@ -116,7 +123,7 @@
     run(scene)
 
 
-def test_one_job_that_asks_for_too_much_or_fails_holds_no_other_back() -> None:
+def test_a_job_that_exceeds_a_limit_or_fails_does_not_block_the_others() -> None:
     async def scene() -> None:
         heard = Heard()
         engine = Engine(MemoryDisk(), lambda: 1.0, StoreBounds(max_keys=2))
@@ -130,7 +137,7 @@
             store.call(lambda view: 1 // 0),
             return_exceptions=True,
         )
-        assert sum(isinstance(r, FullError) for r in results) <= 1
+        assert sum(isinstance(result, FullError) for result in results) <= 1
         assert isinstance(results[3], StoreError)
         assert await store.call(lambda view: view.get(b"a")) in (b"4", b"1")
         store.close()
@@ -154,34 +161,33 @@
 STORE = '[store]\nfolder = "state"\n'
 
 
-def text(members: list[Any], *more: str, cls: str = CLASS) -> str:
+def config_text(members: list[Any], *more: str, cls: str = CLASS) -> str:
     return "\n".join((STORE, cls, LISTENER, route("r", "p", 'class = "book"'), pool("p", members, *more)))
 
 
-def book(key: str, body: bytes = b"one", path: str = "/book") -> bytes:
+def keyed_request(key: str, body: bytes = b"one", path: str = "/book") -> bytes:
     return requests_to(path, "POST", body, f"Idempotency-Key: {key}")
 
 
-def test_a_repeat_gets_the_same_answer_also_after_a_restart_and_runs_once(tmp_path: Path) -> None:
+def test_a_repeat_gets_the_stored_answer_before_and_after_a_restart_and_runs_once(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("m")
         answers = []
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with ground(tmp_path, [member], lambda: config_text([member])) as here:
             for _ in range(3):
-                answers.append(await here.ask(book("k1")))
-            assert (await here.ask(book("k1", b"two")))[0] == 422
-            assert (await here.ask(book("k1", path="/other")))[0] == 422
-            assert (await here.ask(book("k2")))[0] == 200
-            assert (await here.ask(requests_to("/book", "POST", b"one")))[
-                0
-            ] == 200  # no key, nothing remembered
+                answers.append(await here.ask(keyed_request("k1")))
+            assert (await here.ask(keyed_request("k1", b"two")))[0] == 422
+            assert (await here.ask(keyed_request("k1", path="/other")))[0] == 422
+            assert (await here.ask(keyed_request("k2")))[0] == 200
+            # Without a key, nothing is stored.
+            assert (await here.ask(requests_to("/book", "POST", b"one")))[0] == 200
             daemon = here.daemon
             assert daemon.storage is not None and daemon.storage.ledger.open == 0
             daemon.close()
             again = Daemon(Heard(), seed=2)
             again.apply(load(here.path))
             here.daemon = again
-            answers.append(await here.ask(book("k1")))
+            answers.append(await here.ask(keyed_request("k1")))
             assert again.storage is not None and not again.storage.ledger.in_progress
             again.close()
             assert member.counts.by_key == {"k1": 1, "k2": 1}
@@ -192,188 +198,186 @@
     run(scene)
 
 
-def test_one_begun_and_not_resolved_is_sent_once_more_inside_the_window_and_then_never(
+def test_an_unresolved_key_is_retried_inside_the_window_and_rejected_after_it(
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with ground(tmp_path, [member], lambda: config_text([member])) as here:
             member.behaviour.resets = True
-            assert (await here.ask(book("k")))[0] in (
-                502,
-                503,
-            )  # members drop repeats: either promises no second run
+            # Members drop repeats, so neither status risks a second run.
+            assert (await here.ask(keyed_request("k")))[0] in (502, 503)
             sent = member.counts.by_key["k"]
-            assert (await here.ask(book("k")))[0] in (
-                502,
-                503,
-            )  # may have run: by its unsafe kin, one attempt
+            # It may have run, so it gets one attempt as an unsafe request would.
+            assert (await here.ask(keyed_request("k")))[0] in (502, 503)
             assert member.counts.by_key["k"] <= sent + 1
             member.behaviour.resets = False
-            memory = here.daemon.storage
-            assert memory is not None
-            late = memory.store.engine.now() + 10.0
-            memory.store.engine._clock = lambda: late  # the window has gone by
+            storage = here.daemon.storage
+            assert storage is not None
+            late_time = storage.store.engine.now() + 10.0
+            storage.store.engine._clock = lambda: late_time  # the deduplication window has ended
             before = member.counts.by_key["k"]
-            status, _, why = await here.ask(book("k"))
-            assert status == 409 and b"whether it ran is not known" in why
+            status, _, reason = await here.ask(keyed_request("k"))
+            assert status == 409 and b"whether it ran is not known" in reason
             assert member.counts.by_key["k"] == before
 
     run(scene)
 
 
-def test_what_never_ran_is_taken_back_and_may_come_again(tmp_path: Path) -> None:
+def test_the_key_of_a_request_that_did_not_run_is_removed_and_can_be_used_again(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member], 'refusal_header = "X-No"')) as here:
+        async with ground(
+            tmp_path, [member], lambda: config_text([member], 'refusal_header = "X-No"')
+        ) as here:
             member.behaviour.status, member.behaviour.headers = 503, b"X-No: 1\r\n"
-            assert (await here.ask(book("k")))[0] == 503
+            assert (await here.ask(keyed_request("k")))[0] == 503
             member.behaviour.status, member.behaviour.headers = 200, b""
-            memory = here.daemon.storage
-            assert memory is not None
-            await memory.store.call(lambda view: None)  # the taking back is on disk
+            storage = here.daemon.storage
+            assert storage is not None
+            await storage.store.call(lambda view: None)  # wait until the removal of the key is on disk
             status = 503
-            while status == 503:  # the member is out of the draw for a moment
-                status, _, _ = await here.ask(book("k"))
-                await memory.store.call(lambda view: None)
+            while status == 503:  # the member is not selected for a moment
+                status, _, _ = await here.ask(keyed_request("k"))
+                await storage.store.call(lambda view: None)
             assert status == 200
 
     run(scene)
 
 
-def test_a_members_own_error_is_its_answer_and_a_long_one_is_told_by_its_digest(tmp_path: Path) -> None:
+def test_an_error_of_a_member_is_stored_and_a_long_answer_is_replaced_by_its_digest(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with ground(tmp_path, [member], lambda: config_text([member])) as here:
             member.behaviour.status, member.behaviour.body = 422, b"no such pallet"
-            first = await here.ask(book("k"))
-            again = await here.ask(book("k"))
+            first = await here.ask(keyed_request("k"))
+            again = await here.ask(keyed_request("k"))
             assert first[0] == again[0] == 422 and first[2] == again[2] == b"no such pallet"
             member.behaviour.status, member.behaviour.body = 200, b"x" * 20_000
-            assert len((await here.ask(book("long")))[2]) == 20_000
-            status, _, why = await here.ask(book("long"))
-            assert status == 409 and b"answered with 200" in why
+            assert len((await here.ask(keyed_request("long")))[2]) == 20_000
+            status, _, reason = await here.ask(keyed_request("long"))
+            assert status == 409 and b"answered with 200" in reason
             assert member.counts.by_key == {"k": 1, "long": 1}
 
     run(scene)
 
 
-def test_two_at_once_with_one_key_run_once(tmp_path: Path) -> None:
+def test_of_two_concurrent_requests_with_one_key_one_runs(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("m", silent)
-        async with ground(tmp_path, [backend], lambda: text([backend])) as here:
-            first = asyncio.ensure_future(here.ask(book("k")))
+        async with ground(tmp_path, [backend], lambda: config_text([backend])) as here:
+            first = asyncio.ensure_future(here.ask(keyed_request("k")))
             call = await backend.until_called()
-            status, _, why = await here.ask(book("k"))
-            assert status == 409 and b"in progress" in why
+            status, _, reason = await here.ask(keyed_request("k"))
+            assert status == 409 and b"in progress" in reason
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             assert (await first)[0] == 200
-            assert (await here.ask(book("k")))[2] == b"ok"
+            assert (await here.ask(keyed_request("k")))[2] == b"ok"
 
     run(scene)
 
 
-def test_a_store_that_takes_nothing_refuses_keyed_work_and_serves_the_rest(tmp_path: Path) -> None:
+def test_a_read_only_store_rejects_new_keys_and_other_requests_are_served(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
-            assert (await here.ask(book("before")))[0] == 200
-            memory = here.daemon.storage
-            assert memory is not None
-            memory.store.engine.log.read_only = "fsync failed: test"
-            status, _, why = await here.ask(book("k"))
-            assert status == 503 and b"it has not run" in why and "k" not in member.counts.by_key
+        async with ground(tmp_path, [member], lambda: config_text([member])) as here:
+            assert (await here.ask(keyed_request("before")))[0] == 200
+            storage = here.daemon.storage
+            assert storage is not None
+            storage.store.engine.log.read_only = "fsync failed: test"
+            status, _, reason = await here.ask(keyed_request("k"))
+            assert status == 503 and b"it has not run" in reason and "k" not in member.counts.by_key
             assert (await here.ask(requests_to("/book")))[0] == 200
-            assert (await here.ask(book("before")))[0] == 200  # what is known is still told
+            assert (await here.ask(keyed_request("before")))[0] == 200  # stored answers are still replayed
             assert here.heard.count("keyed work refused")
 
     run(scene)
 
 
-def test_an_answer_that_the_disk_does_not_take_goes_out_in_time_and_is_not_sent_blind(tmp_path: Path) -> None:
+def test_an_answer_is_sent_in_time_while_the_disk_stalls_and_is_stored_later(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("m", silent)
         short = CLASS.replace('"1s"', '"300ms"').replace('"3s"', '"400ms"')
-        async with ground(tmp_path, [backend], lambda: text([backend], cls=short)) as here:
-            memory = here.daemon.storage
-            assert memory is not None
+        async with ground(tmp_path, [backend], lambda: config_text([backend], cls=short)) as here:
+            storage = here.daemon.storage
+            assert storage is not None
             gate = threading.Event()
-            first = asyncio.ensure_future(here.ask(book("k")))
+            first = asyncio.ensure_future(here.ask(keyed_request("k")))
             call = await backend.until_called()
-            memory.store.submit(lambda view: gate.wait(), lambda result, problem: None)  # the disk stalls
+            storage.store.submit(lambda view: gate.wait(), lambda result, problem: None)  # the disk stalls
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             assert (await first)[0] == 200
             assert here.heard.count("an answer went out before the disk had it")
             gate.set()
-            await memory.store.call(lambda view: None)
-            assert (await here.ask(book("k")))[2] == b"ok"
+            await storage.store.call(lambda view: None)
+            assert (await here.ask(keyed_request("k")))[2] == b"ok"
 
     run(scene)
 
 
-def test_a_client_that_leaves_while_the_disk_works_costs_nothing(tmp_path: Path) -> None:
+def test_a_client_that_disconnects_during_a_disk_write_leaves_no_state(tmp_path: Path) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
-            memory = here.daemon.storage
-            assert memory is not None
+        async with ground(tmp_path, [member], lambda: config_text([member])) as here:
+            storage = here.daemon.storage
+            assert storage is not None
             gate = threading.Event()
-            memory.store.submit(lambda view: gate.wait(), lambda result, problem: None)
+            storage.store.submit(lambda view: gate.wait(), lambda result, problem: None)
             client = await here.connect()
-            await client.send(book("k"))
-            await here.until(lambda: memory.ledger.open == 1)
+            await client.send(keyed_request("k"))
+            await here.until(lambda: storage.ledger.open == 1)
             client.writer.transport.abort()
             pool_ = here.daemon.pools["p"].proxy
             await here.until(lambda: not here.daemon.listeners["main"].is_busy())
             gate.set()
-            await here.until(lambda: memory.ledger.open == 0)
-            await memory.store.call(lambda view: None)
-            assert not memory.ledger.in_progress and pool_.budget.held_bytes == 0
-            assert (await here.ask(book("k")))[0] == 200 and member.counts.by_key == {"k": 1}
+            await here.until(lambda: storage.ledger.open == 0)
+            await storage.store.call(lambda view: None)
+            assert not storage.ledger.in_progress and pool_.budget.held_bytes == 0
+            assert (await here.ask(keyed_request("k")))[0] == 200 and member.counts.by_key == {"k": 1}
 
     run(scene)
 
 
 @pytest.mark.parametrize(
-    "change, words",
+    "edit, words",
     [
-        (lambda t: t.replace(STORE, ""), "needs a [store]"),
+        (lambda config: config.replace(STORE, ""), "needs a [store]"),
         (
-            lambda t: t.replace('effect = "keyed"\ndedup_window = "2s"', 'effect = "unsafe"'),
+            lambda config: config.replace('effect = "keyed"\ndedup_window = "2s"', 'effect = "unsafe"'),
             "goes with effect",
         ),
         (
-            lambda t: t.replace('name = "p"', 'name = "p"\nlimits = { answer_stream = "1MiB" }'),
+            lambda config: config.replace('name = "p"', 'name = "p"\nlimits = { answer_stream = "1MiB" }'),
             "judged whole",
         ),
     ],
 )
-def test_what_can_not_be_remembered_is_an_error(
-    tmp_path: Path, change: Callable[[str], str], words: str
+def test_an_invalid_configuration_of_remembered_classes_is_an_error(
+    tmp_path: Path, edit: Callable[[str], str], words: str
 ) -> None:
     member = Member("m")
     member.address = "127.0.0.1:9"
     path = tmp_path / "c.toml"
-    path.write_text(change(text([member])))
+    path.write_text(edit(config_text([member])))
     with pytest.raises(ConfigError) as caught:
         load(path)
     assert words in str(caught.value)
 
 
-def test_a_store_that_can_not_be_opened_stops_the_start_and_a_reload_keeps_the_one_there_is(
+def test_a_locked_store_fails_the_start_and_a_reload_keeps_the_open_store(
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
         member = Member("m")
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with ground(tmp_path, [member], lambda: config_text([member])) as here:
             second = Daemon(Heard(), seed=3)
             with pytest.raises(ConfigError, match="one writer at a time"):
                 second.apply(load(here.path))
             second.close()
-            await here.reload(text([member]).replace('"state"', '"other"'))
+            await here.reload(config_text([member]).replace('"state"', '"other"'))
             assert here.heard.count("new configuration not taken: store")
-            await here.reload(text([member], 'refusal_header = "X"'))
-            assert here.daemon.reloads == 1 and (await here.ask(book("k")))[0] == 200
+            await here.reload(config_text([member], 'refusal_header = "X"'))
+            assert here.daemon.reloads == 1 and (await here.ask(keyed_request("k")))[0] == 200
 
     run(scene)
 
@@ -388,13 +392,17 @@
     assert not [key for key in tally.doubled if key in tally.answers]
 
 
-def test_the_verbs_of_the_store(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_store_commands_verify_compact_and_dump(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     folder = tmp_path / "s"
     engine = Engine(DiskFiles(folder), lambda: 1.0, StoreBounds(segment_bytes=400))
     engine.open()
     for number in range(40):
-        engine.commit([Put(scope("", "r", b"%d" % (number % 4)), encode(KEPT)), Put(b"mark/p/m", b"drain")])
-    assert main(["store", "verify", str(folder)]) == 1  # it is open
+        engine.commit(
+            [Put(scope("", "r", b"%d" % (number % 4)), encode(STORED_ANSWER)), Put(b"mark/p/m", b"drain")]
+        )
+    assert main(["store", "verify", str(folder)]) == 1  # another engine has it open
     assert "one writer at a time" in capsys.readouterr().err
     engine.close()
     assert main(["store", "compact", str(folder)]) == 0
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data that an earlier version has written is read by this one, and messages of a fleet keep their bytes.
+"""Tests that data written by an earlier version can be read, and that the encoding of fleet messages is unchanged.
 
 `stored_data/` was written by the version before the packages were renamed: a store with an idempotency ledger,
 administrative overrides, a traffic migration, acceptor state and replicated state; a hot-restart snapshot; the
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def view(tmp_path: Path) -> StoreView:
-    """The stored files, opened from a copy."""
+    """Return a view of the stored files, opened from a copy."""
     shutil.copytree(STORED / "store", tmp_path / "store")
     engine = Engine(DiskFiles(tmp_path / "store"), lambda: NOW, StoreBounds(), lambda count: b"i" * count)
     engine.open()
@@ -53,7 +53,7 @@
 
 
 def first_command() -> Command:
-    """The first entry of the replicated log, as it stands in the messages."""
+    """Return the first entry of the replicated log, from the stored Accept message."""
     stored = json.loads((STORED / "fleet_messages.json").read_text())
     return msgspec.msgpack.decode(bytes.fromhex(stored["Accept"]), type=messages.Accept).command
 
@@ -124,7 +124,7 @@
     assert hot_restart.encode(found) == (STORED / "hot_restart_snapshot.bin").read_bytes()
 
 
-def test_the_platforms_overrides_are_read_and_written_alike() -> None:
+def test_the_platforms_overrides_are_read_and_written_unchanged() -> None:
     data = (STORED / "platform_overrides.json").read_bytes()
 
     found = platform_overrides.decode(data)
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
-def test_a_message_keeps_its_bytes(message: msgspec.Struct) -> None:
+def test_a_message_is_encoded_to_the_stored_bytes(message: msgspec.Struct) -> None:
     stored = json.loads((STORED / "fleet_messages.json").read_text())
 
     assert msgspec.msgpack.encode(message).hex() == stored[type(message).__name__]
@@ -175,7 +175,7 @@
     assert set(stored) == {type(message).__name__ for message in MESSAGES} | {"sealed Packet"}
 
 
-def test_a_sealed_packet_is_opened_and_sealed_alike() -> None:
+def test_a_sealed_packet_is_opened_and_sealed_to_the_same_bytes() -> None:
     stored = json.loads((STORED / "fleet_messages.json").read_text())
     data = bytes.fromhex(stored["sealed Packet"])
     sealer = wire.Sealer([b"k" * 32])
