--- a/loadbalancer/fleet/replication/epochs.py
+++ b/loadbalancer/fleet/replication/epochs.py
@@ -1,4 +1,4 @@
-"""Epochs: when each version was in force at an instance, and the epochs of several instances merged for operators."""
+"""Epochs: when each version was in effect at an instance, and a merged report over several instances."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from loadbalancer.fleet.replication.commands import (
     Command,
     FreezeBody,
-    MarkBody,
-    MoveBody,
+    MigrationBody,
+    OverrideBody,
     RecoverBody,
-    RosterBody,
+    VoterBody,
     read_body,
 )
 from loadbalancer.fleet.replication.errors import StateError
 
-#: What is noted of a version whose command was not seen: it was restored from the store, or came with a snapshot.
-AS_KEPT = "as kept"
-WHOLE = "the whole state"
-#: What is reported of each instance beside its epochs.
+#: Descriptions of a version whose command is unknown: it was restored from the store, or came with a snapshot.
+RESTORED_FROM_STORE = "as kept"
+FROM_SNAPSHOT = "the whole state"
+#: Fields that are reported for each instance besides its epochs.
 INSTANCE_KEYS = (
     "instance",
     "version",
@@ -36,7 +36,7 @@
 
 
 class EpochRow(TypedDict):
-    """An epoch as operators read it; times are Unix times."""
+    """An epoch as shown to operators; times are Unix times."""
 
     version: int
     what: str
@@ -51,10 +51,10 @@
 
     Attributes:
         version: The version.
-        what: The command that has made it.
-        by: Who has asked for the command.
+        what: Description of the command that has produced it.
+        by: Who has requested the command.
         taken_up: By instance, the Unix time at which it applied the command.
-        last_before: By instance, the Unix time of its last send under the version before.
+        last_before: By instance, the Unix time of its last send under the previous version.
     """
 
     version: int
@@ -69,8 +69,8 @@
 
     Attributes:
         versions: Sorted by version.
-        instances: What each instance reports of itself, without its epochs.
-        not_known: Instances that could not be asked.
+        instances: The `INSTANCE_KEYS` of each instance, without its epochs.
+        not_known: Instances that could not be queried.
     """
 
     versions: list[VersionRow]
@@ -79,29 +79,29 @@
 
 
 class Epoch:
-    """One version in force at this instance.
+    """The period during which one version was in effect at this instance.
 
     Attributes:
         version: The version.
-        what: The command that has made it, in a line.
-        by: Who has asked for the command.
-        at: When it was applied, in seconds on the lease's clock.
-        sends: Attempts that left under it.
-        last: When the last of them left, in seconds on the lease's clock; 0 for none.
+        what: One-line description of the command that has produced it.
+        by: Who has requested the command.
+        applied_at: When it was applied, in seconds on the lease's clock.
+        sends: Number of attempts sent under it.
+        last_send_at: When the last of them was sent, in seconds on the lease's clock; 0 for none.
     """
 
-    __slots__ = ("at", "by", "last", "sends", "version", "what")
+    __slots__ = ("applied_at", "by", "last_send_at", "sends", "version", "what")
 
-    def __init__(self, version: int, what: str, by: str, at: float) -> None:
+    def __init__(self, version: int, what: str, by: str, applied_at: float) -> None:
         self.version = version
         self.what = what
         self.by = by
-        self.at = at
+        self.applied_at = applied_at
         self.sends = 0
-        self.last = 0.0
+        self.last_send_at = 0.0
 
     def row(self, clock_origin: float) -> dict[str, Any]:
-        """The epoch as an `EpochRow`.
+        """Return the epoch as an `EpochRow`.
 
         Args:
             clock_origin: The Unix time at 0 of the lease's clock.
@@ -110,28 +110,28 @@
             "version": self.version,
             "what": self.what,
             "by": self.by,
-            "taken_at": round(clock_origin + self.at, 3),
+            "taken_at": round(clock_origin + self.applied_at, 3),
             "sends": self.sends,
-            "last_send_at": round(clock_origin + self.last, 3) if self.last else None,
+            "last_send_at": round(clock_origin + self.last_send_at, 3) if self.last_send_at else None,
         }
         return dict(row)
 
 
 def describe(command: Command) -> str:
-    """A command in a line, for operators."""
+    """Return a one-line description of a command for operators."""
     try:
         body = read_body(command)
     except StateError as error:
         return str(error)
     match body:
-        case MarkBody():
+        case OverrideBody():
             overrides = (f"{name} {_describe_override(item)}" for name, item in body.overrides.items())
             return f"{body.pool}: {', '.join(overrides)}"
-        case MoveBody():
+        case MigrationBody():
             return f"{body.pool}: {_describe_migration(body)}"
         case FreezeBody():
             return f"{body.pool}: {'frozen' if body.frozen else 'thawed'}"
-        case RosterBody():
+        case VoterBody():
             return f"roster: {body.name} {'votes' if body.store else 'votes no more'}"
         case PlanBody():
             return f"roll-out {body.id} of {body.digest[:8]}"
@@ -150,21 +150,21 @@
     return f"weight {override.weight:g}" if override.weight is not None else "added"
 
 
-def _describe_migration(body: MoveBody) -> str:
+def _describe_migration(body: MigrationBody) -> str:
     if body.migration is None:
         return "move ended"
     return f"{body.migration.share:g} to {body.migration.other}"
 
 
 def merge(instances: Sequence[Mapping[str, Any]], unknown: Sequence[str]) -> MergedReport:
-    """Merge the reports of several instances, as they came from JSON.
+    """Merge the reports of several instances, as decoded from JSON.
 
     Args:
-        instances: Of each, `INSTANCE_KEYS` and its epochs as `EpochRow`s, oldest first.
-        unknown: Instances that could not be asked.
+        instances: For each, its `INSTANCE_KEYS` and its epochs as `EpochRow`s, oldest first.
+        unknown: Instances that could not be queried.
 
     Returns:
-        For each version who applied it when, and when each instance last acted on the one before.
+        For each version, when each instance applied it, and when each last acted on the previous one.
     """
     versions: dict[int, VersionRow] = {}
     for instance in instances:
@@ -189,7 +189,7 @@
                 "taken_up": {},
                 "last_before": {},
             }
-        if row["what"] in (AS_KEPT, WHOLE):  # another instance may have seen the command
+        if row["what"] in (RESTORED_FROM_STORE, FROM_SNAPSHOT):  # another instance may have seen the command
             row["what"] = epoch["what"]
             row["by"] = epoch["by"]
         row["taken_up"][name] = epoch["taken_at"]
--- a/tests/policy/test_slow_start_of_a_fleet.py
+++ b/tests/policy/test_slow_start_of_a_fleet.py
@@ -35,7 +35,7 @@
         proxy_count, overload_factor, initial_capacity, replaced_share, restarted_share, seed
     )
     assert max(member.over_budget() for member in new_members) <= 0
-    assert sum(len(member.given) for member in new_members) > len(new_members)  # they do get requests
+    assert sum(len(member.received_work) for member in new_members) > len(new_members)  # they do get requests
 
 
 def test_simultaneous_first_requests_of_all_proxies_overload_a_member(
