--- a/loadbalancer/plugins/hook.py
+++ b/loadbalancer/plugins/hook.py
@@ -35,8 +35,7 @@
     "x-request-id", "x-resent", "x-turned-away", "x-txn",
 ))  # fmt: skip
 PROTECTED_PREFIX = "x-forwarded-"
-#: Statuses that a plug-in may reject a request with: client errors and refusals. The request has
-#: not run.
+#: Statuses that a plug-in may reject a request with: client errors and refusals. The request has not run.
 REJECTION_STATUSES = frozenset(
     ("400", "401", "403", "404", "405", "410", "413", "415", "422", "429", "451", "503")
 )
--- a/loadbalancer/store/engine.py
+++ b/loadbalancer/store/engine.py
@@ -124,7 +124,7 @@
     def now(self) -> float:
         """Return Unix seconds that never go back, not even across restarts, so that an expired key stays expired.
 
-        After a clock was once far ahead, keys expire late: not before the correct time has caught up.
+        If the clock was once far ahead, keys expire late, since time stands still until the correct time has caught up.
         """
         self._latest_time = max(self._latest_time, self._clock())
         return self._latest_time
@@ -206,7 +206,7 @@
         self._count_removed(before)
 
     def _count_removed(self, number: int | None) -> None:
-        """Count one current record less in this segment; None stands for no segment."""
+        """Decrement the number of current records in this segment; do nothing for None."""
         if number is None:
             return
         segment = self.log.segments.get(number)
