--- a/loadbalancer/daemon/admin_api.py
+++ b/loadbalancer/daemon/admin_api.py
@@ -20,11 +20,11 @@
         """Return the answer to a path."""
         return self._queries.read(what)
 
-    def readable(self, what: str) -> bool:
+    def is_readable(self, what: str) -> bool:
         """Return whether a component answers reads of this path."""
         return self._queries.is_readable(what)
 
-    def ask(self, what: str, done: Callable[[object], None]) -> bool:
+    def start_query(self, what: str, done: Callable[[object], None]) -> bool:
         """Start a query that is sent to other instances; return whether one exists for this path."""
         return self._queries.start_query(what, done)
 
@@ -32,7 +32,7 @@
         """Return the verbs that components add."""
         return self._changes.verbs()
 
-    def why(self, request: str) -> object:
+    def explain(self, request: str) -> object:
         """Return the recorded decisions of a recent request."""
         return self._queries.explain_request(request)
 
--- a/loadbalancer/frontends/plugin_hooks.py
+++ b/loadbalancer/frontends/plugin_hooks.py
@@ -6,8 +6,8 @@
 from typing import Mapping, NamedTuple, Sequence
 
 from loadbalancer.frontends.dialect import Head, Reply
-from loadbalancer.plugins.hook import Said, Seen, World
-from loadbalancer.plugins.runner import Plugin, Runner, Turned
+from loadbalancer.plugins.hook import AllowedNames, PluginOutput, PluginRequest
+from loadbalancer.plugins.runner import Plugin, Rejection, Runner
 from loadbalancer.routing.targets import Target
 
 #: Prefix of the headers that carry tags to the member. Those that a client sends are removed, as it could forge tags.
@@ -19,7 +19,7 @@
 
     runner: Runner
     plugins: Sequence[Plugin]
-    world: World
+    world: AllowedNames
     classes: Sequence[str]  # names by class number
     tenants: Sequence[str]  # names by tenant number; the first is the default
     zone: str
@@ -34,7 +34,7 @@
         head.lines = [line for line in head.lines if not line[: len(TAG)].lower() == TAG]
         name = self.tenants[tenant] if tenant < len(self.tenants) else ""
         headers = [("host", target.authority), *_pairs(head.lines)]
-        plugin_request = Seen(
+        plugin_request = PluginRequest(
             head.method.decode("latin-1"),
             target.path + target.query,
             headers,
@@ -46,7 +46,7 @@
             NONE,
         )
         result = self.runner.run(self.plugins, plugin_request, self.world)
-        if isinstance(result, Turned):
+        if isinstance(result, Rejection):
             return Reply(result.status, result.reason, head.close)
         _apply(head, result)
         return (
@@ -67,7 +67,7 @@
     return pairs
 
 
-def _apply(head: Head, result: Said) -> None:
+def _apply(head: Head, result: PluginOutput) -> None:
     replaced = {name.encode() for name in (*result.drop, *result.set)}
     if replaced:
         head.lines = [line for line in head.lines if line.partition(b":")[0].lower() not in replaced]
