--- a/loadbalancer/config/__init__.py
+++ b/loadbalancer/config/__init__.py
@@ -1,1 +1,1 @@
-"""Our own configuration file: its types, its reader, and what a whole file means. Not for the platform's `run`."""
+"""Types, reader, checks and compiler of the configuration file. The platform's `run` does not use them."""
--- a/loadbalancer/config/plan.py
+++ b/loadbalancer/config/plan.py
@@ -1,6 +1,6 @@
-"""What a whole file means: settings for each pool's decisions, compiled routes, classes by method.
+"""Compiles a checked configuration file: policy settings of each pool, compiled routes, request classes by method.
 
-No I/O but reading the file; nothing here knows a socket.
+Reading the file is the only I/O; nothing here opens a socket.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
 from loadbalancer.routing.rewrites import HeaderRewrite, Rewrites
 from loadbalancer.routing.routes import Routes
 
-#: Methods that ask for nothing to be changed (RFC 9110, 9.2.1). TRACE is not served.
+#: Methods that request no change of state (RFC 9110, 9.2.1). TRACE is not served.
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
-#: What a request is where its route names no class, in seconds.
+#: Latency objective and deadline of a request whose route names no class, in seconds.
 DEFAULT_AIM_S, DEFAULT_DEADLINE_S = 5.0, 30.0
-#: Figures of a load report that the decisions know.
+#: Fields of a load report that the policy uses.
 REPORT_FIELDS = ("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s")
 EFFECTS = {"safe": Effect.SAFE, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
 RESULTS = {
@@ -58,13 +58,16 @@
 
 
 class Classes:
-    """All classes of a file, and by each the ones of other effects that its requests fall into by method or for
-    want of a key: they share its times and its worth."""
+    """Numbers the request classes of a file, and derives variants of them with another effect.
+
+    A request falls into such a variant because of its method or because it has no key. A variant has the same times
+    and the same worth as its class.
+    """
 
     def __init__(self, tables: Sequence[ClassTable]) -> None:
-        self.made: list[RequestClass] = []
+        self.compiled: list[RequestClass] = []
         self._numbers: dict[tuple[str | None, Effect], int] = {}
-        self.key_headers: dict[int, str] = {}  # of keyed ones, in lower case
+        self.key_headers: dict[int, str] = {}  # of keyed classes, in lower case
         self._tables = {table.name: table for table in tables}
         for table in tables:
             self.number(table.name, EFFECTS[table.effect])
@@ -73,15 +76,15 @@
         return EFFECTS[self._tables[name].effect]
 
     def remembered(self, name: str | None) -> ClassTable | None:
-        """The class of this name, if its keys are remembered."""
+        """Return the class `name` if its keys are remembered, else None."""
         table = self._tables.get(name or "")
         return table if table is not None and table.remember > 0 else None
 
     def number(self, name: str | None, effect: Effect) -> int:
-        """The class `name`, or with other words in `effect`, the one beside it; None is the default."""
+        """Return the number of the class `name`, or of its variant with another `effect`. None is the default class."""
         if (name, effect) not in self._numbers:
-            self._numbers[name, effect] = len(self.made)
-            self.made.append(self._make(name, effect))
+            self._numbers[name, effect] = len(self.compiled)
+            self.compiled.append(self._make(name, effect))
             if effect == Effect.KEYED and name is not None:
                 self.key_headers[self._numbers[name, effect]] = self._tables[name].key_header.lower()
         return self._numbers[name, effect]
@@ -96,9 +99,9 @@
                 effect=effect,
             )
         table = self._tables[name]
-        own = EFFECTS[table.effect] == effect
+        is_declared = EFFECTS[table.effect] == effect
         return RequestClass(
-            name if own else f"{name}-{effect.name.lower()}",
+            name if is_declared else f"{name}-{effect.name.lower()}",
             float(table.aim),
             float(table.deadline),
             table.worth,
@@ -111,12 +114,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ByMethod:
-    """The class of a request on one route."""
+    """Chooses the class of a request on one route by its method and its key."""
 
-    read: int  # for methods that are safe
-    write: int  # for the others
-    key_header: str | None  # with which `write` is keyed
-    write_unkeyed: int  # and what it is without
+    read: int  # for safe methods
+    write: int  # for other methods
+    key_header: str | None  # header that makes a request a keyed one of class `write`
+    write_unkeyed: int  # for other methods, without that header
 
     def choose(self, method: str, has_key: bool) -> int:
         if method in SAFE_METHODS:
@@ -125,8 +128,11 @@
 
 
 def by_method(route: RouteTable, classes: Classes) -> ByMethod:
-    """The method says what a request is, unless the route names the methods that its safe class is for; then the
-    operator has said that these change nothing."""
+    """Return the classes of a route by method.
+
+    A route with a safe class and a list of methods is an exception: the operator has declared that these methods change
+    nothing, so its class holds for all of them.
+    """
     name = route.class_
     if name is not None and classes.effect(name) == Effect.SAFE:
         read = classes.number(name, Effect.SAFE)
@@ -148,31 +154,33 @@
     name: str
     pool: str | None
     classes: ByMethod
-    deadline: float | None  # seconds, over that of the class
+    deadline: float | None  # seconds; bounds the deadline of the class
     tenant: int
     sticky: StickyTable | None
-    status: int | None = None  # without a pool: what is answered
+    status: int | None = None  # without a pool: the status to answer with
     upgrade: frozenset[bytes] = frozenset()
     attempts: int = 0
     remember: ClassTable | None = None  # the class whose keys are remembered
     rewrites: Rewrites | None = None
-    repeat_on: frozenset[AttemptResult] | None = None  # ends of attempts after which another may follow
-    repeat_statuses: frozenset[int] | None = None  # of a member's failure; None, and both are the pool's
+    repeat_on: frozenset[AttemptResult] | None = None  # results of attempts that may be retried
+    repeat_statuses: frozenset[int] | None = (
+        None  # response statuses that may be retried. If both are None, the pool's hold
+    )
 
 
 def rewrites_of(table: RouteTable) -> Rewrites | None:
-    """What a route rewrites, if anything."""
-    made = Rewrites(
+    """Return the rewrites of a route, or None if it has none."""
+    rewrites = Rewrites(
         table.prefix or table.path or "/",
         table.rewrite,
-        _pairs(table.reverse),
-        _pairs(table.reverse_cookie_path),
-        _pairs(table.reverse_cookie_domain),
+        _header_rewrites(table.reverse),
+        _header_rewrites(table.reverse_cookie_path),
+        _header_rewrites(table.reverse_cookie_domain),
     )
-    return made if made.to is not None or made.changes_answers else None
+    return rewrites if rewrites.to is not None or rewrites.changes_answers else None
 
 
-def _pairs(tables: Sequence[SwapTable]) -> tuple[HeaderRewrite, ...]:
+def _header_rewrites(tables: Sequence[SwapTable]) -> tuple[HeaderRewrite, ...]:
     return tuple(HeaderRewrite(table.from_.encode(), table.to.encode()) for table in tables)
 
 
@@ -182,13 +190,13 @@
     deployment: Deployment
 
     def outlasts(self, new: PoolPlan) -> bool:
-        """Whether a running pool can go on under a new plan: only its members, or its share, differ."""
-        return bool(self._core() == new._core())
+        """Return whether a running pool can continue under a new plan: only its members or its share differ."""
+        return bool(self._fixed_parts() == new._fixed_parts())
 
-    def _core(self) -> Any:
+    def _fixed_parts(self) -> Any:
         table = self.table
         limits = structs.replace(table.limits, share=1.0)
-        # A pool whose members come from elsewhere now keeps what it has learnt of those that stay.
+        # A pool whose source of members has changed keeps its statistics of the members that stay.
         return structs.replace(
             table, member=[], members_file=None, discovery=None, limits=limits
         ), self.deployment
@@ -199,13 +207,15 @@
     table: ListenerTable
     routes: Routes
     trusted: Networks
-    tenants: Mapping[str, int] = field(default_factory=dict)  # by names in clients' certificates
-    hosts: tuple[str, ...] = ()  # that its routes name, and certificates must be for
+    tenants: Mapping[str, int] = field(
+        default_factory=dict
+    )  # tenant numbers by the names in clients' certificates
+    hosts: tuple[str, ...] = ()  # hosts that its routes name, which the certificates must cover
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A file that has been checked whole."""
+    """Holds a compiled configuration file that has passed all checks."""
 
     path: Path
     file: File
@@ -217,23 +227,23 @@
 
     @property
     def longest(self) -> float:
-        """Seconds that any request may take."""
+        """The longest deadline of any class, in seconds."""
         return max(cls.client_timeout for cls in self.classes)
 
 
 def load(path: Path) -> Plan:
-    """The file as a plan; ConfigError with all that is wrong in it and in the files that it names."""
-    values, box, problems = read_file(path)
-    check(values, box, path.parent, problems)
-    problems.stop()
+    """Read, check and compile a file. Raises ConfigError with all errors in it and in the files that it names."""
+    values, raw, problems = read_file(path)
+    check(values, raw, path.parent, problems)
+    problems.raise_if_any()
     return compile_plan(path, File(**values))
 
 
 def compile_plan(path: Path, file: File) -> Plan:
-    """A file that has passed check.py, compiled."""
+    """Compile a file that has passed the checks of check.py."""
     classes = Classes(file.class_)
     tenants = {table.name: number for number, table in enumerate(file.tenant)}
-    asked = {table.name: table.repeats.header is not None for table in file.pool}
+    heeds_retry_header = {table.name: table.repeats.header is not None for table in file.pool}
     routes = {
         table.name: RoutePlan(
             table.name,
@@ -247,15 +257,15 @@
             table.attempts or 0,
             classes.remembered(table.write_class or table.class_),
             rewrites_of(table),
-            repeat_on(table.repeat_on, asked.get(table.pool or "", False))
+            repeat_on(table.repeat_on, heeds_retry_header.get(table.pool or "", False))
             if table.repeat_on is not None
             else None,
             statuses(table.repeat_on) if table.repeat_on is not None else None,
         )
         for table in file.route
     }
-    made = tuple(classes.made)
-    pools = {table.name: PoolPlan(table, _deployment(file, table, made)) for table in file.pool}
+    compiled = tuple(classes.compiled)
+    pools = {table.name: PoolPlan(table, _deployment(file, table, compiled)) for table in file.pool}
     rules = {table.name: rule_of(table) for table in file.route}
     listeners = {
         table.name: ListenerPlan(
@@ -269,13 +279,13 @@
         )
         for table in file.listener
     }
-    return Plan(path, file, made, frozenset(classes.key_headers.values()), pools, routes, listeners)
+    return Plan(path, file, compiled, frozenset(classes.key_headers.values()), pools, routes, listeners)
 
 
 def _hosts(listener: ListenerTable, routes: Sequence[RouteTable]) -> tuple[str, ...]:
-    """The hosts of a listener's routes, but for "*", which is any."""
-    mine = [r for r in routes if listener.routes is None or r.name in listener.routes]
-    return tuple(dict.fromkeys(r.host for r in mine if r.host != "*"))
+    """Return the hosts that a listener's routes name, except "*", which means any host."""
+    served = [route for route in routes if listener.routes is None or route.name in listener.routes]
+    return tuple(dict.fromkeys(route.host for route in served if route.host != "*"))
 
 
 def _deployment(file: File, table: PoolTable, classes: tuple[RequestClass, ...]) -> Deployment:
@@ -287,7 +297,7 @@
         instance_count=file.fleet.instances if file.fleet is not None else file.process.instances,
         zone=zones.get(file.process.zone, 0),
         zone_count=max(1, len(zones)),
-        tenants=tuple(Tenant(t.name, t.share, t.quota_per_s) for t in file.tenant),
+        tenants=tuple(Tenant(tenant.name, tenant.share, tenant.quota_per_s) for tenant in file.tenant),
         report_fields=REPORT_FIELDS if reports else (),
         sticky_while_draining=table.sticky_while_draining,
         standby_slow_start=rules.standby == "cold",
@@ -315,26 +325,30 @@
         settings,
         zones,
         {},
-        {c.name: n for n, c in enumerate(classes)},
-        {t.name: n for n, t in enumerate(file.tenant)},
+        {cls.name: number for number, cls in enumerate(classes)},
+        {tenant.name: number for number, tenant in enumerate(file.tenant)},
         float(limits.idle_close),
         limits.idle_connections,
     )
 
 
 def statuses(causes: Sequence[str]) -> frozenset[int]:
+    """Return the response statuses among the causes of a retry."""
     return frozenset(int(cause) for cause in causes if cause.isdigit())
 
 
-def repeat_on(causes: Sequence[str], asked: bool = False) -> frozenset[AttemptResult]:
-    """The ends of attempts that an operator's words stand for; statuses are told apart by the dialect, and so are
-    failures whose member asks for another attempt, where the pool heeds that (`asked`)."""
+def repeat_on(causes: Sequence[str], heeds_retry_header: bool = False) -> frozenset[AttemptResult]:
+    """Return the results of attempts that the causes in a file stand for.
+
+    All statuses count as ERROR; the dialect tells them apart. So do failures for which the member asks for another
+    attempt by a header, if the pool heeds it (`heeds_retry_header`).
+    """
     found = {RESULTS[cause] for cause in causes if cause in RESULTS}
-    if asked or any(cause.isdigit() for cause in causes):
+    if heeds_retry_header or any(cause.isdigit() for cause in causes):
         found.add(AttemptResult.ERROR)
     return frozenset(found)
 
 
 def _zones(process: ProcessTable) -> dict[str, int]:
-    """Numbers of the zones that the process knows, its own first; those of members follow as they are met."""
+    """Return the numbers of the zones in [process], its own zone first. Further zones of members get theirs later."""
     return {name: number for number, name in enumerate(dict.fromkeys([process.zone, *process.zones]))}
--- a/loadbalancer/config/types.py
+++ b/loadbalancer/config/types.py
@@ -1,4 +1,4 @@
-"""What may stand in micastand.toml, table by table. Types alone: what must fit together is checked in check.py."""
+"""Types of the tables in micastand.toml. Constraints between tables are checked in check.py."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 
 class Duration(float):
-    """Seconds, written with their unit."""
+    """Holds seconds; written in a file as a number with its unit."""
 
-    wanted = 'a duration in quotes with its unit, such as "600ms", "1.5s", "2m"'
+    expected_format = 'a duration in quotes with its unit, such as "600ms", "1.5s", "2m"'
 
     @classmethod
     def read(cls, value: object) -> Duration:
         match = _DURATION.fullmatch(value) if isinstance(value, str) else None
         if match is None:
-            raise ValueError(f"{value!r} is not {cls.wanted}")
+            raise ValueError(f"{value!r} is not {cls.expected_format}")
         return cls(float(match[1]) * _SECONDS[match[2]])
 
 
 class Size(int):
-    """Bytes, written with their unit."""
+    """Holds bytes; written in a file as a number with its unit."""
 
-    wanted = 'a size in quotes with its unit, such as "64KiB", "1.5MiB"'
+    expected_format = 'a size in quotes with its unit, such as "64KiB", "1.5MiB"'
 
     @classmethod
     def read(cls, value: object) -> Size:
         match = _SIZE.fullmatch(value) if isinstance(value, str) else None
         if match is None or not math.isfinite(float(match[1])):
-            raise ValueError(f"{value!r} is not {cls.wanted}")
+            raise ValueError(f"{value!r} is not {cls.expected_format}")
         return cls(float(match[1]) * _BYTES[match[2]])
 
 
@@ -50,27 +50,27 @@
 
 
 class ProcessTable(Struct, frozen=True, kw_only=True):
-    memory: Size = Size(128 << 20)  # of the whole process; buffers get half of what the program leaves
-    descriptors: Annotated[int, Meta(ge=64)] = 1024  # of all sockets
-    zone: str = ""  # where this proxy stands
-    zones: list[str] = []  # all of them, for pools whose members come from discovery
+    memory: Size = Size(
+        128 << 20
+    )  # limit of the whole process; buffers get half of what the program itself does not use
+    descriptors: Annotated[int, Meta(ge=64)] = 1024  # limit of the process, for all sockets
+    zone: str = ""  # of this proxy
+    zones: list[str] = []  # all zones, for pools whose members come from discovery
     instances: Count = 1  # proxies that send to the same members
 
 
 class ClassTable(Struct, frozen=True, kw_only=True):
     name: Name
-    aim: Duration  # an answer within this is in time
-    deadline: Duration  # and after this nobody waits for it any more
+    aim: Duration  # latency objective: an answer within this time counts in full
+    deadline: Duration  # after this the client no longer waits for the answer
     worth: Annotated[float, Meta(ge=0)] = 1.0
-    late_share: Share = 1.0  # of the worth that an answer after the aim still has
+    late_share: Share = 1.0  # share of `worth` for an answer after the aim
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
     key_header: Header = "Idempotency-Key"
     dedup_scope: Literal["all", "zone", "cell"] = "all"
     dedup_window: Duration = Duration(0.0)
-    remember: Duration = Duration(
-        0.0
-    )  # for so long a key that was answered gets the same answer; needs [store]
-    remember_answer: Size = Size(16 << 10)  # bytes of an answer up to which it is kept
+    remember: Duration = Duration(0.0)  # how long a key that was answered gets the same answer; needs [store]
+    remember_answer: Size = Size(16 << 10)  # maximum size of an answer that is kept
 
 
 class TenantTable(Struct, frozen=True, kw_only=True):
@@ -86,92 +86,100 @@
     zone: str = ""
     cell: Number = 0
     state: Literal["serving", "draining", "standby", "stopped"] = "serving"
-    set: Number = 0  # a set serves while no lower one has a usable member
-    route: Name | None = None  # as it stands in sticky sessions; its id if it is not given
+    set: Number = 0  # priority: a set serves only while no lower one has a usable member
+    route: Name | None = None  # name in sticky sessions; default: the id
     domain: Name | None = (
-        None  # members of one domain share their sessions, which may name it in place of a member
+        None  # members of one domain share sessions, which may name the domain in place of a member
     )
-    redirect: Name | None = None  # the route or domain that its sessions go to while it is not usable
+    redirect: Name | None = None  # route or domain that gets its sessions while it is not usable
     started: Annotated[float, Meta(ge=0)] | None = None  # Unix time of its last start
 
 
 class RepeatsTable(Struct, frozen=True, kw_only=True):
-    """When another attempt may follow. Nothing here makes an unsafe request go twice: the module rules on that."""
+    """Configures retries and hedged requests. No setting makes an unsafe request run twice: the policy prevents it."""
 
     on: tuple[str, ...] = ("connect", "reset", "timeout", "refused", "502", "503", "504")
-    attempt_time: Duration | None = None  # of one attempt, inside the deadline
-    share: Share = 0.1  # second attempts for each first one, in the long run
-    hedge_after: Duration | None = None  # of silence, after which a second copy goes out; wants second_copies
-    hedge_percentile: Annotated[float, Meta(ge=50, le=99.9)] | None = (
-        None  # of a class's answers, in place of a time
+    attempt_time: Duration | None = None  # timeout of one attempt, within the deadline
+    share: Share = 0.1  # retry budget: ratio of retries to first attempts in the long run
+    hedge_after: Duration | None = (
+        None  # time without an answer after which a hedged request is sent; needs second_copies
     )
-    header: Header | None = (
-        None  # with which a member asks for another attempt, whatever its status from 500 on
+    hedge_percentile: Annotated[float, Meta(ge=50, le=99.9)] | None = (
+        None  # percentile of the latency of a class's answers, in place of a fixed time
     )
+    header: Header | None = None  # response header that asks for a retry, with any status from 500 on
 
 
 class TunnelsTable(Struct, frozen=True, kw_only=True):
-    most: Number = 256  # of one pool at once
-    idle: Duration = Duration(300.0)  # without a byte either way
+    most: Number = 256  # concurrent tunnels of one pool
+    idle: Duration = Duration(300.0)  # idle timeout: no byte in either direction
     life: Duration = Duration(12 * 3600.0)
-    grace: Duration = Duration(5.0)  # after the pool, the member or the process was told to end
+    grace: Duration = Duration(5.0)  # time to end after the pool, the member or the process was told to stop
 
 
 class LimitsTable(Struct, frozen=True, kw_only=True):
     attempts: Annotated[int, Meta(ge=1, le=10)] = 3
-    second_copies: bool = False  # of a request that may be repeated, while the first attempt is silent
+    second_copies: bool = False  # hedged requests: a second attempt if the request may be repeated
     connect_timeout: Duration = Duration(0.25)
-    idle_close: Duration = Duration(15.0)  # after this a member closes a connection that stands idle
-    idle_connections: Number = 64  # kept to one member
+    idle_close: Duration = Duration(15.0)  # time after which a member closes an idle connection
+    idle_connections: Number = 64  # kept open to one member
     request_body: Size = Size(1 << 20)
-    answer_body: Size = Size(1 << 20)  # of an answer that is judged whole
-    answer_stream: Size = Size(0)  # of one that is passed on as it comes; 0: none is
-    retry_after: Duration = Duration(0.0)  # a refusal may ask clients to stay away for this long at most
-    share: Positive = 1.0  # of descriptors, buffers and time on the processor, beside the other pools
+    answer_body: Size = Size(1 << 20)  # maximum size of an answer that is buffered whole
+    answer_stream: Size = Size(0)  # maximum size of an answer that is streamed; 0: none is
+    retry_after: Duration = Duration(0.0)  # maximum Retry-After of a refusal
+    share: Positive = 1.0  # weight against other pools for descriptors, buffers and processor time
 
 
 class RulesTable(Struct, frozen=True, kw_only=True):
     drain_grace: Duration = Duration(1.0)
-    cold_time: Duration = Duration(10.0)  # a member is warm after this
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.3  # share of its capacity at its start
+    cold_time: Duration = Duration(10.0)  # duration of the slow start
+    cold_from: Annotated[float, Meta(gt=0, le=1)] = (
+        0.3  # share of its capacity that a member has at the beginning of the slow start
+    )
     overload_factor: Annotated[float, Meta(gt=1)] = 2.5
     fall_time: Duration = Duration(2.0)
-    new_members: Literal["cold", "warm"] = "cold"  # such as appear while the proxy runs, and say no start
-    standby: Literal["cold", "warm"] = "cold"  # members of a set that has not served for `cold_time`
+    new_members: Literal["cold", "warm"] = (
+        "cold"  # state of members that appear while the proxy runs and don't state `started`
+    )
+    standby: Literal["cold", "warm"] = "cold"  # state of members whose set has not served for `cold_time`
 
 
 class FastCgiTable(Struct, frozen=True, kw_only=True):
-    params: dict[str, str] = {}  # such as SCRIPT_FILENAME; they stand above what a request says
-    keep: bool = True  # connections are kept where the application does
-    multiplex: bool = False  # ask for FCGI_MPXS_CONNS, and send several requests at once where it is 1
+    params: dict[str, str] = {}  # such as SCRIPT_FILENAME; they take precedence over those of the request
+    keep: bool = True  # keep connections open if the application does
+    multiplex: bool = False  # query FCGI_MPXS_CONNS, and send several requests on one connection if it is 1
 
 
 class PairTable(Struct, frozen=True, kw_only=True):
-    """Files in PEM form, relative to ours."""
+    """Names the PEM files of a certificate chain and its key, relative to the configuration file."""
 
-    chain: str  # the certificate first, then those that signed it
-    key: str  # unencrypted, for its owner alone
+    chain: str  # the certificate, followed by its issuers
+    key: str  # unencrypted; only the owner may have access
 
 
 class ListenerTlsTable(Struct, frozen=True, kw_only=True):
-    certificate: list[PairTable]  # by names; the first serves where no other has the name
+    certificate: list[PairTable]  # chosen by server name; the first is the default
     minimum: Literal["1.2", "1.3"] = "1.2"
-    clients: Literal["none", "optional", "required"] = "none"  # whether they show a certificate
-    client_roots: list[str] = []  # files of who signs theirs; all count, so old and new may overlap
+    clients: Literal["none", "optional", "required"] = "none"  # whether clients must present a certificate
+    client_roots: list[
+        str
+    ] = []  # trust roots of clients' certificates; all are valid, so old and new ones may overlap
     client_revoked: str | None = None
-    tenants: dict[str, str] = {}  # tenants by the names in clients' certificates
-    ticket_life: Duration = Duration(3600.0)  # the keys of session tickets are made anew
+    tenants: dict[str, str] = {}  # tenant by a name in the client's certificate
+    ticket_life: Duration = Duration(3600.0)  # interval at which the keys of session tickets are renewed
     handshake_time: Duration = Duration(2.5)
     handshakes_at_once: Count = 64
-    handshakes_per_s: Positive = 200.0  # of strangers
-    handshakes_per_address: Count = 16  # under way or waiting, of a stranger's
+    handshakes_per_s: Positive = 200.0  # of unknown clients
+    handshakes_per_address: Count = 16  # under way or waiting, of one unknown address
 
 
 class PoolTlsTable(Struct, frozen=True, kw_only=True):
-    roots: list[str] = []  # files of who signs members' certificates; the system's if none is given
+    roots: list[str] = []  # trust roots of members' certificates; default: those of the system
     revoked: str | None = None
-    name: str = "id"  # that a member's certificate is for: its "id", its "address", or this name for all
-    certificate: PairTable | None = None  # that we show
+    name: str = (
+        "id"  # expected name in a member's certificate: its "id", its "address", or a fixed name for all
+    )
+    certificate: PairTable | None = None  # client certificate that the proxy presents
     minimum: Literal["1.2", "1.3"] = "1.2"
     handshake_time: Duration = Duration(1.0)
 
@@ -187,28 +195,34 @@
     limits: LimitsTable = LimitsTable()
     repeats: RepeatsTable = RepeatsTable()
     tunnels: TunnelsTable = TunnelsTable()
-    tls: PoolTlsTable | None = None  # what is spoken to members is wrapped in it
+    tls: PoolTlsTable | None = None  # connections to members use TLS if it is given
     rules: RulesTable = RulesTable()
-    sticky_while_draining: bool = False  # a draining member keeps the sessions that it has
-    refusal_header: Header | None = None  # with this, a 503 or 504 says that the request never ran
-    load_header: Header | None = None  # a JSON object: utilization, recent_ms, throughput and others
-    close_delimited: bool = False  # take an answer that ends with its connection for whole
+    sticky_while_draining: bool = False  # a draining member keeps its sticky sessions
+    refusal_header: Header | None = (
+        None  # response header by which a 503 or 504 states that the request did not run
+    )
+    load_header: Header | None = (
+        None  # response header with a JSON object: utilization, recent_ms, throughput and others
+    )
+    close_delimited: bool = False  # accept an answer that ends with its connection as complete
 
 
 class StickyTable(Struct, frozen=True, kw_only=True):
     cookie: Header | None = None
     path_parameter: Name | None = None
     separator: Annotated[str, Meta(min_length=1, max_length=1)] | None = None
-    separator_at: Literal["first", "last"] = "last"  # the name is what stands behind this one
-    prefer: Literal["cookie", "path"] = "cookie"  # where both are there
-    bound: bool = False  # a session whose member is listed and not usable is refused, and not moved
+    separator_at: Literal["first", "last"] = "last"  # the name of the route follows this separator
+    prefer: Literal["cookie", "path"] = "cookie"  # if a request has both
+    bound: bool = False  # refuse a session whose member is listed but not usable, instead of moving it
 
 
 class PluginTable(Struct, frozen=True, kw_only=True):
     name: Name
-    file: str  # WebAssembly, binary or as WAT
-    on_failure: Literal["pass", "turn_away"] = "pass"  # for a call that fails, and while it is skipped
-    settings: dict[Name, str] = {}  # that the plug-in sees
+    file: str  # WebAssembly, in binary form or as WAT
+    on_failure: Literal["pass", "turn_away"] = (
+        "pass"  # for a call that fails, and while the plug-in is skipped
+    )
+    settings: dict[Name, str] = {}  # passed to the plug-in
 
 
 class SwapTable(Struct, frozen=True, kw_only=True):
@@ -223,57 +237,64 @@
     prefix: str | None = None
     pattern: str | None = None
     methods: list[str] = []
-    headers: dict[str, str] = {}  # a value of "*" asks only that the header is there
-    suffix: str | None = None  # with prefix or pattern: the last segment ends so, such as ".jsp"
+    headers: dict[str, str] = {}  # "*" matches any value: the header must be present
+    suffix: str | None = None  # with prefix or pattern: required end of the last segment, such as ".jsp"
     pool: str | None = None
     status: Annotated[int, Meta(ge=400, le=599)] | None = (
-        None  # in place of a pool: the answer to all its requests
+        None  # in place of a pool: status of the answer to all requests
     )
-    rewrite: str | None = None  # takes the place of the prefix on the way to members
+    rewrite: str | None = None  # replaces the prefix in requests to members
     reverse: list[
         SwapTable
-    ] = []  # places in Location and its like: whole addresses or paths, by whole segments
+    ] = []  # replacements in Location and similar headers: whole addresses or paths, by whole segments
     reverse_cookie_path: list[SwapTable] = []
     reverse_cookie_domain: list[SwapTable] = []
     class_: str | None = field(name="class", default=None)
-    write_class: str | None = None  # for methods that are not safe, where `class` is a safe one
+    write_class: str | None = None  # for unsafe methods, if `class` is a safe one
     deadline: Duration | None = None
     tenant: str | None = None
     sticky: StickyTable | None = None
-    upgrade: list[Name] = []  # protocols that requests may go over to, such as "websocket"
-    attempts: Annotated[int, Meta(ge=1, le=10)] | None = None  # of one request, under the pool's
-    repeat_on: tuple[str, ...] | None = None  # after what another may follow, in place of the pool's
-    plugins: list[str] = []  # called in this order once the head is whole
+    upgrade: list[Name] = []  # protocols that a request may upgrade to, such as "websocket"
+    attempts: Annotated[int, Meta(ge=1, le=10)] | None = (
+        None  # maximum of one request, within that of the pool
+    )
+    repeat_on: tuple[str, ...] | None = None  # causes of a retry, in place of the pool's
+    plugins: list[str] = []  # called in this order once the request head is complete
 
 
 class AdmissionTable(Struct, frozen=True, kw_only=True):
-    """Caps hold for an address of which nothing is known; one that behaves earns `growth` times as much."""
+    """Limits what one address may use.
 
-    connections_per_address: Count | None = None  # open at once; a /24 or /64 may have four times as many
-    connects_per_s: Positive | None = None  # new ones, of one address
-    requests_per_address: Count | None = None  # open at once
+    The caps hold for an unknown address. One that behaves well earns up to `growth` times as much.
+    """
+
+    connections_per_address: Count | None = None  # concurrent; a /24 or /64 may have four times as many
+    connects_per_s: Positive | None = None  # new connections of one address
+    requests_per_address: Count | None = None  # concurrent
     growth: Annotated[float, Meta(ge=1)] = 16.0
-    remembered: Annotated[int, Meta(ge=256, le=1 << 20)] = 16384  # addresses; some 300 bytes each
-    exempt: list[str] = []  # networks of fronts that speak for many clients
+    remembered: Annotated[int, Meta(ge=256, le=1 << 20)] = 16384  # number of addresses; some 300 bytes each
+    exempt: list[str] = []  # networks of proxies that forward for many clients
     known: list[str] = []  # networks for which a part of the slots is reserved
-    reserve: Annotated[float, Meta(ge=0, le=0.9)] = 0.0  # that part
+    reserve: Annotated[float, Meta(ge=0, le=0.9)] = 0.0  # the reserved part
 
 
 class ListenerTable(Struct, frozen=True, kw_only=True):
     name: Name
     address: str
     protocol: Literal["http/1.1", "fastcgi"] = "http/1.1"
-    requests_at_once: Annotated[int, Meta(ge=1, le=1024)] = 16  # on one connection of a FastCGI client
-    routes: list[str] | None = None  # all of them, if it is not given
-    trusted: list[str] = []  # networks whose Forwarded and X-Forwarded-* are believed
-    ready_path: str | None = None  # answers 200 while the listener wants clients
+    requests_at_once: Annotated[int, Meta(ge=1, le=1024)] = (
+        16  # concurrent requests on one connection of a FastCGI client
+    )
+    routes: list[str] | None = None  # default: all routes
+    trusted: list[str] = []  # networks whose Forwarded and X-Forwarded-* headers are trusted
+    ready_path: str | None = None  # health check path: answers 200 while the listener accepts clients
     encoded_slashes: Literal["reject", "keep"] = "reject"
-    share: Positive = 1.0  # of the descriptors for clients
+    share: Positive = 1.0  # weight against other listeners for client descriptors
     admission: AdmissionTable | None = None
     tls: ListenerTlsTable | None = None
     proxy_protocol_from: list[
         str
-    ] = []  # networks that write a PROXY header, version 1 or 2, ahead of each connection
+    ] = []  # networks that send a PROXY header, version 1 or 2, at the start of each connection
 
 
 class StoreTable(Struct, frozen=True, kw_only=True):
@@ -288,48 +309,53 @@
 
 
 class ManagementTable(Struct, frozen=True, kw_only=True):
-    """Unix sockets, relative to the file; who may open them may call. By TCP who has a token."""
+    """Configures the management interface.
 
-    socket: str | None = None  # reads and changes; for the daemon's user alone
-    read_socket: str | None = None  # reads; for its group too
-    audit: str | None = None  # a file; the log if it is not given
-    address: str | None = None  # by TCP, with `tokens`
-    tokens: str | None = None  # a file of roles and digests; `micastand token` makes lines of it
+    Paths of Unix sockets are relative to the file; whoever may open a socket may call. Calls by TCP need a token.
+    """
+
+    socket: str | None = None  # reads and changes; only for the daemon's user
+    read_socket: str | None = None  # reads; also for the group
+    audit: str | None = None  # file of audit entries; default: the log
+    address: str | None = None  # TCP address, with `tokens`
+    tokens: str | None = None  # file of roles and token digests; `micastand token` creates its lines
     why: Annotated[int, Meta(ge=0, le=100_000)] = (
-        0  # requests of each pool whose decisions are kept for `why`
+        0  # recent requests of each pool whose decisions are kept for `why`
     )
 
 
 class FleetTable(Struct, frozen=True, kw_only=True):
-    """Which fleet this instance is one of, and how it is reached there."""
-
-    name: Annotated[
-        str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.\-]{0,47}$")
-    ]  # of this instance, and of no other
-    bind: str  # datagrams and exchanges, at one port
-    advertise: str | None = None  # what others are told, where it differs
-    seeds: list[str] = []  # addresses of some others, to begin with
-    key_file: str  # a line of 64 hexadecimal digits, or two while the key changes; for its owner alone
+    """Configures the fleet that this instance belongs to, and its address there."""
+
+    name: Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.\-]{0,47}$")]  # unique name of this instance
+    bind: str  # address for datagrams and TCP exchanges, on one port
+    advertise: str | None = None  # address announced to other instances, if it differs from `bind`
+    seeds: list[str] = []  # addresses of some other instances, contacted first
+    key_file: (
+        str  # one line of 64 hexadecimal digits, or two while the key changes; only the owner may have access
+    )
     zone: Annotated[str, Meta(max_length=48)] = ""
-    instances: Count = 1  # how many there should be
+    instances: Count = 1  # expected number of instances
     profile: Literal["lan", "wan", "swift"] = "lan"
     voters: list[
         Name
-    ] = []  # instances whose majority decides on operators' words, to begin with; none: each by itself
+    ] = []  # initial voters, whose majority decides on operators' changes; none: each instance by itself
     stale_most: Duration = Duration(
         10.0
-    )  # for so long an instance may act on an older version than the fleet's
-    cut_off: Literal["refuse", "serve"] = "refuse"  # what one does that can't learn the fleet's for so long
+    )  # how long an instance may act on an older version than that of the fleet
+    cut_off: Literal["refuse", "serve"] = (
+        "refuse"  # what an instance does after this time without the version of the fleet
+    )
 
 
 class File(Struct, frozen=True, kw_only=True):
-    """A whole file."""
+    """Holds a whole configuration file."""
 
     process: ProcessTable = ProcessTable()
     store: StoreTable | None = None
     management: ManagementTable | None = None
     fleet: FleetTable | None = None
-    log: LogTable | None = None  # the plain form of the platform if it is not given
+    log: LogTable | None = None  # default: the plain form of the platform
     class_: list[ClassTable] = field(name="class", default=[])
     tenant: list[TenantTable] = []
     plugin: list[PluginTable] = []
@@ -339,6 +365,6 @@
 
 
 class MembersFile(Struct, frozen=True, kw_only=True):
-    """A pool's members in a file of their own."""
+    """Holds a file that lists the members of a pool."""
 
     member: list[MemberTable]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The reader of our own file: what is good, and every error at once with its place and what would be right."""
+"""Tests of the configuration reader: valid files, and errors with their keys and expected values, all at once."""
 
 from __future__ import annotations
 
@@ -61,21 +61,23 @@
     return [(problem.key, problem.text) for problem in caught.value.problems]
 
 
-def test_a_good_file(tmp_path: Path) -> None:
+def test_a_valid_file_compiles_to_pools_classes_and_keys(tmp_path: Path) -> None:
     plan = read(tmp_path, GOOD)
     assert plan.pools["web"].table.member[0].address == "127.0.0.1:9001"
-    by = plan.routes["all"].classes
+    by_method = plan.routes["all"].classes
     names = [
-        plan.classes[by.choose(method, key)].name
+        plan.classes[by_method.choose(method, key)].name
         for method, key in [("GET", False), ("HEAD", True), ("POST", True), ("POST", False)]
     ]
     assert names == ["track", "track", "book", "book-unsafe"]
-    effects = [plan.classes[n].effect for n in (by.read, by.write, by.write_unkeyed)]
+    effects = [
+        plan.classes[number].effect for number in (by_method.read, by_method.write, by_method.write_unkeyed)
+    ]
     assert effects == [Effect.SAFE, Effect.KEYED, Effect.UNSAFE]
     assert plan.longest == 5.0 and plan.key_headers == {"idempotency-key"}
 
 
-def test_the_example_is_good() -> None:
+def test_the_example_file_is_valid() -> None:
     load(Path(__file__).parent.parent / "deploy" / "micastand.toml")
 
 
@@ -96,7 +98,7 @@
         (MEMBER, "", "pool[web]", "one of"),
         (MEMBER, MEMBER + 'weight = -1.0\n', "pool[web].member[m1].weight", "-1.0"),
         (MEMBER, MEMBER + 'weight = "1"\n', "pool[web].member[m1].weight", "'1'"),
-        (MEMBER, MEMBER + MEMBER, "pool[web].member[1].id", "twice"),
+        (MEMBER, MEMBER + MEMBER, "pool[web].member[1].id", "occurs twice"),
         (MEMBER, MEMBER + MEMBER.replace("m1", "m2"), "pool[web].member[m2].address", "m1"),
         (MEMBER, MEMBER + MEMBER.replace("m1", "m2").replace("9001", "2") + 'route = "m1"\n',
          "pool[web].member[m2].route", "'m1'"),
@@ -126,7 +128,7 @@
         ('[[class]]\nname = "track"', 'odd = 1\n[[class]]\nname = "track"', "odd", "unknown key"),
     ],
 )  # fmt: skip
-def test_one_error_is_told_with_its_key_and_what_would_be_right(
+def test_an_error_is_reported_with_its_key_and_the_expected_value(
     old: str, new: str, key: str, word: str, tmp_path: Path
 ) -> None:
     assert old in GOOD
@@ -135,8 +137,8 @@
     assert word in next(text for k, text in found if k == key)
 
 
-def test_all_errors_at_once(tmp_path: Path) -> None:
-    """Wrong types hide no dangling names, and these no overlap."""
+def test_all_errors_are_reported_at_once(tmp_path: Path) -> None:
+    """Wrong types hide no dangling references, and these hide no overlapping listeners."""
     text = (
         GOOD.replace('"600ms"', "600")
         .replace('pool = "web"', 'pool = "x"')
@@ -154,7 +156,7 @@
     }
 
 
-def test_routes_in_conflict_are_all_told(tmp_path: Path) -> None:
+def test_all_conflicting_routes_are_reported(tmp_path: Path) -> None:
     more = "".join(f'[[route]]\nname = "r{n}"\nprefix = "/"\npool = "web"\n' for n in range(3))
     found = problems(tmp_path, GOOD + more)
     assert [key for key, _ in found] == ["route[r0]", "route[r1]", "route[r2]"]
@@ -167,7 +169,9 @@
      ("127.0.0.1:1", "127.0.0.1:2", False), ("127.0.0.1:1", "127.0.0.2:1", False),
      ("127.0.0.1:0", "127.0.0.1:0", False)],
 )  # fmt: skip
-def test_overlapping_listeners(one: str, two: str, overlap: bool, tmp_path: Path) -> None:
+def test_overlapping_listener_addresses_are_refused(
+    one: str, two: str, overlap: bool, tmp_path: Path
+) -> None:
     text = GOOD.replace("127.0.0.1:8080", one) + f'[[listener]]\nname = "two"\naddress = "{two}"\n'
     if overlap:
         assert [key for key, _ in problems(tmp_path, text)] == ["listener[two].address"]
@@ -178,11 +182,11 @@
 @pytest.mark.parametrize(
     "text", ["", "a", "[[pool]", "pool = 3", "\x00", "[[pool]]\n[[pool]]", "route = [1, 2]"]
 )
-def test_what_is_no_configuration_is_said_and_never_a_traceback(text: str, tmp_path: Path) -> None:
+def test_text_that_is_no_configuration_is_reported_without_a_traceback(text: str, tmp_path: Path) -> None:
     assert problems(tmp_path, text)
 
 
-def test_bytes_that_are_no_text(tmp_path: Path) -> None:
+def test_an_undecodable_or_unreadable_file_is_reported(tmp_path: Path) -> None:
     (tmp_path / "m.toml").write_bytes(b"\xff\xfe")
     with pytest.raises(ConfigError, match="UTF-8"):
         load(tmp_path / "m.toml")
@@ -192,8 +196,8 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.data())
-def test_a_file_with_bytes_changed_is_read_or_refused(data: Any) -> None:
-    """Whatever an editor does to a good file, the reader says so or takes it; nothing else escapes."""
+def test_a_file_with_changed_bytes_is_read_or_refused(data: Any) -> None:
+    """For any edit of a valid file the reader accepts the result or raises ConfigError, and nothing else."""
     import tempfile
 
     text = list(GOOD)
@@ -210,12 +214,12 @@
 @pytest.mark.parametrize(
     "text, seconds", [("600ms", 0.6), ("1.5s", 1.5), ("2m", 120.0), ("1h", 3600.0), ("0s", 0.0)]
 )
-def test_durations(text: str, seconds: float) -> None:
+def test_a_duration_is_read_in_seconds(text: str, seconds: float) -> None:
     assert Duration.read(text) == pytest.approx(seconds)
 
 
 @pytest.mark.parametrize("text", ["1", "s", "1 s", "-1s", "1.s", "1d", "", 1, 1.5, None, True, "1e3s", "١s"])
-def test_what_is_no_duration(text: Any) -> None:
+def test_an_invalid_duration_is_refused(text: Any) -> None:
     with pytest.raises(ValueError, match="unit"):
         Duration.read(text)
 
@@ -223,14 +227,14 @@
 @pytest.mark.parametrize(
     "text, size", [("64KiB", 65536), ("1.5MiB", 3 << 19), ("10B", 10), ("2GiB", 2 << 30)]
 )
-def test_sizes(text: str, size: int) -> None:
+def test_a_size_is_read_in_bytes(text: str, size: int) -> None:
     assert Size.read(text) == size
 
 
-# Files of members.
+# Members files.
 
 
-def test_members_in_toml_and_json(tmp_path: Path) -> None:
+def test_members_files_are_read_in_toml_and_json(tmp_path: Path) -> None:
     (tmp_path / "a.toml").write_text('[[member]]\nid = "a"\naddress = "127.0.0.1:1"\nstate = "standby"\n')
     (tmp_path / "a.json").write_text(
         '{"members": 1, "member": [{"id": "b", "address": "127.0.0.1:2", "set": 3}]}'
@@ -240,8 +244,8 @@
 
 
 @pytest.mark.parametrize("kind", ["toml", "json"])
-def test_a_members_file_cut_at_any_byte_never_passes_for_another_list(kind: str, tmp_path: Path) -> None:
-    """With the count of members stated, as the manual asks of files written in place."""
+def test_a_members_file_truncated_at_any_byte_is_refused_or_read_whole(kind: str, tmp_path: Path) -> None:
+    """The file states its count of members, which the manual requires of files that are written in place."""
     whole = {
         "toml": "members = 3\n"
         + "".join(f'[[member]]\nid = "m{n}"\naddress = "127.0.0.1:{n}"\n' for n in (1, 2, 3)),
@@ -278,18 +282,22 @@
         ("per_address = 3", "per_address", "per_address"),
     ],
 )
-def test_what_is_wrong_with_admission_is_said(tmp_path: Path, lines: str, key: str, words: str) -> None:
+def test_an_invalid_admission_table_is_reported(tmp_path: Path, lines: str, key: str, words: str) -> None:
     found = problems(tmp_path, GOOD + ADMISSION + lines + "\n")
     assert any(key in f"{at} {text}" and words in text for at, text in found), found
 
 
-def test_sources_of_proxy_headers_are_networks(tmp_path: Path) -> None:
+def test_proxy_protocol_sources_must_be_networks(tmp_path: Path) -> None:
     (at, text), *_ = problems(tmp_path, GOOD + 'proxy_protocol_from = ["front"]\n')
     assert "proxy_protocol_from" in at and "not a network" in text
 
 
-def test_rules_of_admission_are_read(tmp_path: Path) -> None:
+def test_a_valid_admission_table_is_read(tmp_path: Path) -> None:
     text = GOOD + 'proxy_protocol_from = ["10.9.0.0/24"]\n' + ADMISSION
     plan = read(tmp_path, text + 'connections_per_address = 64\nknown = ["10.1.0.0/16"]\nreserve = 0.25\n')
-    own = plan.listeners["main"].table.admission
-    assert own is not None and (own.connections_per_address, own.reserve, own.growth) == (64, 0.25, 16.0)
+    admission = plan.listeners["main"].table.admission
+    assert admission is not None and (
+        admission.connections_per_address,
+        admission.reserve,
+        admission.growth,
+    ) == (64, 0.25, 16.0)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in README.md runs and prints what the page says."""
+"""Tests that the example in README.md runs and prints the output that the page shows."""
 
 import contextlib
 import io
@@ -8,7 +8,7 @@
 README = Path(__file__).parent.parent / "README.md"
 
 
-def test_example_prints_what_the_page_says() -> None:
+def test_the_readme_example_prints_the_output_on_the_page() -> None:
     text = README.read_text(encoding="utf-8")
     code = re.search(r"```python\n(.*?)```", text, re.S)
     shown = re.search(r"This prints\n\n((?:    .*\n)+)", text)
