--- a/loadbalancer/cli/tls.py
+++ b/loadbalancer/cli/tls.py
@@ -1,4 +1,4 @@
-"""`micastand tls check FILE|HOST:PORT` and `micastand tls demo FOLDER`."""
+"""`micastand tls check FILE|HOST:PORT` and `micastand tls demo FOLDER`: checks and creates certificates."""
 
 from __future__ import annotations
 
@@ -12,29 +12,27 @@
 
 from loadbalancer.cli.errors import UseError
 
-#: Seconds for a server to answer.
+#: Timeout of the connection to a server, in seconds.
 CONNECT_S = 5.0
 
 
 def add(verbs: Any) -> None:
-    verb = verbs.add_parser("tls", help="check certificates and keys, or make some for a first try")
+    verb = verbs.add_parser("tls", help="check certificates and keys, or create some for a demo")
     kinds = verb.add_subparsers(dest="kind", metavar="KIND", required=True)
     text = (
-        "Checks a chain (and, with --key, that the key is its own) as the daemon does before it serves it, or "
-        "shows what a server shows. Exit code 1 if it would not serve."
+        "Checks a chain (and, with --key, that the key belongs to it) as the daemon does before it uses it, or "
+        "shows the certificate of a server. Exit code 1 if it could not be used."
     )
-    check = kinds.add_parser("check", help="a file, or what HOST:PORT shows", description=text)
+    check = kinds.add_parser("check", help="check a file, or the certificate of HOST:PORT", description=text)
     check.add_argument("what", metavar="FILE|HOST:PORT")
     check.add_argument("--key", type=Path, metavar="FILE")
     check.add_argument(
-        "--name", action="append", default=[], help="that it must be for, or that is asked for"
+        "--name", action="append", default=[], help="name that it must cover, or server name to send"
     )
-    check.add_argument("--roots", type=Path, metavar="FILE", help="with HOST:PORT: who must have signed it")
+    check.add_argument("--roots", type=Path, metavar="FILE", help="with HOST:PORT: trust roots")
     check.set_defaults(run=run_check)
-    text = (
-        "Makes a small authority and pairs for a server and a client. Its key lies beside: for tries alone."
-    )
-    demo = kinds.add_parser("demo", help="a small authority and pairs signed by it", description=text)
+    text = "Creates a small authority and pairs for a server and a client. Its key is stored with them: for demos only."
+    demo = kinds.add_parser("demo", help="create a small authority and pairs signed by it", description=text)
     demo.add_argument("folder", type=Path, metavar="FOLDER")
     demo.add_argument("--name", action="append", default=[], metavar="HOST", help="(localhost, 127.0.0.1)")
     demo.set_defaults(run=run_demo)
@@ -49,7 +47,7 @@
 
 def _check_files(path: Path, options: argparse.Namespace) -> int:
     from loadbalancer.tls import files
-    from loadbalancer.tls.pairs import PairError, left_words, names_of, read_chain, read_pair
+    from loadbalancer.tls.pairs import PairError, describe_expiry, names_of, read_chain, read_pair
 
     now = time.time()
     try:
@@ -64,7 +62,7 @@
         for problem in error.problems:
             sys.stderr.write(f"{path}: {problem}\n" if str(path) not in problem else f"{problem}\n")
         return 1
-    print(f"{path}: for {', '.join(names) or 'nobody'}; {left_words(ends, now)}")
+    print(f"{path}: for {', '.join(names) or 'no name'}; {describe_expiry(ends, now)}")
     return 0 if ends > now else 1
 
 
@@ -72,12 +70,12 @@
     from cryptography import x509
 
     from loadbalancer.config.reader import read_address
-    from loadbalancer.tls.pairs import left_words, names_of
+    from loadbalancer.tls.pairs import describe_expiry, names_of
 
     try:
         address = read_address(options.what)
     except ValueError as problem:
-        raise UseError(f"{options.what!r} is no file, and {problem}") from None
+        raise UseError(f"{options.what!r} is not a file, and {problem}") from None
     context = ssl.create_default_context(cafile=str(options.roots) if options.roots is not None else None)
     context.check_hostname = bool(options.name)
     if options.roots is None:
@@ -85,9 +83,9 @@
     try:
         with socket.create_connection(address, CONNECT_S) as sock:
             name = options.name[0] if options.name else None
-            with context.wrap_socket(sock, server_hostname=name) as shaken:
-                der = shaken.getpeercert(True)
-                version, cipher = shaken.version(), shaken.cipher()
+            with context.wrap_socket(sock, server_hostname=name) as connection:
+                der = connection.getpeercert(True)
+                version, cipher = connection.version(), connection.cipher()
     except OSError as problem:
         sys.stderr.write(f"{options.what}: {problem}\n")
         return 1
@@ -96,8 +94,8 @@
     ends = found.not_valid_after_utc.timestamp()
     checked = "signed by the roots" if options.roots is not None else "not checked (no --roots)"
     print(
-        f"{options.what}: {version}, {cipher[0]}; for {', '.join(names_of(found)) or 'nobody'}; "
-        f"{left_words(ends, time.time())}; {checked}"
+        f"{options.what}: {version}, {cipher[0]}; for {', '.join(names_of(found)) or 'no name'}; "
+        f"{describe_expiry(ends, time.time())}; {checked}"
     )
     return 0 if ends > time.time() else 1
 
@@ -107,11 +105,11 @@
 
     try:
         options.folder.mkdir(parents=True, exist_ok=True)
-        made = Authority()
-        write_private(options.folder / "roots.key", pem_of(made.key))
-        write_private(options.folder / "roots.pem", made.pem)
+        authority = Authority()
+        write_private(options.folder / "roots.key", pem_of(authority.key))
+        write_private(options.folder / "roots.pem", authority.pem)
         names = options.name or ["localhost", "127.0.0.1"]
-        for stem, issued in (("server", made.issue(*names)), ("client", made.issue("client.demo"))):
+        for stem, issued in (("server", authority.issue(*names)), ("client", authority.issue("client.demo"))):
             write_pair(options.folder, stem, issued)
     except OSError as problem:
         raise UseError(f"{options.folder}: {problem.strerror}") from None
--- a/loadbalancer/tls/contexts.py
+++ b/loadbalancer/tls/contexts.py
@@ -1,6 +1,6 @@
-"""OpenSSL's contexts for pairs and roots that have been checked. The only file that touches the ssl module's settings.
+"""Creates SSL contexts from checked certificates and trust roots. Only this file changes settings of the ssl module.
 
-Keys are handed over from memory: what was checked is what serves, whatever has become of the file meanwhile.
+Keys are loaded from memory, so that the context uses the bytes that were checked even if the file has changed since.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 ALPN = ["http/1.1"]
 
 
-class Trust:
-    """Roots, and who is no longer trusted, as bytes of PEM files."""
+class TrustStore:
+    """Holds trust roots and a list of revoked certificates, as the contents of PEM files."""
 
     __slots__ = ("roots", "revoked")
 
     def __init__(self, roots: Sequence[bytes] = (), revoked: bytes = b"") -> None:
-        """Without `roots`, those of the system."""
+        """Without `roots`, the system's trust roots are used."""
         self.roots, self.revoked = tuple(roots), revoked
 
 
 @contextmanager
 def as_file(data: bytes) -> Iterator[str]:
-    """The path of a file in memory: OpenSSL reads keys and lists of revoked certificates from files alone."""
+    """Yield the path of an in-memory file: OpenSSL reads keys and lists of revoked certificates only from files."""
     fd = os.memfd_create("pem", os.MFD_CLOEXEC)
     try:
         with os.fdopen(os.dup(fd), "wb") as file:
@@ -38,12 +38,12 @@
         os.close(fd)
 
 
-def _load(context: ssl.SSLContext, pair: Pair) -> None:
+def _load_pair(context: ssl.SSLContext, pair: Pair) -> None:
     with as_file(pair.chain.rstrip() + b"\n" + pair.key) as path:
         context.load_cert_chain(path)
 
 
-def _trust(context: ssl.SSLContext, trust: Trust) -> None:
+def _load_trust(context: ssl.SSLContext, trust: TrustStore) -> None:
     if not trust.roots:
         context.load_default_certs()
     for roots in trust.roots:
@@ -55,22 +55,29 @@
         context.verify_flags |= ssl.VerifyFlags.VERIFY_CRL_CHECK_LEAF
 
 
-def server_context(pair: Pair, minimum: str, clients: str, trust: Trust | None) -> ssl.SSLContext:
-    """`clients`: none, optional or required. ssl.SSLError where OpenSSL does not take what has passed our checks."""
+def server_context(pair: Pair, minimum: str, clients: str, trust: TrustStore | None) -> ssl.SSLContext:
+    """Return the context of a listener's certificate.
+
+    `clients`: whether clients present a certificate: none, optional or required. Raises ssl.SSLError if OpenSSL rejects
+    a pair that has passed our checks.
+    """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = MINIMUM[minimum]
     context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION | ssl.OP_CIPHER_SERVER_PREFERENCE
     context.set_alpn_protocols(ALPN)
-    _load(context, pair)
+    _load_pair(context, pair)
     if clients != "none":
         assert trust is not None
-        _trust(context, trust)
+        _load_trust(context, trust)
         context.verify_mode = ssl.CERT_REQUIRED if clients == "required" else ssl.CERT_OPTIONAL
     return context
 
 
 class MemberContext(ssl.SSLContext):
-    """Of one member. Its last session is offered at the next handshake, which then costs a fraction."""
+    """Holds the context and the last TLS session of one member.
+
+    The session is offered at the next handshake, which costs only a fraction if the member resumes it.
+    """
 
     session: ssl.SSLSession | None = None
 
@@ -79,25 +86,25 @@
             more["session"] = self.session
         try:
             return super().wrap_bio(*args, **more)
-        except ValueError:  # a session that does not fit any more
+        except ValueError:  # the session can no longer be used
             self.session = None
             more.pop("session", None)
             return super().wrap_bio(*args, **more)
 
-    def note(self, ssl_object: Any) -> None:
-        """A connection has been used: its session may be offered again."""
+    def save_session(self, ssl_object: Any) -> None:
+        """Store the session of a connection that has been used, to offer it at the next handshake."""
         session = getattr(ssl_object, "session", None)
         if session is not None and session.has_ticket:
             self.session = session
 
 
-def member_context(minimum: str, trust: Trust, pair: Pair | None) -> MemberContext:
-    """For connections to one member; the name is checked against what `server_hostname` says."""
+def member_context(minimum: str, trust: TrustStore, pair: Pair | None) -> MemberContext:
+    """Return a context for connections to one member, whose certificate must be for their `server_hostname`."""
     context = MemberContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = MINIMUM[minimum]
     context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION
     context.set_alpn_protocols(ALPN)
-    _trust(context, trust)
+    _load_trust(context, trust)
     if pair is not None:
-        _load(context, pair)
+        _load_pair(context, pair)
     return context
--- a/loadbalancer/tls/demo.py
+++ b/loadbalancer/tls/demo.py
@@ -1,4 +1,4 @@
-"""A small authority of our own, for tests and first tries. Nothing real may be signed by it: its key lies beside."""
+"""A small certificate authority for tests and demos. Not for production: its key is stored beside the pairs."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Issued:
-    """A certificate and its key, in PEM form."""
+    """Holds an issued certificate and its key, in PEM form."""
 
     chain: bytes
     key: bytes
@@ -32,7 +32,7 @@
 
 
 class Authority:
-    """Signs what it is asked to, also what is not good: tests want that."""
+    """Issues certificates, also invalid ones for tests."""
 
     def __init__(self, name: str = "micastand demo", days: float = 3650.0) -> None:
         self.key = ec.generate_private_key(ec.SECP256R1())
@@ -61,7 +61,11 @@
     def issue(
         self, *names: str, begins: float = -1.0, ends: float = 90.0, bits: int = 0, common: str | None = None
     ) -> Issued:
-        """For these names. `begins`, `ends`: days from now. `bits`: of an RSA key; a key on P-256 if it is 0."""
+        """Issue a certificate for these names.
+
+        `begins`, `ends`: days from now. `bits`: size of an RSA key, or 0 for a key on P-256. `common`: the common name,
+        by default the first name.
+        """
         key: Key = (
             rsa.generate_private_key(public_exponent=65537, key_size=bits)
             if bits
@@ -85,13 +89,13 @@
         )
         if names:
             builder = builder.add_extension(
-                x509.SubjectAlternativeName([_general(n) for n in names]), critical=False
+                x509.SubjectAlternativeName([_general_name(name) for name in names]), critical=False
             )
-        made = builder.sign(self.key, hashes.SHA256())
-        return Issued(made.public_bytes(Encoding.PEM), pem_of(key), serial)
+        certificate = builder.sign(self.key, hashes.SHA256())
+        return Issued(certificate.public_bytes(Encoding.PEM), pem_of(key), serial)
 
     def revoked(self, serials: Sequence[int]) -> bytes:
-        """The list of what it has taken back, in PEM form."""
+        """Return a list that revokes the certificates with these serial numbers, in PEM form."""
         now = datetime.datetime.now(datetime.UTC)
         builder = x509.CertificateRevocationListBuilder().issuer_name(self.name)
         builder = builder.last_update(now - DAY).next_update(now + 30 * DAY)
@@ -102,7 +106,7 @@
         return builder.sign(self.key, hashes.SHA256()).public_bytes(Encoding.PEM)
 
 
-def _general(name: str) -> x509.GeneralName:
+def _general_name(name: str) -> x509.GeneralName:
     try:
         return x509.IPAddress(ipaddress.ip_address(name))
     except ValueError:
@@ -110,16 +114,16 @@
 
 
 def write_private(path: Path, data: bytes) -> None:
-    """Whole, under its name at once, and for its owner alone."""
-    new = path.with_name(f".{path.name}.{os.getpid()}")
-    fd = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    """Write a file atomically, readable only by its owner."""
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
+    fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     with os.fdopen(fd, "wb") as file:
         file.write(data)
-    os.replace(new, path)
+    os.replace(temporary, path)
 
 
 def write_pair(folder: Path, stem: str, issued: Issued) -> tuple[Path, Path]:
-    """The certificate's file and the key's."""
+    """Write a certificate and its key; return the paths of the two files."""
     chain, key = folder / f"{stem}.pem", folder / f"{stem}.key"
     write_private(key, issued.key)
     write_private(chain, issued.chain)
--- a/loadbalancer/tls/files.py
+++ b/loadbalancer/tls/files.py
@@ -1,4 +1,4 @@
-"""The files that keys, chains, roots and lists of revoked certificates come from: read once, whole, and watched."""
+"""Reads the files of keys, chains, trust roots and lists of revoked certificates, and detects their changes."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 from pathlib import Path
 from typing import Iterable
 
-from loadbalancer.tls.pairs import FILE_MOST, PairError
+from loadbalancer.tls.pairs import MAX_FILE_BYTES, PairError
 
-#: What tells one state of a file from another: when it was written, its size, and which file it is. None: not there.
+#: Identifies one state of a file: modification time in nanoseconds, size and inode. None: the file does not exist.
 Stamp = tuple[int, int, int] | None
-#: Bits of a key's file that nobody else may have: to write it, and to read it for others than its group.
-LOOSE = 0o027
+#: Mode bits that a key's file may not have: group write, and any access for others.
+FORBIDDEN_KEY_MODE = 0o027
 
 
 def stamps(paths: Iterable[Path]) -> tuple[Stamp, ...]:
+    """Return the state of each file, to compare with a later one."""
     found: list[Stamp] = []
     for path in paths:
         try:
@@ -26,22 +27,25 @@
 
 
 def read(path: Path, private: bool = False) -> bytes:
-    """PairError where it can't be read, is too long or, of a key, is open to others."""
+    """Return the contents of a file.
+
+    Raises PairError if it can't be read, is too long or, with `private`, is accessible to other users.
+    """
     try:
         with open(path, "rb") as file:
             mode = os.fstat(file.fileno()).st_mode
-            if private and mode & LOOSE:
+            if private and mode & FORBIDDEN_KEY_MODE:
                 raise PairError([f"{path} is open to others (mode {mode & 0o777:o}); chmod 600"])
-            data = file.read(FILE_MOST + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as problem:
         raise PairError([f"{path}: {problem.strerror}"]) from None
-    if len(data) > FILE_MOST:
-        raise PairError([f"{path}: over {FILE_MOST} bytes"])
+    if len(data) > MAX_FILE_BYTES:
+        raise PairError([f"{path}: more than {MAX_FILE_BYTES} bytes"])
     return data
 
 
-def named(path: Path, error: PairError) -> PairError:
-    """The same, with the file that it is about."""
+def with_path(path: Path, error: PairError) -> PairError:
+    """Return the error with the path of its file in each message."""
     return PairError(
         [problem if str(path) in problem else f"{path}: {problem}" for problem in error.problems]
     )
--- a/loadbalancer/tls/pairs.py
+++ b/loadbalancer/tls/pairs.py
@@ -1,8 +1,9 @@
-"""A certificate chain and its key, read and checked whole before they serve. Pure: bytes and times come in.
+"""Reads and checks a certificate chain and its key before they are used. Pure: the caller passes contents and times.
 
-What is checked: that both can be read, that the key is the certificate's, that each certificate of the chain is
-signed by the next, that all are valid now, that the key is strong enough, and that the names which routes want are
-covered. A pair that fails any of it never serves."""
+The checks: both can be read, the key belongs to the certificate, each certificate of the chain is signed by the next,
+all are valid now, the key is strong enough, and the names that routes need are covered. A pair that fails any check is
+never used.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +19,14 @@
 
 from loadbalancer.tls.names import covers, is_name
 
-#: Bytes of one file that are read.
-FILE_MOST = 1 << 20
-#: Certificates of one chain.
-CHAIN_MOST = 10
-RSA_LEAST, EC_LEAST = 2048, 224  # bits
-#: Hashes that a signature may not be made with.
+#: Maximum size of a file.
+MAX_FILE_BYTES = 1 << 20
+#: Maximum number of certificates in a chain.
+MAX_CHAIN_LENGTH = 10
+MIN_RSA_BITS, MIN_EC_BITS = 2048, 224
+#: Hashes that a signature may not use.
 WEAK_HASHES = (hashes.MD5, hashes.SHA1)
-#: What the library raises where a certificate can't be read. It reads most fields when they are asked for, not before.
+#: Errors that the library raises for an unreadable certificate. It parses most fields only when they are accessed.
 UNREADABLE = (
     ValueError,
     TypeError,
@@ -34,12 +35,12 @@
     x509.DuplicateExtension,
     x509.UnsupportedGeneralNameType,
 )
-#: Seconds before the end of a certificate from which it is warned of, and again ever so often until then.
+#: Seconds before the expiry of a certificate at which a warning is logged.
 WARN_S = (30 * 86400.0, 7 * 86400.0, 86400.0, 3600.0)
 
 
 class PairError(ValueError):
-    """What is wrong with a pair: one sentence for each finding."""
+    """Raised for a pair that can't be used; holds one message for each finding."""
 
     def __init__(self, problems: Sequence[str]) -> None:
         super().__init__("; ".join(problems))
@@ -48,32 +49,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """A good one. `chain` and `key` are the very bytes that were checked."""
+    """Holds a pair that has passed all checks. `chain` and `key` are the bytes that were checked."""
 
     chain: bytes
     key: bytes
-    names: tuple[str, ...]  # of hosts, and IP addresses
-    not_before: float  # Unix seconds, of the whole chain
+    names: tuple[str, ...]  # hosts and IP addresses
+    not_before: float  # Unix seconds, for the whole chain
     not_after: float
     fingerprint: str  # SHA-256 of the first certificate
     issuer: str
 
-    def __repr__(self) -> str:  # a key never comes into a log
+    def __repr__(self) -> str:  # omits the key, which must not reach a log
         return f"Pair({', '.join(self.names)}, {self.fingerprint[:16]})"
 
 
 def read_chain(data: bytes) -> list[x509.Certificate]:
-    """PairError where it holds no certificates, or too many."""
-    if len(data) > FILE_MOST:
-        raise PairError([f"{len(data)} bytes; at most {FILE_MOST}"])
+    """Return the certificates of a file. Raises PairError if it holds none, too many, or one that can't be read."""
+    if len(data) > MAX_FILE_BYTES:
+        raise PairError([f"{len(data)} bytes; expected at most {MAX_FILE_BYTES}"])
     found = _read_certificates(data)
-    if len(found) > CHAIN_MOST:
-        raise PairError([f"holds {len(found)} certificates; a chain has at most {CHAIN_MOST}"])
+    if len(found) > MAX_CHAIN_LENGTH:
+        raise PairError([f"holds {len(found)} certificates; a chain has at most {MAX_CHAIN_LENGTH}"])
     return found
 
 
 def _read_certificates(data: bytes) -> list[x509.Certificate]:
-    """All certificates of a file, each with the fields that are looked at later; PairError where one can't be read."""
+    """Return all certificates of a file, with their fields parsed. Raises PairError if one can't be read."""
     try:
         found = x509.load_pem_x509_certificates(data)
     except UNREADABLE as problem:
@@ -87,7 +88,7 @@
 
 
 def _read_fields(certificate: x509.Certificate) -> None:
-    """Raise what is wrong with the fields that every certificate has."""
+    """Parse the fields that every certificate has. Raises one of UNREADABLE if that fails."""
     certificate.public_key()
     certificate.subject.rfc4514_string()
     certificate.issuer.rfc4514_string()
@@ -95,9 +96,11 @@
     certificate.not_valid_after_utc  # noqa: B018
 
 
-def read_pair(chain: bytes, key: bytes, now: float, wanted: Iterable[str] = ()) -> Pair:
-    """The pair, if all of it is good at Unix time `now`; PairError with all that is not. `wanted`: names that it must
-    be for."""
+def read_pair(chain: bytes, key: bytes, now: float, required_names: Iterable[str] = ()) -> Pair:
+    """Check a chain and its key at Unix time `now`, and return them as a pair. Raises PairError with all findings.
+
+    `required_names`: names that the certificate must cover.
+    """
     certificates = read_chain(chain)
     first = certificates[0]
     problems = [
@@ -110,10 +113,10 @@
     names = names_of(first)
     if not names:
         problems.append("the certificate names no host in subjectAltName")
-    missing = [name for name in wanted if not any(covers(mine, name) for mine in names)]
+    missing = [required for required in required_names if not any(covers(name, required) for name in names)]
     if missing:
         problems.append(
-            f"the certificate is for {', '.join(names) or 'nobody'}, and not for {', '.join(missing)}"
+            f"the certificate is for {', '.join(names) or 'no name'}, and not for {', '.join(missing)}"
         )
     if problems:
         raise PairError(problems)
@@ -121,15 +124,15 @@
         chain,
         key,
         names,
-        max(c.not_valid_before_utc.timestamp() for c in certificates),
-        min(c.not_valid_after_utc.timestamp() for c in certificates),
+        max(certificate.not_valid_before_utc.timestamp() for certificate in certificates),
+        min(certificate.not_valid_after_utc.timestamp() for certificate in certificates),
         first.fingerprint(hashes.SHA256()).hex(),
         first.issuer.rfc4514_string(),
     )
 
 
 def names_of(certificate: x509.Certificate) -> tuple[str, ...]:
-    """Hosts and addresses that a certificate is for; its subject's common name is none (RFC 9525, 2)."""
+    """Return the hosts and addresses that a certificate is for. The common name is not one of them (RFC 9525, 2)."""
     try:
         found = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     except (x509.ExtensionNotFound, *UNREADABLE):
@@ -142,22 +145,22 @@
     try:
         private = load_pem_private_key(key, None)
     except TypeError:
-        return ["the key is encrypted; a daemon that starts by itself can't ask for its password"]
+        return ["the key is encrypted; expected an unencrypted one, since a daemon can't ask for a password"]
     except (ValueError, UnsupportedAlgorithm):
-        return ["the key can't be read: an unencrypted PEM key is wanted"]
+        return ["the key can't be read: expected an unencrypted PEM key"]
 
-    def same(public: object) -> bytes:
+    def encode(public: object) -> bytes:
         return public.public_bytes(Encoding.DER, PublicFormat.SubjectPublicKeyInfo)  # type: ignore[attr-defined,no-any-return]
 
-    if same(private.public_key()) != same(first.public_key()):
-        return ["the key is not the certificate's; both files must be of one pair"]
+    if encode(private.public_key()) != encode(first.public_key()):
+        return ["the key is not the certificate's; expected the files of one pair"]
     return []
 
 
 def _chain_problems(certificates: Sequence[x509.Certificate]) -> list[str]:
-    for number, (one, issuer) in enumerate(zip(certificates, certificates[1:], strict=False)):
+    for number, (certificate, issuer) in enumerate(zip(certificates, certificates[1:], strict=False)):
         try:
-            one.verify_directly_issued_by(issuer)
+            certificate.verify_directly_issued_by(issuer)
         except (ValueError, TypeError, InvalidSignature):
             return [f"certificate {number + 1} of the chain is not signed by the next one"]
     return []
@@ -165,65 +168,67 @@
 
 def _time_problems(certificates: Sequence[x509.Certificate], now: float) -> list[str]:
     problems = []
-    for number, one in enumerate(certificates, 1):
-        if one.not_valid_before_utc.timestamp() > now:
+    for number, certificate in enumerate(certificates, 1):
+        if certificate.not_valid_before_utc.timestamp() > now:
             problems.append(
-                f"certificate {number} is not valid before {one.not_valid_before_utc:%Y-%m-%d %H:%M} UTC"
+                f"certificate {number} is not valid before {certificate.not_valid_before_utc:%Y-%m-%d %H:%M} UTC"
             )
-        if one.not_valid_after_utc.timestamp() <= now:
+        if certificate.not_valid_after_utc.timestamp() <= now:
             problems.append(
-                f"certificate {number} has expired on {one.not_valid_after_utc:%Y-%m-%d %H:%M} UTC"
+                f"certificate {number} has expired on {certificate.not_valid_after_utc:%Y-%m-%d %H:%M} UTC"
             )
     return problems
 
 
 def _strength_problems(certificate: x509.Certificate) -> list[str]:
     public = certificate.public_key()
-    if isinstance(public, rsa.RSAPublicKey) and public.key_size < RSA_LEAST:
-        return [f"an RSA key of {public.key_size} bits; at least {RSA_LEAST}"]
-    if isinstance(public, ec.EllipticCurvePublicKey) and public.curve.key_size < EC_LEAST:
-        return [f"a key on a curve of {public.curve.key_size} bits; at least {EC_LEAST}"]
+    if isinstance(public, rsa.RSAPublicKey) and public.key_size < MIN_RSA_BITS:
+        return [f"an RSA key of {public.key_size} bits; expected at least {MIN_RSA_BITS}"]
+    if isinstance(public, ec.EllipticCurvePublicKey) and public.curve.key_size < MIN_EC_BITS:
+        return [f"a key on a curve of {public.curve.key_size} bits; expected at least {MIN_EC_BITS}"]
     if not isinstance(
         public, (rsa.RSAPublicKey, ec.EllipticCurvePublicKey, ed25519.Ed25519PublicKey, ed448.Ed448PublicKey)
     ):
-        return ["a key of a kind that is not used for TLS"]
+        return ["a key of an unsupported kind; expected RSA, EC, Ed25519 or Ed448"]
     try:
         algorithm = certificate.signature_hash_algorithm
     except UnsupportedAlgorithm:
-        return ["it is signed in a way that is not known"]
-    own = certificate.issuer == certificate.subject  # nobody checks the signature of a root
-    if isinstance(algorithm, WEAK_HASHES) and not own:
-        return [f"it is signed with {algorithm.name}"]
+        return ["its signature algorithm is unknown"]
+    self_signed = certificate.issuer == certificate.subject  # the signature of a root is not checked
+    if isinstance(algorithm, WEAK_HASHES) and not self_signed:
+        return [f"it is signed with {algorithm.name}, which is too weak"]
     return []
 
 
 def subjects_of(der: bytes) -> tuple[str, ...]:
-    """The names of a client's certificate: its hosts, addresses, mails and URIs, then its common names.
+    """Return the names in a client's certificate: hosts, addresses, mail addresses and URIs, then common names.
 
-    One that can't be read names nobody.
+    Returns none for a certificate that can't be read.
     """
     try:
         certificate = x509.load_der_x509_certificate(der)
-        commons = certificate.subject.get_attributes_for_oid(x509.NameOID.COMMON_NAME)
+        common_names = certificate.subject.get_attributes_for_oid(x509.NameOID.COMMON_NAME)
     except UNREADABLE:
         return ()
     found: list[str] = list(names_of(certificate))
     try:
-        other = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
-        found += other.get_values_for_type(x509.RFC822Name) + other.get_values_for_type(
+        alternative = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
+        found += alternative.get_values_for_type(x509.RFC822Name) + alternative.get_values_for_type(
             x509.UniformResourceIdentifier
         )
     except (x509.ExtensionNotFound, *UNREADABLE):
         pass
-    return (*found, *(str(common.value) for common in commons))
+    return (*found, *(str(common.value) for common in common_names))
 
 
 def read_roots(data: bytes, now: float) -> int:
-    """The number of certificates that a file of trust roots holds; PairError where none of them is valid now."""
+    """Return the number of certificates in a file of trust roots. Raises PairError if none of them is valid now."""
     try:
         found = x509.load_pem_x509_certificates(data) if b"BEGIN CERTIFICATE" in data else []
         valid = [
-            c for c in found if c.not_valid_before_utc.timestamp() <= now < c.not_valid_after_utc.timestamp()
+            root
+            for root in found
+            if root.not_valid_before_utc.timestamp() <= now < root.not_valid_after_utc.timestamp()
         ]
     except UNREADABLE as problem:
         raise PairError([f"holds a certificate that can't be read ({problem})"]) from None
@@ -235,22 +240,23 @@
 
 
 def read_revoked(data: bytes) -> int:
-    """The number of certificates that a list of revoked ones names; PairError where it is none."""
+    """Return the number of certificates in a list of revoked ones. Raises PairError if it is no such list."""
     try:
         return len(x509.load_pem_x509_crl(data))
     except UNREADABLE as problem:
-        raise PairError([f"is no list of revoked certificates in PEM form ({problem})"]) from None
+        raise PairError([f"holds no list of revoked certificates in PEM form ({problem})"]) from None
 
 
 def warn_level(not_after: float, now: float) -> int:
-    """How many of the marks in WARN_S have been passed: a warning is due each time that this grows."""
-    return sum(not_after - now <= mark for mark in WARN_S)
+    """Return how many thresholds of WARN_S have been passed; each increase calls for a warning."""
+    return sum(not_after - now <= threshold for threshold in WARN_S)
 
 
-def left_words(not_after: float, now: float) -> str:
-    left = not_after - now
+def describe_expiry(not_after: float, now: float) -> str:
+    """Return, in words, when a certificate expires or has expired."""
+    left_s = not_after - now
     when = datetime.datetime.fromtimestamp(not_after, datetime.UTC)
-    if left <= 0:
+    if left_s <= 0:
         return f"has expired on {when:%Y-%m-%d %H:%M} UTC"
-    span = f"{left / 86400:.0f} days" if left >= 2 * 86400 else f"{left / 3600:.0f} hours"
+    span = f"{left_s / 86400:.0f} days" if left_s >= 2 * 86400 else f"{left_s / 3600:.0f} hours"
     return f"ends in {span}, on {when:%Y-%m-%d %H:%M} UTC"
--- a/loadbalancer/tls/verdicts.py
+++ b/loadbalancer/tls/verdicts.py
@@ -1,16 +1,16 @@
-"""What a failed handshake with a member means: a sick member, or ourselves. Pure: times come in.
+"""Decides whether a failed handshake is a fault of the member or of this proxy. Pure: the caller passes the time.
 
-One member whose certificate has expired is a sick member. All of them at once is our trust store or our clock, and taking
-the whole pool out for it would outlast the mistake: members marked as failing are tried rarely, so service would come back
-long after the roots had been put right. So:
+One member whose certificate has expired is faulty. If the certificates of all members fail at once, the cause is our trust
+roots or our clock. Ejecting the whole pool then would outlast the mistake: members marked as failing are tried rarely, so
+service would come back long after the roots had been corrected. So:
 
-| what is seen | what it means | the module hears |
+| observation | fault | result for the policy |
 | --- | --- | --- |
-| a member's certificate is not accepted, others' are | the member's | no connection: it is passed over, and never ran |
-| the same reason at SHARE of the members that were tried of late, two at least, each accepted before or all new | ours | not sent: nothing is known of the member |
-| the handshake breaks off, times out, or is refused without a word on certificates | the member's | no connection |
+| a member's certificate is not accepted, others' are | the member's | no connection: the member is avoided; the request did not run |
+| the same reason at SHARE of the members that were tried recently, two at least, each accepted before or all new | ours | not sent: says nothing about the member |
+| the handshake is aborted, times out, or is refused without an alert on certificates | the member's | no connection |
 
-Either way nothing of the request has left: it may go elsewhere, and nobody whose key is not the right one gets it.
+In all cases nothing of the request has been sent: it may go to another member, and no peer without the right key gets it.
 """  # noqa: E501
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
     AttemptResult,
 )
 
-#: Share of the members tried within WINDOW_S that must fail for one reason.
+#: Share of the members tried within WINDOW_S, and their least number, that must fail for one reason.
 SHARE = 0.8
-LEAST = 2
+MIN_MEMBERS = 2
 WINDOW_S = 30.0
 
 
 class Reason(enum.Enum):
-    """Why a certificate is not accepted, or the handshake came to nothing."""
+    """Says why a handshake failed. The values are log texts."""
 
     EXPIRED = "expired"
     NOT_YET = "not valid yet"
@@ -45,7 +45,7 @@
         return self is not Reason.BROKEN
 
 
-#: OpenSSL's words for what it finds (X509_V_ERR_...), by number.
+#: Reasons by OpenSSL's verification error codes (X509_V_ERR_...).
 BY_CODE = {
     9: Reason.NOT_YET, 10: Reason.EXPIRED, 2: Reason.UNKNOWN, 18: Reason.UNKNOWN, 19: Reason.UNKNOWN, 20:
     Reason.UNKNOWN, 21: Reason.UNKNOWN, 23: Reason.REVOKED, 24: Reason.UNKNOWN, 26: Reason.UNKNOWN, 62: Reason.NAME,
@@ -53,32 +53,39 @@
 }  # fmt: skip
 
 
-class Verdicts:
-    """Of one pool."""
+class HandshakeResults:
+    """Holds the latest handshake result of each member of one pool."""
 
     def __init__(self) -> None:
-        self._latest: dict[str, tuple[float, Reason | None]] = {}  # what the last handshake with each came to
-        self.ours: Reason | None = None  # that stands for all, at present
+        self._latest: dict[
+            str, tuple[float, Reason | None]
+        ] = {}  # time and failure of each member's last handshake; None: it succeeded
+        self.common_failure: Reason | None = None  # reason of failures that are our fault at present, if any
 
     def accepted(self, member: str, now: float) -> bool:
-        """Whether this ends a time in which the fault was ours."""
+        """Record a successful handshake; return whether it ends a period in which the failures were our fault."""
         self._latest[member] = now, None
-        over, self.ours = self.ours is not None, None
-        return over
+        recovered, self.common_failure = self.common_failure is not None, None
+        return recovered
 
     def failed(self, member: str, reason: Reason, now: float) -> AttemptResult:
-        """What the module hears of the attempt. `ours` tells whether the fault is ours."""
+        """Record a failed handshake and return the result of the attempt for the policy.
+
+        Sets `common_failure` if the fault is ours.
+        """
         self._latest[member] = now, reason
         if not reason.is_of_certificates:
             return AttemptResult.NO_CONNECTION
-        lately = [why for at, why in self._latest.values() if now - at <= WINDOW_S]
-        same = Counter(why for why in lately if why is not None and why.is_of_certificates)[reason]
-        if same >= LEAST and same >= SHARE * len(lately):
-            self.ours = reason
+        recent_reasons = [recent for at, recent in self._latest.values() if now - at <= WINDOW_S]
+        same_reason = Counter(
+            recent for recent in recent_reasons if recent is not None and recent.is_of_certificates
+        )[reason]
+        if same_reason >= MIN_MEMBERS and same_reason >= SHARE * len(recent_reasons):
+            self.common_failure = reason
             return AttemptResult.NOT_SENT
-        self.ours = None
+        self.common_failure = None
         return AttemptResult.NO_CONNECTION
 
-    def gone(self, member: str) -> None:
-        """It is listed no more."""
+    def remove(self, member: str) -> None:
+        """Forget a member that is no longer listed."""
         self._latest.pop(member, None)
--- a/tests/certs.py
+++ b/tests/certs.py
@@ -1,4 +1,4 @@
-"""Certificates for tests: one authority for the whole run, pairs written where a test wants them."""
+"""Certificates for tests: one authority for the whole run, and helpers that write and load pairs."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 @cache
-def stranger() -> Authority:
-    """One that nobody trusts."""
+def untrusted_authority() -> Authority:
+    """Return an authority that no side trusts."""
     return Authority("somebody else")
 
 
 @cache
 def folder() -> Path:
-    """With a good pair for HOST and any member's name in the suite, and the roots."""
-    place = Path(tempfile.mkdtemp(prefix="certs-"))
-    write_pair(place, "good", authority().issue(HOST, "127.0.0.1", "member.test"))
-    write_private(place / "roots.pem", authority().pem)
-    return place
+    """Return a folder with the roots and a valid pair for HOST and all member names of the suite."""
+    path = Path(tempfile.mkdtemp(prefix="certs-"))
+    write_pair(path, "good", authority().issue(HOST, "127.0.0.1", "member.test"))
+    write_private(path / "roots.pem", authority().pem)
+    return path
 
 
 def server_table() -> ListenerTlsTable:
@@ -54,7 +54,7 @@
 
 
 def server_side(issued: Issued | None = None, roots: bytes | None = None) -> ssl.SSLContext:
-    """What a member, or another server, shows. With `roots`, clients must show a certificate too."""
+    """Return the context of a member or another server. With `roots`, clients must present a certificate too."""
     from loadbalancer.tls.contexts import as_file
 
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -74,6 +74,6 @@
 
 @cache
 def client_side() -> ssl.SSLContext:
-    """Trusts the authority."""
+    """Return a client's context that trusts the authority."""
     context = ssl.create_default_context(cadata=authority().pem.decode())
     return context
--- a/tests/test_damaged_certificates.py
+++ b/tests/test_damaged_certificates.py
@@ -1,4 +1,4 @@
-"""Files of certificates of which single fields can't be read: refused in words, and what served before goes on."""
+"""Tests of certificate files with unreadable fields: they are refused with a message, and the old pair stays in use."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 from loadbalancer.resource_limits import RateLimitedLogger
 from loadbalancer.tls import files
-from loadbalancer.tls.keeper import Watched
+from loadbalancer.tls.keeper import WatchedFiles
 from loadbalancer.tls.pairs import PairError, read_pair, read_revoked, read_roots, subjects_of
 
-#: Of random damage to one byte, so many cases for each kind of file.
-CASES = 400
+#: Number of files with one random damaged byte, for each kind of file.
+RANDOM_CASES = 400
 EC_POINT_BYTES = 65
 PRINTABLE = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/"
 
@@ -42,7 +42,7 @@
 
 
 def damage_key(der: bytes) -> bytes:
-    """Another point, which is not on the curve."""
+    """Replace the key by a point that is not on the curve."""
     key = x509.load_der_x509_certificate(der).public_key()
     point = key.public_bytes(Encoding.X962, PublicFormat.UncompressedPoint)
     assert len(point) == EC_POINT_BYTES
@@ -50,12 +50,12 @@
 
 
 def damage_curve(der: bytes) -> bytes:
-    """A curve that nobody knows, in place of P-256."""
+    """Replace P-256 by an unknown curve."""
     return replace_first(der, bytes.fromhex("2a8648ce3d030107"), bytes.fromhex("2a8648ce3d03017f"))
 
 
 def damage_issuer(der: bytes) -> bytes:
-    """A name that is no UTF-8."""
+    """Replace the issuer's name by bytes that are not UTF-8."""
     certificate = x509.load_der_x509_certificate(der)
     name = certificate.issuer.get_attributes_for_oid(x509.NameOID.COMMON_NAME)[0].value
     assert isinstance(name, str)
@@ -69,17 +69,17 @@
 DAMAGES: list[Callable[[bytes], bytes]] = [damage_key, damage_curve, damage_issuer, damage_version]
 
 
-# Guards against a field that is read late, and whose error is the library's.
+# Guards against fields that the library parses only on access, so that its own error escapes the checks.
 @pytest.mark.parametrize("damage", DAMAGES)
-def test_a_field_that_can_not_be_read_is_a_finding(damage: Callable[[bytes], bytes]) -> None:
+def test_an_unreadable_field_raises_pair_error(damage: Callable[[bytes], bytes]) -> None:
     pair = issued()
     with pytest.raises(PairError, match="certificate"):
         read_pair(in_pem(damage(first_der(pair.chain))), pair.key, time.time())
 
 
-# Guards against a damaged file of which operators hear nothing.
+# Guards against a damaged file that is not reported to operators.
 @pytest.mark.parametrize("damage", DAMAGES)
-def test_a_damaged_file_is_refused_and_the_next_good_one_is_taken(
+def test_a_damaged_file_is_refused_and_the_next_valid_one_is_loaded(
     damage: Callable[[bytes], bytes], tmp_path: Path
 ) -> None:
     first, second = issued(), issued()
@@ -93,10 +93,10 @@
 
     def write(chain: bytes) -> None:
         path.write_bytes(chain)
-        watched.look()  # sees that it changed
-        watched.look()  # and that it has settled
+        watched.look()  # detects the change
+        watched.look()  # the file has not changed since
 
-    watched = Watched([path], load, RateLimitedLogger(), "pair")
+    watched = WatchedFiles([path], load, RateLimitedLogger(), "pair")
     before = watched.value
     write(in_pem(damage(first_der(first.chain))))
     assert watched.value == before and watched.refused
@@ -104,14 +104,14 @@
     assert watched.value != before and not watched.refused
 
 
-# Guards against errors of the library that reach the callers of what reads files, or a client's handshake.
-def test_random_damage_is_a_finding_or_none() -> None:
+# Guards against errors of the library that reach the readers of certificate files or a client's handshake.
+def test_random_damage_raises_pair_error_or_is_accepted() -> None:
     source = random.Random(1)
     now = time.time()
     pair, authority = issued(), certs.authority()
     revoked = authority.revoked([5, 6])
     der = first_der(pair.chain)
-    for _ in range(CASES):
+    for _ in range(RANDOM_CASES):
         for read, data in (
             (lambda chain: read_pair(chain, pair.key, now), pair.chain),
             (lambda roots: read_roots(roots, now), authority.pem),
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -20,18 +20,25 @@
 )
 from loadbalancer.tls.demo import Authority, write_pair, write_private
 from loadbalancer.tls.handshakes import Bounds, Handshakes, Turn
-from loadbalancer.tls.keeper import Held, MemberKeys, ServerKeys, Warnings, reason_of, summary
-from loadbalancer.tls.names import Served, covers, is_name
+from loadbalancer.tls.keeper import (
+    ExpiryWarnings,
+    MemberKeys,
+    ServedCertificate,
+    ServerKeys,
+    reason_of,
+    summary,
+)
+from loadbalancer.tls.names import NameTable, covers, is_name
 from loadbalancer.tls.pairs import (
     WARN_S,
     PairError,
-    left_words,
+    describe_expiry,
     read_pair,
     read_revoked,
     read_roots,
     subjects_of,
 )
-from loadbalancer.tls.verdicts import WINDOW_S, Reason, Verdicts
+from loadbalancer.tls.verdicts import WINDOW_S, HandshakeResults, Reason
 
 # Names.
 
@@ -47,7 +54,7 @@
 
 
 def test_exact_before_wildcard_before_default_whatever_is_asked_for() -> None:
-    served = Served("default")
+    served = NameTable("default")
     served.add(["*.shop.test", "shop.test"], "shop")
     served.add(["a.shop.test"], "a")
     served.add(["shop.test"], "second")
@@ -102,7 +109,7 @@
 
 
 def test_no_more_than_the_most_and_known_clients_first_then_the_newest() -> None:
-    door = Door(most=2)
+    door = Door(max_concurrent=2)
     for name in "abcd":
         door.want(name, 0.0)
     door.want("known", 0.1, known=True)
@@ -115,7 +122,7 @@
 
 
 def test_strangers_that_never_finish_leave_room_for_known_clients() -> None:
-    door = Door(most=16, each=100, per_s=1000.0)
+    door = Door(max_concurrent=16, max_per_address=100, per_s=1000.0)
     for number in range(40):
         door.want(f"s{number}", 0.0)
     assert len(door.begun) == 14
@@ -123,11 +130,11 @@
         door.want(f"k{number}", 0.1, known=True)
     assert door.begun[14:] == ["k0", "k1"]
     door.end("k0", 0.2)
-    assert door.begun[-1] == "k2" and door.shakes.strangers_under_way == 14
+    assert door.begun[-1] == "k2" and door.shakes.unknown_under_way == 14
 
 
 def test_strangers_are_held_to_a_rate_and_known_clients_are_not() -> None:
-    door = Door(most=1000, per_s=10.0, waiting=1000)
+    door = Door(max_concurrent=1000, per_s=10.0, max_waiting=1000)
     for number in range(100):
         door.want(f"s{number}", 0.0)
     for number in range(50):
@@ -141,7 +148,7 @@
 
 
 def test_one_address_has_its_part_and_no_more() -> None:
-    door = Door(most=1, each=3)
+    door = Door(max_concurrent=1, max_per_address=3)
     for number in range(5):
         door.want(f"x{number}", 0.0, "10.0.0.1")
     door.want("other", 0.0, "10.0.0.2")
@@ -154,7 +161,7 @@
 
 
 def test_who_waits_too_long_or_is_one_too_many_is_dropped_once() -> None:
-    door = Door(most=1, waiting=2, patience=1.0)
+    door = Door(max_concurrent=1, max_waiting=2, patience=1.0)
     for name in "abcd":
         door.want(name, 0.0)
     assert list(door.dropped) == ["b"] and "wait" in door.dropped["b"]
@@ -169,7 +176,11 @@
 
 def test_a_pile_after_a_restart_is_worked_off_and_nothing_is_left_behind() -> None:
     """Two thousand at once, of which known clients are all served; whatever becomes of each, nothing stays counted."""
-    door, draws, now = Door(most=32, per_s=200.0, each=16, waiting=512, patience=2.5), random.Random(3), 0.0
+    door, draws, now = (
+        Door(max_concurrent=32, per_s=200.0, max_per_address=16, max_waiting=512, patience=2.5),
+        random.Random(3),
+        0.0,
+    )
     for number in range(2000):
         door.want(f"n{number}", now, f"10.0.{number % 200}.1", known=number % 10 == 0)
     under_way = list(door.begun)
@@ -178,7 +189,7 @@
         for name in draws.sample(under_way, min(4, len(under_way))):
             door.end(name, now)
         door.shakes.look(now)
-        under_way = [name for name in door.begun if not door.turns[name].over]
+        under_way = [name for name in door.begun if not door.turns[name].finished]
         assert door.shakes.under_way <= 32 and now < 60
     assert all(f"n{number}" in door.begun for number in range(0, 2000, 10))
     assert len(door.begun) + len(door.dropped) == 2000 and not door.shakes._by_address
@@ -189,7 +200,11 @@
 
 @given(STEPS)
 def test_every_turn_begins_or_is_dropped_and_counts_once(steps: list[tuple[str, int, float]]) -> None:
-    door, now, number = Door(most=2, per_s=3.0, each=2, waiting=3, patience=1.5), 0.0, 0
+    door, now, number = (
+        Door(max_concurrent=2, per_s=3.0, max_per_address=2, max_waiting=3, patience=1.5),
+        0.0,
+        0,
+    )
     for what, value, wait in steps:
         now += wait
         if what == "w":
@@ -206,39 +221,45 @@
     assert len(set(door.begun)) == len(door.begun) and not set(door.begun) & set(door.dropped)
 
 
-# Verdicts.
+# HandshakeResults.
 
 
 def test_one_member_that_fails_is_sick_and_all_of_them_are_our_fault() -> None:
-    seen = Verdicts()
+    results = HandshakeResults()
     for name in "abcd":
-        seen.accepted(name, 0.0)
-    assert seen.failed("a", Reason.EXPIRED, 1.0) == AttemptResult.NO_CONNECTION and seen.ours is None
-    assert seen.failed("b", Reason.EXPIRED, 1.1) == AttemptResult.NO_CONNECTION
-    assert seen.failed("c", Reason.EXPIRED, 1.2) == AttemptResult.NO_CONNECTION
-    assert seen.failed("d", Reason.EXPIRED, 1.3) == AttemptResult.NOT_SENT and seen.ours is Reason.EXPIRED
-    assert seen.failed("a", Reason.EXPIRED, 1.4) == AttemptResult.NOT_SENT
-    assert seen.accepted("b", 1.5) and seen.ours is None
-    assert seen.failed("a", Reason.EXPIRED, 1.6) == AttemptResult.NO_CONNECTION
+        results.accepted(name, 0.0)
+    assert (
+        results.failed("a", Reason.EXPIRED, 1.0) == AttemptResult.NO_CONNECTION
+        and results.common_failure is None
+    )
+    assert results.failed("b", Reason.EXPIRED, 1.1) == AttemptResult.NO_CONNECTION
+    assert results.failed("c", Reason.EXPIRED, 1.2) == AttemptResult.NO_CONNECTION
+    assert (
+        results.failed("d", Reason.EXPIRED, 1.3) == AttemptResult.NOT_SENT
+        and results.common_failure is Reason.EXPIRED
+    )
+    assert results.failed("a", Reason.EXPIRED, 1.4) == AttemptResult.NOT_SENT
+    assert results.accepted("b", 1.5) and results.common_failure is None
+    assert results.failed("a", Reason.EXPIRED, 1.6) == AttemptResult.NO_CONNECTION
 
 
 def test_different_reasons_and_broken_handshakes_are_the_members() -> None:
-    seen = Verdicts()
+    results = HandshakeResults()
     for name, reason in zip(
         "abcd", (Reason.EXPIRED, Reason.NAME, Reason.UNKNOWN, Reason.BROKEN), strict=True
     ):
-        assert seen.failed(name, reason, 1.0) == AttemptResult.NO_CONNECTION
+        assert results.failed(name, reason, 1.0) == AttemptResult.NO_CONNECTION
     for name in "abcd":
-        assert seen.failed(name, Reason.BROKEN, 2.0) == AttemptResult.NO_CONNECTION
-    assert seen.ours is None
+        assert results.failed(name, Reason.BROKEN, 2.0) == AttemptResult.NO_CONNECTION
+    assert results.common_failure is None
 
 
 def test_a_lone_member_is_never_our_fault_and_what_is_long_ago_does_not_count() -> None:
-    seen = Verdicts()
-    assert seen.failed("a", Reason.UNKNOWN, 1.0) == AttemptResult.NO_CONNECTION
-    assert seen.failed("b", Reason.UNKNOWN, 2.0 + WINDOW_S) == AttemptResult.NO_CONNECTION
-    seen.gone("a")
-    assert seen.failed("b", Reason.UNKNOWN, 3.0 + WINDOW_S) == AttemptResult.NO_CONNECTION
+    results = HandshakeResults()
+    assert results.failed("a", Reason.UNKNOWN, 1.0) == AttemptResult.NO_CONNECTION
+    assert results.failed("b", Reason.UNKNOWN, 2.0 + WINDOW_S) == AttemptResult.NO_CONNECTION
+    results.remove("a")
+    assert results.failed("b", Reason.UNKNOWN, 3.0 + WINDOW_S) == AttemptResult.NO_CONNECTION
 
 
 def test_reasons_of_problems() -> None:
@@ -302,7 +323,7 @@
     now, issued, roots = time.time(), wrong(), certs.authority().pem
     read_pair(issued.chain + roots, issued.key, now)
     for chain, key, words in (
-        (issued.chain + certs.stranger().pem, issued.key, "not signed by the next"),
+        (issued.chain + certs.untrusted_authority().pem, issued.key, "not signed by the next"),
         (b"nonsense", issued.key, "no certificate"),
         (issued.chain, b"nonsense", "key can't be read"),
         (issued.chain * 11, issued.key, "at most 10"),
@@ -423,7 +444,9 @@
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     write_pair(tmp_path, "b", certs.authority().issue("*.b.test"))
     ServerKeys(table("a", "b"), tmp_path, ["a.test", "x.b.test", "*.b.test"], Heard(), "main", Clock())
-    with pytest.raises(PairError, match="no certificate is for c.test, which routes want; there are: a.test"):
+    with pytest.raises(
+        PairError, match="no certificate is for c.test, which routes name; there are certificates for: a.test"
+    ):
         ServerKeys(table("a", "b"), tmp_path, ["a.test", "c.test"], Heard(), "main", Clock())
 
 
@@ -452,14 +475,14 @@
 
 def test_ends_are_warned_of_once_at_each_mark_also_past_them() -> None:
     heard, end = Heard(), 1e9
-    warnings, held = Warnings(heard), [Held("a.pem", ("a.test",), end, "f")]
+    warnings, held = ExpiryWarnings(heard), [ServedCertificate("a.pem", ("a.test",), end, "f")]
     for left in (31 * 86400, *(mark for at in WARN_S for mark in (at, at - 1)), 0.0, -5.0):
-        warnings.look(held, end - left)
+        warnings.check(held, end - left)
     assert heard.count("a certificate ends") == len(WARN_S) + 1
     assert "has expired" in heard.lines[-1]
-    warnings.look([Held("a.pem", ("a.test",), end + 1e9, "g")], end)
+    warnings.check([ServedCertificate("a.pem", ("a.test",), end + 1e9, "g")], end)
     assert heard.count("a certificate ends") == len(WARN_S) + 1
-    assert left_words(end, end - 3600 * 5).startswith("ends in 5 hours")
+    assert describe_expiry(end, end - 3600 * 5).startswith("ends in 5 hours")
 
 
 def test_a_clock_that_steps_past_the_end_takes_nothing_down(tmp_path: Path) -> None:
@@ -481,7 +504,7 @@
     assert keys.context("a") is keys.context("a") is not keys.context("b")
     assert keys.name_of("a", ("10.0.0.1", 443)) == "a"
     before = keys.context("a")
-    write_private(tmp_path / "roots.pem", certs.authority().pem + certs.stranger().pem)
+    write_private(tmp_path / "roots.pem", certs.authority().pem + certs.untrusted_authority().pem)
     for _ in range(2):
         keys.look()
     assert keys.context("a") is not before
--- a/tests/test_tls_combinations.py
+++ b/tests/test_tls_combinations.py
@@ -1,4 +1,4 @@
-"""The HTTP suite with TLS on either side, and the counts of plain HTTP: served, refused, failed and effects."""
+"""Runs the HTTP suite with TLS on either side and compares its counts: served, refused, failed and effects."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 import pytest
 from test_combinations import BY_CHANCE, SCENES, run
 
-#: Tests that are of a socket's own bytes, which TLS keeps to itself, and why.
-BYTES_OF_TCP: dict[str, str] = {}
+#: Tests that depend on the bytes of a TCP socket, which TLS encrypts, with the reason.
+PLAIN_TCP_TESTS: dict[str, str] = {}
 
 
-def taken(name: str) -> bool:
-    return not any(name.startswith(test) for test in BYTES_OF_TCP)
+def runs_with_tls(name: str) -> bool:
+    return not any(name.startswith(test) for test in PLAIN_TCP_TESTS)
 
 
-WITH_TLS = [scene for scene in SCENES if taken(scene[0])]
+WITH_TLS = [scene for scene in SCENES if runs_with_tls(scene[0])]
 
 
 @pytest.mark.parametrize("name, test, arguments", WITH_TLS, ids=[name for name, _, _ in WITH_TLS])
-def test_the_same_counts_with_tls_on_either_side(
+def test_tls_on_either_side_gives_the_counts_of_plain_http(
     name: str, test: Callable[..., None], arguments: dict[str, Any]
 ) -> None:
     plain = run(test, arguments, "http/1.1", "http/1.1")
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -141,7 +141,7 @@
                 await client.send(requests_to())
             await backend.until_called(2)
             assert sorted(seen) == [0, 1]
-            strange = certs.stranger().issue("screen.depot.test")
+            strange = certs.untrusted_authority().issue("screen.depot.test")
             for each in (None, revoked, strange):
                 with pytest.raises((ssl.SSLError, ConnectionError, asyncio.IncompleteReadError)):
                     client = await connect(here, context=client_context(each))
@@ -359,7 +359,7 @@
             "wrong name": lambda: member("sick", of="other"),
             "plain": lambda: ScriptedBackend("sick", OK),
             "unknown issuer": lambda: SecureMember(
-                "sick", OK, certs.server_side(certs.stranger().issue("sick"))
+                "sick", OK, certs.server_side(certs.untrusted_authority().issue("sick"))
             ),
             "revoked": lambda: SecureMember("sick", OK, certs.server_side(issued)),
         }
@@ -381,7 +381,7 @@
 
 def test_where_all_fail_for_one_reason_nobody_is_blamed_and_service_is_back_at_once(tmp_path: Path) -> None:
     files(tmp_path)
-    write_private(tmp_path / "roots.pem", certs.stranger().pem)  # the wrong roots
+    write_private(tmp_path / "roots.pem", certs.untrusted_authority().pem)  # the wrong roots
 
     async def scene() -> None:
         those = [member(name) for name in "abcd"]
@@ -390,8 +390,8 @@
                 assert (await here.ask(requests_to()))[0] == 503
             assert here.heard.count("our trust roots or our clock")
             keys, proxy = here.daemon.tls_keys, here.daemon.pools["p"].proxy
-            assert keys is not None and keys.pools["p"].verdicts.ours is not None
-            write_private(tmp_path / "roots.pem", certs.stranger().pem + certs.authority().pem)
+            assert keys is not None and keys.pools["p"].results.common_failure is not None
+            write_private(tmp_path / "roots.pem", certs.untrusted_authority().pem + certs.authority().pem)
             for _ in range(2):
                 keys.pools["p"].look()
             for _ in range(40):
