--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,5 +1,5 @@
-"""Keys and handshakes without a socket: which serves which name, who shakes hands when, whose fault a failure is, and
-what a pair is refused for."""
+"""Tests of TLS without sockets: certificates by name, limits on handshakes, failed handshakes with members, and the
+checks and reloads of certificates."""
 
 from __future__ import annotations
 
@@ -44,21 +44,23 @@
 
 
 @pytest.mark.parametrize(
-    "pattern, name, fits",
+    "pattern, name, expected",
     [("shop.test", "SHOP.test.", True), ("*.shop.test", "a.shop.test", True), ("*.shop.test", "a.b.shop.test", False),
      ("*.shop.test", "shop.test", False), ("*.shop.test", ".shop.test", False), ("*.shop.test", "*.shop.test", True),
      ("shop.test", "a.shop.test", False)],
 )  # fmt: skip
-def test_what_a_certificate_covers(pattern: str, name: str, fits: bool) -> None:
-    assert covers(pattern, name) == fits
-
-
-def test_exact_before_wildcard_before_default_whatever_is_asked_for() -> None:
-    served = NameTable("default")
-    served.add(["*.shop.test", "shop.test"], "shop")
-    served.add(["a.shop.test"], "a")
-    served.add(["shop.test"], "second")
-    asked: dict[Any, str] = {
+def test_a_certificate_covers_its_names_and_one_label_of_a_wildcard(
+    pattern: str, name: str, expected: bool
+) -> None:
+    assert covers(pattern, name) == expected
+
+
+def test_an_exact_name_precedes_a_wildcard_and_any_other_name_gets_the_default() -> None:
+    names = NameTable("default")
+    names.add(["*.shop.test", "shop.test"], "shop")
+    names.add(["a.shop.test"], "a")
+    names.add(["shop.test"], "second")
+    expected: dict[Any, str] = {
         "shop.test": "shop",
         "A.shop.test.": "a",
         "b.shop.test": "shop",
@@ -70,25 +72,25 @@
         "\0": "default",
         ".": "default",
     }
-    assert {name: served.find(name) for name in asked} == asked
-    assert served.names() == ["*.shop.test", "a.shop.test", "shop.test"]
+    assert {name: names.find(name) for name in expected} == expected
+    assert names.names() == ["*.shop.test", "a.shop.test", "shop.test"]
 
 
 @pytest.mark.parametrize(
     "name", ["", ".", "a..b", "a\0b", "a b", "x" * 64 + ".test", "é.test", "*", "a.*.test", "a/b"]
 )
-def test_what_is_no_name(name: str) -> None:
+def test_an_invalid_host_name_is_recognized(name: str) -> None:
     assert not is_name(name)
 
 
 # Handshakes.
 
 
-class Door:
-    """Turns, and what became of each."""
+class RecordedHandshakes:
+    """Handshakes of one listener, and the result of each."""
 
     def __init__(self, **bounds: Any) -> None:
-        self.shakes = Handshakes(Bounds(**bounds))
+        self.handshakes = Handshakes(Bounds(**bounds))
         self.begun: list[str] = []
         self.dropped: dict[str, str] = {}
         self.turns: dict[str, Turn] = {}
@@ -99,132 +101,139 @@
             known,
             now,
             lambda: self.begun.append(name),
-            lambda why: self.dropped.__setitem__(name, why),
+            lambda reason: self.dropped.__setitem__(name, reason),
         )
         self.turns[name] = turn
-        self.shakes.want(turn, now)
+        self.handshakes.want(turn, now)
 
     def end(self, name: str, now: float) -> None:
-        self.shakes.ended(self.turns[name], now)
+        self.handshakes.ended(self.turns[name], now)
 
 
-def test_no_more_than_the_most_and_known_clients_first_then_the_newest() -> None:
-    door = Door(max_concurrent=2)
+def test_concurrent_handshakes_are_limited_and_known_clients_then_the_newest_go_first() -> None:
+    recorded = RecordedHandshakes(max_concurrent=2)
     for name in "abcd":
-        door.want(name, 0.0)
-    door.want("known", 0.1, known=True)
-    assert door.begun == ["a", "b"] and door.shakes.waiting == 3
-    door.end("a", 0.2)
-    door.end("b", 0.2)
-    assert door.begun == ["a", "b", "known", "d"]
-    door.end("known", 0.3)
-    assert door.begun[-1] == "c" and door.shakes.under_way == 2
-
-
-def test_strangers_that_never_finish_leave_room_for_known_clients() -> None:
-    door = Door(max_concurrent=16, max_per_address=100, per_s=1000.0)
+        recorded.want(name, 0.0)
+    recorded.want("known", 0.1, known=True)
+    assert recorded.begun == ["a", "b"] and recorded.handshakes.waiting == 3
+    recorded.end("a", 0.2)
+    recorded.end("b", 0.2)
+    assert recorded.begun == ["a", "b", "known", "d"]
+    recorded.end("known", 0.3)
+    assert recorded.begun[-1] == "c" and recorded.handshakes.under_way == 2
+
+
+def test_unknown_clients_that_never_finish_leave_slots_for_known_clients() -> None:
+    recorded = RecordedHandshakes(max_concurrent=16, max_per_address=100, per_s=1000.0)
     for number in range(40):
-        door.want(f"s{number}", 0.0)
-    assert len(door.begun) == 14
+        recorded.want(f"s{number}", 0.0)
+    assert len(recorded.begun) == 14
     for number in range(3):
-        door.want(f"k{number}", 0.1, known=True)
-    assert door.begun[14:] == ["k0", "k1"]
-    door.end("k0", 0.2)
-    assert door.begun[-1] == "k2" and door.shakes.unknown_under_way == 14
+        recorded.want(f"k{number}", 0.1, known=True)
+    assert recorded.begun[14:] == ["k0", "k1"]
+    recorded.end("k0", 0.2)
+    assert recorded.begun[-1] == "k2" and recorded.handshakes.unknown_under_way == 14
 
 
-def test_strangers_are_held_to_a_rate_and_known_clients_are_not() -> None:
-    door = Door(max_concurrent=1000, per_s=10.0, max_waiting=1000)
+def test_the_rate_limit_holds_for_unknown_clients_only() -> None:
+    recorded = RecordedHandshakes(max_concurrent=1000, per_s=10.0, max_waiting=1000)
     for number in range(100):
-        door.want(f"s{number}", 0.0)
+        recorded.want(f"s{number}", 0.0)
     for number in range(50):
-        door.want(f"k{number}", 0.0, known=True)
-    assert len(door.begun) == 60
-    after = door.shakes.look(0.0)
-    assert after is not None and after == pytest.approx(0.1)
+        recorded.want(f"k{number}", 0.0, known=True)
+    assert len(recorded.begun) == 60
+    wait_s = recorded.handshakes.look(0.0)
+    assert wait_s is not None and wait_s == pytest.approx(0.1)
     for step in range(1, 101):
-        door.shakes.look(step / 100)
-    assert 69 <= len(door.begun) <= 70
+        recorded.handshakes.look(step / 100)
+    assert 69 <= len(recorded.begun) <= 70
 
 
-def test_one_address_has_its_part_and_no_more() -> None:
-    door = Door(max_concurrent=1, max_per_address=3)
+def test_handshakes_of_one_unknown_address_are_limited() -> None:
+    recorded = RecordedHandshakes(max_concurrent=1, max_per_address=3)
     for number in range(5):
-        door.want(f"x{number}", 0.0, "10.0.0.1")
-    door.want("other", 0.0, "10.0.0.2")
-    assert set(door.dropped) == {"x3", "x4"} and "of one address" in door.dropped["x3"]
-    door.end("x0", 0.1)
-    door.want("x5", 0.2, "10.0.0.1")
-    assert "x5" not in door.dropped
-    door.want("known", 0.2, "10.0.0.1", known=True)
-    assert "known" not in door.dropped
-
-
-def test_who_waits_too_long_or_is_one_too_many_is_dropped_once() -> None:
-    door = Door(max_concurrent=1, max_waiting=2, patience=1.0)
+        recorded.want(f"x{number}", 0.0, "10.0.0.1")
+    recorded.want("other", 0.0, "10.0.0.2")
+    assert set(recorded.dropped) == {"x3", "x4"} and "of one address" in recorded.dropped["x3"]
+    recorded.end("x0", 0.1)
+    recorded.want("x5", 0.2, "10.0.0.1")
+    assert "x5" not in recorded.dropped
+    recorded.want("known", 0.2, "10.0.0.1", known=True)
+    assert "known" not in recorded.dropped
+
+
+def test_a_handshake_that_waits_too_long_or_exceeds_the_queue_is_dropped_once() -> None:
+    recorded = RecordedHandshakes(max_concurrent=1, max_waiting=2, patience=1.0)
     for name in "abcd":
-        door.want(name, 0.0)
-    assert list(door.dropped) == ["b"] and "wait" in door.dropped["b"]
-    after = door.shakes.look(0.5)
-    assert after == pytest.approx(0.5)
-    assert door.shakes.look(1.0) is None
-    assert set(door.dropped) == {"b", "c", "d"}
+        recorded.want(name, 0.0)
+    assert list(recorded.dropped) == ["b"] and "wait" in recorded.dropped["b"]
+    wait_s = recorded.handshakes.look(0.5)
+    assert wait_s == pytest.approx(0.5)
+    assert recorded.handshakes.look(1.0) is None
+    assert set(recorded.dropped) == {"b", "c", "d"}
     for name in "abcd":
-        door.end(name, 1.1)
-    assert door.shakes.under_way == door.shakes.waiting == 0
+        recorded.end(name, 1.1)
+    assert recorded.handshakes.under_way == recorded.handshakes.waiting == 0
 
 
-def test_a_pile_after_a_restart_is_worked_off_and_nothing_is_left_behind() -> None:
-    """Two thousand at once, of which known clients are all served; whatever becomes of each, nothing stays counted."""
-    door, draws, now = (
-        Door(max_concurrent=32, per_s=200.0, max_per_address=16, max_waiting=512, patience=2.5),
+def test_a_burst_after_a_restart_is_worked_off_and_all_counts_return_to_zero() -> None:
+    """Of 2000 handshakes at once all those of known clients are served, and the counts return to zero."""
+    recorded, draws, now = (
+        RecordedHandshakes(max_concurrent=32, per_s=200.0, max_per_address=16, max_waiting=512, patience=2.5),
         random.Random(3),
         0.0,
     )
     for number in range(2000):
-        door.want(f"n{number}", now, f"10.0.{number % 200}.1", known=number % 10 == 0)
-    under_way = list(door.begun)
-    while door.shakes.under_way or door.shakes.waiting:
+        recorded.want(f"n{number}", now, f"10.0.{number % 200}.1", known=number % 10 == 0)
+    under_way = list(recorded.begun)
+    while recorded.handshakes.under_way or recorded.handshakes.waiting:
         now += 0.005
         for name in draws.sample(under_way, min(4, len(under_way))):
-            door.end(name, now)
-        door.shakes.look(now)
-        under_way = [name for name in door.begun if not door.turns[name].finished]
-        assert door.shakes.under_way <= 32 and now < 60
-    assert all(f"n{number}" in door.begun for number in range(0, 2000, 10))
-    assert len(door.begun) + len(door.dropped) == 2000 and not door.shakes._by_address
+            recorded.end(name, now)
+        recorded.handshakes.look(now)
+        under_way = [name for name in recorded.begun if not recorded.turns[name].finished]
+        assert recorded.handshakes.under_way <= 32 and now < 60
+    assert all(f"n{number}" in recorded.begun for number in range(0, 2000, 10))
+    assert len(recorded.begun) + len(recorded.dropped) == 2000 and not recorded.handshakes._by_address
 
 
-STEPS = st.lists(st.tuples(st.sampled_from("wel"), st.integers(0, 5), st.floats(0.0, 1.0)), max_size=80)
+HANDSHAKE_STEPS = st.lists(
+    st.tuples(st.sampled_from("wel"), st.integers(0, 5), st.floats(0.0, 1.0)), max_size=80
+)
 
 
-@given(STEPS)
-def test_every_turn_begins_or_is_dropped_and_counts_once(steps: list[tuple[str, int, float]]) -> None:
-    door, now, number = (
-        Door(max_concurrent=2, per_s=3.0, max_per_address=2, max_waiting=3, patience=1.5),
+@given(HANDSHAKE_STEPS)
+def test_every_handshake_begins_or_is_dropped_and_is_counted_once(
+    steps: list[tuple[str, int, float]],
+) -> None:
+    recorded, now, number = (
+        RecordedHandshakes(max_concurrent=2, per_s=3.0, max_per_address=2, max_waiting=3, patience=1.5),
         0.0,
         0,
     )
-    for what, value, wait in steps:
-        now += wait
-        if what == "w":
+    for action, value, wait_s in steps:
+        now += wait_s
+        if action == "w":
             number += 1
-            door.want(f"n{number}", now, f"10.0.0.{value}", known=value == 0)
-        elif what == "e" and door.begun:
-            door.end(door.begun[value % len(door.begun)], now)
+            recorded.want(f"n{number}", now, f"10.0.0.{value}", known=value == 0)
+        elif action == "e" and recorded.begun:
+            recorded.end(recorded.begun[value % len(recorded.begun)], now)
         else:
-            door.shakes.look(now)
-        assert 0 <= door.shakes.under_way <= 2 and door.shakes.waiting <= 3
-    for name in list(door.turns):
-        door.end(name, now)
-    assert door.shakes.under_way == door.shakes.waiting == 0 and not door.shakes._by_address
-    assert len(set(door.begun)) == len(door.begun) and not set(door.begun) & set(door.dropped)
+            recorded.handshakes.look(now)
+        assert 0 <= recorded.handshakes.under_way <= 2 and recorded.handshakes.waiting <= 3
+    for name in list(recorded.turns):
+        recorded.end(name, now)
+    assert (
+        recorded.handshakes.under_way == recorded.handshakes.waiting == 0
+        and not recorded.handshakes._by_address
+    )
+    assert len(set(recorded.begun)) == len(recorded.begun) and not set(recorded.begun) & set(recorded.dropped)
 
 
-# HandshakeResults.
+# Results of handshakes with members.
 
 
-def test_one_member_that_fails_is_sick_and_all_of_them_are_our_fault() -> None:
+def test_one_failing_member_is_at_fault_and_if_all_fail_the_proxy_is() -> None:
     results = HandshakeResults()
     for name in "abcd":
         results.accepted(name, 0.0)
@@ -243,7 +252,7 @@
     assert results.failed("a", Reason.EXPIRED, 1.6) == AttemptResult.NO_CONNECTION
 
 
-def test_different_reasons_and_broken_handshakes_are_the_members() -> None:
+def test_different_reasons_and_aborted_handshakes_are_faults_of_the_members() -> None:
     results = HandshakeResults()
     for name, reason in zip(
         "abcd", (Reason.EXPIRED, Reason.NAME, Reason.UNKNOWN, Reason.BROKEN), strict=True
@@ -254,7 +263,7 @@
     assert results.common_failure is None
 
 
-def test_a_lone_member_is_never_our_fault_and_what_is_long_ago_does_not_count() -> None:
+def test_a_single_member_is_at_fault_and_old_failures_do_not_count() -> None:
     results = HandshakeResults()
     assert results.failed("a", Reason.UNKNOWN, 1.0) == AttemptResult.NO_CONNECTION
     assert results.failed("b", Reason.UNKNOWN, 2.0 + WINDOW_S) == AttemptResult.NO_CONNECTION
@@ -262,7 +271,7 @@
     assert results.failed("b", Reason.UNKNOWN, 3.0 + WINDOW_S) == AttemptResult.NO_CONNECTION
 
 
-def test_reasons_of_problems() -> None:
+def test_errors_of_a_handshake_map_to_reasons() -> None:
     import ssl
 
     expired = ssl.SSLCertVerificationError("x")
@@ -279,11 +288,11 @@
 NOW = 1e9
 
 
-def wrong(*names: str, **more: Any) -> Any:
-    return certs.authority().issue(*(names or (certs.HOST,)), **more)
+def issue(*names: str, **options: Any) -> Any:
+    return certs.authority().issue(*(names or (certs.HOST,)), **options)
 
 
-def test_a_good_pair_and_what_is_known_of_it() -> None:
+def test_a_valid_pair_is_read_with_its_names_and_expiry() -> None:
     import time
 
     issued, now = certs.authority().issue("*.shop.test", "10.0.0.1"), time.time()
@@ -293,50 +302,50 @@
 
 
 @pytest.mark.parametrize(
-    "more, words",
+    "options, message",
     [
         ({"ends": -0.5}, "has expired"),
         ({"begins": 1.0}, "not valid before"),
         ({"bits": 1024}, "RSA key of 1024 bits"),
     ],
 )
-def test_a_pair_that_is_not_good_says_why(more: dict[str, Any], words: str) -> None:
+def test_an_invalid_pair_is_refused_with_the_reason(options: dict[str, Any], message: str) -> None:
     import time
 
-    issued = wrong(**more)
-    with pytest.raises(PairError, match=words):
+    issued = issue(**options)
+    with pytest.raises(PairError, match=message):
         read_pair(issued.chain, issued.key, time.time())
 
 
-def test_all_findings_are_told_at_once() -> None:
+def test_all_findings_are_reported_at_once() -> None:
     import time
 
-    one, other = wrong(ends=-0.5), wrong()
+    one, other = issue(ends=-0.5), issue()
     with pytest.raises(PairError) as caught:
         read_pair(one.chain, other.key, time.time(), ["else.test"])
     assert len(caught.value.problems) == 3 and "not the certificate's" in str(caught.value)
 
 
-def test_chains_keys_and_rubbish() -> None:
+def test_unusable_chains_and_keys_are_refused() -> None:
     import time
 
-    now, issued, roots = time.time(), wrong(), certs.authority().pem
+    now, issued, roots = time.time(), issue(), certs.authority().pem
     read_pair(issued.chain + roots, issued.key, now)
-    for chain, key, words in (
+    for chain, key, message in (
         (issued.chain + certs.untrusted_authority().pem, issued.key, "not signed by the next"),
         (b"nonsense", issued.key, "no certificate"),
         (issued.chain, b"nonsense", "key can't be read"),
         (issued.chain * 11, issued.key, "at most 10"),
         (b"x" * (2 << 20), issued.key, "at most"),
     ):
-        with pytest.raises(PairError, match=words):
+        with pytest.raises(PairError, match=message):
             read_pair(chain, key, now)
 
 
 @given(st.binary(max_size=60), st.integers(0, 400))
-def test_a_damaged_chain_is_an_error_or_as_good_as_it_says(rubbish: bytes, place: int) -> None:
-    issued = _one()
-    damaged = issued.chain[:place] + rubbish + issued.chain[place + len(rubbish) :]
+def test_a_damaged_chain_is_refused_or_still_valid(replacement: bytes, offset: int) -> None:
+    issued = _long_lived_pair()
+    damaged = issued.chain[:offset] + replacement + issued.chain[offset + len(replacement) :]
     try:
         pair = read_pair(damaged, issued.key, 1.8e9)
     except PairError:
@@ -344,7 +353,7 @@
     assert pair.fingerprint
 
 
-def _one() -> Any:
+def _long_lived_pair() -> Any:
     global _issued
     if _issued is None:
         _issued = certs.authority().issue("shop.test", ends=20_000)
@@ -354,7 +363,7 @@
 _issued: Any = None
 
 
-def test_roots_and_lists_of_revoked_ones() -> None:
+def test_roots_and_lists_of_revoked_certificates_are_counted_or_refused() -> None:
     import time
 
     now = time.time()
@@ -368,7 +377,7 @@
         read_revoked(certs.authority().pem)
 
 
-def test_the_names_of_a_client() -> None:
+def test_a_client_has_its_host_names_and_its_common_name() -> None:
     from cryptography import x509
     from cryptography.hazmat.primitives.serialization import Encoding
 
@@ -377,7 +386,7 @@
     assert subjects_of(der) == ("screen.depot.test", "depot 7")
 
 
-# Keys in service.
+# Certificates in use.
 
 
 class Clock:
@@ -390,11 +399,13 @@
         return self.now
 
 
-def table(*stems: str, **more: Any) -> ListenerTlsTable:
-    return ListenerTlsTable(certificate=[PairTable(chain=f"{s}.pem", key=f"{s}.key") for s in stems], **more)
+def table(*stems: str, **options: Any) -> ListenerTlsTable:
+    return ListenerTlsTable(
+        certificate=[PairTable(chain=f"{stem}.pem", key=f"{stem}.key") for stem in stems], **options
+    )
 
 
-def test_half_a_pair_on_disk_changes_nothing_and_the_whole_one_serves(tmp_path: Path) -> None:
+def test_half_a_new_pair_is_refused_and_the_complete_one_is_loaded(tmp_path: Path) -> None:
     heard, old, new = Heard(), certs.authority().issue("a.test"), certs.authority().issue("a.test")
     write_pair(tmp_path, "a", old)
     keys = ServerKeys(table("a"), tmp_path, ["a.test"], heard, "main", Clock())
@@ -408,29 +419,29 @@
     assert "not the certificate's" in keys.watched.refused and heard.count("keys not taken") == 1
     write_private(tmp_path / "a.key", new.key)
     keys.look()
-    assert keys.context is context  # a file that has just changed may still be written
+    assert keys.context is context  # a file that has just changed may not be complete
     keys.look()
     assert keys.held()[0].fingerprint != first and keys.context is not context and not keys.watched.refused
     assert heard.count("keys taken") == 1 and keys.watched.changes == 1
 
 
-@pytest.mark.parametrize("what", ["gone", "cut", "loose", "expired", "another name"])
-def test_a_bad_one_leaves_the_old(tmp_path: Path, what: str) -> None:
+@pytest.mark.parametrize("damage", ["gone", "cut", "loose", "expired", "another name"])
+def test_an_invalid_new_pair_leaves_the_old_one_in_use(tmp_path: Path, damage: str) -> None:
     heard = Heard()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     keys = ServerKeys(table("a"), tmp_path, ["a.test"], heard, "main", Clock())
     held = keys.held()
-    if what == "gone":
+    if damage == "gone":
         (tmp_path / "a.pem").unlink()
-    elif what == "cut":
+    elif damage == "cut":
         (tmp_path / "a.key").write_bytes((tmp_path / "a.key").read_bytes()[:50])
-    elif what == "loose":
+    elif damage == "loose":
         write_pair(tmp_path, "a", certs.authority().issue("a.test"))
         os.chmod(tmp_path / "a.key", 0o644)
     else:
         bad = (
             certs.authority().issue("a.test", ends=-0.1)
-            if what == "expired"
+            if damage == "expired"
             else certs.authority().issue("b.test")
         )
         write_pair(tmp_path, "a", bad)
@@ -440,7 +451,7 @@
     assert "PRIVATE" not in "".join(heard.lines)
 
 
-def test_names_that_routes_want_must_be_covered(tmp_path: Path) -> None:
+def test_the_host_names_of_routes_must_be_covered(tmp_path: Path) -> None:
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     write_pair(tmp_path, "b", certs.authority().issue("*.b.test"))
     ServerKeys(table("a", "b"), tmp_path, ["a.test", "x.b.test", "*.b.test"], Heard(), "main", Clock())
@@ -450,14 +461,14 @@
         ServerKeys(table("a", "b"), tmp_path, ["a.test", "c.test"], Heard(), "main", Clock())
 
 
-def test_a_key_that_is_open_to_others_never_serves(tmp_path: Path) -> None:
+def test_a_key_that_other_users_can_read_is_refused(tmp_path: Path) -> None:
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     os.chmod(tmp_path / "a.key", 0o644)
     with pytest.raises(PairError, match="chmod 600"):
         ServerKeys(table("a"), tmp_path, [], Heard(), "main", Clock())
 
 
-def test_tickets_get_new_keys_when_their_life_is_over(tmp_path: Path) -> None:
+def test_ticket_keys_are_renewed_after_ticket_life(tmp_path: Path) -> None:
     clock = Clock()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     keys = ServerKeys(table("a", ticket_life=Duration(60.0)), tmp_path, [], Heard(), "main", clock)
@@ -473,10 +484,15 @@
     assert keys.context is context
 
 
-def test_ends_are_warned_of_once_at_each_mark_also_past_them() -> None:
+def test_expiry_is_logged_once_at_each_threshold_and_once_after_it() -> None:
     heard, end = Heard(), 1e9
     warnings, held = ExpiryWarnings(heard), [ServedCertificate("a.pem", ("a.test",), end, "f")]
-    for left in (31 * 86400, *(mark for at in WARN_S for mark in (at, at - 1)), 0.0, -5.0):
+    for left in (
+        31 * 86400,
+        *(left for threshold in WARN_S for left in (threshold, threshold - 1)),
+        0.0,
+        -5.0,
+    ):
         warnings.check(held, end - left)
     assert heard.count("a certificate ends") == len(WARN_S) + 1
     assert "has expired" in heard.lines[-1]
@@ -485,7 +501,7 @@
     assert describe_expiry(end, end - 3600 * 5).startswith("ends in 5 hours")
 
 
-def test_a_clock_that_steps_past_the_end_takes_nothing_down(tmp_path: Path) -> None:
+def test_a_clock_that_jumps_past_the_expiry_leaves_the_context_in_use(tmp_path: Path) -> None:
     clock, heard = Clock(), Heard()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     keys = ServerKeys(table("a"), tmp_path, [], heard, "main", clock)
@@ -498,7 +514,7 @@
     )
 
 
-def test_members_have_contexts_of_their_own_until_roots_change(tmp_path: Path) -> None:
+def test_each_member_has_its_own_context_until_the_roots_change(tmp_path: Path) -> None:
     write_private(tmp_path / "roots.pem", certs.authority().pem)
     keys = MemberKeys(PoolTlsTable(roots=["roots.pem"]), tmp_path, Heard(), "p", Clock())
     assert keys.context("a") is keys.context("a") is not keys.context("b")
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -1,4 +1,4 @@
-"""TLS over sockets: by name, by client's certificate, towards members good and bad, keys that change under load."""
+"""Tests of TLS over sockets: server names, client certificates, certificates of members, and reloads under load."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 Scene = Callable[[], Awaitable[None]]
 OK = answering(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 WARM = 'rules = { new_members = "warm" }'
-#: What follows a listener's own keys.
+#: TLS table of the listener, written after the listener's own keys.
 TLS = '[listener.tls]\ncertificate = [{ chain = "a.pem", key = "a.key" }]\nhandshakes_per_s = 100000\n'
 
 
@@ -40,30 +40,32 @@
     uvloop.run(bounded())
 
 
-def files(folder: Path, *names: str) -> None:
+def write_files(folder: Path, *names: str) -> None:
     write_pair(folder, "a", certs.authority().issue(*(names or (certs.HOST,))))
     write_private(folder / "roots.pem", certs.authority().pem)
 
 
-def text(members: list[Any], tls: str = TLS, *more: str, keys: tuple[str, ...] = ()) -> str:
-    return "\n".join((LISTENER + tls, route("r", "p", *keys), pool("p", members, *more, WARM)))
+def configuration(members: list[Any], tls: str = TLS, *pool_keys: str, keys: tuple[str, ...] = ()) -> str:
+    return "\n".join((LISTENER + tls, route("r", "p", *keys), pool("p", members, *pool_keys, WARM)))
 
 
 async def connect(here: Ground, name: str = certs.HOST, context: ssl.SSLContext | None = None) -> Client:
     address = here.daemon.listeners["main"].address
-    found = await asyncio.open_connection(*address, ssl=context or certs.client_side(), server_hostname=name)
-    here.clients.append(Client(*found))
+    streams = await asyncio.open_connection(
+        *address, ssl=context or certs.client_side(), server_hostname=name
+    )
+    here.clients.append(Client(*streams))
     return here.clients[-1]
 
 
-async def ask(here: Ground, data: bytes, **more: Any) -> tuple[int, bytes, bytes]:
-    client = await connect(here, **more)
+async def exchange(here: Ground, data: bytes, **options: Any) -> tuple[int, bytes, bytes]:
+    client = await connect(here, **options)
     await client.send(data)
     return await client.read()
 
 
-def shown(client: Client) -> str:
-    """The SHA-256 of the certificate that the server has shown."""
+def fingerprint(client: Client) -> str:
+    """Return the SHA-256 of the server's certificate."""
     import hashlib
 
     return hashlib.sha256(client.writer.get_extra_info("ssl_object").getpeercert(True)).hexdigest()
@@ -72,20 +74,20 @@
 # Clients.
 
 
-def test_names_choose_certificates_and_members_hear_https(tmp_path: Path) -> None:
-    files(tmp_path, "a.test")
+def test_the_server_name_selects_the_certificate_and_members_get_proto_https(tmp_path: Path) -> None:
+    write_files(tmp_path, "a.test")
     write_pair(tmp_path, "b", certs.authority().issue("*.b.test"))
     both = TLS.replace("}]", '}, { chain = "b.pem", key = "b.key" }]')
 
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
-        async with ground(tmp_path, [backend], lambda: text([backend], both)) as here:
-            assert (await ask(here, requests_to(), name="a.test"))[0] == 200
-            assert (await ask(here, requests_to(), name="x.b.test"))[0] == 200
+        async with ground(tmp_path, [backend], lambda: configuration([backend], both)) as here:
+            assert (await exchange(here, requests_to(), name="a.test"))[0] == 200
+            assert (await exchange(here, requests_to(), name="x.b.test"))[0] == 200
             assert b"X-Forwarded-Proto: https\r\n" in backend.calls[0].head
             assert b";proto=https" in backend.calls[0].head
             with pytest.raises(ssl.SSLCertVerificationError, match="not valid for 'else.test'|mismatch"):
-                await connect(here, "else.test")  # the default's is shown, and the client judges
+                await connect(here, "else.test")  # gets the default certificate, and the client refuses it
             assert here.daemon.tls_keys is not None
             assert [row["names"] for row in here.daemon.tls_keys.summary()] == [["a.test"], ["*.b.test"]]
 
@@ -105,8 +107,8 @@
 TENANTS = '[[tenant]]\nname = "depots"\nquota_per_s = 100.0\n[[tenant]]\nname = "rest"\nquota_per_s = 1.0\n'
 
 
-def test_clients_certificates_say_whose_a_request_is(tmp_path: Path) -> None:
-    files(tmp_path)
+def test_the_client_certificate_determines_the_tenant(tmp_path: Path) -> None:
+    write_files(tmp_path)
     depot, revoked = certs.authority().issue("screen.depot.test"), certs.authority().issue("old.depot.test")
     write_private(tmp_path / "revoked.pem", certs.authority().revoked([revoked.serial]))
     mutual = TLS + (
@@ -116,7 +118,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("m", silent)
-        whole = TENANTS + text([backend], mutual, keys=('tenant = "rest"',))
+        whole = TENANTS + configuration([backend], mutual, keys=('tenant = "rest"',))
         async with ground(
             tmp_path,
             [backend],
@@ -124,63 +126,65 @@
                 whole.replace('address = ""', f'address = "{backend.address}"') if backend.address else whole
             ),
         ) as here:
-            here.write(TENANTS + text([backend], mutual, keys=('tenant = "rest"',)))
+            here.write(TENANTS + configuration([backend], mutual, keys=('tenant = "rest"',)))
             await here.reload()
-            seen: list[int] = []
+            tenants: list[int] = []
             proxy = here.daemon.pools["p"].proxy
             take = proxy.take
 
-            def note(request: Any, cls: int, left: float, tenant: int, *more: Any) -> None:
-                seen.append(tenant)
-                take(request, cls, left, tenant, *more)
+            def record(request: Any, cls: int, left_s: float, tenant: int, *options: Any) -> None:
+                tenants.append(tenant)
+                take(request, cls, left_s, tenant, *options)
 
-            proxy.take = note  # type: ignore[method-assign, assignment]
-            each: Any
-            for each in (depot, certs.authority().issue("someone.test")):
-                client = await connect(here, context=client_context(each))
+            proxy.take = record  # type: ignore[method-assign, assignment]
+            issued: Any
+            for issued in (depot, certs.authority().issue("someone.test")):
+                client = await connect(here, context=client_context(issued))
                 await client.send(requests_to())
             await backend.until_called(2)
-            assert sorted(seen) == [0, 1]
-            strange = certs.untrusted_authority().issue("screen.depot.test")
-            for each in (None, revoked, strange):
+            assert sorted(tenants) == [0, 1]
+            untrusted = certs.untrusted_authority().issue("screen.depot.test")
+            for issued in (None, revoked, untrusted):
                 with pytest.raises((ssl.SSLError, ConnectionError, asyncio.IncompleteReadError)):
-                    client = await connect(here, context=client_context(each))
-                    await client.send(requests_to())  # TLS 1.3 tells the client no sooner
+                    client = await connect(here, context=client_context(issued))
+                    await client.send(requests_to())  # with TLS 1.3 the client gets the alert only now
                     await client.read()
             assert len(backend.calls) == 2
 
     run(scene)
 
 
-def hello() -> bytes:
-    """The first bytes of a client."""
+def client_hello() -> bytes:
+    """Return the first bytes that a client sends."""
     incoming, outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
-    shaking = certs.client_side().wrap_bio(incoming, outgoing, server_hostname=certs.HOST)
+    handshake = certs.client_side().wrap_bio(incoming, outgoing, server_hostname=certs.HOST)
     with pytest.raises(ssl.SSLWantReadError):
-        shaking.do_handshake()
+        handshake.do_handshake()
     return outgoing.read()
 
 
-def test_plain_text_rubbish_and_a_hello_cut_at_every_byte_end_and_hold_nothing(tmp_path: Path) -> None:
-    files(tmp_path)
+def test_plain_text_random_bytes_and_truncated_client_hellos_release_their_connections(
+    tmp_path: Path,
+) -> None:
+    write_files(tmp_path)
 
     async def scene() -> None:
-        backend, data = ScriptedBackend("m", OK), hello()
-        async with ground(tmp_path, [backend], lambda: text([backend])) as here:
+        backend, data = ScriptedBackend("m", OK), client_hello()
+        async with ground(tmp_path, [backend], lambda: configuration([backend])) as here:
             listener = here.daemon.listeners["main"]
-            for first in (requests_to(), b"\x16\x03\x01\xff\xff", b"\0" * 70_000):
+            for data_sent in (requests_to(), b"\x16\x03\x01\xff\xff", b"\0" * 70_000):
                 client = await here.connect()
-                await client.send(first)
+                await client.send(data_sent)
                 try:
                     assert b"200" not in await client.ended()
                 except ConnectionError:
                     pass
-            for place in range(len(data)):
+            for length in range(len(data)):
                 sock = socket.create_connection(listener.address)
-                sock.sendall(data[:place])
+                sock.sendall(data[:length])
                 sock.close()
                 await asyncio.sleep(0)
-            assert (await ask(here, requests_to()))[0] == 200
+            assert (await exchange(here, requests_to()))[0] == 200
             await here.until(lambda: listener.taken == len(listener.connections))
             assert listener.tls is not None
             await here.until(lambda: not listener.tls or not listener.tls.handshakes.under_way)
@@ -189,37 +193,37 @@
     run(scene)
 
 
-def test_handshakes_that_are_never_finished_do_not_keep_a_known_client_out(tmp_path: Path) -> None:
-    files(tmp_path)
+def test_unfinished_handshakes_do_not_lock_out_a_known_client(tmp_path: Path) -> None:
+    write_files(tmp_path)
     few = TLS + 'handshakes_at_once = 4\nhandshakes_per_address = 3\nhandshake_time = "300ms"\n'
     known = '[listener.admission]\nknown = ["127.0.0.1/32"]\nreserve = 0.25\n'
 
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
-        async with ground(tmp_path, [backend], lambda: text([backend], few + known)) as here:
+        async with ground(tmp_path, [backend], lambda: configuration([backend], few + known)) as here:
             address = here.daemon.listeners["main"].address
-            door = here.daemon.listeners["main"].tls
-            assert door is not None
-            hanging = []
-            for number in range(60):  # strangers, of twenty addresses
+            acceptor = here.daemon.listeners["main"].tls
+            assert acceptor is not None
+            unfinished = []
+            for number in range(60):  # unknown clients with 20 addresses
                 sock = socket.socket()
                 sock.bind((f"127.0.1.{number % 20 + 1}", 0))
                 sock.setblocking(False)
                 await asyncio.get_running_loop().sock_connect(sock, address)
-                hanging.append(sock)
-            await here.until(lambda: door.handshakes.under_way == 4)
-            assert door.handshakes.under_way <= 4
-            assert (await ask(here, requests_to()))[0] == 200
-            await here.until(lambda: not door.handshakes.under_way and not door.handshakes.waiting)
-            assert door.handshakes.begun + door.handshakes.dropped == 61
-            for sock in hanging:
+                unfinished.append(sock)
+            await here.until(lambda: acceptor.handshakes.under_way == 4)
+            assert acceptor.handshakes.under_way <= 4
+            assert (await exchange(here, requests_to()))[0] == 200
+            await here.until(lambda: not acceptor.handshakes.under_way and not acceptor.handshakes.waiting)
+            assert acceptor.handshakes.begun + acceptor.handshakes.dropped == 61
+            for sock in unfinished:
                 sock.close()
 
     run(scene)
 
 
-def test_a_reload_takes_tls_off_and_open_connections_go_on(tmp_path: Path) -> None:
-    files(tmp_path)
+def test_a_reload_removes_tls_and_open_connections_continue(tmp_path: Path) -> None:
+    write_files(tmp_path)
 
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
@@ -228,7 +232,7 @@
         port = kept_port()
 
         def both(tls: str) -> str:
-            return text([backend], tls).replace(":0", f":{port}")
+            return configuration([backend], tls).replace(":0", f":{port}")
 
         async with ground(tmp_path, [backend], lambda: both(TLS)) as here:
             secure = await connect(here)
@@ -237,41 +241,41 @@
             assert (await here.ask(requests_to()))[0] == 200
             assert (await secure.ask(requests_to()))[0] == 200
             await here.reload(both(TLS))
-            assert (await ask(here, requests_to()))[0] == 200
+            assert (await exchange(here, requests_to()))[0] == 200
 
     run(scene)
 
 
-def test_keys_that_can_not_serve_are_told_and_a_reload_with_them_changes_nothing(tmp_path: Path) -> None:
+def test_unusable_certificates_are_reported_and_a_reload_with_them_changes_nothing(tmp_path: Path) -> None:
     write_pair(tmp_path, "a", certs.authority().issue("a.test", ends=-1.0))
     path = tmp_path / "c.toml"
-    path.write_text(text([Member("m")]).replace('address = ""', 'address = "127.0.0.1:9"'))
+    path.write_text(configuration([Member("m")]).replace('address = ""', 'address = "127.0.0.1:9"'))
 
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
         with pytest.raises(ConfigError, match=r"listener\[main\].tls.*has expired"):
-            async with ground(tmp_path, [backend], lambda: text([backend])):
+            async with ground(tmp_path, [backend], lambda: configuration([backend])):
                 pass
-        files(tmp_path)
-        async with ground(tmp_path, [backend], lambda: text([backend])) as here:
+        write_files(tmp_path)
+        async with ground(tmp_path, [backend], lambda: configuration([backend])) as here:
             os.chmod(tmp_path / "a.key", 0o666)
-            await here.reload(text([backend]) + "\n")
+            await here.reload(configuration([backend]) + "\n")
             assert here.daemon.reloads == 0 and here.heard.count("chmod 600")
-            assert (await ask(here, requests_to()))[0] == 200
+            assert (await exchange(here, requests_to()))[0] == 200
 
     run(scene)
 
 
-def test_a_key_is_replaced_under_load_and_no_request_and_no_handshake_is_lost(tmp_path: Path) -> None:
-    """Forty times here, each within two looks; benchmarks/tls.py has two hundred."""
-    files(tmp_path)
+def test_certificates_are_replaced_under_load_without_a_failed_request_or_handshake(tmp_path: Path) -> None:
+    """Forty replacements, each loaded within two polls; benchmarks/tls.py makes two hundred."""
+    write_files(tmp_path)
 
     async def scene() -> None:
         member = Member("m")
-        lost: list[str] = []
+        failures: list[str] = []
         served, stopped = 0, False
 
-        async with ground(tmp_path, [member], lambda: text([member])) as here:
+        async with ground(tmp_path, [member], lambda: configuration([member])) as here:
 
             async def client(kept: int) -> None:
                 nonlocal served
@@ -283,7 +287,7 @@
                             assert status == 200
                             served += 1
                     except (OSError, asyncio.IncompleteReadError) as problem:
-                        lost.append(repr(problem))
+                        failures.append(repr(problem))
                     finally:
                         connection.writer.close()
 
@@ -293,7 +297,7 @@
             tasks = [asyncio.ensure_future(client(kept)) for kept in (1, 1, 20, 20)]
             keys = here.daemon.tls_keys
             assert keys is not None
-            seen = set()
+            fingerprints = set()
             for _ in range(40):
                 issued = certs.authority().issue(certs.HOST)
                 write_private(tmp_path / "a.pem", issued.chain)
@@ -302,13 +306,13 @@
                 for _ in range(2):
                     keys.listeners["main"].look()
                 probe = await connect(here)
-                assert shown(probe) == keys.listeners["main"].held()[0].fingerprint
-                seen.add(shown(probe))
-                before = served
-                await here.until(partial(has_served, before + 4))
+                assert fingerprint(probe) == keys.listeners["main"].held()[0].fingerprint
+                fingerprints.add(fingerprint(probe))
+                served_before = served
+                await here.until(partial(has_served, served_before + 4))
             stopped = True
             await asyncio.gather(*tasks)
-            assert not lost and len(seen) == 40 and served > 160
+            assert not failures and len(fingerprints) == 40 and served > 160
             assert keys.listeners["main"].watched.changes == 40
 
     run(scene)
@@ -318,7 +322,7 @@
 
 
 class SecureMember(ScriptedBackend):
-    """Shows a certificate, counts who comes to a request."""
+    """Backend with a TLS certificate that records the requests it gets."""
 
     def __init__(self, name: str, script: Any, context: ssl.SSLContext) -> None:
         super().__init__(name, script)
@@ -331,29 +335,29 @@
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
 
 
-def member(name: str, script: Any = OK, **more: Any) -> SecureMember:
+def member(name: str, script: Any = OK, **options: Any) -> SecureMember:
     return SecureMember(
-        name, script, certs.server_side(certs.authority().issue(more.pop("of", name), **more))
+        name, script, certs.server_side(certs.authority().issue(options.pop("of", name), **options))
     )
 
 
 POOL_TLS = 'tls = { roots = ["roots.pem"] }'
 
 
-def over_tls(members: list[Any], *more: str) -> str:
-    return text(members, "", *(more or (POOL_TLS,)))
+def with_member_tls(members: list[Any], *pool_keys: str) -> str:
+    return configuration(members, "", *(pool_keys or (POOL_TLS,)))
 
 
-@pytest.mark.parametrize("bad", ["expired", "not yet", "wrong name", "unknown issuer", "plain", "revoked"])
-def test_a_member_whose_key_is_not_the_right_one_gets_no_request(tmp_path: Path, bad: str) -> None:
-    files(tmp_path)
+@pytest.mark.parametrize("fault", ["expired", "not yet", "wrong name", "unknown issuer", "plain", "revoked"])
+def test_a_member_with_an_invalid_certificate_gets_no_request(tmp_path: Path, fault: str) -> None:
+    write_files(tmp_path)
 
     async def scene() -> None:
         issued = certs.authority().issue("sick")
         write_private(
-            tmp_path / "revoked.pem", certs.authority().revoked([issued.serial] if bad == "revoked" else [])
+            tmp_path / "revoked.pem", certs.authority().revoked([issued.serial] if fault == "revoked" else [])
         )
-        made: dict[str, Callable[[], Any]] = {
+        factories: dict[str, Callable[[], Any]] = {
             "expired": lambda: member("sick", ends=-0.1),
             "not yet": lambda: member("sick", begins=1.0),
             "wrong name": lambda: member("sick", of="other"),
@@ -363,15 +367,15 @@
             ),
             "revoked": lambda: SecureMember("sick", OK, certs.server_side(issued)),
         }
-        sick = made[bad]()
+        sick = factories[fault]()
         well = [member(name) for name in ("w1", "w2", "w3")]
-        those = [sick, *well]
+        members = [sick, *well]
         tls = 'tls = { roots = ["roots.pem"], revoked = "revoked.pem" }'
-        async with ground(tmp_path, those, lambda: over_tls(those, tls)) as here:
+        async with ground(tmp_path, members, lambda: with_member_tls(members, tls)) as here:
             for _ in range(40):
                 assert (await here.ask(requests_to("/", "POST", b"x")))[
                     0
-                ] == 200  # it never ran: it may go on
+                ] == 200  # the request did not run, so it may be retried
             assert not sick.calls and sum(len(m.calls) for m in well) == 40
             assert here.daemon.pools["p"].proxy.avoided_count() == 1
             assert here.heard.count("of sick") or here.heard.count("with sick")
@@ -379,13 +383,15 @@
     run(scene)
 
 
-def test_where_all_fail_for_one_reason_nobody_is_blamed_and_service_is_back_at_once(tmp_path: Path) -> None:
-    files(tmp_path)
+def test_if_all_members_fail_for_one_reason_none_is_avoided_and_service_recovers_at_once(
+    tmp_path: Path,
+) -> None:
+    write_files(tmp_path)
     write_private(tmp_path / "roots.pem", certs.untrusted_authority().pem)  # the wrong roots
 
     async def scene() -> None:
-        those = [member(name) for name in "abcd"]
-        async with ground(tmp_path, those, lambda: over_tls(those)) as here:
+        members = [member(name) for name in "abcd"]
+        async with ground(tmp_path, members, lambda: with_member_tls(members)) as here:
             for _ in range(20):
                 assert (await here.ask(requests_to()))[0] == 503
             assert here.heard.count("our trust roots or our clock")
@@ -398,13 +404,13 @@
                 assert (await here.ask(requests_to()))[0] == 200
             await here.until(lambda: proxy.avoided_count() <= 1)
             assert here.heard.count("are accepted again")
-            assert sum(bool(m.calls) for m in those) >= 3 and not sum(not m.calls for m in those) > 1
+            assert sum(bool(m.calls) for m in members) >= 3 and not sum(not m.calls for m in members) > 1
 
     run(scene)
 
 
-def test_our_certificate_is_shown_and_sessions_are_resumed(tmp_path: Path) -> None:
-    files(tmp_path)
+def test_the_proxy_presents_its_certificate_to_members(tmp_path: Path) -> None:
+    write_files(tmp_path)
     write_pair(tmp_path, "mine", certs.authority().issue("proxy.test"))
 
     async def scene() -> None:
@@ -412,15 +418,15 @@
         reused: list[bool] = []
 
         async def script(call: Call) -> None:
-            shaken = call.writer.get_extra_info("ssl_object")
-            reused.append(shaken.session_reused)
-            assert ("DNS", "proxy.test") in shaken.getpeercert()["subjectAltName"]
+            ssl_object = call.writer.get_extra_info("ssl_object")
+            reused.append(ssl_object.session_reused)
+            assert ("DNS", "proxy.test") in ssl_object.getpeercert()["subjectAltName"]
             await call.say(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok")
 
         backend = SecureMember("m", script, context)
         tls = 'tls = { roots = ["roots.pem"], certificate = { chain = "mine.pem", key = "mine.key" } }'
         async with ground(
-            tmp_path, [backend], lambda: over_tls([backend], tls, "limits = { attempts = 1 }")
+            tmp_path, [backend], lambda: with_member_tls([backend], tls, "limits = { attempts = 1 }")
         ) as here:
             for _ in range(3):
                 assert (await here.ask(requests_to()))[0] == 200
@@ -429,8 +435,8 @@
     run(scene)
 
 
-def test_kept_connections_to_members_resume_their_sessions(tmp_path: Path) -> None:
-    files(tmp_path)
+def test_new_connections_to_members_resume_the_tls_session(tmp_path: Path) -> None:
+    write_files(tmp_path)
 
     async def scene() -> None:
         reused: list[bool] = []
@@ -440,7 +446,7 @@
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
         backend = SecureMember("m", script, certs.server_side(certs.authority().issue("m")))
-        async with ground(tmp_path, [backend], lambda: over_tls([backend])) as here:
+        async with ground(tmp_path, [backend], lambda: with_member_tls([backend])) as here:
             for _ in range(3):
                 assert (await here.ask(requests_to()))[0] == 200
                 here.daemon.pools["p"].proxy.upstreams.close_idle("m")
@@ -449,12 +455,12 @@
     run(scene)
 
 
-def cut(whole: bool, length: str) -> Any:
-    """An answer of which the end is that of the connection, told by TLS or not."""
+def close_after_half(closes_tls: bool, length: str) -> Any:
+    """Return a script whose answer ends with its connection, with a TLS close_notify or without one."""
 
     async def script(call: Call) -> None:
         await call.say(b"HTTP/1.1 200 OK\r\nConnection: close\r\n" + length.encode() + b"\r\nhalf of")
-        if whole:
+        if closes_tls:
             call.writer.close()
         else:
             call.writer.transport.abort()
@@ -463,25 +469,27 @@
 
 
 @pytest.mark.parametrize(
-    "whole, length, status", [(True, "", 200), (False, "", 502), (False, "Content-Length: 20\r\n", 502)]
+    "closes_tls, length, status", [(True, "", 200), (False, "", 502), (False, "Content-Length: 20\r\n", 502)]
 )
-def test_an_answer_that_is_cut_without_a_word_is_not_whole(
-    tmp_path: Path, whole: bool, length: str, status: int
+def test_an_answer_that_ends_without_close_notify_is_incomplete(
+    tmp_path: Path, closes_tls: bool, length: str, status: int
 ) -> None:
-    files(tmp_path)
+    write_files(tmp_path)
 
     async def scene() -> None:
-        backend = member("m", cut(whole, length))
-        more = (POOL_TLS, "close_delimited = true")
-        async with ground(tmp_path, [backend], lambda: over_tls([backend], *more)) as here:
-            got, _, body = await here.ask(requests_to("/", "POST", b"x"))
-            assert got == status and (body == b"half of") == whole and len(backend.calls) == 1
+        backend = member("m", close_after_half(closes_tls, length))
+        pool_keys = (POOL_TLS, "close_delimited = true")
+        async with ground(tmp_path, [backend], lambda: with_member_tls([backend], *pool_keys)) as here:
+            answered, _, body = await here.ask(requests_to("/", "POST", b"x"))
+            assert answered == status and (body == b"half of") == closes_tls and len(backend.calls) == 1
 
     run(scene)
 
 
-def test_a_reset_in_the_middle_of_a_handshake_never_ran(tmp_path: Path) -> None:
-    files(tmp_path)
+def test_a_reset_during_a_handshake_counts_as_no_connection_and_the_request_is_retried(
+    tmp_path: Path,
+) -> None:
+    write_files(tmp_path)
 
     async def scene() -> None:
         async def reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -490,22 +498,22 @@
 
         sick = ScriptedBackend("sick", OK)
         well = member("well")
-        async with ground(tmp_path, [well], lambda: over_tls([well])) as here:
+        async with ground(tmp_path, [well], lambda: with_member_tls([well])) as here:
             sick.server = await asyncio.start_server(reset, "127.0.0.1", 0)
             sick.address = "{}:{}".format(*sick.server.sockets[0].getsockname())
-            await here.reload(over_tls([sick, well]))
-            told: list[Any] = []
+            await here.reload(with_member_tls([sick, well]))
+            results: list[Any] = []
             proxy = here.daemon.pools["p"].proxy
             finish = proxy.finish_attempt
 
-            def note(attempt: Any, result: AttemptResult, *more: Any) -> None:
-                told.append((attempt.endpoint, result))
-                finish(attempt, result, *more)
+            def record(attempt: Any, result: AttemptResult, *options: Any) -> None:
+                results.append((attempt.endpoint, result))
+                finish(attempt, result, *options)
 
-            proxy.finish_attempt = note  # type: ignore[method-assign, assignment]
-            while ("sick", AttemptResult.NO_CONNECTION) not in told:
+            proxy.finish_attempt = record  # type: ignore[method-assign, assignment]
+            while ("sick", AttemptResult.NO_CONNECTION) not in results:
                 assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 200
-            assert {result for name, result in told if name == "sick"} == {AttemptResult.NO_CONNECTION}
+            assert {result for name, result in results if name == "sick"} == {AttemptResult.NO_CONNECTION}
             await sick.stop()
 
     run(scene)
@@ -514,7 +522,9 @@
 # The command.
 
 
-def test_the_verbs_check_and_demo(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_tls_verbs_check_and_create_certificates(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     folder = tmp_path / "demo"
     assert main(["tls", "demo", str(folder), "--name", "a.test"]) == 0
     assert (folder / "server.key").stat().st_mode & 0o777 == 0o600
@@ -534,14 +544,14 @@
         loop = asyncio.get_running_loop()
         roots = tmp_path / "roots.pem"
         write_private(roots, certs.authority().pem)
-        for words, code in (
+        for options, code in (
             ([], 0),
             (["--roots", str(roots), "--name", "m"], 0),
             (["--roots", str(folder / "roots.pem"), "--name", "m"], 1),
         ):
             assert (
-                await loop.run_in_executor(None, main, ["tls", "check", backend.address, *words]) == code
-            ), words
+                await loop.run_in_executor(None, main, ["tls", "check", backend.address, *options]) == code
+            ), options
         await backend.stop()
 
     run(scene)
@@ -549,14 +559,16 @@
 
 
 @pytest.mark.parametrize(
-    "lines, words",
+    "lines, message",
     [("certificate = []", "at least one pair"), ('clients = "required"', "client_roots"),
      ('client_roots = ["roots.pem"]', "go with clients"), ('tenants = { "a" = "b" }', "goes with clients"),
      ('clients = "optional"\nclient_roots = ["roots.pem"]\ntenants = { "a" = "b" }', "no .*named 'b'")],
 )  # fmt: skip
-def test_tables_that_do_not_fit_are_refused(tmp_path: Path, lines: str, words: str) -> None:
+def test_inconsistent_tls_tables_are_refused(tmp_path: Path, lines: str, message: str) -> None:
     tls = TLS if not lines.startswith("certificate") else "[listener.tls]\n"
     path = tmp_path / "c.toml"
-    path.write_text(text([], tls + lines + "\n") + '[[pool.member]]\nid = "m"\naddress = "127.0.0.1:9"\n')
-    with pytest.raises(ConfigError, match=words):
+    path.write_text(
+        configuration([], tls + lines + "\n") + '[[pool.member]]\nid = "m"\naddress = "127.0.0.1:9"\n'
+    )
+    with pytest.raises(ConfigError, match=message):
         load(path)
