--- a/loadbalancer/cli/serve_daemon.py
+++ b/loadbalancer/cli/serve_daemon.py
@@ -113,7 +113,7 @@
     """
     if daemon.inherited is None:
         return
-    connection = daemon.inherited.serving()
+    connection = daemon.inherited.confirm_serving()
     daemon.inherited = None
     if daemon.admin is not None:
         daemon.admin.predecessor.connect(connection)
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -19,7 +19,7 @@
 from typing import Any, AsyncIterator, cast
 
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from peers import PATIENCE, Call, Client, ScriptedBackend, answering, play, read_message
 
 from loadbalancer.admission.admission import MALFORMED_SCORE, NO_REQUEST_SCORE, RESERVE_KEPT_SHARE
@@ -82,18 +82,18 @@
 
 def daemon_with_rules(
     folder: Path, member: ScriptedBackend, rules: str
-) -> AbstractAsyncContextManager[Ground]:
+) -> AbstractAsyncContextManager[DaemonHarness]:
     """Run a daemon with these lines before one route to one member."""
-    return ground(folder, [member], lambda: rules + route("all", "a") + pool("a", [member]))
+    return running_daemon(folder, [member], lambda: rules + route("all", "a") + pool("a", [member]))
 
 
-def gate(here: Ground) -> AdmissionGate:
+def gate(here: DaemonHarness) -> AdmissionGate:
     found = here.daemon.listeners["main"].gate
     assert found is not None
     return found
 
 
-def open_connections(here: Ground, source: str) -> int:
+def open_connections(here: DaemonHarness, source: str) -> int:
     return gate(here).admission.addresses.get_or_add(source, 0.0).connections
 
 
@@ -278,7 +278,7 @@
         def text() -> str:
             return rules + route("all", "a") + pool("a", [member])
 
-        async with ground(tmp_path, [member], text) as here:
+        async with running_daemon(tmp_path, [member], text) as here:
             address = here.daemon.listeners["main"].address
             before = gate(here)
             flood = [await connect(address, FLOOD) for _ in range(8)]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -10,7 +10,7 @@
 
 import certs
 import pytest
-from daemons import Heard
+from daemons import RecordingLogger
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -406,7 +406,7 @@
 
 
 def test_half_a_new_pair_is_refused_and_the_complete_one_is_loaded(tmp_path: Path) -> None:
-    heard, old, new = Heard(), certs.authority().issue("a.test"), certs.authority().issue("a.test")
+    heard, old, new = RecordingLogger(), certs.authority().issue("a.test"), certs.authority().issue("a.test")
     write_pair(tmp_path, "a", old)
     keys = ServerKeys(table("a"), tmp_path, ["a.test"], heard, "main", Clock())
     first, context = keys.held()[0].fingerprint, keys.context
@@ -427,7 +427,7 @@
 
 @pytest.mark.parametrize("damage", ["gone", "cut", "loose", "expired", "another name"])
 def test_an_invalid_new_pair_leaves_the_old_one_in_use(tmp_path: Path, damage: str) -> None:
-    heard = Heard()
+    heard = RecordingLogger()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     keys = ServerKeys(table("a"), tmp_path, ["a.test"], heard, "main", Clock())
     held = keys.held()
@@ -454,24 +454,26 @@
 def test_the_host_names_of_routes_must_be_covered(tmp_path: Path) -> None:
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     write_pair(tmp_path, "b", certs.authority().issue("*.b.test"))
-    ServerKeys(table("a", "b"), tmp_path, ["a.test", "x.b.test", "*.b.test"], Heard(), "main", Clock())
+    ServerKeys(
+        table("a", "b"), tmp_path, ["a.test", "x.b.test", "*.b.test"], RecordingLogger(), "main", Clock()
+    )
     with pytest.raises(
         PairError, match="no certificate is for c.test, which routes name; there are certificates for: a.test"
     ):
-        ServerKeys(table("a", "b"), tmp_path, ["a.test", "c.test"], Heard(), "main", Clock())
+        ServerKeys(table("a", "b"), tmp_path, ["a.test", "c.test"], RecordingLogger(), "main", Clock())
 
 
 def test_a_key_that_other_users_can_read_is_refused(tmp_path: Path) -> None:
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     os.chmod(tmp_path / "a.key", 0o644)
     with pytest.raises(PairError, match="chmod 600"):
-        ServerKeys(table("a"), tmp_path, [], Heard(), "main", Clock())
+        ServerKeys(table("a"), tmp_path, [], RecordingLogger(), "main", Clock())
 
 
 def test_ticket_keys_are_renewed_after_ticket_life(tmp_path: Path) -> None:
     clock = Clock()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
-    keys = ServerKeys(table("a", ticket_life=Duration(60.0)), tmp_path, [], Heard(), "main", clock)
+    keys = ServerKeys(table("a", ticket_life=Duration(60.0)), tmp_path, [], RecordingLogger(), "main", clock)
     context = keys.context
     clock.now += 59
     keys.look()
@@ -485,7 +487,7 @@
 
 
 def test_expiry_is_logged_once_at_each_threshold_and_once_after_it() -> None:
-    heard, end = Heard(), 1e9
+    heard, end = RecordingLogger(), 1e9
     warnings, held = ExpiryWarnings(heard), [ServedCertificate("a.pem", ("a.test",), end, "f")]
     for left in (
         31 * 86400,
@@ -502,7 +504,7 @@
 
 
 def test_a_clock_that_jumps_past_the_expiry_leaves_the_context_in_use(tmp_path: Path) -> None:
-    clock, heard = Clock(), Heard()
+    clock, heard = Clock(), RecordingLogger()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     keys = ServerKeys(table("a"), tmp_path, [], heard, "main", clock)
     context = keys.context
@@ -516,7 +518,7 @@
 
 def test_each_member_has_its_own_context_until_the_roots_change(tmp_path: Path) -> None:
     write_private(tmp_path / "roots.pem", certs.authority().pem)
-    keys = MemberKeys(PoolTlsTable(roots=["roots.pem"]), tmp_path, Heard(), "p", Clock())
+    keys = MemberKeys(PoolTlsTable(roots=["roots.pem"]), tmp_path, RecordingLogger(), "p", Clock())
     assert keys.context("a") is keys.context("a") is not keys.context("b")
     assert keys.name_of("a", ("10.0.0.1", 443)) == "a"
     before = keys.context("a")
@@ -525,6 +527,6 @@
         keys.look()
     assert keys.context("a") is not before
     by_address = MemberKeys(
-        PoolTlsTable(roots=["roots.pem"], name="address"), tmp_path, Heard(), "p", Clock()
+        PoolTlsTable(roots=["roots.pem"], name="address"), tmp_path, RecordingLogger(), "p", Clock()
     )
     assert by_address.name_of("a", ("10.0.0.1", 443)) == "10.0.0.1"
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -12,7 +12,7 @@
 
 import certs
 import pytest
-from daemons import LISTENER, Ground, ground, pool, requests_to, route
+from daemons import LISTENER, DaemonHarness, pool, requests_to, route, running_daemon
 from peers import Call, Client, ScriptedBackend, answering, silent
 
 from loadbalancer.cli.__main__ import main
@@ -49,7 +49,9 @@
     return "\n".join((LISTENER + tls, route("r", "p", *keys), pool("p", members, *pool_keys, WARM)))
 
 
-async def connect(here: Ground, name: str = certs.HOST, context: ssl.SSLContext | None = None) -> Client:
+async def connect(
+    here: DaemonHarness, name: str = certs.HOST, context: ssl.SSLContext | None = None
+) -> Client:
     address = here.daemon.listeners["main"].address
     streams = await asyncio.open_connection(
         *address, ssl=context or certs.client_side(), server_hostname=name
@@ -58,7 +60,7 @@
     return here.clients[-1]
 
 
-async def exchange(here: Ground, data: bytes, **options: Any) -> tuple[int, bytes, bytes]:
+async def exchange(here: DaemonHarness, data: bytes, **options: Any) -> tuple[int, bytes, bytes]:
     client = await connect(here, **options)
     await client.send(data)
     return await client.read()
@@ -81,7 +83,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
-        async with ground(tmp_path, [backend], lambda: configuration([backend], both)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: configuration([backend], both)) as here:
             assert (await exchange(here, requests_to(), name="a.test"))[0] == 200
             assert (await exchange(here, requests_to(), name="x.b.test"))[0] == 200
             assert b"X-Forwarded-Proto: https\r\n" in backend.calls[0].head
@@ -119,7 +121,7 @@
     async def scene() -> None:
         backend = ScriptedBackend("m", silent)
         whole = TENANTS + configuration([backend], mutual, keys=('tenant = "rest"',))
-        async with ground(
+        async with running_daemon(
             tmp_path,
             [backend],
             lambda: (
@@ -130,13 +132,13 @@
             await here.reload()
             tenants: list[int] = []
             proxy = here.daemon.pools["p"].proxy
-            take = proxy.take
+            submit = proxy.submit
 
             def record(request: Any, cls: int, left_s: float, tenant: int, *options: Any) -> None:
                 tenants.append(tenant)
-                take(request, cls, left_s, tenant, *options)
+                submit(request, cls, left_s, tenant, *options)
 
-            proxy.take = record  # type: ignore[method-assign, assignment]
+            proxy.submit = record  # type: ignore[method-assign, assignment]
             issued: Any
             for issued in (depot, certs.authority().issue("someone.test")):
                 client = await connect(here, context=client_context(issued))
@@ -170,7 +172,7 @@
 
     async def scene() -> None:
         backend, data = ScriptedBackend("m", OK), client_hello()
-        async with ground(tmp_path, [backend], lambda: configuration([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: configuration([backend])) as here:
             listener = here.daemon.listeners["main"]
             for data_sent in (requests_to(), b"\x16\x03\x01\xff\xff", b"\0" * 70_000):
                 client = await here.connect()
@@ -200,7 +202,7 @@
 
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
-        async with ground(tmp_path, [backend], lambda: configuration([backend], few + known)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: configuration([backend], few + known)) as here:
             address = here.daemon.listeners["main"].address
             acceptor = here.daemon.listeners["main"].tls
             assert acceptor is not None
@@ -234,7 +236,7 @@
         def both(tls: str) -> str:
             return configuration([backend], tls).replace(":0", f":{port}")
 
-        async with ground(tmp_path, [backend], lambda: both(TLS)) as here:
+        async with running_daemon(tmp_path, [backend], lambda: both(TLS)) as here:
             secure = await connect(here)
             assert (await secure.ask(requests_to()))[0] == 200
             await here.reload(both(""))
@@ -254,10 +256,10 @@
     async def scene() -> None:
         backend = ScriptedBackend("m", OK)
         with pytest.raises(ConfigError, match=r"listener\[main\].tls.*has expired"):
-            async with ground(tmp_path, [backend], lambda: configuration([backend])):
+            async with running_daemon(tmp_path, [backend], lambda: configuration([backend])):
                 pass
         write_files(tmp_path)
-        async with ground(tmp_path, [backend], lambda: configuration([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: configuration([backend])) as here:
             os.chmod(tmp_path / "a.key", 0o666)
             await here.reload(configuration([backend]) + "\n")
             assert here.daemon.reloads == 0 and here.heard.count("chmod 600")
@@ -275,7 +277,7 @@
         failures: list[str] = []
         served, stopped = 0, False
 
-        async with ground(tmp_path, [member], lambda: configuration([member])) as here:
+        async with running_daemon(tmp_path, [member], lambda: configuration([member])) as here:
 
             async def client(kept: int) -> None:
                 nonlocal served
@@ -371,7 +373,7 @@
         healthy = [member(name) for name in ("w1", "w2", "w3")]
         members = [faulty, *healthy]
         tls = 'tls = { roots = ["roots.pem"], revoked = "revoked.pem" }'
-        async with ground(tmp_path, members, lambda: with_member_tls(members, tls)) as here:
+        async with running_daemon(tmp_path, members, lambda: with_member_tls(members, tls)) as here:
             for _ in range(40):
                 assert (await here.ask(requests_to("/", "POST", b"x")))[
                     0
@@ -391,7 +393,7 @@
 
     async def scene() -> None:
         members = [member(name) for name in "abcd"]
-        async with ground(tmp_path, members, lambda: with_member_tls(members)) as here:
+        async with running_daemon(tmp_path, members, lambda: with_member_tls(members)) as here:
             for _ in range(20):
                 assert (await here.ask(requests_to()))[0] == 503
             assert here.heard.count("our trust roots or our clock")
@@ -425,7 +427,7 @@
 
         backend = SecureMember("m", script, context)
         tls = 'tls = { roots = ["roots.pem"], certificate = { chain = "mine.pem", key = "mine.key" } }'
-        async with ground(
+        async with running_daemon(
             tmp_path, [backend], lambda: with_member_tls([backend], tls, "limits = { attempts = 1 }")
         ) as here:
             for _ in range(3):
@@ -446,7 +448,7 @@
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
         backend = SecureMember("m", script, certs.server_side(certs.authority().issue("m")))
-        async with ground(tmp_path, [backend], lambda: with_member_tls([backend])) as here:
+        async with running_daemon(tmp_path, [backend], lambda: with_member_tls([backend])) as here:
             for _ in range(3):
                 assert (await here.ask(requests_to()))[0] == 200
                 here.daemon.pools["p"].proxy.upstreams.close_idle("m")
@@ -479,7 +481,9 @@
     async def scene() -> None:
         backend = member("m", close_after_half(closes_tls, length))
         pool_keys = (POOL_TLS, "close_delimited = true")
-        async with ground(tmp_path, [backend], lambda: with_member_tls([backend], *pool_keys)) as here:
+        async with running_daemon(
+            tmp_path, [backend], lambda: with_member_tls([backend], *pool_keys)
+        ) as here:
             answered, _, body = await here.ask(requests_to("/", "POST", b"x"))
             assert answered == status and (body == b"half of") == closes_tls and len(backend.calls) == 1
 
@@ -498,7 +502,7 @@
 
         faulty = ScriptedBackend("faulty", OK)
         healthy = member("healthy")
-        async with ground(tmp_path, [healthy], lambda: with_member_tls([healthy])) as here:
+        async with running_daemon(tmp_path, [healthy], lambda: with_member_tls([healthy])) as here:
             faulty.server = await asyncio.start_server(reset, "127.0.0.1", 0)
             faulty.address = "{}:{}".format(*faulty.server.sockets[0].getsockname())
             await here.reload(with_member_tls([faulty, healthy]))
