--- a/loadbalancer/config/plan.py
+++ b/loadbalancer/config/plan.py
@@ -113,7 +113,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ByMethod:
+class MethodClasses:
     """Chooses the class of a request on one route by its method and its key."""
 
     read: int  # for safe methods
@@ -127,7 +127,7 @@
         return self.write if self.key_header is None or has_key else self.write_unkeyed
 
 
-def by_method(route: RouteTable, classes: Classes) -> ByMethod:
+def classes_by_method(route: RouteTable, classes: Classes) -> MethodClasses:
     """Return the classes of a route by method.
 
     A route with a safe class and a list of methods is an exception: the operator has declared that these methods change
@@ -137,16 +137,16 @@
     if name is not None and classes.effect(name) == Effect.SAFE:
         read = classes.number(name, Effect.SAFE)
         if route.methods and route.write_class is None:
-            return ByMethod(read, read, None, read)
+            return MethodClasses(read, read, None, read)
     else:
         read = classes.number(name, Effect.SAFE)
     writing = route.write_class or name
     if writing is None or classes.effect(writing) == Effect.SAFE:
         write = classes.number(writing, Effect.UNSAFE)
-        return ByMethod(read, write, None, write)
+        return MethodClasses(read, write, None, write)
     write = classes.number(writing, classes.effect(writing))
     unkeyed = classes.number(writing, Effect.UNSAFE)
-    return ByMethod(read, write, classes.key_headers.get(write), unkeyed)
+    return MethodClasses(read, write, classes.key_headers.get(write), unkeyed)
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,7 +155,7 @@
 
     name: str
     pool: str | None
-    classes: ByMethod
+    classes: MethodClasses
     deadline: float | None  # seconds; bounds the deadline of the class
     tenant: int
     sticky: StickyTable | None
@@ -193,7 +193,7 @@
     table: PoolTable
     deployment: Deployment
 
-    def outlasts(self, new: PoolPlan) -> bool:
+    def is_compatible_with(self, new: PoolPlan) -> bool:
         """Return whether a running pool can continue under a new plan: only its members or its share differ."""
         return bool(self._fixed_parts() == new._fixed_parts())
 
@@ -230,7 +230,7 @@
     listeners: Mapping[str, ListenerPlan]
 
     @property
-    def longest(self) -> float:
+    def max_deadline_s(self) -> float:
         """The longest deadline of any class, in seconds."""
         return max(cls.client_timeout for cls in self.classes)
 
@@ -252,7 +252,7 @@
         table.name: RoutePlan(
             table.name,
             table.pool,
-            by_method(table, classes),
+            classes_by_method(table, classes),
             table.deadline and float(table.deadline),
             tenants.get(table.tenant or "", 0),
             table.sticky,
--- a/loadbalancer/daemon/daemon.py
+++ b/loadbalancer/daemon/daemon.py
@@ -273,7 +273,7 @@
             has_successor: Whether another process accepts connections on the same sockets.
         """
         self._reloader.close()
-        longest = self.plan.longest if self.plan is not None else 0.0
+        longest = self.plan.max_deadline_s if self.plan is not None else 0.0
         for pool in self.pools.values():
             pool.proxy.tunnels.retire()
         listeners = [*self.listeners.values(), *self.retirement.listeners]
--- a/loadbalancer/daemon/pool_set.py
+++ b/loadbalancer/daemon/pool_set.py
@@ -71,7 +71,7 @@
         """
         for name, pool in plan.pools.items():
             running = self.running.get(name)
-            if running is None or not running.plan.outlasts(pool):
+            if running is None or not running.plan.is_compatible_with(pool):
                 pools[name] = RunningPool(
                     pool,
                     allocations[name],
--- a/loadbalancer/daemon/tls_keys.py
+++ b/loadbalancer/daemon/tls_keys.py
@@ -62,14 +62,14 @@
         if now - self._polled_at >= POLL_INTERVAL_S:
             self._polled_at = now
             for listener in self.listeners.values():
-                listener.look()
+                listener.poll()
             for pool in self.pools.values():
-                pool.look()
+                pool.poll()
 
     def summary(self) -> list[dict[str, Any]]:
         """Return the certificates in use, ordered by expiry."""
-        certificates = {f"listener {name}": keys.held() for name, keys in self.listeners.items()}
-        certificates |= {f"pool {name}": keys.held() for name, keys in self.pools.items()}
+        certificates = {f"listener {name}": keys.certificates() for name, keys in self.listeners.items()}
+        certificates |= {f"pool {name}": keys.certificates() for name, keys in self.pools.items()}
         return summary(certificates, time.time())
 
     def rejected_files(self) -> dict[str, str]:
--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Callable, Iterable, Iterator, Mapping, NamedTuple, Union
 
 from loadbalancer.admission.networks import Networks
-from loadbalancer.config.plan import ByMethod, ListenerPlan
+from loadbalancer.config.plan import ListenerPlan, MethodClasses
 from loadbalancer.config.types import StickyTable
 from loadbalancer.frontends.dialect import (
     CONNECTION_HEADERS,
@@ -103,7 +103,7 @@
     platform: (
         PlatformReader | None
     )  # reads the platform's headers, where the pool's dialect is the platform's
-    classes: ByMethod
+    classes: MethodClasses
     deadline: float | None  # seconds, over that of the class
     tenant: int
     sticky: StickyTable | None
--- a/loadbalancer/frontends/tls_listener.py
+++ b/loadbalancer/frontends/tls_listener.py
@@ -8,7 +8,7 @@
 from typing import Any, Callable
 
 from loadbalancer.resource_limits import RateLimitedLogger
-from loadbalancer.tls.handshakes import Bounds, Handshakes, Turn
+from loadbalancer.tls.handshakes import HandshakeLimits, HandshakeRequest, Handshakes
 from loadbalancer.tls.keeper import ServerKeys
 from loadbalancer.tls.pairs import subjects_of
 
@@ -24,11 +24,11 @@
         self.keys, self.logger = keys, logger
         self._seconds = float(table.handshake_time)
         self.handshakes = Handshakes(
-            Bounds(
+            HandshakeLimits(
                 table.handshakes_at_once,
                 table.handshakes_per_s,
                 table.handshakes_per_address,
-                patience=self._seconds,
+                max_wait_s=self._seconds,
             )
         )
         self.failed = 0
@@ -46,10 +46,10 @@
             if not ready.done():
                 ready.set_exception(ConnectionRefusedError(why))
 
-        turn = Turn(
+        turn = HandshakeRequest(
             peer, known, time.monotonic(), lambda: None if ready.done() else ready.set_result(None), drop
         )
-        self.handshakes.want(turn, turn.came)
+        self.handshakes.submit(turn, turn.queued_at)
         self._look()
         try:
             await ready
@@ -66,7 +66,7 @@
                 self.logger("handshake failed", f"{problem}: {peer}")
             raise
         finally:
-            self.handshakes.ended(turn, time.monotonic())
+            self.handshakes.finish(turn, time.monotonic())
             self._look()
 
     @staticmethod
@@ -79,7 +79,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        after = self.handshakes.look(time.monotonic())
+        after = self.handshakes.schedule(time.monotonic())
         if after is not None:
             self._timer = self._loop.call_later(after, self._look)
 
--- a/loadbalancer/tls/keeper.py
+++ b/loadbalancer/tls/keeper.py
@@ -94,7 +94,7 @@
         self.changes = 0  # changes that were loaded
         self.refused = ""  # why the files in their present state were rejected; empty if they were not
 
-    def look(self) -> bool:
+    def poll(self) -> bool:
         """Check the files; return whether they have changed and the new contents are in use."""
         stamps = files.stamps(self.paths)
         settled, self._last_stamps = stamps == self._last_stamps, stamps
@@ -136,7 +136,7 @@
 class ServerKeys:
     """Holds the certificates of one listener, and chooses the SSL context by server name.
 
-    `look` reloads changed files and renews the keys of session tickets.
+    `poll` reloads changed files and renews the keys of session tickets.
     """
 
     def __init__(
@@ -200,17 +200,17 @@
     def context(self) -> ssl.SSLContext:
         return self.watched.value
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Reload changed files, renew the ticket keys and warn of expiry. Called a few times a second."""
         now = self._clock()
-        if not self.watched.look() and now - self._context_created_at >= float(self.table.ticket_life):
+        if not self.watched.poll() and now - self._context_created_at >= float(self.table.ticket_life):
             self.watched.value = self._create_context(
                 self._pairs, self._trust
             )  # invalidates tickets made with the old keys
             self._context_created_at = now
-        self._warnings.check(self.held(), now)
+        self._warnings.check(self.certificates(), now)
 
-    def held(self) -> list[ServedCertificate]:
+    def certificates(self) -> list[ServedCertificate]:
         return [
             ServedCertificate(file, pair.names, pair.not_after, pair.fingerprint)
             for file, pair in self._pairs
@@ -261,12 +261,12 @@
             return member
         return address[0] if self.table.name == "address" else self.table.name
 
-    def look(self) -> None:
-        if self.watched.look():
+    def poll(self) -> None:
+        if self.watched.poll():
             self._contexts.clear()
-        self._warnings.check(self.held(), self._clock())
+        self._warnings.check(self.certificates(), self._clock())
 
-    def held(self) -> list[ServedCertificate]:
+    def certificates(self) -> list[ServedCertificate]:
         pair, table = self._pair, self.table.certificate
         if pair is None or table is None:
             return []
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -74,7 +74,7 @@
         plan.classes[number].effect for number in (by_method.read, by_method.write, by_method.write_unkeyed)
     ]
     assert effects == [Effect.SAFE, Effect.KEYED, Effect.UNSAFE]
-    assert plan.longest == 5.0 and plan.key_headers == {"idempotency-key"}
+    assert plan.max_deadline_s == 5.0 and plan.key_headers == {"idempotency-key"}
 
 
 def test_the_example_file_is_valid() -> None:
--- a/tests/test_damaged_certificates.py
+++ b/tests/test_damaged_certificates.py
@@ -93,8 +93,8 @@
 
     def write(chain: bytes) -> None:
         path.write_bytes(chain)
-        watched.look()  # detects the change
-        watched.look()  # the file has not changed since
+        watched.poll()  # detects the change
+        watched.poll()  # the file has not changed since
 
     watched = WatchedFiles([path], load, RateLimitedLogger(), "pair")
     before = watched.value
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -19,7 +19,7 @@
     AttemptResult,
 )
 from loadbalancer.tls.demo import Authority, write_pair, write_private
-from loadbalancer.tls.handshakes import Bounds, Handshakes, Turn
+from loadbalancer.tls.handshakes import HandshakeLimits, HandshakeRequest, Handshakes
 from loadbalancer.tls.keeper import (
     ExpiryWarnings,
     MemberKeys,
@@ -89,32 +89,32 @@
 class RecordedHandshakes:
     """Handshakes of one listener, and the result of each."""
 
-    def __init__(self, **bounds: Any) -> None:
-        self.handshakes = Handshakes(Bounds(**bounds))
+    def __init__(self, **limits: Any) -> None:
+        self.handshakes = Handshakes(HandshakeLimits(**limits))
         self.begun: list[str] = []
         self.dropped: dict[str, str] = {}
-        self.turns: dict[str, Turn] = {}
+        self.requests: dict[str, HandshakeRequest] = {}
 
-    def want(self, name: str, now: float, address: str = "", known: bool = False) -> None:
-        turn = Turn(
+    def submit(self, name: str, now: float, address: str = "", known: bool = False) -> None:
+        request = HandshakeRequest(
             address or name,
             known,
             now,
             lambda: self.begun.append(name),
             lambda reason: self.dropped.__setitem__(name, reason),
         )
-        self.turns[name] = turn
-        self.handshakes.want(turn, now)
+        self.requests[name] = request
+        self.handshakes.submit(request, now)
 
     def end(self, name: str, now: float) -> None:
-        self.handshakes.ended(self.turns[name], now)
+        self.handshakes.finish(self.requests[name], now)
 
 
 def test_concurrent_handshakes_are_limited_and_known_clients_then_the_newest_go_first() -> None:
     recorded = RecordedHandshakes(max_concurrent=2)
     for name in "abcd":
-        recorded.want(name, 0.0)
-    recorded.want("known", 0.1, known=True)
+        recorded.submit(name, 0.0)
+    recorded.submit("known", 0.1, known=True)
     assert recorded.begun == ["a", "b"] and recorded.handshakes.waiting == 3
     recorded.end("a", 0.2)
     recorded.end("b", 0.2)
@@ -126,10 +126,10 @@
 def test_unknown_clients_that_never_finish_leave_slots_for_known_clients() -> None:
     recorded = RecordedHandshakes(max_concurrent=16, max_per_address=100, per_s=1000.0)
     for number in range(40):
-        recorded.want(f"s{number}", 0.0)
+        recorded.submit(f"s{number}", 0.0)
     assert len(recorded.begun) == 14
     for number in range(3):
-        recorded.want(f"k{number}", 0.1, known=True)
+        recorded.submit(f"k{number}", 0.1, known=True)
     assert recorded.begun[14:] == ["k0", "k1"]
     recorded.end("k0", 0.2)
     assert recorded.begun[-1] == "k2" and recorded.handshakes.unknown_under_way == 14
@@ -138,38 +138,38 @@
 def test_the_rate_limit_holds_for_unknown_clients_only() -> None:
     recorded = RecordedHandshakes(max_concurrent=1000, per_s=10.0, max_waiting=1000)
     for number in range(100):
-        recorded.want(f"s{number}", 0.0)
+        recorded.submit(f"s{number}", 0.0)
     for number in range(50):
-        recorded.want(f"k{number}", 0.0, known=True)
+        recorded.submit(f"k{number}", 0.0, known=True)
     assert len(recorded.begun) == 60
-    wait_s = recorded.handshakes.look(0.0)
+    wait_s = recorded.handshakes.schedule(0.0)
     assert wait_s is not None and wait_s == pytest.approx(0.1)
     for step in range(1, 101):
-        recorded.handshakes.look(step / 100)
+        recorded.handshakes.schedule(step / 100)
     assert 69 <= len(recorded.begun) <= 70
 
 
 def test_handshakes_of_one_unknown_address_are_limited() -> None:
     recorded = RecordedHandshakes(max_concurrent=1, max_per_address=3)
     for number in range(5):
-        recorded.want(f"x{number}", 0.0, "10.0.0.1")
-    recorded.want("other", 0.0, "10.0.0.2")
+        recorded.submit(f"x{number}", 0.0, "10.0.0.1")
+    recorded.submit("other", 0.0, "10.0.0.2")
     assert set(recorded.dropped) == {"x3", "x4"} and "of one address" in recorded.dropped["x3"]
     recorded.end("x0", 0.1)
-    recorded.want("x5", 0.2, "10.0.0.1")
+    recorded.submit("x5", 0.2, "10.0.0.1")
     assert "x5" not in recorded.dropped
-    recorded.want("known", 0.2, "10.0.0.1", known=True)
+    recorded.submit("known", 0.2, "10.0.0.1", known=True)
     assert "known" not in recorded.dropped
 
 
 def test_a_handshake_that_waits_too_long_or_exceeds_the_queue_is_dropped_once() -> None:
-    recorded = RecordedHandshakes(max_concurrent=1, max_waiting=2, patience=1.0)
+    recorded = RecordedHandshakes(max_concurrent=1, max_waiting=2, max_wait_s=1.0)
     for name in "abcd":
-        recorded.want(name, 0.0)
+        recorded.submit(name, 0.0)
     assert list(recorded.dropped) == ["b"] and "wait" in recorded.dropped["b"]
-    wait_s = recorded.handshakes.look(0.5)
+    wait_s = recorded.handshakes.schedule(0.5)
     assert wait_s == pytest.approx(0.5)
-    assert recorded.handshakes.look(1.0) is None
+    assert recorded.handshakes.schedule(1.0) is None
     assert set(recorded.dropped) == {"b", "c", "d"}
     for name in "abcd":
         recorded.end(name, 1.1)
@@ -179,19 +179,21 @@
 def test_a_burst_after_a_restart_is_worked_off_and_all_counts_return_to_zero() -> None:
     """Of 2000 handshakes at once all those of known clients are served, and the counts return to zero."""
     recorded, draws, now = (
-        RecordedHandshakes(max_concurrent=32, per_s=200.0, max_per_address=16, max_waiting=512, patience=2.5),
+        RecordedHandshakes(
+            max_concurrent=32, per_s=200.0, max_per_address=16, max_waiting=512, max_wait_s=2.5
+        ),
         random.Random(3),
         0.0,
     )
     for number in range(2000):
-        recorded.want(f"n{number}", now, f"10.0.{number % 200}.1", known=number % 10 == 0)
+        recorded.submit(f"n{number}", now, f"10.0.{number % 200}.1", known=number % 10 == 0)
     under_way = list(recorded.begun)
     while recorded.handshakes.under_way or recorded.handshakes.waiting:
         now += 0.005
         for name in draws.sample(under_way, min(4, len(under_way))):
             recorded.end(name, now)
-        recorded.handshakes.look(now)
-        under_way = [name for name in recorded.begun if not recorded.turns[name].finished]
+        recorded.handshakes.schedule(now)
+        under_way = [name for name in recorded.begun if not recorded.requests[name].finished]
         assert recorded.handshakes.under_way <= 32 and now < 60
     assert all(f"n{number}" in recorded.begun for number in range(0, 2000, 10))
     assert len(recorded.begun) + len(recorded.dropped) == 2000 and not recorded.handshakes._by_address
@@ -207,7 +209,7 @@
     steps: list[tuple[str, int, float]],
 ) -> None:
     recorded, now, number = (
-        RecordedHandshakes(max_concurrent=2, per_s=3.0, max_per_address=2, max_waiting=3, patience=1.5),
+        RecordedHandshakes(max_concurrent=2, per_s=3.0, max_per_address=2, max_waiting=3, max_wait_s=1.5),
         0.0,
         0,
     )
@@ -215,13 +217,13 @@
         now += wait_s
         if action == "w":
             number += 1
-            recorded.want(f"n{number}", now, f"10.0.0.{value}", known=value == 0)
+            recorded.submit(f"n{number}", now, f"10.0.0.{value}", known=value == 0)
         elif action == "e" and recorded.begun:
             recorded.end(recorded.begun[value % len(recorded.begun)], now)
         else:
-            recorded.handshakes.look(now)
+            recorded.handshakes.schedule(now)
         assert 0 <= recorded.handshakes.under_way <= 2 and recorded.handshakes.waiting <= 3
-    for name in list(recorded.turns):
+    for name in list(recorded.requests):
         recorded.end(name, now)
     assert (
         recorded.handshakes.under_way == recorded.handshakes.waiting == 0
@@ -409,19 +411,23 @@
     heard, old, new = RecordingLogger(), certs.authority().issue("a.test"), certs.authority().issue("a.test")
     write_pair(tmp_path, "a", old)
     keys = ServerKeys(table("a"), tmp_path, ["a.test"], heard, "main", Clock())
-    first, context = keys.held()[0].fingerprint, keys.context
-    keys.look()
+    first, context = keys.certificates()[0].fingerprint, keys.context
+    keys.poll()
     assert keys.context is context
     write_private(tmp_path / "a.pem", new.chain)
     for _ in range(3):
-        keys.look()
-    assert keys.held()[0].fingerprint == first and keys.context is context
+        keys.poll()
+    assert keys.certificates()[0].fingerprint == first and keys.context is context
     assert "not the certificate's" in keys.watched.refused and heard.count("keys not taken") == 1
     write_private(tmp_path / "a.key", new.key)
-    keys.look()
+    keys.poll()
     assert keys.context is context  # a file that has just changed may not be complete
-    keys.look()
-    assert keys.held()[0].fingerprint != first and keys.context is not context and not keys.watched.refused
+    keys.poll()
+    assert (
+        keys.certificates()[0].fingerprint != first
+        and keys.context is not context
+        and not keys.watched.refused
+    )
     assert heard.count("keys taken") == 1 and keys.watched.changes == 1
 
 
@@ -430,7 +436,7 @@
     heard = RecordingLogger()
     write_pair(tmp_path, "a", certs.authority().issue("a.test"))
     keys = ServerKeys(table("a"), tmp_path, ["a.test"], heard, "main", Clock())
-    held = keys.held()
+    certificates = keys.certificates()
     if damage == "gone":
         (tmp_path / "a.pem").unlink()
     elif damage == "cut":
@@ -446,8 +452,8 @@
         )
         write_pair(tmp_path, "a", bad)
     for _ in range(3):
-        keys.look()
-    assert keys.held() == held and keys.watched.refused and heard.count("keys not taken") == 1
+        keys.poll()
+    assert keys.certificates() == certificates and keys.watched.refused and heard.count("keys not taken") == 1
     assert "PRIVATE" not in "".join(heard.lines)
 
 
@@ -476,26 +482,26 @@
     keys = ServerKeys(table("a", ticket_life=Duration(60.0)), tmp_path, [], RecordingLogger(), "main", clock)
     context = keys.context
     clock.now += 59
-    keys.look()
+    keys.poll()
     assert keys.context is context
     clock.now += 2
-    keys.look()
+    keys.poll()
     assert keys.context is not context
     context = keys.context
-    keys.look()
+    keys.poll()
     assert keys.context is context
 
 
 def test_expiry_is_logged_once_at_each_threshold_and_once_after_it() -> None:
     heard, end = RecordingLogger(), 1e9
-    warnings, held = ExpiryWarnings(heard), [ServedCertificate("a.pem", ("a.test",), end, "f")]
+    warnings, certificates = ExpiryWarnings(heard), [ServedCertificate("a.pem", ("a.test",), end, "f")]
     for left in (
         31 * 86400,
         *(left for threshold in WARN_S for left in (threshold, threshold - 1)),
         0.0,
         -5.0,
     ):
-        warnings.check(held, end - left)
+        warnings.check(certificates, end - left)
     assert heard.count("a certificate ends") == len(WARN_S) + 1
     assert "has expired" in heard.lines[-1]
     warnings.check([ServedCertificate("a.pem", ("a.test",), end + 1e9, "g")], end)
@@ -509,10 +515,11 @@
     keys = ServerKeys(table("a"), tmp_path, [], heard, "main", clock)
     context = keys.context
     clock.now += 91 * 86400
-    keys.look()
+    keys.poll()
     assert keys.context is not None and heard.count("a certificate ends") == 1
     assert (
-        context is not None and "has expired" in summary({"listener main": keys.held()}, clock())[0]["ends"]
+        context is not None
+        and "has expired" in summary({"listener main": keys.certificates()}, clock())[0]["ends"]
     )
 
 
@@ -524,7 +531,7 @@
     before = keys.context("a")
     write_private(tmp_path / "roots.pem", certs.authority().pem + certs.untrusted_authority().pem)
     for _ in range(2):
-        keys.look()
+        keys.poll()
     assert keys.context("a") is not before
     by_address = MemberKeys(
         PoolTlsTable(roots=["roots.pem"], name="address"), tmp_path, RecordingLogger(), "p", Clock()
--- a/tests/test_tls_daemon.py
+++ b/tests/test_tls_daemon.py
@@ -303,12 +303,12 @@
             for _ in range(40):
                 issued = certs.authority().issue(certs.HOST)
                 write_private(tmp_path / "a.pem", issued.chain)
-                keys.listeners["main"].look()
+                keys.listeners["main"].poll()
                 write_private(tmp_path / "a.key", issued.key)
                 for _ in range(2):
-                    keys.listeners["main"].look()
+                    keys.listeners["main"].poll()
                 probe = await connect(here)
-                assert fingerprint(probe) == keys.listeners["main"].held()[0].fingerprint
+                assert fingerprint(probe) == keys.listeners["main"].certificates()[0].fingerprint
                 fingerprints.add(fingerprint(probe))
                 served_before = served
                 await here.until(partial(has_served, served_before + 4))
@@ -401,7 +401,7 @@
             assert keys is not None and keys.pools["p"].results.common_failure is not None
             write_private(tmp_path / "roots.pem", certs.untrusted_authority().pem + certs.authority().pem)
             for _ in range(2):
-                keys.pools["p"].look()
+                keys.pools["p"].poll()
             for _ in range(40):
                 assert (await here.ask(requests_to()))[0] == 200
             await here.until(lambda: proxy.avoided_count() <= 1)
