--- a/loadbalancer/tls/verdicts.py
+++ b/loadbalancer/tls/verdicts.py
@@ -7,7 +7,7 @@
 | observation | fault | result for the policy |
 | --- | --- | --- |
 | a member's certificate is not accepted, others' are | the member's | no connection: the member is avoided; the request did not run |
-| the same reason at SHARE of the members that were tried recently, two at least, each accepted before or all new | ours | not sent: says nothing about the member |
+| the same reason at SHARE of the members that were tried recently, two at least, whether or not they were accepted before | ours | not sent: says nothing about the member |
 | the handshake is aborted, times out, or is refused without an alert on certificates | the member's | no connection |
 
 In all cases nothing of the request has been sent: it may go to another member, and no peer without the right key gets it.
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -177,7 +177,7 @@
 
 
 def test_a_burst_after_a_restart_is_worked_off_and_all_counts_return_to_zero() -> None:
-    """Of 2000 handshakes at once all those of known clients are served, and the counts return to zero."""
+    """All known clients among 2000 simultaneous handshakes are served, and the counts return to zero."""
     recorded, draws, now = (
         RecordedHandshakes(
             max_concurrent=32, per_s=200.0, max_per_address=16, max_waiting=512, max_wait_s=2.5
