--- a/loadbalancer/frontends/routed_http.py
+++ b/loadbalancer/frontends/routed_http.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Callable, Iterable, Iterator, Mapping, NamedTuple, Union
 
 from loadbalancer.admission.networks import Networks
-from loadbalancer.config.plan import ByMethod, ListenerPlan
+from loadbalancer.config.plan import ListenerPlan, MethodClasses
 from loadbalancer.config.types import StickyTable
 from loadbalancer.frontends.dialect import (
     CONNECTION_HEADERS,
@@ -109,7 +109,7 @@
     name: str
     proxy: Proxy
     platform: PlatformReader | None  # reads the platform's headers, if the pool speaks that dialect
-    classes: ByMethod
+    classes: MethodClasses
     deadline: float | None  # seconds; overrides that of the class
     tenant: int
     sticky: StickyTable | None
