--- a/loadbalancer/fastcgi/__init__.py
+++ b/loadbalancer/fastcgi/__init__.py
@@ -1,1 +1,1 @@
-"""FastCGI 1.0 (the specification of 29 April 1996): records, both sides of a connection, CGI headers. No I/O."""
+"""FastCGI 1.0 (the specification of 29 April 1996): records, both sides of a connection, and CGI headers. No I/O."""
--- a/loadbalancer/fastcgi/application.py
+++ b/loadbalancer/fastcgi/application.py
@@ -1,18 +1,18 @@
-"""The application's side of a connection (we are asked): records in, events out, records to send back. No I/O.
+"""The application's side of a connection: turns received records into events and records to send back. No I/O.
 
-Theory of operation. Each request id has a state: none (inactive), PARAMS, STDIN, WHOLE (all has come, the answer is
-owed) or LOST (given up by the web server).
+Each request id has a state: none (inactive), PARAMS, STDIN, WHOLE (received completely, the answer is due) or ABORTED
+(by the web server).
 
-| record | none, LOST | PARAMS | STDIN | WHOLE |
+| record | none, ABORTED | PARAMS | STDIN | WHOLE |
 | --- | --- | --- | --- | --- |
-| BEGIN_REQUEST | none: PARAMS; LOST: confused | confused | confused | confused |
-| PARAMS, empty one | idle | gathered, STDIN | confused | confused |
-| STDIN, empty one | idle | confused | Data, WHOLE | confused |
-| ABORT_REQUEST | idle | LOST | LOST | LOST |
-| others | idle | idle | idle | idle |
-
-`confused`: what no rule of the specification allows ends the reading; nothing after it is read, and requests that are
-whole still get their answers. `idle`: ignored, and counted.
+| BEGIN_REQUEST | none: PARAMS; ABORTED: error | error | error | error |
+| PARAMS; an empty one | ignored | collected; STDIN | error | error |
+| STDIN; an empty one | ignored | error | Data; WHOLE | error |
+| ABORT_REQUEST | ignored | ABORTED | ABORTED | ABORTED |
+| others | ignored | ignored | ignored | ignored |
+
+`error`: a violation of the specification. Nothing after it is read, but requests that were received completely still
+get their answers. `ignored`: the record has no effect, and is counted.
 """
 
 from __future__ import annotations
@@ -34,48 +34,49 @@
     read_pairs,
 )  # fmt: skip
 
-#: Bytes of a request's params at most, and how many pairs: as much as HTTP allows for a head, and what a web server
-#: adds of its own.
-PARAMS_MOST = 32 << 10
-PAIRS_MOST = 256
-#: Records for ids that are not open, and other records that do nothing, before the peer is given up. The
-#: specification has them ignored (section 3.3); a peer that sends nothing else keeps us busy for nothing.
-IDLE_RECORDS_MOST = 1000
+#: Maximum of bytes and of pairs of a request's params: the limits for an HTTP head, plus what a web server adds.
+MAX_PARAMS_BYTES = 32 << 10
+MAX_PAIRS = 256
+#: Maximum of records without effect, such as those for ids that are not open; above it reading from the peer stops. The
+#: specification requires to ignore them (section 3.3), but a peer that sends nothing else would waste CPU time.
+MAX_IGNORED_RECORDS = 1000
 
 
 class State(Enum):
     PARAMS = auto()
     STDIN = auto()
     WHOLE = auto()
-    LOST = auto()
+    ABORTED = auto()
 
 
 class Begun(NamedTuple):
-    """A request's params are whole; its body follows."""
+    """The params of a request are complete; its body follows."""
 
     request: int
     params: dict[bytes, bytes]
 
 
 class Data(NamedTuple):
+    """Bytes of a request's body."""
+
     request: int
     data: bytes
 
 
 class Ended(NamedTuple):
-    """The request's body is whole."""
+    """The body of a request is complete."""
 
     request: int
 
 
 class Aborted(NamedTuple):
-    """The web server no longer wants an answer, and is owed an END_REQUEST (section 5.4)."""
+    """The web server aborted a request; it must still get an END_REQUEST (section 5.4)."""
 
     request: int
 
 
 class Refused(NamedTuple):
-    """A request that was ended here, with its protocol status; it was never begun."""
+    """A request that was refused, with its protocol status; it was never begun."""
 
     request: int
     status: Status
@@ -84,7 +85,7 @@
 Event = Union[Begun, Data, Ended, Aborted, Refused]
 
 
-class _Open:
+class _OpenRequest:
     __slots__ = ("state", "keep", "params")
 
     def __init__(self, keep: bool) -> None:
@@ -94,76 +95,76 @@
 
 
 class ApplicationSide:
-    """One connection of a web server."""
+    """The protocol state of one connection from a web server."""
 
     def __init__(self, requests_most: int) -> None:
-        """`requests_most`: requests open at once; more are ended as OVERLOADED."""
+        """Create the state of a new connection. `requests_most`: open requests; more are refused as OVERLOADED."""
         self.requests_most = requests_most
-        self.open: dict[int, _Open] = {}
-        self.output = bytearray()  # to send; the owner takes it
-        self.confused = ""  # why nothing more is read
-        self.closing = False  # a request without KEEP_CONN has ended: close once nothing is open
+        self.open: dict[int, _OpenRequest] = {}
+        self.output = bytearray()  # to send; the owner removes what it sends
+        self.confused = ""  # the protocol violation after which nothing is read, if any
+        self.closing = False  # a request without KEEP_CONN has ended: close when no request is open
         self._decoder = Decoder()
-        self._idle_records = 0
-        self._events: list[Event] = []  # of the bytes being read
+        self._ignored_records = 0
+        self._events: list[Event] = []  # events of the current call of feed
 
     def feed(self, data: bytes) -> list[Event]:
-        """What these bytes mean. Never raises for what a peer sent: see `confused`."""
+        """Return the events of received bytes. Protocol violations don't raise, but set `confused`."""
         self._events = []
         if not self.confused:
             try:
                 for record in self._decoder.feed(data):
-                    self._record(record)
+                    self._handle_record(record)
             except ProtocolError as problem:
                 self.confused = str(problem)
         return self._events
 
-    def _record(self, record: Record) -> None:
+    def _handle_record(self, record: Record) -> None:
         kind, request, _ = record
         if request == 0:
-            self._manage(record)
+            self._handle_management(record)
             return
         if kind == Type.BEGIN_REQUEST:
-            self._begin(record)
+            self._handle_begin(record)
             return
         entry = self.open.get(request)
-        if entry is None or entry.state is State.LOST:
-            self._idle()
+        if entry is None or entry.state is State.ABORTED:
+            self._count_ignored()
         elif kind == Type.PARAMS:
-            self._params(record, entry)
+            self._handle_params(record, entry)
         elif kind == Type.STDIN:
-            self._stdin(record, entry)
+            self._handle_stdin(record, entry)
         elif kind == Type.ABORT_REQUEST:
-            entry.state = State.LOST
+            entry.state = State.ABORTED
             self._events.append(Aborted(request))
-        else:  # DATA is of filters, the others of applications; unknown ones are of no use here
-            self._idle()
+        else:  # DATA is for filters, the others are sent by applications, or unknown
+            self._count_ignored()
 
-    def _idle(self) -> None:
-        self._idle_records += 1
-        if self._idle_records > IDLE_RECORDS_MOST:
-            raise ProtocolError("too many records that belong to nothing")
+    def _count_ignored(self) -> None:
+        self._ignored_records += 1
+        if self._ignored_records > MAX_IGNORED_RECORDS:
+            raise ProtocolError(f"more than {MAX_IGNORED_RECORDS} records without effect")
 
-    def _manage(self, record: Record) -> None:
-        """Management records (section 4)."""
-        self._idle()
+    def _handle_management(self, record: Record) -> None:
+        """Answer a management record (section 4)."""
+        self._count_ignored()
         if record.type == Type.GET_VALUES:
             known = {
                 b"FCGI_MAX_CONNS": b"1024",
                 b"FCGI_MAX_REQS": b"%d" % self.requests_most,
                 b"FCGI_MPXS_CONNS": b"1" if self.requests_most > 1 else b"0",
             }
-            asked = {name for name, _ in read_pairs(record.content, PAIRS_MOST)}
+            asked = {name for name, _ in read_pairs(record.content, MAX_PAIRS)}
             pairs = [(name, value) for name, value in known.items() if name in asked]
             self.output += encode(Type.GET_VALUES_RESULT, 0, encode_pairs(pairs))
         elif record.type > Type.UNKNOWN_TYPE or record.type == 0:
             self.output += encode(Type.UNKNOWN_TYPE, 0, bytes((record.type,)) + bytes(7))
         else:
-            raise ProtocolError(f"a record of type {record.type} with request id 0")
+            raise ProtocolError(f"record type {record.type} is not allowed with request id 0")
 
-    def _begin(self, record: Record) -> None:
+    def _handle_begin(self, record: Record) -> None:
         if record.request in self.open:
-            raise ProtocolError(f"request {record.request} begun while it is open")
+            raise ProtocolError(f"BEGIN_REQUEST for request {record.request}, which is open")
         role, keep = read_begin(record.content)
         status = Status.REQUEST_COMPLETE
         if role != Role.RESPONDER:
@@ -171,43 +172,43 @@
         elif len(self.open) >= self.requests_most:
             status = Status.OVERLOADED
         if status == Status.REQUEST_COMPLETE:
-            self.open[record.request] = _Open(keep)
+            self.open[record.request] = _OpenRequest(keep)
             return
-        self._idle()
+        self._count_ignored()
         self.output += encode_end(record.request, status)
         self.closing = self.closing or not keep
         self._events.append(Refused(record.request, status))
 
-    def _params(self, record: Record, entry: _Open) -> None:
+    def _handle_params(self, record: Record, entry: _OpenRequest) -> None:
         if entry.state is not State.PARAMS:
-            raise ProtocolError("PARAMS after their end")
+            raise ProtocolError("PARAMS after the end of the params")
         entry.params += record.content
-        if len(entry.params) > PARAMS_MOST:
-            raise ProtocolError(f"params of more than {PARAMS_MOST} bytes")
+        if len(entry.params) > MAX_PARAMS_BYTES:
+            raise ProtocolError(f"params of more than {MAX_PARAMS_BYTES} bytes")
         if not record.content:
-            pairs = read_pairs(bytes(entry.params), PAIRS_MOST)
+            pairs = read_pairs(bytes(entry.params), MAX_PAIRS)
             entry.params.clear()
             entry.state = State.STDIN
             self._events.append(Begun(record.request, dict(pairs)))
 
-    def _stdin(self, record: Record, entry: _Open) -> None:
+    def _handle_stdin(self, record: Record, entry: _OpenRequest) -> None:
         if entry.state is not State.STDIN:
-            raise ProtocolError("STDIN before the params' end, or after its own")
+            raise ProtocolError("STDIN before the end of the params, or after its own end")
         if record.content:
             self._events.append(Data(record.request, record.content))
         else:
             entry.state = State.WHOLE
-            self._idle_records = 0
+            self._ignored_records = 0
             self._events.append(Ended(record.request))
 
     def is_within_record(self) -> bool:
-        """Whether the bytes that came last are part of a record that has not ended."""
+        """Return whether the last received record is incomplete."""
         return self._decoder.held > 0
 
     # Answers.
 
     def end(self, request: int, status: int = Status.REQUEST_COMPLETE, application: int = 0) -> bytes:
-        """The END_REQUEST of an open request; its id is free from here on. `application`: the exit status told."""
+        """Close an open request, whose id is then free, and return its END_REQUEST. `application`: the exit status."""
         entry = self.open.pop(request)
         self.closing = self.closing or not entry.keep
         return encode_end(request, status, application)
--- a/loadbalancer/fastcgi/records.py
+++ b/loadbalancer/fastcgi/records.py
@@ -1,7 +1,6 @@
-"""Records of FastCGI 1.0 (specification, sections 3.3 and 8): bytes in, typed records out, and back.
+"""Encodes and decodes records of FastCGI 1.0 (specification, sections 3.3 and 8) and their name-value pairs. No I/O.
 
-What may live here: the form of records and of name-value pairs. Not what a record means where it comes; that is
-application.py and webserver.py. No I/O.
+What a record means in the state of a connection is decided in application.py and webserver.py.
 """
 
 from __future__ import annotations
@@ -13,21 +12,21 @@
 VERSION = 1
 HEADER = struct.Struct("!BBHHBB")  # version, type, request id, length of content, length of padding, reserved
 BEGIN_BODY = struct.Struct("!HB5x")  # role, flags
-#: BEGIN_REQUEST whole, and the header of the PARAMS that follow.
+#: A complete BEGIN_REQUEST, and the header of the PARAMS record that follows.
 OPENING = struct.Struct("!BBHHBBHB5xBBHHBB")
 END_BODY = struct.Struct("!IB3x")  # application status, protocol status
-#: Content of one record at most (its length has 16 bits).
-CONTENT_MOST = 65535
-#: Bytes of the records that we write at most: whole multiples of 8 need no padding.
-CHUNK = 65528
-#: Of what a decoder holds: one record that has not come to its end.
-HELD_MOST = HEADER.size + CONTENT_MOST + 255
+#: Maximum of bytes of content in one record (its length has 16 bits).
+MAX_CONTENT_BYTES = 65535
+#: Maximum of bytes of content in the records that are written: a multiple of 8 needs no padding.
+CHUNK_BYTES = 65528
+#: Maximum of bytes that a decoder buffers: one incomplete record.
+MAX_BUFFERED_BYTES = HEADER.size + MAX_CONTENT_BYTES + 255
 PADDING = [bytes(count) for count in range(8)]
 KEEP_CONN = 1  # flag of BEGIN_REQUEST
 
 
 class Type(IntEnum):
-    """Section 8."""
+    """Record types (section 8)."""
 
     BEGIN_REQUEST = 1
     ABORT_REQUEST = 2
@@ -58,33 +57,33 @@
 
 
 class ProtocolError(ValueError):
-    """What came is no FastCGI, or no record that may come here; nothing after it can be trusted."""
+    """Bytes that are not FastCGI, or a record that is not allowed; nothing after it can be trusted."""
 
 
 class Record(NamedTuple):
-    type: int  # as it came; may be none of Type
+    type: int  # as received; may be unknown to Type
     request: int
     content: bytes
 
 
 class Decoder:
-    """Gathers bytes into records; it holds no more than one that has not come to its end."""
+    """Splits received bytes into records; buffers at most one incomplete record."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Record]:
-        """The records that are whole with these bytes; ProtocolError at the first that has another version."""
-        if self._held:
-            self._held += data
-            data = bytes(self._held)
-            self._held.clear()
+        """Yield the records that these bytes complete; raise ProtocolError at one of another version."""
+        if self._buffer:
+            self._buffer += data
+            data = bytes(self._buffer)
+            self._buffer.clear()
         at, size = 0, len(data)
         try:
             while size - at >= 8:
                 version, kind, request, length, padding, _ = HEADER.unpack_from(data, at)
                 if version != VERSION:
-                    raise ProtocolError(f"version {version} instead of {VERSION}")
+                    raise ProtocolError(f"record has version {version}, expected {VERSION}")
                 begin = at + 8
                 end = begin + length
                 if size < end + padding:
@@ -93,28 +92,30 @@
                 yield Record(kind, request, data[begin:end])
         finally:
             if at < size:
-                self._held += data[at:]
+                self._buffer += data[at:]
 
     @property
     def held(self) -> int:
-        """Bytes of a record that has not come to its end."""
-        return len(self._held)
+        """Number of buffered bytes, which are of an incomplete record."""
+        return len(self._buffer)
 
 
 def encode(kind: int, request: int, content: bytes = b"") -> bytes:
-    """One record, padded to a multiple of 8 as section 3.3 recommends."""
+    """Return one record, padded to a multiple of 8 as section 3.3 recommends."""
     length = len(content)
-    if length > CONTENT_MOST:
-        raise ValueError(f"{length} bytes of content; a record holds {CONTENT_MOST} at most")
+    if length > MAX_CONTENT_BYTES:
+        raise ValueError(f"{length} bytes of content; a record holds {MAX_CONTENT_BYTES} at most")
     padding = -length % 8
     return HEADER.pack(VERSION, kind, request, length, padding, 0) + content + PADDING[padding]
 
 
 def encode_stream(kind: int, request: int, data: bytes) -> bytes:
-    """A stream of records without its end (an empty record); nothing for no data."""
-    if 0 < len(data) <= CHUNK:  # as nearly all are
+    """Return the records of a stream, without the empty record that ends it; empty if there is no data."""
+    if 0 < len(data) <= CHUNK_BYTES:  # the common case
         return encode(kind, request, data)
-    return b"".join(encode(kind, request, data[at : at + CHUNK]) for at in range(0, len(data), CHUNK))
+    return b"".join(
+        encode(kind, request, data[at : at + CHUNK_BYTES]) for at in range(0, len(data), CHUNK_BYTES)
+    )
 
 
 def encode_begin(request: int, keep: bool, role: int = Role.RESPONDER) -> bytes:
@@ -122,9 +123,9 @@
 
 
 def encode_opening(request: int, keep: bool, params: bytes) -> bytes:
-    """BEGIN_REQUEST, the PARAMS, and the empty record that ends them."""
+    """Return BEGIN_REQUEST, the PARAMS, and the empty record that ends them."""
     length = len(params)
-    if length > CHUNK:
+    if length > CHUNK_BYTES:
         return (
             encode_begin(request, keep)
             + encode_stream(Type.PARAMS, request, params)
@@ -160,28 +161,28 @@
 
 
 def read_begin(content: bytes) -> tuple[int, bool]:
-    """Role, and whether the connection is to be kept (section 5.1)."""
+    """Return the role, and whether to keep the connection open (section 5.1)."""
     if len(content) != BEGIN_BODY.size:
-        raise ProtocolError(f"BEGIN_REQUEST with {len(content)} bytes")
+        raise ProtocolError(f"BEGIN_REQUEST has {len(content)} bytes, expected {BEGIN_BODY.size}")
     role, flags = BEGIN_BODY.unpack(content)
     return role, bool(flags & KEEP_CONN)
 
 
 def read_end(content: bytes) -> tuple[int, int]:
-    """Application status and protocol status (section 5.5)."""
+    """Return the application status and the protocol status (section 5.5)."""
     if len(content) != END_BODY.size:
-        raise ProtocolError(f"END_REQUEST with {len(content)} bytes")
+        raise ProtocolError(f"END_REQUEST has {len(content)} bytes, expected {END_BODY.size}")
     application, status = END_BODY.unpack(content)
     return application, status
 
 
 # Name-value pairs (section 3.4).
 
-#: Lengths of the short form.
-SHORT = [bytes((count,)) for count in range(128)]
+#: Encoded lengths of the short form.
+SHORT_LENGTHS = [bytes((count,)) for count in range(128)]
 
 
-def _length(count: int) -> bytes:
+def _encode_length(count: int) -> bytes:
     return bytes((count,)) if count < 128 else struct.pack("!I", count | 1 << 31)
 
 
@@ -189,15 +190,15 @@
     parts: list[bytes] = []
     for name, value in pairs:
         first, second = len(name), len(value)
-        if first < 128 and second < 128:  # as nearly all are
-            parts += (SHORT[first], SHORT[second], name, value)
+        if first < 128 and second < 128:  # the common case
+            parts += (SHORT_LENGTHS[first], SHORT_LENGTHS[second], name, value)
         else:
-            parts += (_length(first), _length(second), name, value)
+            parts += (_encode_length(first), _encode_length(second), name, value)
     return b"".join(parts)
 
 
 def _read_length(data: bytes, at: int) -> tuple[int, int]:
-    """A length, and where what follows it begins; ProtocolError where it is cut."""
+    """Return a length and the offset after it; raise ProtocolError if it is truncated."""
     if at >= len(data):
         raise ProtocolError("name-value pairs end within a length")
     if data[at] < 128:
@@ -207,12 +208,12 @@
     return int(struct.unpack_from("!I", data, at)[0]) & 0x7FFFFFFF, at + 4
 
 
-def read_pairs(data: bytes, most: int) -> list[tuple[bytes, bytes]]:
-    """The pairs of a whole stream, `most` of them at most; ProtocolError where it is cut or holds more."""
+def read_pairs(data: bytes, max_pairs: int) -> list[tuple[bytes, bytes]]:
+    """Return the pairs of a complete stream; raise ProtocolError if it is truncated or has more than `max_pairs`."""
     pairs: list[tuple[bytes, bytes]] = []
     at, size = 0, len(data)
     while at < size:
-        if at + 1 < size and data[at] < 128 and data[at + 1] < 128:  # as nearly all are
+        if at + 1 < size and data[at] < 128 and data[at + 1] < 128:  # the common case
             name, value = data[at], data[at + 1]
             at += 2
         else:
@@ -222,8 +223,8 @@
         end = middle + value
         if end > size:
             raise ProtocolError("name-value pairs end within a pair")
-        if len(pairs) >= most:
-            raise ProtocolError(f"more than {most} name-value pairs")
+        if len(pairs) >= max_pairs:
+            raise ProtocolError(f"more than {max_pairs} name-value pairs")
         pairs.append((data[at:middle], data[middle:end]))
         at = end
     return pairs
--- a/loadbalancer/fastcgi/webserver.py
+++ b/loadbalancer/fastcgi/webserver.py
@@ -1,6 +1,6 @@
-"""The web server's side of a connection (we ask an application): one request at a time. No I/O.
+"""The web server's side of a connection to an application: one request at a time. No I/O.
 
-The outcome is read off a table: what has come of STDOUT when the request ends, and how it ends.
+How a request ended follows from its protocol status and from whether STDOUT has any bytes; see `End`.
 """
 
 from __future__ import annotations
@@ -21,83 +21,88 @@
     read_end,
 )  # fmt: skip
 
-#: Of what an application writes to STDERR, so many bytes of each request are kept for the log.
-STDERR_MOST = 2 << 10
-#: Ids go round; one that has just ended is not used for the next request on a connection, so that a late record of
-#: it can't pass for one of that.
-IDS = 1 << 15
+#: Bytes of STDERR that are kept for the log, for each request.
+MAX_STDERR_BYTES = 2 << 10
+#: Number of request ids, which are used in rotation. The next request on a connection gets another id than the previous
+#: one, so that a late record of that can't be taken for one of the new request.
+REQUEST_ID_COUNT = 1 << 15
 
 
 class End(Enum):
-    """How a request ended, as the records tell it."""
+    """How a request ended, according to its records."""
 
     ANSWERED = auto()  # REQUEST_COMPLETE, and something on STDOUT
     SILENT = auto()  # REQUEST_COMPLETE, and nothing on STDOUT: it may have run
     NEVER_RAN = auto()  # OVERLOADED, CANT_MPX_CONN or UNKNOWN_ROLE, and nothing on STDOUT
-    BROKEN = auto()  # what the protocol does not allow
+    BROKEN = auto()  # a protocol violation
 
 
 def encode_request(
     request: int, params: Iterable[tuple[bytes, bytes]], body: bytes, keep: bool, fixed: bytes = b""
 ) -> tuple[bytes, int]:
-    """A whole request, and how many bytes of it must have left before the application can have begun. `fixed`: params
-    that have been encoded before.
+    """Return a request's records, and how many of their bytes must be sent before the application can have begun.
 
-    An application begins on its params: libfcgi hands a request over when their stream has ended, before STDIN. So
-    what proves that it never ran is that the empty PARAMS record had not left, not that STDIN had not."""
+    `fixed`: params that are encoded already.
+
+    An application may begin after the params: libfcgi returns a request when the PARAMS stream has ended, before STDIN.
+    So only a request whose empty PARAMS record was not sent is proven not to have run, whatever was sent of STDIN."""
     head = encode_opening(request, keep, fixed + encode_pairs(params))
     return head + encode_stream(Type.STDIN, request, body) + encode(Type.STDIN, request), len(head)
 
 
 class Exchange:
-    """One request and what has come of its answer."""
+    """One request, and what has been received of its answer."""
 
-    __slots__ = ("number", "stdout", "stderr", "status", "end", "taken")
+    __slots__ = ("number", "stdout", "stderr", "status", "end", "stdout_was_read")
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.stdout, self.stderr = bytearray(), bytearray()
-        self.taken = False  # some of STDOUT has been taken away
-        self.status = 0  # the application's own, of END_REQUEST
+        self.stdout_was_read = False  # some bytes of STDOUT were removed by `read_stdout`
+        self.status = 0  # application status of END_REQUEST
         self.end: End | None = None
 
-    def draw(self) -> bytes:
-        """What has come on STDOUT since the last call; it is held here no longer."""
-        self.taken = self.taken or bool(self.stdout)
+    def read_stdout(self) -> bytes:
+        """Remove and return the bytes of STDOUT received since the last call."""
+        self.stdout_was_read = self.stdout_was_read or bool(self.stdout)
         data = bytes(self.stdout)
         self.stdout.clear()
         return data
 
-    def take(self, record: Record) -> End | None:
-        """How the request ended, if this record of it ends it; ProtocolError for one that may not come."""
+    def handle_record(self, record: Record) -> End | None:
+        """Process a record of this request; return how the request ended, or None if it has not.
+
+        Raises ProtocolError for a record that an application must not send."""
         if record.type == Type.STDOUT:
             self.stdout += record.content
         elif record.type == Type.STDERR:
-            self.stderr += record.content[: max(0, STDERR_MOST - len(self.stderr))]
+            self.stderr += record.content[: max(0, MAX_STDERR_BYTES - len(self.stderr))]
         elif record.type == Type.END_REQUEST:
             self.status, status = read_end(record.content)
-            self.end = self._ended(status)
+            self.end = self._classify_end(status)
         else:
-            raise ProtocolError(f"a record of type {record.type} from an application")
+            raise ProtocolError(f"record type {record.type} is not allowed from an application")
         return self.end
 
-    def _ended(self, status: int) -> End:
+    def _classify_end(self, status: int) -> End:
         if status == Status.REQUEST_COMPLETE:
-            return End.ANSWERED if self.stdout or self.taken else End.SILENT
+            return End.ANSWERED if self.stdout or self.stdout_was_read else End.SILENT
         if status in (Status.OVERLOADED, Status.CANT_MPX_CONN, Status.UNKNOWN_ROLE) and not (
-            self.stdout or self.taken
+            self.stdout or self.stdout_was_read
         ):
             return End.NEVER_RAN
         return End.BROKEN
 
 
 class WebServerSide:
-    """What a connection to an application says, on which one request is out at a time."""
+    """The protocol state of a connection to an application that has one request in flight at a time."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
         self.exchange = Exchange(0)
-        self.stray = False  # something came that belongs to no open request: the connection is not kept
+        self.has_stray_records = (
+            False  # a record that belongs to no open request was received: the connection is not kept
+        )
 
     @property
     def stdout(self) -> bytearray:
@@ -112,29 +117,29 @@
         return self.exchange.status
 
     def begin(self) -> int:
-        """The id of the next request."""
-        self.exchange = Exchange(self.exchange.number % IDS + 1)
+        """Begin the next request, and return its id."""
+        self.exchange = Exchange(self.exchange.number % REQUEST_ID_COUNT + 1)
         return self.exchange.number
 
     def feed(self, data: bytes) -> End | None:
-        """How the request ended, if these bytes end it."""
+        """Process received bytes; return how the request ended, or None if it has not."""
         exchange = self.exchange
         try:
             for record in self._decoder.feed(data):
-                self._record(record)
+                self._handle_record(record)
         except ProtocolError:
-            self.stray = True
+            self.has_stray_records = True
             if exchange.end is None:
                 exchange.end = End.BROKEN
         if self._decoder.held and exchange.end is not None:
-            self.stray = True
+            self.has_stray_records = True
         return exchange.end
 
-    def _record(self, record: Record) -> None:
+    def _handle_record(self, record: Record) -> None:
         if record.request == 0:
             if record.type not in (Type.GET_VALUES_RESULT, Type.UNKNOWN_TYPE):
-                raise ProtocolError(f"a record of type {record.type} with request id 0")
+                raise ProtocolError(f"record type {record.type} is not allowed with request id 0")
         elif record.request != self.exchange.number or self.exchange.end is not None:
-            self.stray = True
+            self.has_stray_records = True
         else:
-            self.exchange.take(record)
+            self.exchange.handle_record(record)
--- a/loadbalancer/streaming/__init__.py
+++ b/loadbalancer/streaming/__init__.py
@@ -1,1 +1,1 @@
-"""Bodies and tunnels passed on as they come, with back-pressure and bounded buffers. No I/O."""
+"""Streamed bodies and tunnels, with backpressure and bounded buffers. No I/O."""
--- a/loadbalancer/streaming/streams.py
+++ b/loadbalancer/streaming/streams.py
@@ -1,7 +1,7 @@
-"""A body on its way from one connection to another: in order, bounded, with back-pressure. No I/O, no clock.
+"""Streams a body from one connection to another: in order, bounded, with backpressure. No I/O, no clock.
 
-One `Stream` stands between the two sides, so that a front end and an upstream connection never know each other: what
-the producer sends, the consumer takes, and the producer is held while the consumer is full.
+A `Stream` connects the two sides, so that a front end and an upstream connection don't depend on each other. It passes
+the producer's bytes to the consumer, and pauses the producer while the consumer's buffer is full.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 
 class StreamProducer(Protocol):
-    """Where the bytes come from."""
+    """The connection that a body is read from."""
 
     def hold(self, on: bool) -> None:
-        """Read no further, or read on."""
+        """Pause reading if `on`, else resume it."""
 
 
 class StreamConsumer(Protocol):
-    """Where the bytes go."""
+    """The connection that a body is written to."""
 
     def take_part(self, data: bytes) -> None:
-        """Take the next bytes; see `Stream.set_full` for when there are too many."""
+        """Receive the next bytes; call `Stream.set_full` when the buffer is full."""
 
     def take_end(self) -> None:
-        """The body is complete."""
+        """Receive the end of the body, which is complete."""
 
     def break_off(self) -> None:
-        """The body ends before it is complete; the peer must be able to tell."""
+        """Abort the body before it is complete, in a way that the peer can detect."""
 
 
 class Stream:
-    """One body. Either side may end it; it passes nothing on after that."""
+    """One streamed body. Either side may end it; nothing is passed on after that."""
 
     __slots__ = ("_has_ended", "_has_moved", "_is_full", "consumer", "passed_bytes", "producer")
 
@@ -46,7 +46,7 @@
         self._is_full = False
 
     def send(self, data: bytes) -> None:
-        """Pass bytes on."""
+        """Pass bytes to the consumer."""
         if self._has_ended or not data:
             return
         self._has_moved = True
@@ -54,33 +54,33 @@
         self.consumer.take_part(data)
 
     def end(self) -> None:
-        """The producer has sent all of it."""
+        """End the body, which the producer has sent completely."""
         if not self._has_ended:
             self._has_ended = True
             self.consumer.take_end()
 
     def cut(self) -> None:
-        """The producer has no more, though more was to come."""
+        """Abort the body: the producer failed before it had sent all of it."""
         if not self._has_ended:
             self._has_ended = True
             self.consumer.break_off()
 
     def leave(self) -> None:
-        """The consumer is gone; what is still sent goes nowhere."""
+        """End the stream because the consumer is gone; bytes sent from now on are discarded."""
         if not self._has_ended:
             self._has_ended = True
             self._hold(False)
 
     def set_full(self, on: bool) -> None:
-        """The consumer has as much as it can hold, or has room again."""
+        """Pause the producer if the consumer's buffer is full (`on`), else resume it."""
         self._has_moved = True
         if not self._has_ended:
             self._hold(on)
 
     def is_stalled(self) -> bool:
-        """Whether nothing has come since the last call though the consumer has room.
+        """Return whether no byte has been sent since the last call although the consumer has room.
 
-        A consumer that is full is watched by its owner.
+        The owner of a consumer detects whether that one stalls while it is full.
         """
         stalled = not (self._has_moved or self._is_full)
         self._has_moved = False
--- a/loadbalancer/streaming/tunnels.py
+++ b/loadbalancer/streaming/tunnels.py
@@ -1,7 +1,7 @@
-"""Connections that have gone over to another protocol (RFC 9110, 7.8): bytes both ways. No I/O.
+"""Tunnels: connections that were upgraded to another protocol (RFC 9110, 7.8) and relay bytes both ways. No I/O.
 
-A tunnel is no request any more: its request was served with 101, and the policy has been told so. Tunnels are bounded
-in number, time and buffers. Each is owned by the `Tunnels` of its pool, and ends in one place, `Tunnel.close`.
+The request of a tunnel has ended: it was served with 101, and the policy has its result. Tunnels are limited in number,
+time and buffers. Each is owned by the `Tunnels` of its pool, and is always closed by `Tunnel.close`.
 """
 
 from __future__ import annotations
@@ -18,36 +18,36 @@
     """Limits on the tunnels of one pool."""
 
     max_open: int = 256
-    """Tunnels at once."""
+    """Maximum of open tunnels."""
     idle_timeout: float = 300.0
-    """Seconds without a byte."""
+    """Seconds without a byte in either direction after which a tunnel is closed."""
     max_lifetime: float = 12 * 3600.0
-    """Seconds in all."""
+    """Seconds after which a tunnel is closed, whether idle or not."""
     drain_timeout: float = 5.0
-    """Seconds that a tunnel has which is told to end."""
+    """Seconds from the start of a drain until a tunnel is closed."""
 
 
 class TunnelEnd(Protocol):
-    """One of the two connections of a tunnel, as the other side sees it."""
+    """One of the two connections of a tunnel."""
 
     def send(self, data: bytes) -> None:
-        """Pass bytes to the peer."""
+        """Write bytes to the peer."""
 
     def hold(self, on: bool) -> None:
-        """Read no more for now, or read again."""
+        """Pause reading if `on`, else resume it."""
 
     def finish(self) -> None:
-        """The other side sends no more."""
+        """Half-close: the other end sends no more bytes."""
 
     def shut(self) -> None:
-        """Close once what waits has been taken, or after a while."""
+        """Close after the buffered bytes are flushed, or after a timeout."""
 
     def abort(self) -> None:
         """Close at once."""
 
 
 class Tunnel:
-    """Two ends and what is counted of them."""
+    """The two ends of a tunnel, with its counters and times."""
 
     __slots__ = (
         "_has_finished",
@@ -65,7 +65,7 @@
     def __init__(
         self, tunnels: Tunnels, server: str, client: TunnelEnd, member: TunnelEnd, now: float
     ) -> None:
-        """Begin to pass bytes.
+        """Create an open tunnel.
 
         Args:
             tunnels: The owner.
@@ -78,19 +78,19 @@
         self.client_end = client
         self.endpoint_end = member
         self.opened_at = now
-        self.moved_at = now  # when a byte last came
-        self.drain_started_at = 0.0  # 0: it is not told to end
-        self.passed_bytes = [0, 0]  # by the side that they came from
+        self.moved_at = now  # when a byte was last received
+        self.drain_started_at = 0.0  # 0: not draining
+        self.passed_bytes = [0, 0]  # by the sending side
         self._tunnels = tunnels
         self._has_finished = [False, False]  # by side
         self._is_closed = False
 
     def from_client(self, data: bytes) -> None:
-        """Pass bytes of the client on."""
+        """Pass bytes from the client to the endpoint."""
         self._pass(CLIENT, self.endpoint_end, data)
 
     def from_endpoint(self, data: bytes) -> None:
-        """Pass bytes of the endpoint on."""
+        """Pass bytes from the endpoint to the client."""
         self._pass(ENDPOINT, self.client_end, data)
 
     def _pass(self, side: int, receiver: TunnelEnd, data: bytes) -> None:
@@ -100,12 +100,12 @@
             receiver.send(data)
 
     def set_full(self, member: bool, on: bool) -> None:
-        """An end takes no more for now, or has room again; the other one is held meanwhile."""
+        """Pause reading from the other end while the buffer of one end is full (`on`), else resume it."""
         if not self._is_closed:
             self._other_end(member).hold(on)
 
     def finish(self, member: bool) -> None:
-        """An end sends no more; once neither does, the tunnel closes."""
+        """Half-close the tunnel after one end has sent all; close it once both have."""
         if self._is_closed or self._has_finished[member]:
             return
         self._has_finished[member] = True
@@ -118,14 +118,14 @@
         return self.client_end if member else self.endpoint_end
 
     def lost(self) -> None:
-        """A connection is gone."""
+        """Close the tunnel after one of its connections was lost."""
         self.close()
 
     def close(self, orderly: bool = False) -> None:
         """Close both ends.
 
         Args:
-            orderly: Whether both have sent all; otherwise what waits for an end that does not read is lost.
+            orderly: Whether both ends have sent all. If not, buffered bytes that an end has not read are dropped.
         """
         if self._is_closed:
             return
@@ -138,7 +138,7 @@
                 end.abort()
 
     def has_expired(self, now: float, limits: TunnelLimits) -> bool:
-        """Whether a limit in time is over."""
+        """Return whether the drain, idle or lifetime limit is exceeded."""
         if self.drain_started_at and now - self.drain_started_at > limits.drain_timeout:
             return True
         if now - self.moved_at > limits.idle_timeout:
@@ -150,33 +150,33 @@
     """The tunnels of one pool."""
 
     def __init__(self, terms: TunnelLimits, clock: Callable[[], float]) -> None:
-        """Begin without tunnels; `clock`: monotonic seconds."""
+        """Create an empty set of tunnels; `clock` returns monotonic seconds."""
         self.limits = terms
         self.clock = clock
         self.open: set[Tunnel] = set()
-        self.opened_count = 0  # in all
+        self.opened_count = 0  # since the start
         self.is_retired = False
         self.passed_bytes = [0, 0]  # of tunnels that have closed, by side
 
     def has_room(self) -> bool:
-        """Whether one more may be opened."""
+        """Return whether one more tunnel may be opened."""
         return not self.is_retired and len(self.open) < self.limits.max_open
 
     def open_tunnel(self, server: str, client: TunnelEnd, member: TunnelEnd) -> Tunnel:
-        """Join two connections; see `Tunnel`."""
+        """Open a tunnel between two connections; see `Tunnel`."""
         tunnel = Tunnel(self, server, client, member, self.clock())
         self.open.add(tunnel)
         self.opened_count += 1
         return tunnel
 
     def on_closed(self, tunnel: Tunnel) -> None:
-        """Forget a tunnel that closes."""
+        """Remove a closing tunnel and add its bytes to the totals."""
         self.open.discard(tunnel)
         for side in (CLIENT, ENDPOINT):
             self.passed_bytes[side] += tunnel.passed_bytes[side]
 
     def retire(self) -> None:
-        """Open no more, and drain all: the pool or the process ends."""
+        """Drain all tunnels and open no more, because the pool or the process ends."""
         self.is_retired = True
         self._drain(lambda _tunnel: True)
 
@@ -191,12 +191,12 @@
                 tunnel.drain_started_at = now
 
     def sweep(self) -> None:
-        """Close the tunnels whose time is over."""
+        """Close the tunnels whose time limits are exceeded."""
         now = self.clock()
         for tunnel in [tunnel for tunnel in self.open if tunnel.has_expired(now, self.limits)]:
             tunnel.close()
 
     def close(self) -> None:
-        """Close all."""
+        """Close all tunnels at once."""
         for tunnel in list(self.open):
             tunnel.close()
--- a/loadbalancer/streaming/uploads.py
+++ b/loadbalancer/streaming/uploads.py
@@ -1,7 +1,7 @@
-"""A request's body that is too long to be held: sent to an endpoint while it still comes. No I/O, no clock.
+"""Streams a request body that is too long to be buffered to an endpoint while it is received. No I/O, no clock.
 
-The client's connection produces, the endpoint's consumes. The body may be sent again as long as all that has come is
-still kept.
+The client's connection is the producer, the endpoint's the consumer. The body can be sent again, for a retry, as long
+as all bytes received so far are still kept.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Upload:
-    """One body, from the moment that it is too long until its request ends. It owns the bytes that it keeps."""
+    """One streamed request body, from when it exceeds the buffer until its request ends. Owns the bytes it keeps."""
 
     __slots__ = (
         "_budget",
@@ -36,14 +36,14 @@
         budget: BufferBudget,
         lost: Callable[[], None],
     ) -> None:
-        """Hold the producer until an endpoint takes the body.
+        """Create an upload, and pause the producer until an endpoint is attached.
 
         Args:
             giver: The client's connection.
-            length: Bytes of the body as stated; None where it comes in chunks.
-            kept: What has come, charged to the budget.
-            budget: What kept bytes are taken from.
-            lost: Called once when a byte is gone that is not kept, so that the body cannot be sent again.
+            length: Bytes of the body as stated by Content-Length; None if it is chunked.
+            kept: The bytes received so far, charged to the budget.
+            budget: The budget that kept bytes are charged to.
+            lost: Called once, when the first byte is no longer kept and the body cannot be sent again.
         """
         self.producer = giver
         self.length = length
@@ -60,12 +60,12 @@
     # Called by the client's connection.
 
     def receive(self, data: bytes) -> None:
-        """Take the next bytes."""
+        """Keep the next bytes, or pass them to the endpoint."""
         self.received_bytes += len(data)
         if self._is_closed:
             return
         if self._consumer is None and self.kept_bytes is not None:
-            # What came before the hold took effect: one read at most.
+            # Bytes that arrived before the pause took effect: at most one read.
             self.kept_bytes += data
             self._budget.held_bytes += len(data)
             return
@@ -76,7 +76,7 @@
             self._consumer.take_part(data)
 
     def end(self) -> None:
-        """The body is complete."""
+        """Mark the body as complete."""
         self.is_complete = True
         if self._consumer is not None:
             self._consumer.take_end()
@@ -84,12 +84,12 @@
     # Called by the endpoint's connection.
 
     def attach(self, taker: StreamConsumer) -> None:
-        """Send the body to an endpoint from its beginning; only while all of it is kept."""
+        """Send the body to an endpoint from its first byte; allowed only while all received bytes are kept."""
         assert self.kept_bytes is not None
         self._consumer = taker
         if self.kept_bytes:
             taker.take_part(bytes(self.kept_bytes))
-        if self._consumer is not taker:  # it broke over the first bytes
+        if self._consumer is not taker:  # the connection failed on the first bytes
             return
         if self.is_complete:
             taker.take_end()
@@ -97,18 +97,18 @@
             self._hold(False)
 
     def detach(self, taker: StreamConsumer) -> None:
-        """This endpoint takes no more; the next one gets all of it, if that is still kept."""
+        """Detach an endpoint and pause the producer. The next endpoint gets the whole body, if that is still kept."""
         if self._consumer is taker:
             self._consumer = None
             self._hold(True)
 
     def set_full(self, on: bool) -> None:
-        """The endpoint's connection has as much as it can hold, or has room again."""
+        """Pause the producer while the endpoint's buffer is full (`on`), else resume it."""
         if self._consumer is not None:
             self._hold(on)
 
     def close(self) -> None:
-        """The request has ended: what still comes goes nowhere."""
+        """Close the upload because its request has ended; bytes received from now on are discarded."""
         self._is_closed = True
         self._consumer = None
         self._discard_kept()
--- a/loadbalancer/upstreams/__init__.py
+++ b/loadbalancer/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to members; one file a protocol that members speak."""
+"""Connections to members, with one module for each protocol that members speak."""
--- a/loadbalancer/upstreams/base.py
+++ b/loadbalancer/upstreams/base.py
@@ -1,4 +1,4 @@
-"""What connections to members have in common, whatever protocol they speak: the socket, and the one way it ends."""
+"""The base class of connections to members for all protocols: socket writes, failures and the release of resources."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class SocketUpstream(Upstream):
-    """A connection that carries one attempt at a time. The protocol's file reads and writes on it."""
+    """A socket connection that carries one attempt at a time; subclasses implement the protocol."""
 
     def __init__(self, backend: UpstreamEndpoint, pool: UpstreamPools, sock: socket.socket) -> None:
         self.endpoint, self.pool, self.sock = backend, pool, sock
         self.identity = backend.identity
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
-        self.unsent = False  # part of the request is still in our buffers
+        self.unsent = False  # part of the request is still in the transport's write buffer
         self.closed = False
         self.is_handed_over = False
         self.idle_since = 0.0
@@ -31,31 +31,34 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
-        # pause_writing then says that something is left in our buffers, resume_writing that nothing is.
-        # Over TLS a limit of none counts as passed at once, and is never left: what has gone would look unsent.
+        # With these limits pause_writing reports that the write buffer holds data, and resume_writing that it is
+        # empty. Over TLS a high limit of 0 would count as exceeded from the start and writing would never be resumed,
+        # so that a request which was sent would look unsent.
         transport.set_write_buffer_limits(high=1 if self.secure else 0, low=0)
 
     def is_alive(self) -> bool:
-        """Guards against a kept connection whose end has come but has not been read yet."""
+        """Return whether the socket is still open; detects a close by the peer that has not been read yet."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return not self.closed
         except OSError:
             return False
-        return False  # end of input, or bytes that nobody asked for
+        return False  # end of input, or unsolicited bytes
 
-    def take(self, attempt: Attempt) -> None:
-        """The attempt is on this connection from here on."""
+    def assign(self, attempt: Attempt) -> None:
+        """Assign an attempt to this connection."""
         self.attempt = attempt
         attempt.written_at = time.monotonic()
         attempt.connection = self
 
     def write(self, data: bytes) -> None:
-        """Straight to the kernel: so it is certain what has left, and a break before the last byte is told from
+        """Write directly to the socket; what the kernel does not accept goes to the transport's buffer.
+
+        That way it is known which bytes were sent, and a failure before the last byte of a request can be told from
         one after it."""
         assert self.transport is not None
-        if self.secure:  # nobody can tell which byte has left: what was handed over whole may have run
+        if self.secure:  # it is unknown which bytes were sent: a request passed to TLS whole may have run
             self.transport.write(data)
             return
         try:
@@ -71,20 +74,20 @@
             self.transport.write(data[sent:])
 
     def hold(self, on: bool) -> None:
-        """The client does not take more now, or takes more again."""
+        """Pause or resume reading: the client's buffer is full, or has room again."""
         if self.transport is not None and not self.transport.is_closing():
             (self.transport.pause_reading if on else self.transport.resume_reading)()
 
-    def note_heard(self) -> None:
-        """Something has come from the backend."""
+    def record_received(self) -> None:
+        """Record the time at which bytes were received from the backend."""
         self.endpoint.last_heard_at = time.monotonic()
 
     def is_unsent(self) -> bool:
-        """Whether so much of the request is still here that it can't have run."""
+        """Return whether enough of the request is still unsent that it cannot have run."""
         return self.unsent
 
-    def broken(self) -> AttemptResult:
-        """What the end of the connection means for the attempt on it."""
+    def failure_result(self) -> AttemptResult:
+        """Return the result of the attempt on this connection if the connection ends now."""
         return AttemptResult.NO_CONNECTION if self.is_unsent() else AttemptResult.RESET
 
     def pause_writing(self) -> None:
@@ -96,25 +99,26 @@
     # Ending.
 
     def fail(self, result: AttemptResult) -> None:
+        """Close the connection and finish its attempt with `result`."""
         attempt = self.attempt
         self.drop()
         if attempt is not None:
             self.pool.owner.finish_attempt(attempt, result)
 
     def eof_received(self) -> None:
-        self.fail(self.broken())
+        self.fail(self.failure_result())
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.attempt is not None:
-            self.fail(self.broken())
+            self.fail(self.failure_result())
         self.drop()
 
     def release(self) -> None:
-        """Give back what the protocol's side holds."""
+        """Release the buffers and references that the subclass holds."""
         raise NotImplementedError
 
     def drop(self) -> None:
-        """Close at once; nothing further is heard of it."""
+        """Close at once, without reporting a result for the attempt."""
         if self.attempt is not None:
             self.attempt.detach()
             self.attempt = None
@@ -128,8 +132,10 @@
                 self.close_socket()
 
     def close_socket(self) -> None:
-        """Where no transport came of it. One that failed half-way has closed the descriptor itself; closing
-        its number again would end whatever connection has got it since."""
+        """Close the socket of a connection that never got a transport.
+
+        If creating the transport failed after the socket was handed over, the transport has closed the descriptor
+        already. Closing its number again could close a newer connection that reuses it."""
         if self.is_handed_over:
             self.sock.detach()
         else:
--- a/loadbalancer/upstreams/connections.py
+++ b/loadbalancer/upstreams/connections.py
@@ -1,6 +1,7 @@
-"""The connections to one pool's members: opened, kept, retired, within the pool's descriptors.
+"""The connections to one pool's members: opening, reuse and closing, within the pool's limit of descriptors.
 
-What is said on one is the matter of the protocol's file; here it is opened, handed an attempt and taken back.
+The protocol modules read and write on a connection; this module opens it, assigns attempts to it and keeps it
+when idle.
 """
 
 from __future__ import annotations
@@ -16,74 +17,74 @@
 from loadbalancer.policy.events import AttemptResult
 from loadbalancer.read_first_timer import ReadFirstTimer
 from loadbalancer.resource_limits import BufferBudget, RateLimitedLogger
-from loadbalancer.upstreams.interfaces import AttemptOwner, Job, TlsConnector
+from loadbalancer.upstreams.interfaces import AttemptOwner, TlsConnector, UpstreamRequest
 from loadbalancer.upstreams.pacing import Pacer
 
-if TYPE_CHECKING:  # loaded where members are spoken to over TLS
+if TYPE_CHECKING:
     pass
 
-#: Idle connections kept to one backend: it holds some twenty for all proxies, and a full table costs it.
+#: Idle connections kept to one backend. It holds some twenty for all proxies, and a full connection table costs it.
 IDLE_MOST = 6
-#: An idle connection is retired at this share of the time after which the backend closes it. Backends
-#: close early, and a request that crosses such a close ends as a reset.
-IDLE_SHARE = 0.3
-#: A connection is used again once it has rested for this long. Guards against a second copy, or noise, that
-#: comes right behind an answer: after the next request has been written it would pass for the answer to that.
-#: Harm: a new connection now and then, where a backend is asked again at once.
+#: An idle connection is closed at this share of the backend's idle timeout. Backends close early, and a request that
+#: is sent while the backend closes the connection ends as a reset.
+IDLE_TIMEOUT_SHARE = 0.3
+#: Seconds that a connection must have been idle before it is reused. Guards against a duplicate answer or stray bytes
+#: right behind an answer, which would be read as the answer to the next request. Cost: now and then a new connection,
+#: when a backend gets another request at once.
 REST_S = 0.005
 
-#: Seconds that a member has to answer the end of a connection over TLS.
-SHUTDOWN_S = 1.0
-#: An address that begins so is the path of a Unix socket; its port is 0.
-UNIX = "unix:"
-#: Where a backend listens and when it last started: connections are of one life of it.
-Life = tuple[tuple[str, int], float]
+#: Seconds that a member has to answer the close of a TLS connection (close_notify).
+TLS_SHUTDOWN_TIMEOUT_S = 1.0
+#: Prefix of an address that is the path of a Unix socket; its port is 0.
+UNIX_PREFIX = "unix:"
+#: Address of a backend and the time of its last start. A connection is valid only for the pair that it was opened to.
+EndpointIdentity = tuple[tuple[str, int], float]
 
 
-def family(address: tuple[str, int]) -> socket.AddressFamily:
-    return socket.AF_UNIX if address[0].startswith(UNIX) else socket.AF_INET
+def address_family(address: tuple[str, int]) -> socket.AddressFamily:
+    return socket.AF_UNIX if address[0].startswith(UNIX_PREFIX) else socket.AF_INET
 
 
 class Upstream(asyncio.Protocol):
-    """What a pool needs of a connection, whatever protocol it speaks."""
+    """The interface of a connection that a pool uses, for any protocol."""
 
     endpoint: UpstreamEndpoint
     sock: socket.socket
-    identity: Life
+    identity: EndpointIdentity
     is_handed_over: bool  # the transport owns the socket
-    secure: bool = False  # over TLS: what is written is not what leaves
+    secure: bool = False  # over TLS: bytes written are not the bytes on the wire
     closed: bool
     idle_since: float  # monotonic
 
     def has_room(self) -> bool:
-        """Whether it takes one more attempt beside those on it."""
+        """Return whether one more attempt can share this connection."""
         return False
 
     def start(self, attempt: Attempt) -> None:
-        """Write the attempt's request; its end is told to the owner."""
+        """Write the attempt's request; the owner's `finish_attempt` gets its result."""
         raise NotImplementedError
 
     def is_unsent(self) -> bool:
-        """Whether so much of the request is still here that it can't have run."""
+        """Return whether enough of the request is still unsent that it cannot have run."""
         raise NotImplementedError
 
     def is_alive(self) -> bool:
-        """Whether a kept connection can still be used."""
+        """Return whether an idle connection can still be used."""
         raise NotImplementedError
 
     def drop(self) -> None:
-        """Close at once; nothing further is heard of it."""
+        """Close at once, without reporting a result for the attempt."""
         raise NotImplementedError
 
 
-class Connect(Protocol):
-    """Makes the protocol's side of a connection."""
+class ConnectionFactory(Protocol):
+    """Creates the connection object of a protocol for a new socket."""
 
     def __call__(self, backend: UpstreamEndpoint, pool: UpstreamPools, sock: socket.socket) -> Upstream: ...
 
 
 class Attempt:
-    """One Send, from when the module asked for it to its one Outcome."""
+    """One attempt of a request, from the policy's Send action to its single Outcome event."""
 
     __slots__ = (
         "request",
@@ -100,7 +101,9 @@
         "_written",
     )
 
-    def __init__(self, request: Job, number: int, server: str, began: float, timeout: float) -> None:
+    def __init__(
+        self, request: UpstreamRequest, number: int, server: str, began: float, timeout: float
+    ) -> None:
         self.request, self.number, self.endpoint = request, number, server
         self.began_at, self.timeout = began, timeout
         self.timer: asyncio.TimerHandle | None = None
@@ -108,24 +111,24 @@
         self.opening: asyncio.Task[None] | None = None
         self.ended = False
         self.written_at = 0.0  # monotonic
-        self.answered_at = 0.0  # monotonic, when the head of its answer was whole; 0: not yet
-        self._written = False  # as it was when the connection was let go
+        self.answered_at = 0.0  # monotonic, when the head of its answer was complete; 0: not yet
+        self._written = False  # value of is_written() when the connection was detached
 
     def is_written(self) -> bool:
-        """Whether the last byte of the request has left, so that it may have run."""
+        """Return whether the last byte of the request was sent, so that it may have run."""
         return self._written if self.connection is None else not self.connection.is_unsent()
 
     def has_started(self) -> bool:
-        """Whether a connection carries it, or has carried it."""
+        """Return whether a connection carries the attempt, or has sent its whole request."""
         return self.connection is not None or self._written
 
     def detach(self) -> None:
-        """The connection carries it no further."""
+        """Detach the attempt from its connection, and keep whether its request was sent."""
         self._written = self.is_written()
         self.connection = None
 
     def drop(self) -> None:
-        """Stop waiting: the connection is closed, which also tells the backend."""
+        """Cancel the attempt. Its connection is closed, which also tells the backend."""
         if self.opening is not None:
             self.opening.cancel()
             self.opening = None
@@ -134,7 +137,7 @@
 
 
 class UpstreamEndpoint:
-    """One backend's address and connections."""
+    """The address and the connections of one backend."""
 
     __slots__ = (
         "identity",
@@ -144,25 +147,25 @@
         "last_heard_at",
         "name",
         "open",
-        "opening_is_due",
+        "is_opening_scheduled",
         "shared",
         "waiting_attempts",
     )
 
-    def __init__(self, life: Life, name: str = "") -> None:
-        self.identity, self.name = life, name
-        self.idle: list[Upstream] = []  # the newest last
-        self.shared: list[Upstream] = []  # those that carry several attempts, in use or idle
+    def __init__(self, identity: EndpointIdentity, name: str = "") -> None:
+        self.identity, self.name = identity, name
+        self.idle: list[Upstream] = []  # the most recently used one last
+        self.shared: list[Upstream] = []  # connections that can carry several attempts, in use or idle
         self.is_serving = True  # listed as serving
         self.is_gone = False
         self.open = 0
-        self.last_heard_at = 0.0  # when any of its connections last had something to read
-        self.waiting_attempts: deque[Attempt] = deque()  # for a connection, while these are opened at a pace
-        self.opening_is_due = False  # one of them is to open one
+        self.last_heard_at = 0.0  # monotonic, when bytes were last received on any of its connections
+        self.waiting_attempts: deque[Attempt] = deque()  # attempts that the pacer delays
+        self.is_opening_scheduled = False  # a timer to open the next one is set
 
 
 class UpstreamPools:
-    """All connections to backends."""
+    """All connections of one pool to its backends."""
 
     def __init__(
         self,
@@ -170,62 +173,68 @@
         budget: BufferBudget,
         logger: RateLimitedLogger,
         sockets: int,
-        make: Connect,
+        connection_factory: ConnectionFactory,
         connect_timeout: float,
         idle_close: float,
-        idle_most: int | None = None,
+        max_idle_connections: int | None = None,
     ) -> None:
-        """`sockets`: descriptors at most. `connect_timeout`, `idle_close`: seconds; after the latter a
-        backend closes a connection that stands idle. `idle_most`: idle connections kept to one backend."""
+        """Create a pool without connections.
+
+        `sockets`: maximum of descriptors. `connect_timeout`: seconds. `idle_close`: seconds after which a backend
+        closes an idle connection. `max_idle_connections`: maximum of idle connections kept to one backend."""
         self.owner, self.budget, self.logger = owner, budget, logger
-        self.sockets, self._make = sockets, make
+        self.sockets, self._connection_factory = sockets, connection_factory
         self.connect_timeout = connect_timeout
-        self.max_idle_connections = IDLE_MOST if idle_most is None else idle_most
-        self.idle_s = idle_close * IDLE_SHARE
+        self.max_idle_connections = IDLE_MOST if max_idle_connections is None else max_idle_connections
+        self.idle_timeout = idle_close * IDLE_TIMEOUT_SHARE
         self.endpoints: dict[str, UpstreamEndpoint] = {}
-        self.tls: TlsConnector | None = None  # what members are spoken to in
+        self.tls: TlsConnector | None = None  # set if members are reached over TLS
         self.open = 0
         self.free_descriptor: Callable[[], bool] = lambda: (
             False
-        )  # frees one on the spot where the system has none
-        self.pacer: Pacer | None = None  # while many proxies come back at once
-        self.send_guard: Callable[[str], AttemptResult | None] | None = (
-            None  # how an attempt ends that may not leave now
-        )
+        )  # called when the system has no descriptor left
+        self.pacer: Pacer | None = None  # set while many proxies restart at once
+        # Returns the result of an attempt to an endpoint that must not be sent now, or None if it may.
+        self.send_guard: Callable[[str], AttemptResult | None] | None = None
 
     def resize(self, sockets: int) -> None:
-        """Another number of descriptors; idle connections past it are closed."""
+        """Set the maximum of descriptors, and close idle connections beyond it."""
         self.sockets = sockets
         while self.open > sockets and self._close_one_idle():
             pass
 
-    def listed(self, server: str, life: Life, serving: bool) -> None:
-        """Another address or start means that the old connections are of no use."""
+    def listed(self, server: str, identity: EndpointIdentity, serving: bool) -> None:
+        """Add or update an endpoint. Idle connections are closed if its identity changed or it is not serving."""
         backend = self.endpoints.get(server)
         if backend is None:
-            backend = self.endpoints[server] = UpstreamEndpoint(life, server)
-        if backend.identity != life or not serving:
-            backend.identity = life
+            backend = self.endpoints[server] = UpstreamEndpoint(identity, server)
+        if backend.identity != identity or not serving:
+            backend.identity = identity
             self.close_idle(server)
         backend.is_serving = serving
         backend.is_gone = False
 
     def gone(self, server: str) -> None:
+        """Mark an endpoint as removed from the endpoint list, and close its idle connections."""
         backend = self.endpoints.get(server)
         if backend is not None:
             backend.is_serving, backend.is_gone = False, True
             self.close_idle(server)
 
     def retire(self, server: str) -> None:
-        """Keep no connection to it: those in use close once they have been used."""
+        """Close the idle connections to an endpoint; those in use are closed when their attempt has ended."""
         self.endpoints[server].is_serving = False
         self.close_idle(server)
 
-    def _is_stopped(self, attempt: Attempt, late: bool) -> bool:
-        """Asked right before anything leaves, on every way. Guards against attempts that were right when they were
-        decided and are not once their connection is up: the request has its answer, its client has left, its member
-        drains or has gone, the deduplication window is over. Also what a fleet has agreed on, against a process that
-        was stopped between its decision and its send. Harm: none, the request has not run."""
+    def _is_blocked(self, attempt: Attempt, late: bool) -> bool:
+        """Return whether the attempt must not be sent; if so, finish it.
+
+        Called right before a request is written, on every path. Guards against attempts whose reason no longer holds
+        once their connection is up: the request has its answer, its client has disconnected, its member drains or was
+        removed, or the deduplication window is over. The send guard also enforces what a fleet has agreed on, against
+        a process that was stopped between its decision and its send. Nothing is lost, since the request has not run.
+
+        `late`: time has passed since the attempt was decided."""
         result = self.send_guard(attempt.endpoint) if self.send_guard is not None else None
         if result is None and self.owner.must_not_leave(attempt, late):
             result = AttemptResult.NOT_SENT
@@ -234,74 +243,78 @@
         return result is not None
 
     def send(self, attempt: Attempt) -> None:
-        if self._is_stopped(attempt, False):
+        """Send the attempt on a shared or idle connection, or open a new one."""
+        if self._is_blocked(attempt, False):
             return
         backend = self.endpoints.get(attempt.endpoint)
-        if backend is None:  # it went between the decision and now
+        if backend is None:  # removed since the attempt was decided
             self.owner.finish_attempt(attempt, AttemptResult.NO_CONNECTION)
             return
-        if (kept := self._shared(backend) or self._kept(backend)) is not None:
-            kept.start(attempt)
+        if (existing := self._find_shared(backend) or self._find_idle(backend)) is not None:
+            existing.start(attempt)
             return
         if self.pacer is not None:
             backend.waiting_attempts.append(attempt)
-            self._next(backend)
+            self._open_next(backend)
             return
         self._open(backend, attempt)
 
-    def _next(self, backend: UpstreamEndpoint) -> None:
-        """The first that waits opens a connection once the pace allows it; another may be free before.
+    def _open_next(self, backend: UpstreamEndpoint) -> None:
+        """Open a connection for the first waiting attempt as soon as the pacer allows it.
 
-        Guards members against all proxies that open theirs in the same moment, after most have restarted. Harm: a
-        request waits for its turn, inside its time, while its member has no connection of ours."""
-        while backend.waiting_attempts and not backend.opening_is_due:
+        An attempt that waits gets an existing connection that becomes free earlier. Guards members against all proxies
+        that open their connections in the same moment, after most have restarted. Cost: while its member has no
+        connection from this process, a request waits for its turn, within its timeout."""
+        while backend.waiting_attempts and not backend.is_opening_scheduled:
             attempt = backend.waiting_attempts.popleft()
             if attempt.ended:
                 continue
             wait = self.pacer.take(time.monotonic()) if self.pacer is not None else 0.0
             if wait > 0:
                 backend.waiting_attempts.appendleft(attempt)
-                backend.opening_is_due = True
-                asyncio.get_running_loop().call_later(wait, self._due, backend)
+                backend.is_opening_scheduled = True
+                asyncio.get_running_loop().call_later(wait, self._on_opening_due, backend)
             else:
                 self._open(backend, attempt)
 
-    def _due(self, backend: UpstreamEndpoint) -> None:
-        backend.opening_is_due = False
-        self._next(backend)
+    def _on_opening_due(self, backend: UpstreamEndpoint) -> None:
+        backend.is_opening_scheduled = False
+        self._open_next(backend)
 
     def set_pace(self, pacer: Pacer | None) -> None:
-        """None ends it: all that wait open theirs."""
+        """Set the pacer, or end pacing with None: all waiting attempts then open their connections."""
         self.pacer = pacer
         for backend in list(self.endpoints.values()) if pacer is None else ():
-            self._next(backend)  # what a timer is set for comes with it, and finds no pace
+            self._open_next(backend)  # does nothing if a timer is set; that finds no pacer when it fires
 
     def _open(self, backend: UpstreamEndpoint, attempt: Attempt) -> None:
         if self.open >= self.sockets and not self._close_one_idle():
             self.logger("no descriptor left for a backend", attempt.endpoint)
             self.owner.finish_attempt(attempt, AttemptResult.NO_CONNECTION)
             return
-        sock = self._socket(backend)
+        sock = self._create_socket(backend)
         if sock is None:
             self.owner.finish_attempt(attempt, AttemptResult.NO_CONNECTION)
             return
-        connection = self._make(backend, self, sock)
+        connection = self._connection_factory(backend, self, sock)
         attempt.opening = asyncio.get_running_loop().create_task(self._connect(connection))
-        attempt.opening.add_done_callback(partial(self._opened, connection, attempt))
+        attempt.opening.add_done_callback(partial(self._finish_opening, connection, attempt))
 
-    def _socket(self, backend: UpstreamEndpoint) -> socket.socket | None:
-        """Guards requests in flight against a system that has no descriptor left: a spare one is theirs."""
+    def _create_socket(self, backend: UpstreamEndpoint) -> socket.socket | None:
+        """Create a socket. If the system has no descriptor left, free a spare one and retry, for requests in flight."""
         for last in (False, True):
             try:
-                return socket.socket(family(backend.identity[0]), socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+                return socket.socket(
+                    address_family(backend.identity[0]), socket.SOCK_STREAM | socket.SOCK_NONBLOCK
+                )
             except OSError as problem:
                 if last or problem.errno not in (errno.EMFILE, errno.ENFILE) or not self.free_descriptor():
                     self.logger("no socket for a backend", problem)
                     break
         return None
 
-    def _shared(self, backend: UpstreamEndpoint) -> Upstream | None:
-        """A connection that takes one more attempt beside those on it."""
+    def _find_shared(self, backend: UpstreamEndpoint) -> Upstream | None:
+        """Return a connection that can carry one more attempt along with its others, or None."""
         for connection in backend.shared:
             if connection.has_room():
                 if connection not in backend.idle:
@@ -311,8 +324,8 @@
                     return connection
         return None
 
-    def _kept(self, backend: UpstreamEndpoint) -> Upstream | None:
-        """The idle connection used last, of those that have rested."""
+    def _find_idle(self, backend: UpstreamEndpoint) -> Upstream | None:
+        """Return the most recently used connection that has been idle for REST_S, or None."""
         rested = time.monotonic() - REST_S
         for connection in reversed(backend.idle.copy()):
             if connection.idle_since > rested:
@@ -325,15 +338,15 @@
 
     async def _connect(self, connection: Upstream) -> None:
         loop, sock = asyncio.get_running_loop(), connection.sock
-        where: tuple[str, int] | str = connection.identity[0]
+        destination: tuple[str, int] | str = connection.identity[0]
         if sock.family == socket.AF_UNIX:
-            where = connection.identity[0][0].removeprefix(UNIX)
+            destination = connection.identity[0][0].removeprefix(UNIX_PREFIX)
         else:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         async with asyncio.timeout(None) as limit:
             timer = ReadFirstTimer(loop, self.connect_timeout, limit.reschedule, loop.time())
             try:
-                await loop.sock_connect(sock, where)
+                await loop.sock_connect(sock, destination)
             finally:
                 timer.cancel()
         connection.is_handed_over = True
@@ -341,12 +354,12 @@
             if self.tls is None:
                 await loop.create_connection(lambda: connection, sock=sock)
             else:
-                await self._shake(self.tls, connection)
+                await self._handshake(self.tls, connection)
         except BaseException:
-            connection.drop()  # now: the number of its descriptor may be another's a moment later
+            connection.drop()  # at once: its descriptor's number may be reused a moment later
             raise
 
-    async def _shake(self, tls: TlsConnector, connection: Upstream) -> None:
+    async def _handshake(self, tls: TlsConnector, connection: Upstream) -> None:
         connection.secure = True
         backend = connection.endpoint
         await asyncio.get_running_loop().create_connection(
@@ -355,37 +368,38 @@
             ssl=tls.context(backend.name),
             server_hostname=tls.name_of(backend.name, connection.identity[0]),
             ssl_handshake_timeout=tls.handshake_s,
-            ssl_shutdown_timeout=SHUTDOWN_S,
+            ssl_shutdown_timeout=TLS_SHUTDOWN_TIMEOUT_S,
         )
         tls.accepted(backend.name, time.monotonic())
 
-    def _unopened(self, connection: Upstream, task: asyncio.Task[None]) -> AttemptResult:
-        """What it means that a connection did not come up: in any case the request never ran."""
+    def _opening_result(self, connection: Upstream, task: asyncio.Task[None]) -> AttemptResult:
+        """Return the result of an attempt whose connection was not established; its request never ran."""
         if self.tls is None or not connection.secure or task.cancelled():
             return AttemptResult.NO_CONNECTION
         return self.tls.failed(connection.endpoint.name, task.exception(), time.monotonic())
 
-    def _opened(self, connection: Upstream, attempt: Attempt, task: asyncio.Task[None]) -> None:
-        """The one place where opening ends: opened, failed, or cancelled, also before it began.
+    def _finish_opening(self, connection: Upstream, attempt: Attempt, task: asyncio.Task[None]) -> None:
+        """Handle the end of every opening: success, failure or cancellation, also before it began.
 
-        Guards against half-opened connections that stay counted, and with them against a proxy that comes to
-        believe that it has no descriptor left."""
+        Guards against half-opened connections that stay counted, which would make the proxy believe that it has no
+        descriptor left."""
         attempt.opening = None
         if task.cancelled() or task.exception() is not None or connection.closed:
-            result = self._unopened(connection, task)
+            result = self._opening_result(connection, task)
             connection.drop()
             self.owner.finish_attempt(attempt, result)
-        elif attempt.ended or self._is_stopped(attempt, True):  # while this waited for its turn
+        elif attempt.ended or self._is_blocked(attempt, True):  # ended while this callback was queued
             self.keep_idle(connection)
         elif (
             connection.identity != connection.endpoint.identity
-        ):  # somebody else may listen where it leads by now
+        ):  # the address may belong to another server by now
             connection.drop()
             self.owner.finish_attempt(attempt, AttemptResult.NOT_SENT)
         else:
             connection.start(attempt)
 
     def keep_idle(self, connection: Upstream) -> None:
+        """Give a connection that is free again to a waiting attempt, keep it idle, or close it."""
         backend = connection.endpoint
         if self.tls is not None:
             self.tls.used(backend.name, connection)
@@ -394,7 +408,7 @@
             return
         while backend.waiting_attempts:
             attempt = backend.waiting_attempts.popleft()
-            if not attempt.ended and not self._is_stopped(attempt, True):
+            if not attempt.ended and not self._is_blocked(attempt, True):
                 connection.start(attempt)
                 return
         if len(backend.idle) >= self.max_idle_connections:
@@ -403,12 +417,13 @@
         backend.idle.append(connection)
 
     def forget(self, connection: Upstream) -> None:
+        """Remove a closed connection from the counts and lists."""
         backend = connection.endpoint
         self.open -= 1
         backend.open -= 1
-        for those in (backend.idle, backend.shared):
-            if connection in those:
-                those.remove(connection)
+        for connections in (backend.idle, backend.shared):
+            if connection in connections:
+                connections.remove(connection)
 
     def close_idle(self, server: str) -> None:
         backend = self.endpoints.get(server)
@@ -416,11 +431,11 @@
             backend.idle[-1].drop()
 
     def suspect(self, attempt: Attempt) -> None:
-        """Close a backend's idle connections after a time-out in which nothing at all was heard of it.
+        """Close a backend's idle connections after a timeout during which no byte was received from it.
 
-        Guards against connections that stay open while nobody is at their other end any more (a machine that
-        vanished, a path that forgot them): each would cost one more request its time. It should also catch a
-        backend that hangs and comes back. Harm: new connections to one that was merely slow for that long."""
+        Guards against connections that stay open without a peer (a machine that vanished, a network path that dropped
+        their state): each would cost one more request its whole timeout. It should also catch a backend that hangs and
+        recovers. Cost: new connections to a backend that was merely slow for that long."""
         backend = self.endpoints.get(attempt.endpoint)
         if backend is not None and backend.last_heard_at < attempt.written_at:
             self.close_idle(attempt.endpoint)
@@ -432,9 +447,9 @@
         return bool(idle)
 
     def sweep(self, now: float) -> None:
-        """Retire what has stood idle, forget what is gone."""
+        """Close connections that were idle for too long, and delete removed endpoints that have no connections."""
         for server, backend in list(self.endpoints.items()):
-            while backend.idle and now - backend.idle[0].idle_since > self.idle_s:
+            while backend.idle and now - backend.idle[0].idle_since > self.idle_timeout:
                 backend.idle[0].drop()
             if backend.is_gone and not backend.open:
                 del self.endpoints[server]
--- a/loadbalancer/upstreams/fastcgi.py
+++ b/loadbalancer/upstreams/fastcgi.py
@@ -1,17 +1,17 @@
-"""FastCGI to a member (an application): one request at a time on a connection, and its end as a Result.
+"""FastCGI connections to members (applications): one request at a time, whose end becomes an AttemptResult.
 
-| what comes | result | why |
+| what is received | result | why |
 | --- | --- | --- |
-| no connection, or it breaks before the empty PARAMS record has left | NO_CONNECTION | see encode_request |
+| no connection, or it breaks before the empty PARAMS record was sent | NO_CONNECTION | see encode_request |
 | OVERLOADED, CANT_MPX_CONN or UNKNOWN_ROLE, with nothing on STDOUT | FULL | refused before the application saw it |
-| a whole answer | by its status, as in HTTP | |
-| REQUEST_COMPLETE with nothing on STDOUT | RESET | it ran, and said nothing |
-| an answer whose length is not the one it states, or that is none | RESET | spoilt: may have run |
-| an application status other than 0, and no length stated | ERROR | what there is may have been cut by the failure |
-| the connection breaks after the params, STDIN whole or not | RESET | may have run |
-
-An answer too long to be judged whole is passed on as it comes, from its head, where the dialect has room for that; what
-then turns out spoilt breaks it off.
+| a complete answer | by its status, as in HTTP | |
+| REQUEST_COMPLETE with nothing on STDOUT | RESET | it ran, and wrote no answer |
+| an answer whose length differs from its Content-Length, or an invalid one | RESET | may have run |
+| an application status other than 0, and no length stated | ERROR | the failure may have truncated the answer |
+| the connection breaks after the params, with or without all of STDIN | RESET | may have run |
+
+An answer too long to be buffered whole is streamed to the client as it arrives, if the dialect allows streams. If it
+then turns out to be invalid, the stream is aborted.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from typing import Mapping, NamedTuple, Union
 
 from loadbalancer.fastcgi.cgi import (
-    BLOCK_MOST,
+    MAX_HEADER_BLOCK_BYTES,
     CgiError,
     CgiHead,
     find_end,
@@ -43,21 +43,21 @@
 
 #: Statuses whose answers have no body.
 BODILESS = frozenset((204, 304))
-#: Bytes of records that may come for one request beside its answer: STDERR, padding, records of no use.
-BESIDE_MOST = 256 << 10
+#: Bytes of records that may be received for one request beyond its answer: STDERR, padding, ignored records.
+MAX_OVERHEAD_BYTES = 256 << 10
 
 
 class Application(NamedTuple):
-    """What the configuration says of a pool's applications."""
+    """Settings of a pool's applications."""
 
-    params: Mapping[bytes, bytes]  # such as SCRIPT_FILENAME; they stand above what a request says
-    encoded: bytes  # the same, once for all requests
-    keep: bool = True  # connections are kept
-    multiplex: bool = False  # ask whether an application takes several requests on a connection
+    params: Mapping[bytes, bytes]  # such as SCRIPT_FILENAME; they take precedence over params of the request
+    encoded: bytes  # the same, encoded once for all requests
+    keep: bool = True  # keep connections open between requests
+    multiplex: bool = False  # query whether an application accepts several requests on a connection
 
 
 class FastCgiUpstreamConnection(SocketUpstream):
-    """One connection to an application."""
+    """One FastCGI connection to an application, which carries one attempt at a time."""
 
     def __init__(
         self,
@@ -71,27 +71,27 @@
         super().__init__(backend, pool, sock)
         self.dialect, self.not_passed, self.application = dialect, not_passed, application
         self.side = WebServerSide()
-        self.held = 0  # bytes of STDOUT, charged to the budget
-        self.received = 0
-        self.stream: Stream | None = None  # takes the body as it comes
-        self.head: CgiHead | None = None  # of that answer
-        self.unproven = (
-            0  # bytes at the end of the request that may be missing when it has begun all the same
+        self.charged_bytes = 0  # bytes of STDOUT, charged to the budget
+        self.received_bytes = 0
+        self.stream: Stream | None = None  # receives the body of a streamed answer
+        self.head: CgiHead | None = None  # the head of the streamed answer
+        self.bytes_after_params = (
+            0  # bytes of the request after its params; unsent ones don't prove that it has not run
         )
 
     def start(self, attempt: Attempt) -> None:
-        self.take(attempt)
-        self.received = 0
+        self.assign(attempt)
+        self.received_bytes = 0
         self.stream = self.head = None
-        data, begun = request_records(self.side.begin(), attempt, self.dialect, self.application)
-        self.unproven = len(data) - begun
+        data, start_bytes = request_records(self.side.begin(), attempt, self.dialect, self.application)
+        self.bytes_after_params = len(data) - start_bytes
         self.write(data)
 
     def is_unsent(self) -> bool:
-        """Whether the end of the params is still here."""
+        """Return whether the end of the params is still unsent."""
         if not self.unsent or self.transport is None:
             return False
-        return self.transport.get_write_buffer_size() > self.unproven
+        return self.transport.get_write_buffer_size() > self.bytes_after_params
 
     # Receiving.
 
@@ -99,106 +99,111 @@
         if self.attempt is None:
             self.drop()
             return
-        self.received += len(data)
-        self.note_heard()
+        self.received_bytes += len(data)
+        self.record_received()
         end = self.side.feed(data)
-        self._charge()
+        self._charge_stdout()
         if self.stream is not None:
-            self._go_on(self.stream, end)
+            self._forward(self.stream, end)
         elif end is not None:
-            self._finish(end)
-        elif self.dialect.stream_most and len(self.side.stdout) > self.dialect.body_most + BLOCK_MOST:
+            self._handle_end(end)
+        elif (
+            self.dialect.stream_most
+            and len(self.side.stdout) > self.dialect.body_most + MAX_HEADER_BLOCK_BYTES
+        ):
             self._begin_stream()
-        elif len(self.side.stdout) > self.dialect.body_most + BLOCK_MOST:
-            self._spoilt("too large")
-        elif self.received > self.dialect.body_most + BLOCK_MOST + BESIDE_MOST:
-            self._spoilt("without end")
+        elif len(self.side.stdout) > self.dialect.body_most + MAX_HEADER_BLOCK_BYTES:
+            self._reject(f"an answer of more than {self.dialect.body_most + MAX_HEADER_BLOCK_BYTES} bytes")
+        elif self.received_bytes > self.dialect.body_most + MAX_HEADER_BLOCK_BYTES + MAX_OVERHEAD_BYTES:
+            self._reject(f"{self.received_bytes} bytes of records without an end of the request")
 
-    # A long answer.
+    # Streamed answers.
 
     def _begin_stream(self) -> None:
-        """The answer is too long to be judged whole: it is passed on from its head, if it is one for the client."""
+        """Stream an answer that is too long to be buffered, if it is SERVED and within the limit for streams."""
         attempt, dialect = self.attempt, self.dialect
         assert attempt is not None
         found = find_end(self.side.stdout)
         try:
             head = read_head(bytes(self.side.stdout[: found[0]]), self.not_passed) if found else None
         except CgiError as problem:
-            self._spoilt(problem)
+            self._reject(problem)
             return
         refusal = dialect.refusal_header
         if found is None or head is None or attempt.request.bodiless or head.status in BODILESS:
-            self._spoilt("too large")
+            self._reject("a long answer that has no complete head, or whose status or request allows no body")
             return
         result = dialect.result(head.status, head.headers.get(refusal) if refusal else None)
         if result != AttemptResult.SERVED or (head.length or 0) > dialect.stream_most:
-            self._spoilt("too large")
+            self._reject(f"a body longer than {dialect.body_most} bytes that can't be streamed")
             return
         attempt.answered_at = time.monotonic()
-        begun = UpstreamResponse(head.lines, b"", head.status, head.reason, head.length)
-        stream = self.pool.owner.begin_answer(attempt, begun, self)
+        response_head = UpstreamResponse(head.lines, b"", head.status, head.reason, head.length)
+        stream = self.pool.owner.begin_answer(attempt, response_head, self)
         if stream is None or self.closed:
             return
         self.stream, self.head = stream, head
         del self.side.stdout[: found[1]]
-        self._go_on(stream, None)
+        self._forward(stream, None)
 
-    def _go_on(self, stream: Stream, end: End | None) -> None:
-        """Pass on what has come; it breaks off where it is more than the head states, or ends before that."""
+    def _forward(self, stream: Stream, end: End | None) -> None:
+        """Forward the bytes received so far; reject an answer that is longer or shorter than its head states."""
         assert self.head is not None
-        data, length = self.side.exchange.draw(), self.head.length
-        self._charge()
+        data, length = self.side.exchange.read_stdout(), self.head.length
+        self._charge_stdout()
         if stream.passed_bytes + len(data) > (self.dialect.stream_most if length is None else length):
-            self._spoilt("too large")
+            self._reject("a streamed body that is longer than stated or allowed")
             return
         stream.send(data)
         if end is None or self.closed:
             return
-        whole = stream.passed_bytes == length if length is not None else not self.side.status
-        if end != End.ANSWERED or not whole:
-            self._spoilt("it ended before its end")
+        is_complete = stream.passed_bytes == length if length is not None else not self.side.status
+        if end != End.ANSWERED or not is_complete:
+            self._reject("the streamed answer ended before it was complete")
             return
         self.hold(False)
-        self._end(AttemptResult.SERVED, _report(self.pool, self.dialect, self.head), None)
+        self._finish_attempt(
+            AttemptResult.SERVED, _read_load_report(self.pool, self.dialect, self.head), None
+        )
 
-    def _charge(self) -> None:
-        more = len(self.side.stdout) - self.held
-        self.held += more
-        self.pool.budget.held_bytes += more
+    def _charge_stdout(self) -> None:
+        added = len(self.side.stdout) - self.charged_bytes
+        self.charged_bytes += added
+        self.pool.budget.held_bytes += added
 
-    def _spoilt(self, why: object) -> None:
-        """Guards against whatever is no answer, before any of it has reached the client; as in HTTP."""
-        self.pool.logger("spoilt answer", why)
+    def _reject(self, error: object) -> None:
+        """Reject an invalid answer: close the connection and finish the attempt as a reset, as for HTTP."""
+        self.pool.logger("spoilt answer", error)
         self.fail(AttemptResult.RESET)
 
-    def _finish(self, end: End) -> None:
+    def _handle_end(self, end: End) -> None:
         attempt = self.attempt
         assert attempt is not None
-        note_stderr(self.pool, attempt, self.side.stderr)
+        log_stderr(self.pool, attempt, self.side.stderr)
         if end == End.NEVER_RAN:
-            self._end(AttemptResult.FULL, None, None)
+            self._finish_attempt(AttemptResult.FULL, None, None)
         elif end == End.SILENT:
-            self._spoilt("the request ended with no answer")
+            self._reject("the request ended without an answer")
         elif end == End.BROKEN:
-            self._spoilt("no FastCGI")
+            self._reject("the records violate the FastCGI protocol")
         else:
-            said = bytes(self.side.stdout), self.side.status, attempt.request.bodiless
+            response = bytes(self.side.stdout), self.side.status, attempt.request.bodiless
             try:
-                result, report, answer = judge(self.pool, self.dialect, self.not_passed, *said)
+                result, report, answer = parse_response(self.pool, self.dialect, self.not_passed, *response)
             except CgiError as problem:
-                self._spoilt(problem)
+                self._reject(problem)
                 return
-            self._end(result, report, answer)
+            self._finish_attempt(result, report, answer)
 
-    def _end(
+    def _finish_attempt(
         self, result: AttemptResult, report: Mapping[str, float] | None, answer: UpstreamResponse | None
     ) -> None:
-        """The request has ended, and the connection may carry the next one."""
+        """Finish the attempt, and keep the connection for the next one or close it."""
         attempt = self.attempt
         assert attempt is not None
         self.attempt = None
         attempt.detach()
-        if self.application.keep and not self.side.stray and not self.unsent and not self.closed:
+        if self.application.keep and not self.side.has_stray_records and not self.unsent and not self.closed:
             self.release()
             self.pool.keep_idle(self)
         else:
@@ -206,59 +211,61 @@
         self.pool.owner.finish_attempt(attempt, result, report, answer)
 
     def release(self) -> None:
-        self.pool.budget.release(self.held)
-        self.held = 0
+        self.pool.budget.release(self.charged_bytes)
+        self.charged_bytes = 0
         self.side.stdout.clear()
 
 
-def note_stderr(pool: UpstreamPools, attempt: Attempt, text: bytes | bytearray) -> None:
+def log_stderr(pool: UpstreamPools, attempt: Attempt, text: bytes | bytearray) -> None:
     if text:
         pool.logger(f"stderr of {attempt.endpoint}", bytes(text))
 
 
-Verdict = tuple[AttemptResult, Union[Mapping[str, float], None], Union[UpstreamResponse, None]]
+ParsedResponse = tuple[AttemptResult, Union[Mapping[str, float], None], Union[UpstreamResponse, None]]
 
 
-def judge(
+def parse_response(
     pool: UpstreamPools,
     dialect: Dialect,
     not_passed: frozenset[bytes],
     stdout: bytes,
     status: int,
     bodiless: bool,
-) -> Verdict:
-    """What a whole STDOUT means, with the load report on it; CgiError where it is no answer, or not whole.
+) -> ParsedResponse:
+    """Return the result, the load report and the answer of a complete STDOUT.
+
+    `status`: the application status of END_REQUEST. `bodiless`: the request was a HEAD request.
 
-    `status` is the application's own, of END_REQUEST; `bodiless`: the request was for a head alone."""
-    head, body = _read(stdout, not_passed, dialect.body_most, bodiless)
+    Raises CgiError if STDOUT is not a valid, complete answer."""
+    head, body = _split_stdout(stdout, not_passed, dialect.body_most, bodiless)
     refusal = dialect.refusal_header
     result = dialect.result(head.status, head.headers.get(refusal) if refusal else None)
     answer = None
     if status and head.length is None and result != AttemptResult.FULL:
         result = AttemptResult.ERROR
     elif result == AttemptResult.SERVED or (result == AttemptResult.ERROR and not dialect.platform):
-        again = dialect.asks_again(head.headers.get(dialect.repeat_header or b""))
-        answer = UpstreamResponse(head.lines, body, head.status, head.reason, head.length, again)
-    return result, _report(pool, dialect, head), answer
+        asks_for_retry = dialect.requests_retry(head.headers.get(dialect.repeat_header or b""))
+        answer = UpstreamResponse(head.lines, body, head.status, head.reason, head.length, asks_for_retry)
+    return result, _read_load_report(pool, dialect, head), answer
 
 
-def _read(
+def _split_stdout(
     stdout: bytes, not_passed: frozenset[bytes], body_most: int, bodiless: bool
 ) -> tuple[CgiHead, bytes]:
     found = find_end(stdout)
     if found is None:
-        raise CgiError("a header block without end")
+        raise CgiError("the header block does not end with an empty line")
     head, body = read_head(stdout[: found[0]], not_passed), stdout[found[1] :]
     if bodiless or head.status in BODILESS:
         return head, b""
     if head.length is not None and head.length != len(body):
-        raise CgiError(f"{len(body)} bytes where {head.length} are stated")
+        raise CgiError(f"the body has {len(body)} bytes, but Content-Length states {head.length}")
     if len(body) > body_most:
-        raise CgiError("too large")
+        raise CgiError(f"the body has {len(body)} bytes, more than {body_most}")
     return head, body
 
 
-def _report(pool: UpstreamPools, dialect: Dialect, head: CgiHead) -> Mapping[str, float] | None:
+def _read_load_report(pool: UpstreamPools, dialect: Dialect, head: CgiHead) -> Mapping[str, float] | None:
     value = head.headers.get(dialect.report_header) if dialect.report_header is not None else None
     if not value:
         return None
@@ -272,18 +279,18 @@
 def request_records(
     number: int, attempt: Attempt, dialect: Dialect, application: Application
 ) -> tuple[bytes, int]:
-    """An attempt's request, and how many bytes of it must have left before it can have begun."""
+    """Return the records of an attempt's request, and how many of its bytes must be sent before it can have begun."""
     request, head = attempt.request, attempt.request.head
     timeout_ms = max(1, round(attempt.timeout * 1000))
     if dialect.deadline_header is not None:
         head += b"%b: %dm\r\n" % (dialect.deadline_header, timeout_ms)
     body = bytes(request.body or b"")
-    params = to_params(head, len(body), application.params, _peer(head), timeout_ms)
+    params = to_params(head, len(body), application.params, _client_address(head), timeout_ms)
     return encode_request(number, params, body, application.keep, application.encoded)
 
 
-def _peer(head: bytes) -> bytes:
-    """The address of the client, as the front has stated it."""
+def _client_address(head: bytes) -> bytes:
+    """Return the client's address: the last entry of X-Forwarded-For, which the front end has set."""
     at = head.lower().find(b"\r\nx-forwarded-for:")
     chain = head[at + 18 :].partition(b"\r\n")[0] if at >= 0 else b""
     return chain.rpartition(b",")[2].strip() if chain else b"127.0.0.1"
--- a/loadbalancer/upstreams/http1.py
+++ b/loadbalancer/upstreams/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 to a member (RFC 9112): one attempt at a time on a connection, and what comes back as a Result."""
+"""HTTP/1.1 connections to members (RFC 9112): one attempt at a time, whose answer becomes an AttemptResult."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 from loadbalancer.upstreams.interfaces import TunnelOwner, UpstreamResponse
 from loadbalancer.upstreams.report import read_report
 
-#: What may come for one request beside the body of its answer: head, interim answers, framing of chunks. With the
-#: body's own bound it guards the memory and the CPU against anything that keeps coming, whatever it says of itself.
-BESIDE_MOST = 64 << 10
-#: And for each byte of the body, where it comes in chunks of one byte.
-PIECES = 8
-#: And before its head has ended.
-HEAD_MOST = 32 << 10
-#: Bytes that wait for an end of a tunnel before the other is read no more.
-TUNNEL_BUFFER = 64 << 10
-#: Seconds that an end of a tunnel has to take what waits for it, once both have sent all.
-SHUT_S = 5.0
-#: Answers that have no body, whatever their headers say (RFC 9110, 6.4.1).
+#: Bytes that may be received for one request beyond the body of its answer: head, interim answers, framing of chunks.
+#: With the limit on the body it guards memory and CPU against an endless answer, whatever length that states.
+MAX_OVERHEAD_BYTES = 64 << 10
+#: Bytes that may be received for each byte of the body: the framing of chunks of one byte.
+MAX_OVERHEAD_PER_BODY_BYTE = 8
+#: Bytes that may be received before the head of the answer is complete.
+MAX_HEAD_BYTES = 32 << 10
+#: Bytes buffered for one end of a tunnel above which reading from the other end is paused.
+TUNNEL_BUFFER_BYTES = 64 << 10
+#: Seconds to flush the bytes buffered for an end of a tunnel, after both ends have sent all.
+TUNNEL_CLOSE_TIMEOUT_S = 5.0
+#: Statuses of answers that have no body, whatever their headers say (RFC 9110, 6.4.1).
 BODILESS = frozenset((204, 304))
 
 
 class Http1UpstreamConnection(SocketUpstream):
-    """One connection to a backend; it carries one attempt at a time."""
+    """One HTTP/1.1 connection to a backend, which carries one attempt at a time."""
 
-    takes_uploads = True  # bodies can be sent on as they come
+    takes_uploads = True  # request bodies can be streamed
 
     def __init__(
         self,
@@ -49,53 +49,59 @@
         dialect: Dialect,
         not_passed: frozenset[bytes],
     ) -> None:
-        """`not_passed` is the dialect's, made once for all connections."""
+        """Create a connection on `sock`. `not_passed`: the dialect's set, computed once for all connections."""
         super().__init__(backend, pool, sock)
         self.dialect, self.not_passed = dialect, not_passed
-        self.held = 0  # bytes of the body, charged to the budget
-        self.stream: Stream | None = None  # takes the body as it comes
-        self.tunnel: Tunnel | None = None  # once both sides have gone over to another protocol
-        self.upload: Upload | None = None  # gives the request's, and has not come to its end
+        self.buffered_bytes = 0  # bytes of the body, charged to the budget
+        self.stream: Stream | None = None  # receives the body of a streamed answer
+        self.tunnel: Tunnel | None = None  # set after the upgrade to another protocol
+        self.upload: Upload | None = None  # the streamed request body, until it has ended
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self._expect()
-
-    def _expect(self) -> None:
-        """Forget the answer before; the next one may come."""
-        self._forget_head()
-        self._release()
-        self.complete = self.surplus = self.keep = self.length_only = False
-        self.stale = False  # the parser waits for bytes that it will not get
-        self.received = 0
+        self._reset()
+
+    def _reset(self) -> None:
+        """Reset the state of the previous answer before the next request."""
+        self._reset_head()
+        self._release_body()
+        self.is_complete = self.has_surplus = self.keep_alive = self.length_only = False
+        self.is_parser_stale = (
+            False  # the parser is in the middle of an answer, and must be replaced before the next one
+        )
+        self.received_bytes = 0
         self.stream = None
-        self.left = 0  # bytes of a streamed answer of known length that go on unread by the parser
+        self.unparsed_bytes = (
+            0  # bytes of a streamed answer of known length that are forwarded without the parser
+        )
 
-    def _forget_head(self) -> None:
+    def _reset_head(self) -> None:
         self.status = 0
         self.lines: list[bytes] = []
         self.length: int | None = None
-        self.framed = self.coded = False  # its end can be told from that of the connection; it is in chunks
+        self.is_self_delimited = self.has_transfer_coding = (
+            False  # has a length of its own or is chunked; has a Transfer-Encoding
+        )
         self.refusal: bytes | None = None
-        self.again: bytes | None = None  # asks that the request goes again
-        self.pressure = b""
+        self.retry_value: bytes | None = None  # value of the header that requests a retry
+        self.load_report = b""
         self.reason = b""
-        self.hop = b""  # what the Connection header names
-        self.upgraded = b""  # what the Upgrade header does
+        self.connection_options = b""  # options of the Connection headers
+        self.upgrade_protocol = b""  # value of the Upgrade header
 
-    def _release(self) -> None:
-        self.pool.budget.release(self.held)
-        self.held = 0
+    def _release_body(self) -> None:
+        self.pool.budget.release(self.buffered_bytes)
+        self.buffered_bytes = 0
         self.body: list[bytes] = []
 
     # Sending.
 
     def start(self, attempt: Attempt) -> None:
-        self.take(attempt)
+        self.assign(attempt)
         request = attempt.request
         if self.dialect.deadline_header is None:
             data = request.head + b"\r\n"
         else:
-            left = max(1, round(attempt.timeout * 1000))
-            data = b"%b%b: %dm\r\n\r\n" % (request.head, self.dialect.deadline_header, left)
+            timeout_ms = max(1, round(attempt.timeout * 1000))
+            data = b"%b%b: %dm\r\n\r\n" % (request.head, self.dialect.deadline_header, timeout_ms)
         if request.body:
             data += request.body
         self.upload = request.upload
@@ -103,27 +109,27 @@
         if self.upload is not None:
             self.upload.attach(self)
 
-    # A body that is sent on as it comes.
+    # Streamed request bodies.
 
     def take_part(self, data: bytes) -> None:
         assert self.upload is not None
         if self.upload.length is None:
             data = b"%x\r\n%b\r\n" % (len(data), data)
-        self._write_on(data)
+        self._write_queued(data)
 
     def take_end(self) -> None:
         assert self.upload is not None
         last = b"0\r\n\r\n" if self.upload.length is None else b""
         self.upload = None
         if last:
-            self._write_on(last)
+            self._write_queued(last)
 
     def break_off(self) -> None:
-        """There is no more: the member can tell, by the end of the connection."""
+        """Abort the request: its body will not be completed, which the member sees by the close of the connection."""
         self.fail(AttemptResult.NO_CONNECTION)
 
-    def _write_on(self, data: bytes) -> None:
-        """Behind what is still in our buffers."""
+    def _write_queued(self, data: bytes) -> None:
+        """Write after the bytes that are still buffered."""
         if not self.unsent:
             self.write(data)
         elif self.transport is not None and not self.closed:
@@ -148,41 +154,43 @@
         if self.upload is not None:
             self.upload.set_full(False)
 
-    # What the parser finds; it is acted on once the parser is done, outside its callbacks.
+    # Callbacks of the parser. They record what was parsed; _process_response acts on it after the parser has returned.
 
     def on_message_begin(self) -> None:
-        if self.complete:
-            self.surplus = True
+        if self.is_complete:
+            self.has_surplus = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.surplus or self.held or self.stream is not None:  # trailers, or what nobody asked for
+        if (
+            self.has_surplus or self.buffered_bytes or self.stream is not None
+        ):  # trailers, or an unsolicited answer
             return
-        value = value.strip(b" \t")  # the parser leaves what stands behind it (RFC 9112, 5.1)
+        value = value.strip(b" \t")  # the parser keeps trailing whitespace (RFC 9112, 5.1)
         key = name.lower()
         if key not in self.not_passed:
             self.lines.append(b"%b: %b\r\n" % (name, value))
         elif key == self.dialect.report_header:
-            self.pressure = value
+            self.load_report = value
         elif key == self.dialect.refusal_header:
             self.refusal = value
         elif key == self.dialect.repeat_header:
-            self.again = value
+            self.retry_value = value
         elif key == b"content-length":
             self.length = int(value)
-            self.framed = True
+            self.is_self_delimited = True
         elif key == b"transfer-encoding":
-            self.coded = True
-            self.framed = value.lower().rpartition(b",")[2].strip() == b"chunked"
+            self.has_transfer_coding = True
+            self.is_self_delimited = value.lower().rpartition(b",")[2].strip() == b"chunked"
         elif key == b"connection":
-            self.hop += b"," + value.lower()
+            self.connection_options += b"," + value.lower()
         elif key == b"upgrade":
-            self.upgraded = value.lower()
+            self.upgrade_protocol = value.lower()
 
     def on_status(self, reason: bytes) -> None:
         self.reason += reason
 
     def on_headers_complete(self) -> None:
-        if self.surplus or self.parser is None or self.complete:
+        if self.has_surplus or self.parser is None or self.is_complete:
             return
         self.status = self.parser.get_status_code()
         attempt = self.attempt
@@ -190,29 +198,29 @@
             return
         attempt.answered_at = time.monotonic()
         if attempt.request.bodiless:
-            # The answer to HEAD ends here, whatever length it states (RFC 9112, 6.3); the parser can't know.
-            self.complete = True
-            self.keep = self.parser.should_keep_alive()
-            self.length_only = self.stale = True
+            # The answer to HEAD ends here, whatever length it states (RFC 9112, 6.3); the parser can't know that.
+            self.is_complete = True
+            self.keep_alive = self.parser.should_keep_alive()
+            self.length_only = self.is_parser_stale = True
 
     def on_body(self, body: bytes) -> None:
-        if self.complete:
-            self.surplus = True
-        elif not self.surplus and (self.status == 200 or not self.dialect.platform):
+        if self.is_complete:
+            self.has_surplus = True
+        elif not self.has_surplus and (self.status == 200 or not self.dialect.platform):
             self.body.append(body)
-            self.held += len(body)
+            self.buffered_bytes += len(body)
             self.pool.budget.held_bytes += len(body)
 
     def on_message_complete(self) -> None:
-        if self.surplus or self.parser is None or self.length_only:
+        if self.has_surplus or self.parser is None or self.length_only:
             return
-        if self.status == 101:  # what follows is in another protocol, or was not asked for
+        if self.status == 101:  # what follows is in another protocol, or unsolicited
             return
-        if self.status < 200:  # an interim answer: the real one follows
-            self._forget_head()
+        if self.status < 200:  # an interim answer: the final one follows
+            self._reset_head()
             return
-        self.complete = True
-        self.keep = self.parser.should_keep_alive()
+        self.is_complete = True
+        self.keep_alive = self.parser.should_keep_alive()
 
     # Receiving.
 
@@ -220,155 +228,172 @@
         if (self.attempt is None or self.parser is None) and self.tunnel is None:
             self.drop()
             return
-        self.received += len(data)
-        self.note_heard()
+        self.received_bytes += len(data)
+        self.record_received()
         if self.tunnel is not None:
             self.tunnel.from_endpoint(data)
             return
-        if self.left:
-            self._pass_on(data)
+        if self.unparsed_bytes:
+            self._forward_unparsed(data)
             return
         assert self.parser is not None
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as problem:
             if isinstance(problem, httptools.HttpParserUpgrade) and self.status == 101:
-                self._go_over(data[problem.args[0] :] if problem.args else b"")
+                self._switch_protocol(data[problem.args[0] :] if problem.args else b"")
                 return
-            if not self.complete:
-                self._spoilt(repr(problem.__context__ or problem))
+            if not self.is_complete:
+                self._reject(repr(problem.__context__ or problem))
                 return
-            self.surplus = True
-        self._judge()
+            self.has_surplus = True
+        self._process_response()
 
-    def _judge(self) -> None:
-        """What has come so far: an answer, too much of one, or not yet enough."""
+    def _process_response(self) -> None:
+        """Act on the bytes parsed so far: finish, stream or reject the answer, or wait for more."""
         dialect = self.dialect
         if self.stream is not None:
-            self._go_on(self.stream)
+            self._forward(self.stream)
             return
-        if self.status and not self.framed and self.status not in BODILESS and not self.length_only:
+        if (
+            self.status
+            and not self.is_self_delimited
+            and self.status not in BODILESS
+            and not self.length_only
+        ):
             if not self._may_end_with_connection():
-                self._spoilt("no end of its own")  # whole and cut short look the same
+                # A truncated answer would look complete.
+                self._reject("the answer has neither a length nor chunked framing")
                 return
         if self.upload is not None and self.status >= 200 and self._is_no_refusal():
-            self._spoilt("answered before the request was whole")
-        elif self.complete and self.held <= dialect.body_most:
+            self._reject("answered before the request body was complete")
+        elif self.is_complete and self.buffered_bytes <= dialect.body_most:
             self._finish()
-        elif self.received > (PIECES * self.held + BESIDE_MOST if self.status else HEAD_MOST):
-            self._spoilt("without end")
-        elif max(self.held, self.length or 0) > dialect.body_most and not self.length_only:
-            self._stream()
+        elif self.received_bytes > (
+            MAX_OVERHEAD_PER_BODY_BYTE * self.buffered_bytes + MAX_OVERHEAD_BYTES
+            if self.status
+            else MAX_HEAD_BYTES
+        ):
+            self._reject(f"{self.received_bytes} bytes received, with {self.buffered_bytes} of the body")
+        elif max(self.buffered_bytes, self.length or 0) > dialect.body_most and not self.length_only:
+            self._begin_stream()
 
     def _is_no_refusal(self) -> bool:
         return self.dialect.result(self.status, self.refusal) != AttemptResult.FULL
 
-    def _stream(self) -> None:
-        """The answer is too long to be judged whole: it is passed on as it comes, if it is one for the client."""
+    def _begin_stream(self) -> None:
+        """Stream an answer that is too long to be buffered, if it is SERVED and within the limit for streams."""
         dialect, attempt = self.dialect, self.attempt
         assert attempt is not None
         served = self.status > 0 and dialect.result(self.status, self.refusal) == AttemptResult.SERVED
-        if not served or max(self.held, self.length or 0) > dialect.stream_most:
-            self._spoilt("too large")
+        if not served or max(self.buffered_bytes, self.length or 0) > dialect.stream_most:
+            self._reject(f"a body longer than {dialect.body_most} bytes that can't be streamed")
             return
-        stream = self.pool.owner.begin_answer(attempt, self._answer(b"", self.length), self)
+        stream = self.pool.owner.begin_answer(attempt, self._build_response(b"", self.length), self)
         if stream is None or self.closed:
             return
         self.stream = stream
-        self._go_on(stream)
+        self._forward(stream)
 
-    def _go_on(self, stream: Stream) -> None:
-        """Pass on what has come. It breaks off where the answer turns out to be none."""
+    def _forward(self, stream: Stream) -> None:
+        """Forward the bytes of a streamed body received so far; abort it if the answer turns out to be invalid."""
         data = b"".join(self.body)
-        self._release()
+        self._release_body()
         if self.dialect.stream_most < stream.passed_bytes + len(data):
-            self._spoilt("too large")
+            self._reject(f"a streamed body of more than {self.dialect.stream_most} bytes")
             return
         stream.send(data)
-        if self.complete and not self.closed:
+        if self.is_complete and not self.closed:
             self._finish()
-        elif self.length is not None and not self.coded:
-            self.left = self.length - stream.passed_bytes
-        elif self.received > PIECES * stream.passed_bytes + BESIDE_MOST:
-            self._spoilt("without end")
+        elif self.length is not None and not self.has_transfer_coding:
+            self.unparsed_bytes = self.length - stream.passed_bytes
+        elif self.received_bytes > MAX_OVERHEAD_PER_BODY_BYTE * stream.passed_bytes + MAX_OVERHEAD_BYTES:
+            self._reject(f"{self.received_bytes} bytes received, with {stream.passed_bytes} of the body")
 
-    def _pass_on(self, data: bytes) -> None:
-        """The rest of an answer of known length needs no parser, which would copy it piece by piece.
+    def _forward_unparsed(self, data: bytes) -> None:
+        """Forward the rest of an answer of known length without the parser, which would copy it piece by piece.
 
-        What comes behind it was not asked for, as anywhere; the parser is of no further use."""
+        Bytes beyond that length are unsolicited and are dropped. The parser is replaced before the next answer."""
         stream = self.stream
         assert stream is not None and self.parser is not None
-        if len(data) < self.left:
-            self.left -= len(data)
+        if len(data) < self.unparsed_bytes:
+            self.unparsed_bytes -= len(data)
             stream.send(data)
             return
-        self.surplus = len(data) > self.left
-        stream.send(data[: self.left] if self.surplus else data)
-        self.left, self.complete, self.keep = 0, True, self.parser.should_keep_alive()
-        self.stale = True
+        self.has_surplus = len(data) > self.unparsed_bytes
+        stream.send(data[: self.unparsed_bytes] if self.has_surplus else data)
+        self.unparsed_bytes, self.is_complete, self.keep_alive = 0, True, self.parser.should_keep_alive()
+        self.is_parser_stale = True
         if not self.closed:
             self._finish()
 
-    def _spoilt(self, why: object) -> None:
-        """Guards against whatever is no answer: it ends as a reset, since the request may have run, before
-        any of it has reached the client, and the connection is of no further use. Harm: a good backend whose
-        answers break the limits of the protocol fails."""
-        self.pool.logger("spoilt answer", why)
-        self.status = 0  # nothing that it said is to be believed
+    def _reject(self, error: object) -> None:
+        """Reject an invalid answer: close the connection and finish the attempt as RESET, since it may have run.
+
+        An answer that is not streamed yet is rejected before any of it reaches the client. Cost: a healthy backend
+        whose answers exceed the limits fails."""
+        self.pool.logger("spoilt answer", error)
+        self.status = 0  # no part of the invalid answer is used
         self.fail(AttemptResult.RESET)
 
     def _finish(self) -> None:
-        """The answer is whole."""
+        """Finish the attempt with its complete answer, and keep or close the connection."""
         attempt = self.attempt
         assert attempt is not None
         result = self.dialect.result(self.status, self.refusal)
-        report = self._report()
+        report = self._read_load_report()
         answer, streamed = None, self.stream is not None
         if streamed:
             self.hold(False)
         elif result == AttemptResult.SERVED or (result == AttemptResult.ERROR and not self.dialect.platform):
             stated = self.length if self.length_only or self.status in BODILESS else None
-            answer = self._answer(b"".join(self.body), stated)
+            answer = self._build_response(b"".join(self.body), stated)
         self.attempt = None
         attempt.detach()
-        if self.keep and not self.surplus and not self.is_unsent() and not self.closed:
-            if self.stale:
+        if self.keep_alive and not self.has_surplus and not self.is_unsent() and not self.closed:
+            if self.is_parser_stale:
                 self.parser = httptools.HttpResponseParser(self)
-            self._expect()
+            self._reset()
             self.pool.keep_idle(self)
         else:
             self.drop()
         self.pool.owner.finish_attempt(attempt, result, report, answer)
 
-    def _answer(self, body: bytes, length: int | None) -> UpstreamResponse:
+    def _build_response(self, body: bytes, length: int | None) -> UpstreamResponse:
         lines = self.lines
-        names = {name.strip() for name in self.hop.split(b",")} - {b"", b"close", b"keep-alive"}
-        if names:  # headers of this connection alone (RFC 9110, 7.6.1)
+        names = {name.strip() for name in self.connection_options.split(b",")} - {
+            b"",
+            b"close",
+            b"keep-alive",
+        }
+        if names:  # headers that concern this connection alone (RFC 9110, 7.6.1)
             lines = [line for line in lines if line.partition(b":")[0].lower() not in names]
-        again = self.again is not None and self.dialect.asks_again(self.again)
-        return UpstreamResponse(lines, body, self.status, self.reason, length, again)
+        asks_for_retry = self.retry_value is not None and self.dialect.requests_retry(self.retry_value)
+        return UpstreamResponse(lines, body, self.status, self.reason, length, asks_for_retry)
 
-    def _report(self) -> Mapping[str, float] | None:
-        if not self.pressure:
+    def _read_load_report(self) -> Mapping[str, float] | None:
+        if not self.load_report:
             return None
         try:
-            return read_report(self.pressure, self.dialect.report_fields)
+            return read_report(self.load_report, self.dialect.report_fields)
         except ValueError as problem:
             self.pool.logger("malformed load report", problem)
             return None
 
-    # Another protocol.
+    # Upgrade to another protocol.
 
-    def _go_over(self, rest: bytes) -> None:
-        """101 has come. Guards against one that nobody asked for, or for another protocol: then it is no answer."""
+    def _switch_protocol(self, rest: bytes) -> None:
+        """Open a tunnel after a 101. One that was not requested, or names another protocol, is an invalid answer."""
         attempt = self.attempt
         assert attempt is not None
-        wanted = attempt.request.upgrade
-        if not wanted or self.upgraded != wanted or b"upgrade" not in self.hop:
-            self._spoilt(f"101 to {self.upgraded!r}, and {wanted!r} was asked for")
+        requested = attempt.request.upgrade
+        if not requested or self.upgrade_protocol != requested or b"upgrade" not in self.connection_options:
+            self._reject(
+                f"101 with upgrade to {self.upgrade_protocol!r}; the request asked for {requested!r}"
+            )
             return
-        self.lines.append(b"Connection: Upgrade\r\nUpgrade: %b\r\n" % wanted)
-        answer = self._answer(b"", None)
+        self.lines.append(b"Connection: Upgrade\r\nUpgrade: %b\r\n" % requested)
+        answer = self._build_response(b"", None)
         self.attempt = None
         attempt.detach()
         owner = cast(TunnelOwner, self.pool.owner)
@@ -378,7 +403,7 @@
             self.pool.owner.finish_attempt(attempt, AttemptResult.CANCELLED)
             return
         assert self.transport is not None
-        self.transport.set_write_buffer_limits(high=TUNNEL_BUFFER)
+        self.transport.set_write_buffer_limits(high=TUNNEL_BUFFER_BYTES)
         if rest:
             self.tunnel.from_endpoint(rest)
 
@@ -393,7 +418,7 @@
     def shut(self) -> None:
         if self.transport is not None and not self.closed:
             self.transport.close()
-            asyncio.get_running_loop().call_later(SHUT_S, self.drop)
+            asyncio.get_running_loop().call_later(TUNNEL_CLOSE_TIMEOUT_S, self.drop)
 
     def abort(self) -> None:
         self.drop()
@@ -401,25 +426,26 @@
     # Ending.
 
     def _may_end_with_connection(self) -> bool:
-        """Whether an answer without a length of its own is one.
+        """Return whether an answer without a length may be ended by the close of its connection.
 
-        Guards against spoilt answers that state none and leave their connection open: each would be waited for until
-        its time is up. Who means to end it by closing says so (RFC 9112, 9.6), or speaks HTTP/1.0."""
+        Guards against invalid answers that state no length and leave their connection open: each would be waited for
+        until its timeout. A member that means to end the answer by closing says so (RFC 9112, 9.6), or speaks
+        HTTP/1.0."""
         assert self.parser is not None
-        closes = b"close" in [name.strip() for name in self.hop.split(b",")]
+        closes = b"close" in [name.strip() for name in self.connection_options.split(b",")]
         return self.dialect.close_delimited and (
             closes or self.parser.get_http_version() == "1.0" or not self.dialect.platform
         )
 
     def _ends_with_connection(self) -> bool:
-        """Whether the end of input is that of the answer (RFC 9112, 6.3, rule 8)."""
+        """Return whether the end of input completes the answer (RFC 9112, 6.3, rule 8)."""
         return (
             self.dialect.close_delimited
             and self.attempt is not None
             and self.status >= 200
-            and not self.framed
+            and not self.is_self_delimited
             and not self.is_unsent()
-            and (self.stream is not None or self.held <= self.dialect.body_most)
+            and (self.stream is not None or self.buffered_bytes <= self.dialect.body_most)
         )
 
     def eof_received(self) -> bool | None:  # type: ignore[override]
@@ -427,10 +453,10 @@
             self.tunnel.finish(True)
             return True  # the other direction is still open
         if self._ends_with_connection():
-            self.complete = True
+            self.is_complete = True
             self._finish()
             return None
-        self.fail(self.broken())
+        self.fail(self.failure_result())
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -439,9 +465,9 @@
             self.tunnel.lost()
 
     def release(self) -> None:
-        self._release()
+        self._release_body()
         if self.upload is not None:
             upload, self.upload = self.upload, None
-            self.unsent = True  # not all of it has left
+            self.unsent = True  # the body was not sent completely
             upload.detach(self)
-        self.parser = None  # they hold one another, and would stay until the collector comes by
+        self.parser = None  # break the reference cycle, which would live until the garbage collector runs
--- a/loadbalancer/upstreams/interfaces.py
+++ b/loadbalancer/upstreams/interfaces.py
@@ -1,4 +1,4 @@
-"""What connections to endpoints, and attempts on them, need of others: types and Protocols alone."""
+"""Types and Protocols that connections to endpoints and their attempts use of other packages."""
 
 from __future__ import annotations
 
@@ -15,33 +15,36 @@
     from loadbalancer.upstreams.connections import Attempt, Upstream
 
 
-class Job(Protocol):
-    """A request, as a member gets it."""
+class UpstreamRequest(Protocol):
+    """A request as it is sent to a member."""
 
     head: bytes
     body: bytearray | None
-    bodiless: bool  # asks for a head alone
-    upload: Upload | None  # its body, where that is sent on as it comes
-    upgrade: bytes  # the protocol that it asks to go over to, or nothing
+    bodiless: bool  # a HEAD request: its answer has no body
+    upload: Upload | None  # its body, if that is streamed
+    upgrade: bytes  # the protocol of its Upgrade header, or empty
 
 
 class UpstreamResponse(NamedTuple):
-    """An answer that a backend made for a request, whole."""
+    """A backend's complete answer to a request, or the head of one whose body is streamed."""
 
-    lines: list[bytes]  # headers to pass on, each with its end
+    lines: list[bytes]  # headers to forward, each with its line end
     body: bytes
     status: int = 200
     reason: bytes = b""
-    length: int | None = None  # stated without a body: to HEAD, or by a 304
-    asks_for_retry: bool = False  # the member asks that the request goes again
+    length: int | None = (
+        None  # Content-Length of an answer without a body (to HEAD, or a 304) or with a streamed one
+    )
+    asks_for_retry: bool = False  # the member requests a retry
 
 
 class AttemptOwner(Protocol):
-    """Who is told how an attempt ended."""
+    """Receives the results of attempts."""
 
     def must_not_leave(self, attempt: Attempt, late: bool) -> bool:
-        """Asked right before anything of an attempt leaves: whether it may not. `late`: some time has passed since it
-        was decided."""
+        """Return whether the attempt must not be sent; called right before it is written.
+
+        `late`: time has passed since it was decided."""
 
     def finish_attempt(
         self,
@@ -49,24 +52,26 @@
         result: AttemptResult,
         report: Mapping[str, float] | None = None,
         answer: UpstreamResponse | None = None,
-    ) -> None: ...
+    ) -> None:
+        """End an attempt with its result, the load report of its answer, and the answer if the client gets one."""
 
     def begin_answer(
         self, attempt: Attempt, answer: UpstreamResponse, giver: StreamProducer
     ) -> Stream | None:
-        """A long answer has begun; the stream for its body, or None where nobody wants it any more. `answer` has the
-        head, `length` is that of the body where it is stated."""
+        """Begin a streamed answer; return the stream for its body, or None if the answer is no longer wanted.
+
+        `answer` has the head; its `length` is that of the body, if stated."""
 
 
 class TunnelOwner(AttemptOwner, Protocol):
-    """An owner whose requests may ask for another protocol."""
+    """An owner whose requests may ask for an upgrade to another protocol."""
 
     def begin_tunnel(self, attempt: Attempt, answer: UpstreamResponse, member: TunnelEnd) -> Tunnel | None:
-        """The member has gone over to the other protocol; None where nobody wants that any more."""
+        """Open a tunnel after the member switched protocols; return None if the upgrade is no longer wanted."""
 
 
 class TlsConnector(Protocol):
-    """What a pool needs of TLS towards its members."""
+    """Provides TLS contexts and names for connections to members, and records the outcome of handshakes."""
 
     handshake_s: float
 
@@ -75,7 +80,7 @@
     def accepted(self, member: str, now: float) -> None: ...
 
     def failed(self, member: str, problem: BaseException | None, now: float) -> AttemptResult:
-        """A handshake has come to nothing; what the module hears of the attempt that waited for it."""
+        """Record a failed handshake; return the result of the attempt that waited for it."""
 
     def used(self, member: str, connection: Upstream) -> None:
-        """A connection has carried a request."""
+        """Record that a connection has carried a request."""
--- a/loadbalancer/upstreams/multiplex.py
+++ b/loadbalancer/upstreams/multiplex.py
@@ -1,7 +1,7 @@
-"""FastCGI to an application that takes several requests on one connection (FCGI_MPXS_CONNS=1).
+"""FastCGI connections to applications that accept several requests at once on one connection (FCGI_MPXS_CONNS=1).
 
-A trunk is the connection, a stream one attempt on it. The application is asked when the connection opens; until it has
-said yes, and if it never does, a trunk carries one stream at a time.
+A stream is one attempt on a connection. The first request on a connection is preceded by a query (GET_VALUES) whether
+the application supports multiplexing. Until it has answered with 1, a connection carries one stream at a time.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import socket
 import time
 
-from loadbalancer.fastcgi.cgi import BLOCK_MOST, CgiError
+from loadbalancer.fastcgi.cgi import MAX_HEADER_BLOCK_BYTES, CgiError
 from loadbalancer.fastcgi.records import (
     HEADER,
     Decoder,
@@ -20,53 +20,61 @@
     encode_pairs,
     read_pairs,
 )
-from loadbalancer.fastcgi.webserver import IDS, End, Exchange
+from loadbalancer.fastcgi.webserver import REQUEST_ID_COUNT, End, Exchange
 from loadbalancer.policy.events import (
     AttemptResult,
 )
 from loadbalancer.upstreams.base import SocketUpstream
 from loadbalancer.upstreams.connections import Attempt, Upstream, UpstreamEndpoint, UpstreamPools
 from loadbalancer.upstreams.dialect import Dialect
-from loadbalancer.upstreams.fastcgi import BESIDE_MOST, Application, judge, note_stderr, request_records
+from loadbalancer.upstreams.fastcgi import (
+    MAX_OVERHEAD_BYTES,
+    Application,
+    log_stderr,
+    parse_response,
+    request_records,
+)
 
-#: Streams at once on a trunk, with those that have been aborted and not ended: what one broken connection can cost.
-STREAMS_MOST = 16
-#: Values that an application may send, and more is none of its business.
-VALUES_MOST = 16
-#: Bytes of records that belong to no request at most: an answer that was given up may still be on its way.
-USELESS_MOST = 4 << 20
-ASK = encode(Type.GET_VALUES, 0, encode_pairs([(b"FCGI_MPXS_CONNS", b"")]))
+#: Streams at once on a connection, including aborted ones that have not ended: as many attempts fail if it breaks.
+MAX_STREAMS = 16
+#: Name-value pairs that an application may send in GET_VALUES_RESULT.
+MAX_VALUES = 16
+#: Maximum of bytes of records that belong to no stream: the answer to an aborted request may still arrive.
+MAX_UNASSIGNED_BYTES = 4 << 20
+CAPABILITY_QUERY = encode(Type.GET_VALUES, 0, encode_pairs([(b"FCGI_MPXS_CONNS", b"")]))
 
 
-class Stream(Upstream):
-    """One attempt on a trunk."""
+class MultiplexedStream(Upstream):
+    """One attempt on a multiplexed connection."""
 
-    def __init__(self, trunk: MultiplexedConnection, attempt: Attempt, number: int) -> None:
-        self.trunk, self.attempt, self.exchange = trunk, attempt, Exchange(number)
-        self.proof = 0  # bytes of the trunk that have left once the application can have begun
-        self.held = 0  # bytes of STDOUT, charged to the budget
-        self.received = 0  # bytes of records
+    def __init__(self, connection: MultiplexedConnection, attempt: Attempt, number: int) -> None:
+        self.connection, self.attempt, self.exchange = connection, attempt, Exchange(number)
+        self.start_offset = (
+            0  # bytes that the connection must have sent before the application can have begun
+        )
+        self.charged_bytes = 0  # bytes of STDOUT that are charged to the budget
+        self.received_bytes = 0  # bytes of records
 
     def is_unsent(self) -> bool:
-        return self.trunk.left() < self.proof
+        return self.connection.sent_bytes() < self.start_offset
 
     def charge(self) -> None:
-        more = len(self.exchange.stdout) - self.held
-        self.held += more
-        self.trunk.pool.budget.held_bytes += more
+        added = len(self.exchange.stdout) - self.charged_bytes
+        self.charged_bytes += added
+        self.connection.pool.budget.held_bytes += added
 
     def release(self) -> None:
-        self.trunk.pool.budget.release(self.held)
-        self.held = 0
+        self.connection.pool.budget.release(self.charged_bytes)
+        self.charged_bytes = 0
         self.attempt.detach()
 
     def drop(self) -> None:
-        """Give this attempt up: the application hears so, and the others on the trunk go on."""
-        self.trunk.give_up(self)
+        """Abort this attempt; the other streams on the connection continue."""
+        self.connection.abort_stream(self)
 
 
 class MultiplexedConnection(SocketUpstream):
-    """One connection to an application, with its streams."""
+    """One connection to an application, and the streams on it."""
 
     def __init__(
         self,
@@ -79,165 +87,181 @@
     ) -> None:
         super().__init__(backend, pool, sock)
         self.dialect, self.not_passed, self.application = dialect, not_passed, application
-        self.streams: dict[int, Stream] = {}
-        self.aborted: set[int] = set()  # ids whose END_REQUEST is still to come
-        self.several = False  # the application takes more than one
-        self.spent = False  # carries nothing new
+        self.streams: dict[int, MultiplexedStream] = {}
+        self.aborted: set[int] = set()  # ids of aborted streams whose END_REQUEST has not arrived
+        self.can_multiplex = False  # the application supports multiplexing
+        self.is_exhausted = False  # accepts no new stream
         self._decoder = Decoder()
-        self._last = 0
-        self._useless = 0  # bytes of records that belong to no stream, since all aborted ones had ended
-        self._given = 0  # bytes written to it, left or not
+        self._last_id = 0
+        self._unassigned_bytes = (
+            0  # bytes of records that belong to no stream; reset when the last aborted one ends
+        )
+        self._written_bytes = 0  # bytes written, sent or still buffered
 
     def has_room(self) -> bool:
-        """Whether it takes one more attempt now."""
-        if self.spent or self.closed or self.transport is None or self.identity != self.endpoint.identity:
+        """Return whether the connection can carry one more stream now."""
+        if (
+            self.is_exhausted
+            or self.closed
+            or self.transport is None
+            or self.identity != self.endpoint.identity
+        ):
             return False
         if not self.streams and not self.aborted:
             return True
-        return self.several and len(self.streams) + len(self.aborted) < STREAMS_MOST
+        return self.can_multiplex and len(self.streams) + len(self.aborted) < MAX_STREAMS
 
     # Sending.
 
     def start(self, attempt: Attempt) -> None:
-        self._last = self._last % IDS + 1
-        while self._last in self.streams or self._last in self.aborted:
-            self._last = self._last % IDS + 1
-        stream = self.streams[self._last] = Stream(self, attempt, self._last)
+        self._last_id = self._last_id % REQUEST_ID_COUNT + 1
+        while self._last_id in self.streams or self._last_id in self.aborted:
+            self._last_id = self._last_id % REQUEST_ID_COUNT + 1
+        stream = self.streams[self._last_id] = MultiplexedStream(self, attempt, self._last_id)
         attempt.written_at = time.monotonic()
         attempt.connection = stream
-        data, begun = request_records(self._last, attempt, self.dialect, self.application)
-        before = b"" if self._given else ASK
-        stream.proof = self._given + len(before) + begun
-        self._put(before + data)
+        data, start_bytes = request_records(self._last_id, attempt, self.dialect, self.application)
+        prefix = b"" if self._written_bytes else CAPABILITY_QUERY
+        stream.start_offset = self._written_bytes + len(prefix) + start_bytes
+        self._write_queued(prefix + data)
 
-    def _put(self, data: bytes) -> None:
-        """What is in our buffers goes first; else straight to the kernel."""
+    def _write_queued(self, data: bytes) -> None:
+        """Write after the bytes that are still buffered, or else directly to the socket."""
         assert self.transport is not None
         if self.transport.get_write_buffer_size():
             self.transport.write(data)
         else:
             self.write(data)
-        self._given += len(data)  # after it: where the write fails, nothing of it has left
+        self._written_bytes += len(data)  # after the write: none of it counts as sent if that fails
 
-    def left(self) -> int:
-        """Bytes that have left for the application."""
+    def sent_bytes(self) -> int:
+        """Return the number of bytes sent to the application."""
         waiting = 0 if self.transport is None else self.transport.get_write_buffer_size()
-        return self._given - waiting
+        return self._written_bytes - waiting
 
     # Receiving.
 
     def data_received(self, data: bytes) -> None:
-        self.note_heard()
+        self.record_received()
         try:
             for record in self._decoder.feed(data):
-                self._record(record)
+                self._handle_record(record)
                 if self.closed:
                     return
         except ProtocolError as problem:
             self.pool.logger("spoilt answer", problem)
             self.fail(AttemptResult.RESET)
 
-    def _record(self, record: Record) -> None:
+    def _handle_record(self, record: Record) -> None:
         stream = self.streams.get(record.request)
         if stream is None:
-            self._waste(record)
+            self._count_unassigned(record)
         if record.request == 0:
             if record.type == Type.GET_VALUES_RESULT:
-                values = dict(read_pairs(record.content, VALUES_MOST))
-                self.several = values.get(b"FCGI_MPXS_CONNS") == b"1"
-                if self.several and self not in self.endpoint.shared:
+                values = dict(read_pairs(record.content, MAX_VALUES))
+                self.can_multiplex = values.get(b"FCGI_MPXS_CONNS") == b"1"
+                if self.can_multiplex and self not in self.endpoint.shared:
                     self.endpoint.shared.append(self)
             elif record.type != Type.UNKNOWN_TYPE:
-                raise ProtocolError(f"a record of type {record.type} with request id 0")
+                raise ProtocolError(f"record type {record.type} is not allowed with request id 0")
             return
         if stream is not None:
-            self._stream(stream, record)
+            self._handle_stream_record(stream, record)
         elif record.request in self.aborted:
             if record.type == Type.END_REQUEST:
                 self.aborted.discard(record.request)
-                self._useless = self._useless if self.aborted else 0
-                self._rest()
+                self._unassigned_bytes = self._unassigned_bytes if self.aborted else 0
+                self._keep_or_close()
         else:
-            self.spent = True  # it speaks of a request that has ended
-            self._rest()
+            self.is_exhausted = True  # a record of a request that has ended
+            self._keep_or_close()
+
+    def _count_unassigned(self, record: Record) -> None:
+        """Count the bytes of a record that belongs to no stream; raise ProtocolError above the limit.
 
-    def _waste(self, record: Record) -> None:
-        """Guards against an application that goes on with what was given up, or sends what nobody asked for. Harm:
-        the other streams end with it."""
-        self._useless += HEADER.size + len(record.content)
-        if self._useless > USELESS_MOST:
-            raise ProtocolError("too much that belongs to no request")
+        Guards against an application that continues aborted requests without end, or sends unsolicited records. Cost:
+        the other streams on the connection fail as well."""
+        self._unassigned_bytes += HEADER.size + len(record.content)
+        if self._unassigned_bytes > MAX_UNASSIGNED_BYTES:
+            raise ProtocolError(
+                f"more than {MAX_UNASSIGNED_BYTES} bytes of records that belong to no request"
+            )
 
-    def _stream(self, stream: Stream, record: Record) -> None:
+    def _handle_stream_record(self, stream: MultiplexedStream, record: Record) -> None:
         try:
-            end = stream.exchange.take(record)
+            end = stream.exchange.handle_record(record)
         except ProtocolError as problem:
-            self.spent = True
-            self.finish(stream, AttemptResult.RESET, f"no FastCGI: {problem}")
+            self.is_exhausted = True
+            self.finish_stream(stream, AttemptResult.RESET, f"protocol violation: {problem}")
             return
         stream.charge()
-        stream.received += HEADER.size + len(record.content)
-        most = self.dialect.body_most + BLOCK_MOST
+        stream.received_bytes += HEADER.size + len(record.content)
+        limit = self.dialect.body_most + MAX_HEADER_BLOCK_BYTES
         if end is not None:
-            self._ended(stream, end)
-        elif len(stream.exchange.stdout) > most or stream.received > most + BESIDE_MOST:
-            self.spent = True
-            self.finish(stream, AttemptResult.RESET, "too large")
-
-    def _ended(self, stream: Stream, end: End) -> None:
+            self._handle_end(stream, end)
+        elif len(stream.exchange.stdout) > limit or stream.received_bytes > limit + MAX_OVERHEAD_BYTES:
+            self.is_exhausted = True
+            self.finish_stream(
+                stream,
+                AttemptResult.RESET,
+                f"more than {limit} bytes of STDOUT, or {limit + MAX_OVERHEAD_BYTES} of records",
+            )
+
+    def _handle_end(self, stream: MultiplexedStream, end: End) -> None:
         exchange, attempt = stream.exchange, stream.attempt
-        note_stderr(self.pool, attempt, exchange.stderr)
+        log_stderr(self.pool, attempt, exchange.stderr)
         if end == End.ANSWERED:
-            said = bytes(exchange.stdout), exchange.status, attempt.request.bodiless
+            response = bytes(exchange.stdout), exchange.status, attempt.request.bodiless
             try:
-                result, report, answer = judge(self.pool, self.dialect, self.not_passed, *said)
+                result, report, answer = parse_response(self.pool, self.dialect, self.not_passed, *response)
             except CgiError as problem:
-                self.finish(stream, AttemptResult.RESET, str(problem))
+                self.finish_stream(stream, AttemptResult.RESET, str(problem))
                 return
             self._remove(stream)
             self.pool.owner.finish_attempt(attempt, result, report, answer)
         elif end == End.NEVER_RAN:
-            self.several = False  # it has more than it takes
-            self.finish(stream, AttemptResult.FULL)
+            self.can_multiplex = False  # it refused one of several streams
+            self.finish_stream(stream, AttemptResult.FULL)
         else:
-            self.finish(stream, AttemptResult.RESET, "the request ended with no answer")
+            self.finish_stream(stream, AttemptResult.RESET, "the request ended without an answer")
 
-    def finish(self, stream: Stream, result: AttemptResult, why: str = "") -> None:
-        if why:
-            self.pool.logger("spoilt answer", why)
+    def finish_stream(self, stream: MultiplexedStream, result: AttemptResult, error: str = "") -> None:
+        """Finish a stream's attempt; `error` is logged if the answer is invalid."""
+        if error:
+            self.pool.logger("spoilt answer", error)
         self._remove(stream)
         self.pool.owner.finish_attempt(stream.attempt, result)
 
     # Ending.
 
-    def give_up(self, stream: Stream) -> None:
-        """Abort one request; on a trunk that carries one at a time the connection goes, as it does elsewhere."""
+    def abort_stream(self, stream: MultiplexedStream) -> None:
+        """Abort one stream. Without multiplexing the connection is closed, as it is for other protocols."""
         if self.streams.get(stream.exchange.number) is not stream:
             return
-        if self.several and not self.closed:
+        if self.can_multiplex and not self.closed:
             self.aborted.add(stream.exchange.number)
-            self._put(encode(Type.ABORT_REQUEST, stream.exchange.number))
+            self._write_queued(encode(Type.ABORT_REQUEST, stream.exchange.number))
             self._remove(stream)
         else:
-            self.spent = True
+            self.is_exhausted = True
             self._remove(stream)
 
-    def _remove(self, stream: Stream) -> None:
+    def _remove(self, stream: MultiplexedStream) -> None:
         self.streams.pop(stream.exchange.number, None)
         stream.release()
-        self._rest()
+        self._keep_or_close()
 
-    def _rest(self) -> None:
-        """Kept, or closed, once nothing is on it."""
+    def _keep_or_close(self) -> None:
+        """Keep the connection idle, or close it, if no stream is left on it."""
         if self.streams or self.closed:
             return
-        if self.spent or not self.application.keep:
+        if self.is_exhausted or not self.application.keep:
             self.drop()
         elif not self.aborted and self not in self.endpoint.idle:
             self.pool.keep_idle(self)
 
     def fail(self, result: AttemptResult) -> None:
-        """The connection is of no further use: each stream ends by what of its own request had left."""
+        """Close the connection; each stream's result depends on how much of its request was sent."""
         ends = [
             (s, AttemptResult.NO_CONNECTION if s.is_unsent() else AttemptResult.RESET)
             for s in self.streams.values()
@@ -255,4 +279,4 @@
         self.fail(AttemptResult.RESET)
 
     def release(self) -> None:
-        """Streams give back what they hold, each by itself."""
+        """Do nothing: each stream releases its own buffers."""
--- a/loadbalancer/upstreams/pacing.py
+++ b/loadbalancer/upstreams/pacing.py
@@ -1,26 +1,28 @@
-"""The pace at which connections to members are opened while many instances come back at once: one at a time to each
-member, so many a second in all. What waits takes the next one to its member, new or free again. Pure.
+"""A rate limit for opening connections to members while many instances restart at once. No I/O, no clock.
+
+Connections are opened one at a time to each member, and at a limited rate in all. An attempt that waits uses the next
+connection to its member, whether new or free again.
 """
 
 from __future__ import annotations
 
-#: Connections that may be opened at once: of many instances that begin in one moment each has as many.
+#: Connections that may be opened at once. Each of many instances that start in the same moment may open this many.
 BURST = 1.0
-#: Part of one opening that sums of small times may lack; without it a wait may be too short to move a clock.
-ROUNDING = 1e-6
+#: Tolerance for rounding errors in sums of short times; without it a wait could be too short to advance the clock.
+ROUNDING_TOLERANCE = 1e-6
 
 
 class Pacer:
-    """A bucket of openings."""
+    """A token bucket for opening connections."""
 
     def __init__(self, per_s: float, now: float) -> None:
         self.per_s, self._left, self._at = per_s, BURST, now
 
     def take(self, now: float) -> float:
-        """0 where one may be opened now, and it counts as opened; else the seconds to wait."""
+        """Acquire permission to open a connection: return 0 if granted, else the seconds to wait."""
         self._left = min(BURST, self._left + (now - self._at) * self.per_s)
         self._at = now
-        if self._left >= 1.0 - ROUNDING:
+        if self._left >= 1.0 - ROUNDING_TOLERANCE:
             self._left -= 1.0
             return 0.0
         return (1.0 - self._left) / self.per_s
--- a/loadbalancer/upstreams/report.py
+++ b/loadbalancer/upstreams/report.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-#: Fields of a load report by their names on sockets, in the settings' words.
-REPORT_WORDS = {
+#: Maps short field names in load reports on the wire to the names used in settings.
+REPORT_FIELD_NAMES = {
     "util": "utilization",
     "latency_ms": "recent_ms",
     "qps": "throughput",
@@ -19,13 +19,15 @@
 
 
 def read_report(value: bytes, fields: Sequence[str]) -> dict[str, float] | None:
-    """The load report in the module's words; ValueError where it is none."""
-    box = orjson.loads(value)
-    if not isinstance(box, dict):
-        raise ValueError("not an object")
+    """Parse a load report, and return its `fields` by their names in the settings, or None if it has none of them.
+
+    Raises ValueError if `value` is not a JSON object."""
+    parsed = orjson.loads(value)
+    if not isinstance(parsed, dict):
+        raise ValueError(f"a load report must be a JSON object, not {type(parsed).__name__}")
     report: dict[str, float] = {}
-    for name, figure in box.items():
-        word = REPORT_WORDS.get(str(name), str(name))
-        if word in fields and type(figure) in (int, float) and math.isfinite(figure):
-            report[word] = float(figure)
+    for name, number in parsed.items():
+        field = REPORT_FIELD_NAMES.get(str(name), str(name))
+        if field in fields and type(number) in (int, float) and math.isfinite(number):
+            report[field] = float(number)
     return report or None
--- a/tests/test_fastcgi_codec.py
+++ b/tests/test_fastcgi_codec.py
@@ -21,8 +21,8 @@
     write_answer,
 )  # fmt: skip
 from loadbalancer.fastcgi.records import (
-    CONTENT_MOST,
-    HELD_MOST,
+    MAX_BUFFERED_BYTES,
+    MAX_CONTENT_BYTES,
     Decoder,
     ProtocolError,
     Record,
@@ -38,7 +38,7 @@
     read_end,
     read_pairs,
 )  # fmt: skip
-from loadbalancer.fastcgi.webserver import STDERR_MOST, End, WebServerSide, encode_request
+from loadbalancer.fastcgi.webserver import MAX_STDERR_BYTES, End, WebServerSide, encode_request
 
 EVERY = settings(derandomize=True, max_examples=300, deadline=None)
 PARAMS = [
@@ -79,7 +79,7 @@
     try:
         for part in parts:
             list(decoder.feed(b"\x01" + part))
-            assert decoder.held <= HELD_MOST
+            assert decoder.held <= MAX_BUFFERED_BYTES
     except ProtocolError:
         pass
 
@@ -109,7 +109,7 @@
 
 
 def test_streams_are_cut_into_records_that_fit() -> None:
-    data = bytes(3 * CONTENT_MOST)
+    data = bytes(3 * MAX_CONTENT_BYTES)
     records = list(Decoder().feed(encode_stream(Type.STDIN, 1, data)))
     assert b"".join(r.content for r in records) == data and len(records) == 4
     assert encode_stream(Type.STDIN, 1, b"") == b""
@@ -193,11 +193,11 @@
         encode_begin(1, True) + encode(Type.PARAMS, 1) * 2,
         whole_request() + encode(Type.STDIN, 1, b"more"),
         whole_request() + encode(Type.PARAMS, 1, b"more"),
-        encode_begin(1, True) + encode_stream(Type.PARAMS, 1, bytes(app.PARAMS_MOST + 1)),
+        encode_begin(1, True) + encode_stream(Type.PARAMS, 1, bytes(app.MAX_PARAMS_BYTES + 1)),
         encode_begin(1, True) + encode_stream(Type.PARAMS, 1, b"\x00\x00" * 300) + encode(Type.PARAMS, 1),
-        encode(Type.STDIN, 9, b"") * (app.IDLE_RECORDS_MOST + 1),
-        encode(77, 0) * (app.IDLE_RECORDS_MOST + 1),
-        encode_begin(1, True, Role.FILTER) * (app.IDLE_RECORDS_MOST + 1),
+        encode(Type.STDIN, 9, b"") * (app.MAX_IGNORED_RECORDS + 1),
+        encode(77, 0) * (app.MAX_IGNORED_RECORDS + 1),
+        encode_begin(1, True, Role.FILTER) * (app.MAX_IGNORED_RECORDS + 1),
     ],
 )  # fmt: skip
 def test_what_no_rule_allows_ends_the_reading_and_not_what_is_whole(data: bytes) -> None:
@@ -287,7 +287,7 @@
 
 
 @pytest.mark.parametrize(
-    "records, end, stray",
+    "records, end, has_stray_records",
     [
         ([(Type.STDOUT, 1, b"a"), (Type.STDOUT, 1), (Type.END_REQUEST, 1, END)], End.ANSWERED, False),
         ([(Type.STDOUT, 1, b"a"), (Type.END_REQUEST, 1, END)], End.ANSWERED, False),
@@ -308,9 +308,11 @@
         ([(Type.GET_VALUES_RESULT, 0, b"")], None, False),
     ],
 )  # fmt: skip
-def test_what_the_records_of_an_answer_mean(records: list[Any], end: End | None, stray: bool) -> None:
+def test_what_the_records_of_an_answer_mean(
+    records: list[Any], end: End | None, has_stray_records: bool
+) -> None:
     got, side = answered(*records)
-    assert (got, side.stray) == (end, stray)
+    assert (got, side.has_stray_records) == (end, has_stray_records)
     assert end != End.ANSWERED or side.stdout == b"a"
 
 
@@ -320,12 +322,16 @@
         side = WebServerSide()
         side.begin()
         assert side.feed(data[:cut]) is None
-        assert side.feed(data[cut:]) == End.ANSWERED and side.stdout.endswith(b"body") and not side.stray
+        assert (
+            side.feed(data[cut:]) == End.ANSWERED
+            and side.stdout.endswith(b"body")
+            and not side.has_stray_records
+        )
 
 
 def test_what_goes_to_stderr_is_kept_in_part() -> None:
     _, side = answered(*[(Type.STDERR, 1, bytes(1000))] * 10)
-    assert len(side.stderr) == STDERR_MOST
+    assert len(side.stderr) == MAX_STDERR_BYTES
 
 
 def test_a_late_record_of_the_request_before_is_none_of_the_next() -> None:
@@ -337,7 +343,7 @@
     assert side.feed(
         encode(Type.STDOUT, first, b"late") + encode(Type.STDOUT, second, b"b") + encode_end(second)
     )
-    assert side.stdout == b"b" and side.stray
+    assert side.stdout == b"b" and side.has_stray_records
 
 
 def test_an_application_can_have_begun_once_its_params_have_ended() -> None:
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -152,7 +152,7 @@
 def test_an_application_that_goes_on_after_an_abort_is_cut(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("loadbalancer.upstreams.multiplex.USELESS_MOST", 64 << 10)
+    monkeypatch.setattr("loadbalancer.upstreams.multiplex.MAX_UNASSIGNED_BYTES", 64 << 10)
 
     async def scene() -> None:
         gate = Gate()
