--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""What backends do on their sockets, and the Result that the module is told."""
+"""HTTP/1.1 connections to backends: the AttemptResult of each way an attempt ends, and reuse of connections."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
-async def half_then_reset(call: Call) -> None:
+async def truncated_then_reset(call: Call) -> None:
     await call.say(OK[:-1])
     call.reset()
 
@@ -32,11 +32,11 @@
 async def unframed_then_reset(call: Call) -> None:
     await call.say(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi")
     sock = call.writer.get_extra_info("socket")
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # a close is a reset then
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # so that a close sends RST
     call.reset()
 
 
-async def half_then_end(call: Call) -> None:
+async def truncated_then_close(call: Call) -> None:
     await call.say(OK[:-1])
     call.writer.close()
 
@@ -47,11 +47,11 @@
         await asyncio.sleep(0)
 
 
-def turned_away(status: int) -> bytes:
+def refusal(status: int) -> bytes:
     return b"HTTP/1.1 %d No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" % status
 
 
-ROWS: dict[str, tuple[Script, AttemptResult]] = {
+ATTEMPT_ENDS: dict[str, tuple[Script, AttemptResult]] = {
     "served": (answering(OK), AttemptResult.SERVED),
     "served in fragments": (byte_by_byte, AttemptResult.SERVED),
     "served in chunks": (answering(CHUNKED + chunked(b"h", b"i", b"")), AttemptResult.SERVED),
@@ -59,12 +59,12 @@
         answering(b"HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + OK), AttemptResult.SERVED
     ),
     "error": (answering(b"HTTP/1.1 500 No\r\nContent-Length: 3\r\n\r\nbad"), AttemptResult.ERROR),
-    "turned away 503": (answering(turned_away(503)), AttemptResult.FULL),
-    "turned away 504": (answering(turned_away(504)), AttemptResult.FULL),
+    "turned away 503": (answering(refusal(503)), AttemptResult.FULL),
+    "turned away 504": (answering(refusal(504)), AttemptResult.FULL),
     "503 without the mark": (answering(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), AttemptResult.ERROR),
     "reset before the answer": (resetting, AttemptResult.RESET),
-    "reset within the answer": (half_then_reset, AttemptResult.RESET),
-    "an end within the answer": (half_then_end, AttemptResult.RESET),
+    "reset within the answer": (truncated_then_reset, AttemptResult.RESET),
+    "an end within the answer": (truncated_then_close, AttemptResult.RESET),
     "a reset without a length": (unframed_then_reset, AttemptResult.RESET),
     "not HTTP": (answering(b"\x00\x01\x02 hello\r\n\r\n"), AttemptResult.RESET),
     "an upgrade": (answering(b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), AttemptResult.RESET),
@@ -72,9 +72,9 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("row", ROWS)
-def test_each_end_of_an_attempt_is_told_as_its_result(row: str) -> None:
-    script, result = ROWS[row]
+@pytest.mark.parametrize("row", ATTEMPT_ENDS)
+def test_attempt_result_for_each_kind_of_answer(row: str) -> None:
+    script, result = ATTEMPT_ENDS[row]
 
     async def scene() -> None:
         async with world(ScriptedBackend("s", script)) as here:
@@ -85,15 +85,15 @@
             if result == AttemptResult.SERVED:
                 assert (status, body) == (200, b"hi")
             elif result == AttemptResult.FULL:
-                assert status == 503  # certain never to have run, so a refusal
+                assert status == 503  # it never ran, so the client gets a refusal
             else:
-                assert status == 502  # it may have run
+                assert status == 502  # it may have run, so it is not retried
             assert not here.proxy.open and here.proxy.budget.held_bytes == 0
 
     play(scene)
 
 
-def test_a_refused_connection_is_no_connection() -> None:
+def test_refused_connection_gives_no_connection() -> None:
     async def scene() -> None:
         dead = ScriptedBackend("s", silent)
         async with world(dead) as here:
@@ -109,7 +109,7 @@
     play(scene)
 
 
-def test_silence_is_a_time_out_and_the_connection_is_not_used_again() -> None:
+def test_silent_backend_gives_timeout_and_its_connection_is_not_reused() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", silent, answering(OK))
         async with world(backend) as here:
@@ -123,15 +123,17 @@
     play(scene)
 
 
-def test_a_break_before_the_last_byte_is_written_is_no_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The body does not fit into the kernel's buffers, and the backend never reads it."""
-    made = backend_module.Http1UpstreamConnection.connection_made
+def test_close_before_request_is_sent_completely_gives_no_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The body does not fit into the socket buffers, and the backend closes without reading it."""
+    connection_made = backend_module.Http1UpstreamConnection.connection_made
 
-    def narrow(connection: backend_module.Http1UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+    def shrink_send_buffer(
+        connection: backend_module.Http1UpstreamConnection, transport: asyncio.BaseTransport
+    ) -> None:
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-        made(connection, transport)
+        connection_made(connection, transport)
 
-    monkeypatch.setattr(backend_module.Http1UpstreamConnection, "connection_made", narrow)
+    monkeypatch.setattr(backend_module.Http1UpstreamConnection, "connection_made", shrink_send_buffer)
 
     async def scene() -> None:
         ended = asyncio.Event()
@@ -159,12 +161,12 @@
     play(scene)
 
 
-def test_load_reports_come_in_the_words_of_the_settings() -> None:
+def test_load_report_fields_have_the_names_of_the_settings() -> None:
     async def scene() -> None:
-        good = b'X-Pressure: {"util":0.5,"qps":7,"latency_ms":20,"other":1,"queue":3}\r\n'
+        valid = b'X-Pressure: {"util":0.5,"qps":7,"latency_ms":20,"other":1,"queue":3}\r\n'
         bad = b'X-Pressure: {"util":\r\n'
-        odd = b'X-Pressure: {"util":"much","qps":true}\r\n'
-        scripts = [answering(OK.replace(b"Content", line + b"Content")) for line in (good, bad, odd)]
+        wrong_types = b'X-Pressure: {"util":"much","qps":true}\r\n'
+        scripts = [answering(OK.replace(b"Content", line + b"Content")) for line in (valid, bad, wrong_types)]
         async with world(ScriptedBackend("s", *scripts)) as here:
             client = await here.connect()
             for _ in scripts:
@@ -175,7 +177,7 @@
     play(scene)
 
 
-def test_what_goes_to_a_backend() -> None:
+def test_request_to_backend_keeps_end_to_end_headers_and_drops_hop_by_hop_ones() -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
         async with world(backend) as here:
@@ -195,23 +197,25 @@
     play(scene)
 
 
-def test_a_connection_is_kept_and_the_newest_is_used() -> None:
+def test_most_recently_used_idle_connection_is_reused() -> None:
     async def scene() -> None:
-        hold = asyncio.Event()
+        release = asyncio.Event()
 
-        async def held(call: Call) -> None:
-            await hold.wait()
+        async def answer_when_released(call: Call) -> None:
+            await release.wait()
             await call.say(OK)
 
-        backend = ScriptedBackend("s", answering(OK), held, held, answering(OK))
+        backend = ScriptedBackend(
+            "s", answering(OK), answer_when_released, answer_when_released, answering(OK)
+        )
         async with world(backend) as here:
             first, second = await here.connect(), await here.connect()
-            await first.ask(request())  # the backend is past its probation then
+            await first.ask(request())  # after its first answer the backend is no longer on probation
             await first.send(request())
             await backend.until_called(2)
             await second.send(request())
             await backend.until_called(3)
-            hold.set()
+            release.set()
             await first.read()
             await second.read()
             newest = here.proxy.upstreams.endpoints["s"].idle[-1]
@@ -227,7 +231,7 @@
     OK + OK,
     OK + b"surplus",
 ])  # fmt: skip
-def test_a_connection_past_its_use_is_not_kept(end: bytes) -> None:
+def test_connection_is_closed_after_connection_close_or_surplus_bytes(end: bytes) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(end), answering(OK))
         async with world(backend) as here:
@@ -240,8 +244,8 @@
     play(scene)
 
 
-def test_a_kept_connection_that_the_backend_closed_is_not_used() -> None:
-    """The end has come to the kernel but has not been read when the next request is sent."""
+def test_idle_connection_that_the_backend_closed_is_not_reused() -> None:
+    """The FIN has arrived but has not been read when the next request is sent."""
 
     async def scene() -> None:
         async def answer_and_close(call: Call) -> None:
@@ -258,24 +262,24 @@
     play(scene)
 
 
-def test_idle_connections_are_retired_and_few_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_limited_in_number_and_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connections_module, "IDLE_MOST", 1)
 
     async def scene() -> None:
-        hold = asyncio.Event()
+        release = asyncio.Event()
 
-        async def held(call: Call) -> None:
-            await hold.wait()
+        async def answer_when_released(call: Call) -> None:
+            await release.wait()
             await call.say(OK)
 
-        backend = ScriptedBackend("s", answering(OK), held)
+        backend = ScriptedBackend("s", answering(OK), answer_when_released)
         async with world(backend) as here:
             clients = [await here.connect() for _ in range(3)]
             await clients[0].ask(request())
             for number, client in enumerate(clients):
                 await client.send(request())
                 await backend.until_called(number + 2)
-            hold.set()
+            release.set()
             for client in clients:
                 await client.read()
             pool = here.proxy.upstreams
@@ -288,17 +292,17 @@
     play(scene)
 
 
-def test_the_first_of_two_copies_wins_and_the_other_is_cancelled() -> None:
+def test_first_answer_of_a_hedged_request_wins_and_the_other_attempt_is_cancelled() -> None:
     async def scene() -> None:
-        slow, quick = ScriptedBackend("a", silent), ScriptedBackend("b", silent)
-        async with world(slow, quick) as here:
-            for backend in (slow, quick):  # whichever is asked second answers
+        first_backend, second_backend = ScriptedBackend("a", silent), ScriptedBackend("b", silent)
+        async with world(first_backend, second_backend) as here:
+            for backend in (first_backend, second_backend):  # the second attempt will be answered
                 backend.scripts = [silent]
             client = await here.connect()
             await client.send(request("safe", None, "400m"))
             await here.proxy.until(lambda: here.proxy.open)
             first = next(iter(here.proxy.open.values())).attempts[0].endpoint
-            other = quick if first == "a" else slow
+            other = second_backend if first == "a" else first_backend
             other.scripts = [answering(OK)]
             status, _, body = await client.read()
             assert (status, body) == (200, b"hi")
@@ -307,55 +311,57 @@
                 (1, AttemptResult.SERVED, True),
                 (0, AttemptResult.CANCELLED, True),
             ]
-            loser = slow if first == "a" else quick
+            loser = first_backend if first == "a" else second_backend
             await loser.calls[0].left()
 
     play(scene)
 
 
 @pytest.mark.parametrize(("cls", "calls", "status"), [("keyed", 2, 200), ("unsafe", 1, 502)])
-def test_after_a_reset_only_what_may_be_repeated_is(cls: str, calls: int, status: int) -> None:
+def test_after_a_reset_keyed_requests_are_retried_and_unsafe_ones_are_not(
+    cls: str, calls: int, status: int
+) -> None:
     async def scene() -> None:
         a, b = ScriptedBackend("a", resetting), ScriptedBackend("b", resetting)
         async with world(a, b) as here:
             client = await here.connect()
-            reset = here.proxy.finish_attempt
+            finish_attempt = here.proxy.finish_attempt
 
-            def heal(attempt: object, *more: object) -> None:  # the second backend to be asked answers
+            def answer_next_attempt(attempt: object, *more: object) -> None:  # the next attempt is answered
                 a.scripts = b.scripts = [answering(OK)]
-                reset(attempt, *more)  # type: ignore[arg-type]
+                finish_attempt(attempt, *more)  # type: ignore[arg-type]
 
-            here.proxy.finish_attempt = heal  # type: ignore[method-assign, assignment]
+            here.proxy.finish_attempt = answer_next_attempt  # type: ignore[method-assign, assignment]
             assert (await client.ask(request(cls, b"x")))[0] == status
             assert len(a.calls) + len(b.calls) == calls
 
     play(scene)
 
 
-# Answers that are none.
+# Invalid answers.
 
 
-async def for_ever(call: Call, head: bytes, part: bytes) -> None:
+async def repeat_forever(call: Call, head: bytes, part: bytes) -> None:
     await call.say(head)
     while True:
         await call.say(part)
 
 
-async def unframed_then_end(call: Call) -> None:
+async def unframed_then_close(call: Call) -> None:
     await call.say(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi")
     call.writer.close()
 
 
-def test_an_answer_that_ends_with_its_connection_is_whole() -> None:
+def test_answer_delimited_by_connection_close_is_served() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("a", unframed_then_end)) as here:
+        async with world(ScriptedBackend("a", unframed_then_close)) as here:
             client = await here.connect()
             assert await client.ask(request("unsafe")) == (200, b"hi")
 
     play(scene)
 
 
-ENDLESS = {
+ENDLESS_ANSWERS = {
     "3 GB": (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", bytes(1 << 16)),
     "a head": (b"HTTP/1.1 200 OK\r\n", b"X-Pad: pppp\r\n" * 1000),
     "a value": (b"HTTP/1.1 200 OK\r\nX-Pad: ", b"p" * 10_000),
@@ -364,14 +370,14 @@
 }
 
 
-@pytest.mark.parametrize("kind", ENDLESS)
-def test_an_answer_without_end_is_spoilt_and_the_request_goes_again(kind: str) -> None:
+@pytest.mark.parametrize("kind", ENDLESS_ANSWERS)
+def test_endless_answer_is_a_reset_and_a_keyed_request_is_retried(kind: str) -> None:
     async def scene() -> None:
         async def script(call: Call) -> None:
-            bad, good = (a, b) if a.calls else (b, a)
-            good.scripts = [answering(OK)]
+            bad, valid = (a, b) if a.calls else (b, a)
+            valid.scripts = [answering(OK)]
             bad.scripts = [silent]
-            await for_ever(call, *ENDLESS[kind])
+            await repeat_forever(call, *ENDLESS_ANSWERS[kind])
 
         a, b = ScriptedBackend("a", script), ScriptedBackend("b", script)
         async with world(a, b) as here:
@@ -384,7 +390,7 @@
     play(scene)
 
 
-def test_a_spoilt_answer_that_says_turned_away_may_have_run() -> None:
+def test_invalid_answer_with_refusal_header_is_a_reset() -> None:
     async def scene() -> None:
         head = b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
         async with world(ScriptedBackend("a", answering(head))) as here:
@@ -396,8 +402,8 @@
 
 
 @pytest.mark.parametrize("behind", [OK, b"\x00\xff noise", b"HTTP/1.1 2"])
-def test_what_comes_right_behind_an_answer_is_not_the_next_one(behind: bytes) -> None:
-    """In one read with the answer, or before the next request: the connection is not used again."""
+def test_bytes_after_an_answer_are_not_read_as_the_next_answer(behind: bytes) -> None:
+    """Bytes arrive in one read with the answer, or before the next request: the connection is not reused."""
 
     async def scene() -> None:
         split = asyncio.Event()
@@ -429,7 +435,7 @@
     play(scene)
 
 
-def test_a_connection_is_not_used_before_it_has_rested(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_is_not_reused_before_the_minimum_idle_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connections_module, "REST_S", 60.0)
 
     async def scene() -> None:
@@ -447,8 +453,8 @@
     play(scene)
 
 
-def test_attempts_cancelled_while_they_open_leave_nothing_counted() -> None:
-    """Before the task has begun, while it connects, and on an address that no socket takes."""
+def test_attempts_cancelled_while_connecting_leave_no_connection_counted() -> None:
+    """Cancelled before the task has begun, while it connects, and with an invalid address."""
 
     async def scene() -> None:
         async with world(ScriptedBackend("a", silent)) as here:
@@ -457,8 +463,8 @@
             client = await here.connect()
             assert (await client.ask(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 200
             for server, rounds in [("a", 0), ("a", 1), ("a", 2), ("a", 3), ("odd", 0), ("odd", 3)]:
-                wanted = OpenRequest(cast(Any, here.connections()[0]), 0, b"GET / HTTP/1.1\r\n", None)
-                attempt = connections_module.Attempt(wanted, 0, server, 0.0, 1.0)
+                open_request = OpenRequest(cast(Any, here.connections()[0]), 0, b"GET / HTTP/1.1\r\n", None)
+                attempt = connections_module.Attempt(open_request, 0, server, 0.0, 1.0)
                 attempt.ended = True
                 backends.send(attempt)
                 for _ in range(rounds):
@@ -473,8 +479,8 @@
     play(scene)
 
 
-def test_a_time_out_while_connecting_never_ran() -> None:
-    """The backend's queue of connections is full, so a new one never comes up."""
+def test_timeout_while_connecting_gives_no_connection() -> None:
+    """The backend's accept queue is full, so a connection is never established."""
 
     async def scene() -> None:
         listener = socket.socket()
@@ -496,8 +502,8 @@
     play(scene)
 
 
-@pytest.mark.parametrize("heard", [False, True])
-def test_idle_connections_of_a_backend_that_has_gone_silent_are_closed(heard: bool) -> None:
+@pytest.mark.parametrize("received", [False, True])
+def test_timeout_closes_idle_connections_only_if_no_byte_was_received(received: bool) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(OK))
         async with world(backend) as here:
@@ -508,10 +514,10 @@
             await backend.until_called(2)
             assert (await second.ask(request()))[0] == 200
             state = here.proxy.upstreams.endpoints["s"]
-            if not heard:
+            if not received:
                 state.last_heard_at -= 60.0
             assert len(state.idle) == 1
             assert (await first.read())[0] == 502
-            assert len(state.idle) == heard
+            assert len(state.idle) == received
 
     play(scene)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events in one moment, forced: what was right when it was decided, and is not when it would leave."""
+"""Race conditions: an attempt that was valid when it was decided, but must not be sent any more when it could be."""
 
 from __future__ import annotations
 
@@ -21,57 +21,58 @@
     return {**SETTINGS, "policy-limits": {**SETTINGS["policy-limits"], "connect-timeout-s": 5.0, **other}}
 
 
-class HeldConnects:
-    """Connections to members come up when the test says so, and not before."""
+class ConnectGate:
+    """Delays connections to members until the test opens the gate."""
 
     def __init__(self) -> None:
-        self.held = asyncio.Event()  # one waits
+        self.held = asyncio.Event()  # set when a connection waits at the gate
         self.gate = asyncio.Event()
         self.on = False
 
 
-def hold_connects(monkeypatch: pytest.MonkeyPatch) -> HeldConnects:
-    """The kernel's handshake is done; the program does not hear of it yet, as with a late SYN-ACK."""
-    holder = HeldConnects()
+def hold_connects(monkeypatch: pytest.MonkeyPatch) -> ConnectGate:
+    """Delay the completion of connects; the kernel's handshake is done, but the program learns of it late, as
+    with a delayed SYN-ACK."""
+    holder = ConnectGate()
     connect = UpstreamPools._connect
 
-    async def late(self: UpstreamPools, connection: Any) -> None:
+    async def delayed_connect(self: UpstreamPools, connection: Any) -> None:
         if holder.on:
             holder.held.set()
             await holder.gate.wait()
         await connect(self, connection)
 
-    monkeypatch.setattr(UpstreamPools, "_connect", late)
+    monkeypatch.setattr(UpstreamPools, "_connect", delayed_connect)
     return holder
 
 
-async def drains(here: World, client: Client, a: ScriptedBackend) -> None:
+async def drain_member(here: World, client: Client, a: ScriptedBackend) -> None:
     await here.discovery.line(2, a.entry(state="DRAINING"))
     await here.proxy.until(lambda: not here.proxy.upstreams.endpoints["a"].is_serving)
 
 
-async def ends(here: World, client: Client, a: ScriptedBackend) -> None:
+async def remove_member(here: World, client: Client, a: ScriptedBackend) -> None:
     await here.discovery.line(2, a.entry(state="DELETED"))
     await here.proxy.until(lambda: here.proxy.upstreams.endpoints["a"].is_gone)
 
 
-async def moves(here: World, client: Client, a: ScriptedBackend) -> None:
-    """Its address belongs to another one by now."""
+async def move_address(here: World, client: Client, a: ScriptedBackend) -> None:
+    """Give the member's address to another member."""
     await here.discovery.line(2, a.entry(addr="127.0.0.1:9", started_ms=5), a.entry(id="b"))
     await here.proxy.until(lambda: "b" in here.proxy.listed)
 
 
-async def leaves(here: World, client: Client, a: ScriptedBackend) -> None:
+async def close_client(here: World, client: Client, a: ScriptedBackend) -> None:
     client.writer.close()
     await here.proxy.until(lambda: not here.proxy.balancer.requests)
 
 
-async def half_closes(here: World, client: Client, a: ScriptedBackend) -> None:
+async def half_close_client(here: World, client: Client, a: ScriptedBackend) -> None:
     client.writer.write_eof()
     await here.proxy.until(lambda: not here.proxy.balancer.requests)
 
 
-async def resets(here: World, client: Client, a: ScriptedBackend) -> None:
+async def reset_client(here: World, client: Client, a: ScriptedBackend) -> None:
     sock = client.writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.writer.transport.abort()
@@ -79,23 +80,23 @@
 
 
 CROSSINGS: dict[str, tuple[Callable[[World, Client, ScriptedBackend], Awaitable[None]], bool]] = {
-    "its member drains": (drains, True),
-    "its member has gone": (ends, True),
-    "its member's address is another's": (moves, True),
-    "its client leaves": (leaves, False),
-    "its client ends one direction": (half_closes, False),
-    "its client resets": (resets, False),
+    "its member drains": (drain_member, True),
+    "its member has gone": (remove_member, True),
+    "its member's address is another's": (move_address, True),
+    "its client leaves": (close_client, False),
+    "its client ends one direction": (half_close_client, False),
+    "its client resets": (reset_client, False),
 }
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
 @pytest.mark.parametrize("cls", ["safe", "keyed", "unsafe"])
 @pytest.mark.parametrize("what", CROSSINGS)
-def test_while_the_connection_of_an_attempt_comes_up(
+def test_attempt_is_not_sent_if_member_or_client_goes_while_connecting(
     what: str, cls: str, cancelling: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The member counts no request; where the client is still there it gets one answer, by another member or none."""
-    cross, answered = CROSSINGS[what]
+    """The member gets no request. A client that is still connected gets one answer: of another member, or a 503."""
+    change_state, answered = CROSSINGS[what]
 
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
@@ -105,7 +106,7 @@
             client, holder.on = await here.connect(), True
             await client.send(request(cls))
             await asyncio.wait_for(holder.held.wait(), 10)
-            await cross(here, client, a)
+            await change_state(here, client, a)
             holder.on = False
             holder.gate.set()
             if answered:
@@ -125,29 +126,29 @@
 
 @pytest.mark.parametrize("front", ["https", "fastcgi"])
 @pytest.mark.parametrize("what", ["its client leaves", "its client resets"])
-def test_a_client_that_goes_while_a_connection_comes_up_is_gone_on_every_front(
+def test_attempt_is_not_sent_if_client_goes_while_connecting_on_every_front_end(
     what: str, front: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(peers, "COMBINATION", [front, "http/1.1"])
     for cls in ("safe", "unsafe"):
-        test_while_the_connection_of_an_attempt_comes_up(what, cls, False, monkeypatch)
+        test_attempt_is_not_sent_if_member_or_client_goes_while_connecting(what, cls, False, monkeypatch)
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
-def test_a_request_that_has_its_answer_is_not_sent_on_when_a_late_connection_comes_up(
+def test_hedged_attempt_is_not_sent_after_the_request_was_answered(
     cancelling: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The second copy waits for its connection while the first is answered; where nothing may be cancelled it went
-    out all the same."""
+    """A hedged attempt waits for its connection while the first attempt is answered. It used to be sent nevertheless if
+    cancelling is disabled."""
 
     async def scene() -> None:
         answer = asyncio.Event()
 
-        async def when_told(call: Call) -> None:
+        async def answer_when_released(call: Call) -> None:
             await answer.wait()
             await call.say(OK)
 
-        backends = [ScriptedBackend(name, when_told) for name in ("a", "b")]
+        backends = [ScriptedBackend(name, answer_when_released) for name in ("a", "b")]
         settings = with_limits(cancelling=cancelling)
         settings["classes"] = [{**c, "aim-s": 0.2} for c in SETTINGS["classes"]]
         holder = hold_connects(monkeypatch)
@@ -169,8 +170,10 @@
 
 
 @pytest.mark.parametrize("scope", ["all", "zone", "cell"])
-def test_a_repeat_does_not_leave_after_its_window(scope: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Decided inside the deduplication window, written behind it, it would have a second effect."""
+def test_retry_is_not_sent_after_the_deduplication_window(
+    scope: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Decided inside the deduplication window but sent after it, a retry could have a second effect."""
 
     async def scene() -> None:
         async def reset(call: Call) -> None:
@@ -201,9 +204,9 @@
 
 
 @pytest.mark.parametrize("behind", [b"", b"GET /api HTTP/1.1\r\n"], ids=["at once", "behind bytes"])
-def test_a_client_that_has_left_unread_gets_no_attempt(behind: bytes) -> None:
-    """Its request is read, and its end waits in the kernel: as in the accept queue, in a burst, or while reading is
-    paused."""
+def test_request_is_not_sent_if_the_client_has_closed_but_its_fin_is_unread(behind: bytes) -> None:
+    """The request was read, but the FIN is still unread in the kernel: as happens in the accept queue, in a burst, or
+    while reading is paused."""
 
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
@@ -216,7 +219,7 @@
                 connection.transport.pause_reading()
                 sock.sendall(behind)
                 sock.shutdown(socket.SHUT_WR)
-                connection.data_received(request())  # what had been read before
+                connection.data_received(request())  # the request, as read before the pause
                 outcomes = await here.proxy.until_outcomes(1)
                 assert outcomes[-1].result == AttemptResult.NOT_SENT and not a.calls
                 assert not here.proxy.balancer.requests and not here.proxy.open
@@ -224,17 +227,17 @@
     play(scene)
 
 
-def test_a_repeat_is_not_sent_for_a_client_that_has_left_while_reading_is_paused() -> None:
-    """One request is served, another waits behind it, so nothing is read; then the client goes."""
+def test_retry_is_not_sent_if_the_client_closed_while_reading_was_paused() -> None:
+    """One request is in flight and a pipelined one waits, so that reading is paused when the client disconnects."""
 
     async def scene() -> None:
-        gone = asyncio.Event()
+        disconnected = asyncio.Event()
 
-        async def reset_once_gone(call: Call) -> None:
-            await gone.wait()
+        async def reset_after_disconnect(call: Call) -> None:
+            await disconnected.wait()
             call.reset()
 
-        backends = [ScriptedBackend(name, reset_once_gone, silent) for name in ("a", "b")]
+        backends = [ScriptedBackend(name, reset_after_disconnect, silent) for name in ("a", "b")]
         async with world(*backends) as here:
             with socket.create_connection(here.address) as sock:
                 sock.sendall(request() + request())
@@ -242,21 +245,21 @@
                     await asyncio.sleep(0)
                 assert here.connections()[0].paused
                 sock.shutdown(socket.SHUT_WR)
-                gone.set()
+                disconnected.set()
                 await here.proxy.until(lambda: not here.proxy.open)
                 assert sum(len(b.calls) for b in backends) == 1
 
     play(scene)
 
 
-def test_a_burst_of_clients_that_leave_begins_nothing() -> None:
-    """Hundreds ask and go before the proxy accepts them."""
+def test_requests_of_clients_that_closed_before_accept_are_not_sent() -> None:
+    """Hundreds of clients send a request and disconnect before the proxy accepts them."""
 
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
         async with world(a) as here:
             for _ in range(300):
-                sock = socket.create_connection(here.address)  # the loop stands still meanwhile
+                sock = socket.create_connection(here.address)  # blocks the event loop: nothing is accepted
                 sock.sendall(request())
                 sock.close()
             client = await here.connect()
@@ -266,15 +269,15 @@
     play(scene)
 
 
-def test_idle_clients_that_fill_every_slot_keep_nobody_out_while_discovery_is_away() -> None:
-    """Who asks is served, `/ready` is answered, members are reached, and the watch comes back."""
+def test_idle_clients_in_every_slot_do_not_block_new_clients_during_a_discovery_outage() -> None:
+    """New requests and `/ready` are answered, members are reached, and the watch reconnects."""
 
     async def scene() -> None:
         a = ScriptedBackend("a", answering(OK))
         async with world(a, settings={**SETTINGS, "registry-mode": "subscribe"}, sockets=64) as here:
             await here.discovery.until_watched()
-            idle = [await here.connect() for _ in range(100)]
-            assert len(idle) > here.server.most
+            idle_clients = [await here.connect() for _ in range(100)]
+            assert len(idle_clients) > here.server.most
             here.discovery.writers[-1].transport.abort()
             await here.discovery.until_watched(2)
             await here.discovery.line(2, a.entry(), full=True)
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -1,4 +1,4 @@
-"""FastCGI over sockets: clients and applications, and what goes wrong between them."""
+"""FastCGI over sockets, upstream and front end, with failures at each step."""
 
 from __future__ import annotations
 
@@ -32,40 +32,44 @@
 
 
 @asynccontextmanager
-async def fleet(folder: Path, apps: Sequence[Application], text: Callable[[], str]) -> AsyncIterator[Ground]:
+async def running_pool(
+    folder: Path, apps: Sequence[Application], text: Callable[[], str]
+) -> AsyncIterator[Ground]:
     async with ground(folder, apps, text) as here:  # type: ignore[arg-type]
         yield here
 
 
-def simple(apps: Sequence[Application], *more: str, front: str = "") -> Callable[[], str]:
-    return lambda: LISTENER + front + route("all", "p", 'class = "book"') + KEYED + app_pool("p", apps, *more)
+def single_pool_text(apps: Sequence[Application], *more: str, front_options: str = "") -> Callable[[], str]:
+    return lambda: (
+        LISTENER + front_options + route("all", "p", 'class = "book"') + KEYED + app_pool("p", apps, *more)
+    )
 
 
-def outcomes(here: Ground, name: str = "p") -> list[AttemptResult]:
-    """Watch the results that the module is told from here on."""
+def record_results(here: Ground, name: str = "p") -> list[AttemptResult]:
+    """Return a list that collects the attempt results passed to the policy from now on."""
     balancer = here.daemon.pools[name].proxy.balancer
-    seen: list[AttemptResult] = []
+    results: list[AttemptResult] = []
     handle = balancer.handle
 
     def watched(now: float, events: Sequence[Event]) -> list[Action]:
-        seen.extend(event.result for event in events if isinstance(event, Outcome))
+        results.extend(event.result for event in events if isinstance(event, Outcome))
         return handle(now, events)
 
     balancer.handle = watched  # type: ignore[method-assign]
-    return seen
+    return results
 
 
 # Upstream.
 
 
-def test_a_request_to_an_application_and_back(tmp_path: Path) -> None:
+def test_request_and_answer_are_converted_for_an_application(tmp_path: Path) -> None:
     async def scene() -> None:
         app = Application("a", saying(201, b"made", b"X-Own: 1\r\n", b"Connection: close\r\n"))
 
         def text() -> str:
             return LISTENER + route("all", "p") + app_pool("p", [app], params='SCRIPT_FILENAME = "/srv/x"')
 
-        async with fleet(tmp_path, [app], text) as here:
+        async with running_pool(tmp_path, [app], text) as here:
             status, head, body = await here.ask(
                 requests_to("/a?b=c", "POST", b"data", "Content-Type: t", "X-A: 1")
             )
@@ -83,10 +87,10 @@
     play(scene)
 
 
-def test_connections_are_kept_where_the_application_does(tmp_path: Path) -> None:
+def test_connection_is_reused_until_the_application_closes_it(tmp_path: Path) -> None:
     async def scene() -> None:
         app = Application("a", OK)
-        async with fleet(tmp_path, [app], simple([app])) as here:
+        async with running_pool(tmp_path, [app], single_pool_text([app])) as here:
             for _ in range(5):
                 assert (await here.ask(requests_to()))[0] == 200
             assert app.connections == 1
@@ -94,11 +98,11 @@
                 connection.close()
             await app.until(lambda: not app.open)
             assert (await here.ask(requests_to()))[0] == 200 and app.connections == 2
-            app.scripts = [closing]
+            app.scripts = [answer_and_close]
             for _ in range(3):
                 assert (await here.ask(requests_to()))[0] == 200
 
-    async def closing(call: FcgiCall) -> None:
+    async def answer_and_close(call: FcgiCall) -> None:
         call.say(write_answer(200, b"OK", [], b"x"))
         call.connection.close()
 
@@ -106,14 +110,14 @@
 
 
 @pytest.mark.parametrize("unix", [False, True])
-def test_an_application_on_a_unix_socket(unix: bool, tmp_path: Path) -> None:
+def test_application_is_reached_on_tcp_and_unix_sockets(unix: bool, tmp_path: Path) -> None:
     async def scene() -> None:
         app = Application("a", OK)
-        text = simple([app])
+        text = single_pool_text([app])
         if unix:
             start = app.start
             app.start = lambda path=None: start(str(tmp_path / "a.sock"))  # type: ignore[method-assign]
-        async with fleet(tmp_path, [app], text) as here:
+        async with running_pool(tmp_path, [app], text) as here:
             assert app.address.startswith("unix:") == unix
             assert (await here.ask(requests_to()))[0] == 200
 
@@ -123,7 +127,7 @@
 ANSWER = write_answer(200, b"OK", [b"X: y\r\n"], b"whole body")
 
 
-def exchange(call: FcgiCall) -> bytes:
+def answer_records(call: FcgiCall) -> bytes:
     number = call.number
     return (
         encode(Type.STDERR, number, b"note")
@@ -133,24 +137,26 @@
     )
 
 
-@pytest.mark.parametrize("how", ["closed", "killed"])
-def test_an_answer_cut_at_every_byte_has_one_effect_and_one_answer(how: str, tmp_path: Path) -> None:
-    """An unsafe request whose answer is cut anywhere may have run: it fails, and never goes again."""
+@pytest.mark.parametrize("closing_mode", ["closed", "killed"])
+def test_answer_truncated_at_every_byte_has_one_effect_and_one_answer(
+    closing_mode: str, tmp_path: Path
+) -> None:
+    """An unsafe request whose answer is truncated may have run: it fails and is not retried."""
 
     async def scene() -> None:
         cut = 0
 
         async def script(call: FcgiCall) -> None:
-            call.raw(exchange(call)[:cut])
-            if how == "closed":
+            call.raw(answer_records(call)[:cut])
+            if closing_mode == "closed":
                 call.connection.close()
             else:
                 call.die()
 
         app = Application("a", script)
-        async with fleet(tmp_path, [app], simple([app])) as here:
+        async with running_pool(tmp_path, [app], single_pool_text([app])) as here:
             client = await here.connect()
-            whole = len(exchange(FcgiCall(1, {}, None)))  # type: ignore[arg-type]
+            whole = len(answer_records(FcgiCall(1, {}, None)))  # type: ignore[arg-type]
             here.daemon.pools["p"].proxy.balancer.outliers.record_result = lambda *args, **kw: None  # type: ignore[method-assign]
             for cut in range(whole):
                 await client.send(requests_to("/", "POST", b"x"))
@@ -158,7 +164,7 @@
                 assert status == 502, cut
                 assert len(app.calls) == cut + 1
             cut = whole
-            if how == "closed":
+            if closing_mode == "closed":
                 await client.send(requests_to("/", "POST", b"x"))
                 assert (await client.read())[2] == b"whole body"
             assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
@@ -166,20 +172,20 @@
     play(scene)
 
 
-def test_an_answer_that_stalls_at_any_byte_ends_at_the_deadline(tmp_path: Path) -> None:
+def test_answer_that_stalls_at_any_byte_ends_at_the_deadline(tmp_path: Path) -> None:
     async def scene() -> None:
-        whole = exchange(FcgiCall(1, {}, None))  # type: ignore[arg-type]
+        whole = answer_records(FcgiCall(1, {}, None))  # type: ignore[arg-type]
         cuts = list(range(0, len(whole), 7))
 
         async def script(call: FcgiCall) -> None:
-            call.raw(exchange(call)[: cuts[len(app.calls) - 1]])
+            call.raw(answer_records(call)[: cuts[len(app.calls) - 1]])
 
         app = Application("a", script)
 
         def text() -> str:
             return LISTENER + route("all", "p", 'deadline = "60ms"') + app_pool("p", [app])
 
-        async with fleet(tmp_path, [app], text) as here:
+        async with running_pool(tmp_path, [app], text) as here:
             here.daemon.pools["p"].proxy.balancer.outliers.record_result = lambda *args, **kw: None  # type: ignore[method-assign]
             for number in range(len(cuts)):
                 assert (await here.ask(requests_to("/", "POST", b"x")))[0] == 504
@@ -188,13 +194,13 @@
     play(scene)
 
 
-async def dies(call: FcgiCall) -> None:
+async def close_without_answer(call: FcgiCall) -> None:
     call.die()
 
 
-def records(*wanted: tuple[int, bytes]) -> Script:
+def records(*types_and_contents: tuple[int, bytes]) -> Script:
     async def script(call: FcgiCall) -> None:
-        call.raw(b"".join(encode(kind, call.number, content) for kind, content in wanted))
+        call.raw(b"".join(encode(kind, call.number, content) for kind, content in types_and_contents))
 
     return script
 
@@ -203,17 +209,17 @@
     return encode_end(1, status, application)[8:16]
 
 
-WHOLE = (Type.STDOUT, write_answer(200, b"OK", [], b"hi"))
-BARE = (Type.STDOUT, b"Content-Type: t\r\n\r\nhi")
-TABLE: list[tuple[str, Script, AttemptResult]] = [
-    ("dies after reading, before answering", dies, AttemptResult.RESET),
+COMPLETE_STDOUT = (Type.STDOUT, write_answer(200, b"OK", [], b"hi"))
+STDOUT_WITHOUT_LENGTH = (Type.STDOUT, b"Content-Type: t\r\n\r\nhi")
+ENDINGS: list[tuple[str, Script, AttemptResult]] = [
+    ("dies after reading, before answering", close_without_answer, AttemptResult.RESET),
     ("END_REQUEST without STDOUT", records((Type.END_REQUEST, ends(0))), AttemptResult.RESET),
     ("OVERLOADED", records((Type.END_REQUEST, ends(2))), AttemptResult.FULL),
     ("CANT_MPX_CONN", records((Type.END_REQUEST, ends(1))), AttemptResult.FULL),
     ("UNKNOWN_ROLE", records((Type.END_REQUEST, ends(3))), AttemptResult.FULL),
-    ("OVERLOADED after STDOUT", records(WHOLE, (Type.END_REQUEST, ends(2))), AttemptResult.RESET),
+    ("OVERLOADED after STDOUT", records(COMPLETE_STDOUT, (Type.END_REQUEST, ends(2))), AttemptResult.RESET),
     ("a protocol status that is none", records((Type.END_REQUEST, ends(9))), AttemptResult.RESET),
-    ("an END_REQUEST that is none", records(WHOLE, (Type.END_REQUEST, b"x")), AttemptResult.RESET),
+    ("an END_REQUEST that is none", records(COMPLETE_STDOUT, (Type.END_REQUEST, b"x")), AttemptResult.RESET),
     ("no header block", records((Type.STDOUT, b"junk"), (Type.END_REQUEST, ends(0))), AttemptResult.RESET),
     (
         "a header block without end",
@@ -235,10 +241,22 @@
         records((Type.STDOUT, b"Status: 500\r\n\r\nhi"), (Type.END_REQUEST, ends(0))),
         AttemptResult.ERROR,
     ),
-    ("an exit status, no length", records(BARE, (Type.END_REQUEST, ends(0, 1))), AttemptResult.ERROR),
-    ("an exit status, a length", records(WHOLE, (Type.END_REQUEST, ends(0, 1))), AttemptResult.SERVED),
-    ("no length", records(BARE, (Type.END_REQUEST, ends(0))), AttemptResult.SERVED),
-    ("STDOUT after END_REQUEST", records(WHOLE, (Type.END_REQUEST, ends(0)), WHOLE), AttemptResult.SERVED),
+    (
+        "an exit status, no length",
+        records(STDOUT_WITHOUT_LENGTH, (Type.END_REQUEST, ends(0, 1))),
+        AttemptResult.ERROR,
+    ),
+    (
+        "an exit status, a length",
+        records(COMPLETE_STDOUT, (Type.END_REQUEST, ends(0, 1))),
+        AttemptResult.SERVED,
+    ),
+    ("no length", records(STDOUT_WITHOUT_LENGTH, (Type.END_REQUEST, ends(0))), AttemptResult.SERVED),
+    (
+        "STDOUT after END_REQUEST",
+        records(COMPLETE_STDOUT, (Type.END_REQUEST, ends(0)), COMPLETE_STDOUT),
+        AttemptResult.SERVED,
+    ),
     ("a record of no request", records((Type.STDIN, b"x")), AttemptResult.RESET),
     ("another version", lambda call: _raw(call, b"\x02" + bytes(15)), AttemptResult.RESET),
     ("HTTP", lambda call: _raw(call, HTTP_OK), AttemptResult.RESET),
@@ -255,16 +273,16 @@
     call.raw(data)
 
 
-@pytest.mark.parametrize("name, script, result", TABLE, ids=[name for name, _, _ in TABLE])
-def test_what_an_application_says_and_what_it_means(
+@pytest.mark.parametrize("name, script, result", ENDINGS, ids=[name for name, _, _ in ENDINGS])
+def test_attempt_result_for_each_ending_of_an_application(
     name: str, script: Script, result: AttemptResult, tmp_path: Path
 ) -> None:
-    """Each for an unsafe request, first alone, then with another application that is well."""
+    """Each case with an unsafe request, first without, then with another application that is healthy."""
 
     async def scene() -> None:
-        app, well = Application("ill", script), Application("well", OK)
-        async with fleet(tmp_path, [app, well], simple([app])) as here:
-            seen = outcomes(here)
+        app, healthy = Application("ill", script), Application("well", OK)
+        async with running_pool(tmp_path, [app, healthy], single_pool_text([app])) as here:
+            results = record_results(here)
             status, head, _ = await here.ask(requests_to("/", "POST", b"x"))
             expected = {
                 AttemptResult.SERVED: 200,
@@ -274,26 +292,26 @@
             }[result]
             if name == "an exit status, no length":
                 expected = 502
-            assert (status, seen[0]) == (expected, result) and set(seen) == {result}
-            assert len(app.calls) == len(seen)
+            assert (status, results[0]) == (expected, result) and set(results) == {result}
+            assert len(app.calls) == len(results)
             assert here.daemon.pools["p"].proxy.budget.held_bytes == 0
-            await here.reload(LISTENER, route("all", "q"), app_pool("q", [app, well]))
+            await here.reload(LISTENER, route("all", "q"), app_pool("q", [app, healthy]))
             asked, before = 0, len(app.calls)
             while len(app.calls) == before:
                 asked += 1
                 status, _, _ = await here.ask(requests_to("/", "POST", b"x"))
-            # Only what never ran went on to the other one.
+            # Only requests that never ran were retried on the other application.
             assert status == (200 if result in (AttemptResult.FULL, AttemptResult.SERVED) else expected)
-            assert len(well.calls) == asked - (0 if result == AttemptResult.FULL else 1)
+            assert len(healthy.calls) == asked - (0 if result == AttemptResult.FULL else 1)
 
     play(scene)
 
 
-def test_a_connection_with_something_left_on_it_is_not_used_again(tmp_path: Path) -> None:
+def test_connection_with_stray_records_is_not_reused(tmp_path: Path) -> None:
     async def scene() -> None:
-        late = records(WHOLE, (Type.END_REQUEST, ends(0)), WHOLE)
+        late = records(COMPLETE_STDOUT, (Type.END_REQUEST, ends(0)), COMPLETE_STDOUT)
         app = Application("a", late, OK)
-        async with fleet(tmp_path, [app], simple([app])) as here:
+        async with running_pool(tmp_path, [app], single_pool_text([app])) as here:
             client = await here.connect()
             for _ in range(2):
                 assert (await client.ask(requests_to()))[1] == b"hi"
@@ -302,25 +320,25 @@
     play(scene)
 
 
-def test_a_break_before_the_params_have_ended_proves_that_it_never_ran(tmp_path: Path) -> None:
-    """And one while STDIN is on its way does not: an application begins on its params."""
+def test_close_after_the_params_and_before_the_end_of_stdin_is_a_reset(tmp_path: Path) -> None:
+    """A close while STDIN is being sent does not prove that: an application may begin after the params."""
 
     async def scene() -> None:
-        begun = Application("a", dies, early=True)
-        async with fleet(
-            tmp_path, [begun], simple([begun], "[pool.limits]", 'request_body = "8MiB"')
+        started = Application("a", close_without_answer, early=True)
+        async with running_pool(
+            tmp_path, [started], single_pool_text([started], "[pool.limits]", 'request_body = "8MiB"')
         ) as here:
-            seen = outcomes(here)
+            results = record_results(here)
             assert (await here.ask(requests_to("/", "POST", bytes(8 << 20))))[0] == 502
-            assert seen == [AttemptResult.RESET]
+            assert results == [AttemptResult.RESET]
 
     play(scene)
 
 
-def test_head_and_answers_without_a_body(tmp_path: Path) -> None:
+def test_answers_without_a_body_keep_the_connection_usable(tmp_path: Path) -> None:
     async def scene() -> None:
         app = Application("a", saying(200, b"body"), saying(204, b""), saying(304, b""), OK)
-        async with fleet(tmp_path, [app], simple([app])) as here:
+        async with running_pool(tmp_path, [app], single_pool_text([app])) as here:
             client = await here.connect()
             for method, line in (("HEAD", b"Content-Length: 4"), ("GET", b"204"), ("GET", b"304")):
                 await client.send(requests_to("/", method))
@@ -331,13 +349,13 @@
     play(scene)
 
 
-def test_stderr_goes_to_the_log_bounded(tmp_path: Path) -> None:
-    async def loud(call: FcgiCall) -> None:
+def test_stderr_is_logged_up_to_a_limit(tmp_path: Path) -> None:
+    async def write_much_stderr(call: FcgiCall) -> None:
         call.say(write_answer(200, b"OK", [], b"x"), b"trouble\n" * 20_000)
 
     async def scene() -> None:
-        app = Application("a", loud)
-        async with fleet(tmp_path, [app], simple([app])) as here:
+        app = Application("a", write_much_stderr)
+        async with running_pool(tmp_path, [app], single_pool_text([app])) as here:
             assert (await here.ask(requests_to()))[0] == 200
             (line,) = [line for line in here.heard.lines if "stderr" in line]
             assert "trouble" in line and len(line) < 20_000
@@ -345,10 +363,10 @@
     play(scene)
 
 
-# Front.
+# Front end.
 
 
-def front(*more: str) -> str:
+def front_options(*more: str) -> str:
     return FCGI + "\n" + "".join(f"{line}\n" for line in more)
 
 
@@ -357,7 +375,13 @@
     folder: Path, backend: ScriptedBackend, *more: str, listener: str = LISTENER
 ) -> AsyncIterator[tuple[Ground, WebServer]]:
     def text() -> str:
-        return listener + front(*more) + route("all", "p", 'class = "book"') + KEYED + pool("p", [backend])
+        return (
+            listener
+            + front_options(*more)
+            + route("all", "p", 'class = "book"')
+            + KEYED
+            + pool("p", [backend])
+        )
 
     async with ground(folder, [backend], text) as here:
         web = await WebServer.connect(here.daemon.listeners["main"].address)
@@ -367,7 +391,7 @@
             web.close()
 
 
-def test_a_request_of_a_web_server_and_back(tmp_path: Path) -> None:
+def test_request_and_answer_are_converted_for_a_web_server(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend(
             "s", answering(b"HTTP/1.1 404 Gone\r\nX-A: 1\r\nContent-Length: 2\r\n\r\nno")
@@ -391,7 +415,7 @@
     play(scene)
 
 
-def test_a_stranger_does_not_speak_for_its_client(tmp_path: Path) -> None:
+def test_remote_addr_of_an_untrusted_web_server_is_ignored(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(HTTP_OK))
         async with behind_fastcgi(tmp_path, backend) as (_, web):
@@ -402,20 +426,20 @@
 
 
 @pytest.mark.parametrize("keep", [True, False])
-def test_keep_conn(keep: bool, tmp_path: Path) -> None:
+def test_connection_is_kept_only_with_keep_conn(keep: bool, tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(HTTP_OK))
         async with behind_fastcgi(tmp_path, backend) as (_, web):
             assert (await web.ask(1, keep=keep)).status == 200
             if keep:
-                assert (await web.ask(1)).status == 200  # the same id again
+                assert (await web.ask(1)).status == 200  # reuses the id
             else:
                 assert await web.ended() == b""
 
     play(scene)
 
 
-def test_requests_at_once_each_get_their_own_answer_in_any_order(tmp_path: Path) -> None:
+def test_multiplexed_requests_are_answered_in_any_order_up_to_the_limit(tmp_path: Path) -> None:
     async def scene() -> None:
         gates = [asyncio.Event() for _ in range(5)]
 
@@ -428,7 +452,7 @@
         async with behind_fastcgi(tmp_path, backend, "requests_at_once = 4") as (here, web):
             here.daemon.pools["p"].proxy.balancer.endpoints["s"].answered = True
             await web.send(b"".join(web.request(n + 1, "GET", f"/{n}") for n in range(5)))
-            assert (await web.read(5)).protocol == Status.OVERLOADED  # never begun
+            assert (await web.read(5)).protocol == Status.OVERLOADED  # it was never begun
             await backend.until_called(4)
             for number in (2, 0, 3, 1):
                 gates[number].set()
@@ -439,8 +463,8 @@
     play(scene)
 
 
-@pytest.mark.parametrize("how", ["closed", "killed"])
-def test_a_request_cut_at_every_byte_reaches_nobody(how: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("closing_mode", ["closed", "killed"])
+def test_request_truncated_at_any_byte_is_not_sent_to_a_backend(closing_mode: str, tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(HTTP_OK))
         async with behind_fastcgi(tmp_path, backend) as (here, web):
@@ -449,7 +473,7 @@
             for cut in range(len(data)):
                 other = await WebServer.connect(address)
                 await other.send(data[:cut])
-                if how == "closed":
+                if closing_mode == "closed":
                     other.close()
                 else:
                     other.writer.transport.abort()
@@ -462,7 +486,7 @@
     play(scene)
 
 
-def test_a_request_in_single_bytes(tmp_path: Path) -> None:
+def test_request_received_byte_by_byte_is_served(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(HTTP_OK))
         async with behind_fastcgi(tmp_path, backend) as (_, web):
@@ -474,7 +498,7 @@
     play(scene)
 
 
-def test_a_request_that_stalls_is_answered_408(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_request_is_answered_408(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.frontends.fastcgi.REQUEST_S", 0.0)
 
     async def scene() -> None:
@@ -486,10 +510,10 @@
     play(scene)
 
 
-def test_a_request_that_stalls_at_any_byte_is_ended_and_reaches_nobody(
+def test_request_stalled_at_any_byte_is_ended_and_not_sent_to_a_backend(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With its params whole it is answered 408, before that the connection is closed."""
+    """After its params are complete it is answered 408; before that the connection is closed."""
     monkeypatch.setattr("loadbalancer.frontends.fastcgi.REQUEST_S", 0.0)
 
     async def scene() -> None:
@@ -515,16 +539,16 @@
     play(scene)
 
 
-BAD: dict[str, tuple[bytes, int]] = {
+WRONG_STDIN: dict[str, tuple[bytes, int]] = {
     "more on STDIN than stated": (encode_stream(Type.STDIN, 1, b"12345") + encode(Type.STDIN, 1), 400),
     "less on STDIN than stated": (encode_stream(Type.STDIN, 1, b"1") + encode(Type.STDIN, 1), 400),
     "nothing on STDIN": (encode(Type.STDIN, 1), 400),
 }
 
 
-@pytest.mark.parametrize("kind", BAD)
-def test_a_length_that_disagrees(kind: str, tmp_path: Path) -> None:
-    stdin, status = BAD[kind]
+@pytest.mark.parametrize("kind", WRONG_STDIN)
+def test_stdin_that_differs_from_content_length_is_answered_400(kind: str, tmp_path: Path) -> None:
+    stdin, status = WRONG_STDIN[kind]
 
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(HTTP_OK))
@@ -551,7 +575,9 @@
         {"REQUEST_METHOD": "CONNECT"},
     ],
 )
-def test_params_that_are_no_request_go_no_further(params: dict[str, Any], tmp_path: Path) -> None:
+def test_invalid_params_are_rejected_and_not_sent_to_a_backend(
+    params: dict[str, Any], tmp_path: Path
+) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(HTTP_OK))
         async with behind_fastcgi(tmp_path, backend) as (_, web):
@@ -570,17 +596,17 @@
         encode(Type.STDIN, 0),
     ],
 )
-def test_what_is_no_fastcgi_ends_the_connection_once_what_is_open_is_answered(
+def test_protocol_violation_closes_the_connection_after_open_requests_are_answered(
     data: bytes, tmp_path: Path
 ) -> None:
     async def scene() -> None:
         gate = asyncio.Event()
 
-        async def held(call: Call) -> None:
+        async def answer_when_released(call: Call) -> None:
             await gate.wait()
             await call.say(HTTP_OK)
 
-        backend = ScriptedBackend("s", held)
+        backend = ScriptedBackend("s", answer_when_released)
         async with behind_fastcgi(tmp_path, backend) as (_, web):
             await web.send(web.request(9))
             await backend.until_called()
@@ -592,7 +618,7 @@
     play(scene)
 
 
-def test_an_abort_gives_up_the_attempt_and_frees_the_id(tmp_path: Path) -> None:
+def test_abort_request_cancels_the_attempt_and_frees_the_id(tmp_path: Path) -> None:
     async def scene() -> None:
         async def silent(call: Call) -> None:
             await call.left()
@@ -603,7 +629,7 @@
             call = await backend.until_called()
             await web.send(encode(Type.ABORT_REQUEST, 1))
             answer = await web.read(1)
-            assert (answer.status, answer.protocol) == (0, 0)  # END_REQUEST and nothing else
+            assert (answer.status, answer.protocol) == (0, 0)  # END_REQUEST alone
             await call.left()  # the attempt's connection is closed
             assert not here.daemon.pools["p"].proxy.open
             assert (await web.ask(1)).status == 200
@@ -611,7 +637,7 @@
     play(scene)
 
 
-def test_a_web_server_that_leaves_withdraws_all_its_requests(tmp_path: Path) -> None:
+def test_web_server_disconnect_cancels_all_its_requests(tmp_path: Path) -> None:
     async def scene() -> None:
         async def silent(call: Call) -> None:
             await call.left()
@@ -628,7 +654,9 @@
     play(scene)
 
 
-def test_a_slow_reader_holds_its_budget_and_is_cut(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_web_server_that_does_not_read_is_disconnected_and_releases_its_budget(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("loadbalancer.frontends.fastcgi.READ_STALL_S", 0.0)
 
     async def scene() -> None:
@@ -650,15 +678,15 @@
     play(scene)
 
 
-def test_the_end_answers_all_multiplexed_requests(tmp_path: Path) -> None:
+def test_shutdown_answers_all_multiplexed_requests(tmp_path: Path) -> None:
     async def scene() -> None:
         gate = asyncio.Event()
 
-        async def held(call: Call) -> None:
+        async def answer_when_released(call: Call) -> None:
             await gate.wait()
             await call.say(HTTP_OK)
 
-        backend = ScriptedBackend("s", held)
+        backend = ScriptedBackend("s", answer_when_released)
         async with behind_fastcgi(tmp_path, backend) as (here, web):
             here.daemon.pools["p"].proxy.balancer.endpoints["s"].answered = True
             await web.send(b"".join(web.request(n) for n in (1, 2, 3)))
@@ -676,21 +704,21 @@
     play(scene)
 
 
-def test_a_member_that_drains_with_multiplexed_requests_open(tmp_path: Path) -> None:
+def test_draining_member_finishes_its_multiplexed_requests(tmp_path: Path) -> None:
     async def scene() -> None:
         gate = asyncio.Event()
 
-        async def held(call: Call) -> None:
+        async def answer_when_released(call: Call) -> None:
             await gate.wait()
             await call.say(HTTP_OK)
 
-        old, new = ScriptedBackend("old", held), ScriptedBackend("new", answering(HTTP_OK))
+        old, new = ScriptedBackend("old", answer_when_released), ScriptedBackend("new", answering(HTTP_OK))
 
         def text(state: str) -> str:
             warm = 'rules = { new_members = "warm" }'
             both = state == "draining"
             members = pool("p", [old, new] if both else [old], warm, old={"state": state})
-            return LISTENER + front() + route("all", "p") + members
+            return LISTENER + front_options() + route("all", "p") + members
 
         async with ground(tmp_path, [old, new], lambda: text("serving")) as here:
             here.daemon.pools["p"].proxy.balancer.endpoints["old"].answered = True
@@ -709,7 +737,7 @@
     play(scene)
 
 
-def test_a_listener_on_a_unix_socket(tmp_path: Path) -> None:
+def test_listener_on_a_unix_socket_serves_and_survives_a_reload(tmp_path: Path) -> None:
     async def scene() -> None:
         backend = ScriptedBackend("s", answering(HTTP_OK))
         path = tmp_path / "front.sock"
@@ -718,7 +746,7 @@
             assert (await web.ask(1)).status == 200
             assert (
                 b"X-Forwarded-For: 9.8.7.6\r\n" in backend.calls[0].head
-            )  # who may open it speaks for clients
+            )  # a peer that may open the socket is trusted to name its client
             before = here.daemon.listeners["main"]
             await here.reload()
             assert here.daemon.listeners["main"] is before and path.exists()
@@ -728,15 +756,17 @@
     play(scene)
 
 
-def test_fastcgi_to_fastcgi(tmp_path: Path) -> None:
+def test_fastcgi_request_to_a_fastcgi_application_is_answered_once(tmp_path: Path) -> None:
     async def scene() -> None:
         app = Application("a", OK)
-        async with fleet(tmp_path, [app], simple([app], front=front())) as here:
+        async with running_pool(
+            tmp_path, [app], single_pool_text([app], front_options=front_options())
+        ) as here:
             web = await WebServer.connect(here.daemon.listeners["main"].address)
             answer = await web.ask(1, "POST", "/x", body=b"body", HTTP_X_A="b")
             assert (answer.status, answer.body) == (200, b"hi")
             assert app.calls[0].body == b"body" and app.calls[0].params[b"HTTP_X_A"] == b"b"
-            app.scripts = [dies]
+            app.scripts = [close_without_answer]
             answer = await web.ask(2, "POST", "/x", body=b"body")
             assert answer.status == 502 and len(app.calls) == 2  # one effect, one answer
             web.close()
@@ -744,7 +774,7 @@
     play(scene)
 
 
-# Long answers.
+# Streamed answers.
 
 LONG = 300_000
 STREAMED = 'limits = { answer_body = "64KiB", answer_stream = "1MiB" }'
@@ -754,49 +784,51 @@
     return encode_stream(Type.STDOUT, call.number, data)
 
 
-def long_head(stated: int | None) -> bytes:
-    length = b"Content-Length: %d\r\n" % stated if stated is not None else b""
+def long_head(stated_length: int | None) -> bytes:
+    length = b"Content-Length: %d\r\n" % stated_length if stated_length is not None else b""
     return b"Status: 200 OK\r\n%b\r\n" % length
 
 
-@pytest.mark.parametrize("stated", [LONG, None])
-def test_a_long_answer_of_an_application_goes_on_as_it_comes(stated: int | None, tmp_path: Path) -> None:
+@pytest.mark.parametrize("stated_length", [LONG, None])
+def test_long_answer_of_an_application_is_streamed_before_it_is_complete(
+    stated_length: int | None, tmp_path: Path
+) -> None:
     async def scene() -> None:
         body = bytes(range(250)) * (LONG // 250)
 
         async def script(call: FcgiCall) -> None:
-            call.raw(stdout(call, long_head(stated) + body[:200_000]))
-            await go_on.wait()
+            call.raw(stdout(call, long_head(stated_length) + body[:200_000]))
+            await release.wait()
             call.raw(stdout(call, body[200_000:]))
             call.end(encode(Type.STDOUT, call.number))
 
         app = Application("a", script)
-        async with fleet(tmp_path, [app], simple([app], STREAMED)) as here:
+        async with running_pool(tmp_path, [app], single_pool_text([app], STREAMED)) as here:
             proxy = here.daemon.pools["p"].proxy
             for _ in range(2):
-                go_on = asyncio.Event()
+                release = asyncio.Event()
                 client = await here.connect()
                 await client.send(requests_to("/"))
                 await asyncio.wait_for(
                     client.reader.readuntil(b"\r\n\r\n"), 10
-                )  # the application still waits
-                go_on.set()
-                if stated is not None:
+                )  # the application has not sent the rest yet
+                release.set()
+                if stated_length is not None:
                     got = await client.reader.readexactly(LONG)
                 else:
                     got = b""
                     while size := int(await client.reader.readline(), 16):
                         got += (await client.reader.readexactly(size + 2))[:-2]
                 assert got == body
-            assert app.connections == 1  # it is kept
+            assert app.connections == 1  # the connection was reused
             await here.until(lambda: not proxy.open)
             assert proxy.budget.held_bytes == 0 and not proxy.streams
 
     play(scene)
 
 
-#: What an application does once 200,000 bytes of its answer have gone on; with the length that it states.
-SPOILT: dict[str, tuple[int | None, Callable[[FcgiCall], None]]] = {
+#: The Content-Length that an application states, and what it does after 200,000 bytes of its answer were streamed.
+INVALID_ENDINGS: dict[str, tuple[int | None, Callable[[FcgiCall], None]]] = {
     "ends early": (LONG, lambda call: call.end()),
     "says too much": (LONG, lambda call: call.end(stdout(call, bytes(LONG)))),
     "fails at its end": (None, lambda call: call.end(stdout(call, bytes(9)), status=1)),
@@ -805,46 +837,46 @@
 }
 
 
-@pytest.mark.parametrize("kind", SPOILT)
-def test_a_long_answer_that_turns_out_spoilt_is_seen_to_and_goes_to_nobody_else(
+@pytest.mark.parametrize("kind", INVALID_ENDINGS)
+def test_invalid_streamed_answer_aborts_the_client_connection_without_a_retry(
     kind: str, tmp_path: Path
 ) -> None:
-    stated, finish = SPOILT[kind]
+    stated_length, finish = INVALID_ENDINGS[kind]
 
     async def scene() -> None:
-        begun = asyncio.Event()
+        started = asyncio.Event()
 
         async def script(call: FcgiCall) -> None:
-            call.raw(stdout(call, long_head(stated) + bytes(200_000)))
-            await begun.wait()
+            call.raw(stdout(call, long_head(stated_length) + bytes(200_000)))
+            await started.wait()
             finish(call)
 
         apps = [Application(name, script) for name in "ab"]
-        async with fleet(tmp_path, apps, simple(apps, STREAMED)) as here:
-            proxy, seen = here.daemon.pools["p"].proxy, outcomes(here)
+        async with running_pool(tmp_path, apps, single_pool_text(apps, STREAMED)) as here:
+            proxy, results = here.daemon.pools["p"].proxy, record_results(here)
             client = await here.connect()
             await client.send(requests_to("/", "POST", b"x"))
             await here.until(lambda: proxy.streams)
-            begun.set()
+            started.set()
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 while await client.reader.readexactly(1 << 16):
                     pass
             await here.until(lambda: not proxy.open)
-            assert seen == [AttemptResult.RESET] and sum(len(app.calls) for app in apps) == 1
+            assert results == [AttemptResult.RESET] and sum(len(app.calls) for app in apps) == 1
             assert proxy.budget.held_bytes == 0
 
     play(scene)
 
 
-def test_a_client_that_reads_nothing_holds_the_application(tmp_path: Path) -> None:
+def test_client_that_does_not_read_applies_backpressure_to_the_application(tmp_path: Path) -> None:
     async def scene() -> None:
         async def script(call: FcgiCall) -> None:
             call.raw(stdout(call, long_head(16 << 20) + bytes(16 << 20)))
             call.end()
 
         app = Application("a", script)
-        text = simple([app], 'limits = { answer_body = "64KiB", answer_stream = "32MiB" }')
-        async with fleet(tmp_path, [app], text) as here:
+        text = single_pool_text([app], 'limits = { answer_body = "64KiB", answer_stream = "32MiB" }')
+        async with running_pool(tmp_path, [app], text) as here:
             client = await here.connect()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await client.send(requests_to("/"))
--- a/tests/test_fastcgi_codec.py
+++ b/tests/test_fastcgi_codec.py
@@ -1,4 +1,4 @@
-"""FastCGI records, both sides of a connection, and CGI, as tables and properties; no socket."""
+"""Tables and properties of FastCGI records, both sides of a connection, and CGI; without sockets."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 )  # fmt: skip
 from loadbalancer.fastcgi.webserver import MAX_STDERR_BYTES, End, WebServerSide, encode_request
 
-EVERY = settings(derandomize=True, max_examples=300, deadline=None)
+property_test = settings(derandomize=True, max_examples=300, deadline=None)
 PARAMS = [
     (b"REQUEST_METHOD", b"POST"),
     (b"REQUEST_URI", b"/a?b"),
@@ -49,7 +49,7 @@
 ]
 
 
-def chopped(data: bytes, cuts: list[int]) -> list[bytes]:
+def split_at(data: bytes, cuts: list[int]) -> list[bytes]:
     edges = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
     return [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
 
@@ -57,24 +57,22 @@
 # Records.
 
 
-@EVERY
+@property_test
 @given(
     st.lists(st.tuples(st.integers(0, 255), st.integers(0, 65535), st.binary(max_size=300)), max_size=8),
     st.lists(st.integers(0, 5000), max_size=12),
 )
-def test_records_come_back_whatever_the_chunks(
-    records: list[tuple[int, int, bytes]], cuts: list[int]
-) -> None:
+def test_records_are_decoded_from_any_chunks(records: list[tuple[int, int, bytes]], cuts: list[int]) -> None:
     data = b"".join(encode(*record) for record in records)
     decoder = Decoder()
-    got = [record for part in chopped(data, cuts) for record in decoder.feed(part)]
+    got = [record for part in split_at(data, cuts) for record in decoder.feed(part)]
     assert got == [Record(*record) for record in records] and decoder.held == 0
     assert len(data) % 8 == 0
 
 
-@EVERY
+@property_test
 @given(st.lists(st.binary(max_size=200), max_size=30))
-def test_any_bytes_are_records_or_an_error_and_little_is_held(parts: list[bytes]) -> None:
+def test_any_bytes_are_records_or_an_error_within_the_buffer_limit(parts: list[bytes]) -> None:
     decoder = Decoder()
     try:
         for part in parts:
@@ -84,13 +82,13 @@
         pass
 
 
-@EVERY
+@property_test
 @given(st.lists(st.tuples(st.binary(max_size=300), st.binary(max_size=300)), max_size=20))
-def test_pairs_of_both_forms_come_back(pairs: list[tuple[bytes, bytes]]) -> None:
+def test_pairs_of_short_and_long_lengths_are_decoded(pairs: list[tuple[bytes, bytes]]) -> None:
     assert read_pairs(encode_pairs(pairs), 20) == pairs
 
 
-def test_pairs_cut_anywhere_are_an_error_or_fewer_pairs() -> None:
+def test_truncated_pairs_are_an_error_or_fewer_pairs() -> None:
     whole = encode_pairs([(b"a", b"b" * 200), (b"c" * 130, b"")])
     ends = {len(encode_pairs([(b"a", b"b" * 200)])): 1, 0: 0}
     for end in range(len(whole)):
@@ -101,14 +99,14 @@
                 read_pairs(whole[:end], 9)
 
 
-def test_pairs_that_state_gigabytes_or_are_many() -> None:
+def test_pairs_with_a_huge_length_or_above_the_limit_are_an_error() -> None:
     with pytest.raises(ProtocolError, match="within a pair"):
         read_pairs(b"\xff\xff\xff\xff\x01", 9)
     with pytest.raises(ProtocolError, match="more than 3"):
         read_pairs(encode_pairs([(b"a", b"b")] * 4), 3)
 
 
-def test_streams_are_cut_into_records_that_fit() -> None:
+def test_long_streams_are_split_into_records() -> None:
     data = bytes(3 * MAX_CONTENT_BYTES)
     records = list(Decoder().feed(encode_stream(Type.STDIN, 1, data)))
     assert b"".join(r.content for r in records) == data and len(records) == 4
@@ -117,7 +115,7 @@
         encode(Type.STDIN, 1, bytes(65536))
 
 
-def test_bodies_of_begin_and_end() -> None:
+def test_begin_and_end_records_are_decoded() -> None:
     (begin, end) = Decoder().feed(encode_begin(7, True) + encode_end(7, Status.OVERLOADED, 0xFFFFFFFF))
     assert read_begin(begin.content) == (Role.RESPONDER, True)
     assert read_end(end.content) == (0xFFFFFFFF, Status.OVERLOADED)
@@ -129,7 +127,7 @@
 # The application's side.
 
 
-def whole_request(number: int = 1, keep: bool = True, body: bytes = b"body") -> bytes:
+def complete_request(number: int = 1, keep: bool = True, body: bytes = b"body") -> bytes:
     return encode_request(number, PARAMS, body, keep)[0]
 
 
@@ -137,8 +135,8 @@
     return list(side.feed(data))
 
 
-def test_a_request_cut_at_every_byte_means_the_same() -> None:
-    data = whole_request()
+def test_request_split_at_any_byte_gives_the_same_events() -> None:
+    data = complete_request()
     for cut in range(len(data) + 1):
         side = ApplicationSide(1)
         got = events(side, data[:cut]) + events(side, data[cut:])
@@ -146,14 +144,14 @@
         assert side.end(1) and not side.closing and not side.confused
 
 
-def test_a_request_that_ends_early_is_never_taken_for_whole() -> None:
-    data = whole_request()
+def test_truncated_request_is_not_complete() -> None:
+    data = complete_request()
     for cut in range(len(data) - 8):
         assert not any(isinstance(event, Ended) for event in events(ApplicationSide(1), data[:cut]))
 
 
-def test_requests_multiplexed_record_by_record() -> None:
-    one, two = whole_request(1), whole_request(2, body=b"x" * 10)
+def test_interleaved_requests_give_the_events_of_each() -> None:
+    one, two = complete_request(1), complete_request(2, body=b"x" * 10)
     parts = [list(Decoder().feed(data)) for data in (one, two)]
     mixed = [record for pair in zip(*parts, strict=True) for record in pair]
     side = ApplicationSide(2)
@@ -162,9 +160,9 @@
     assert [e for e in got if e.request == 2] == events(ApplicationSide(1), two)
 
 
-def test_more_requests_at_once_than_are_allowed_are_refused_and_never_begin() -> None:
+def test_requests_above_the_limit_are_refused_and_never_begin() -> None:
     side = ApplicationSide(1)
-    got = events(side, whole_request(1) + whole_request(2))
+    got = events(side, complete_request(1) + complete_request(2))
     assert Refused(2, Status.OVERLOADED) in got and not any(
         isinstance(e, Begun) and e.request == 2 for e in got
     )
@@ -191,8 +189,8 @@
         encode_begin(1, True) + encode(Type.STDIN, 1, b"x"),
         encode_begin(1, True) + encode(Type.PARAMS, 1, b"\x05\x01a") + encode(Type.PARAMS, 1),
         encode_begin(1, True) + encode(Type.PARAMS, 1) * 2,
-        whole_request() + encode(Type.STDIN, 1, b"more"),
-        whole_request() + encode(Type.PARAMS, 1, b"more"),
+        complete_request() + encode(Type.STDIN, 1, b"more"),
+        complete_request() + encode(Type.PARAMS, 1, b"more"),
         encode_begin(1, True) + encode_stream(Type.PARAMS, 1, bytes(app.MAX_PARAMS_BYTES + 1)),
         encode_begin(1, True) + encode_stream(Type.PARAMS, 1, b"\x00\x00" * 300) + encode(Type.PARAMS, 1),
         encode(Type.STDIN, 9, b"") * (app.MAX_IGNORED_RECORDS + 1),
@@ -200,12 +198,12 @@
         encode_begin(1, True, Role.FILTER) * (app.MAX_IGNORED_RECORDS + 1),
     ],
 )  # fmt: skip
-def test_what_no_rule_allows_ends_the_reading_and_not_what_is_whole(data: bytes) -> None:
+def test_protocol_violation_stops_reading_but_keeps_complete_requests(data: bytes) -> None:
     side = ApplicationSide(4)
-    events(side, whole_request(99))
+    events(side, complete_request(99))
     events(side, data)
     assert side.confused and side.open[99].state == app.State.WHOLE
-    assert events(side, whole_request(5)) == []
+    assert events(side, complete_request(5)) == []
 
 
 @pytest.mark.parametrize(
@@ -214,31 +212,31 @@
 def test_records_of_requests_that_are_not_open_are_ignored(data: bytes) -> None:
     side = ApplicationSide(1)
     assert events(side, data) == [] and not side.confused
-    assert events(side, whole_request())[-1] == Ended(1)
+    assert events(side, complete_request())[-1] == Ended(1)
 
 
-def test_an_abort_frees_its_id_once_it_is_ended() -> None:
+def test_id_of_an_aborted_request_is_free_after_its_end() -> None:
     side = ApplicationSide(1)
-    events(side, whole_request())
+    events(side, complete_request())
     assert events(side, encode(Type.ABORT_REQUEST, 1)) == [Aborted(1)]
     assert events(side, encode(Type.ABORT_REQUEST, 1)) == []  # once
     side.end(1)
-    assert events(side, whole_request())[-1] == Ended(1)
+    assert events(side, complete_request())[-1] == Ended(1)
 
 
-def test_keep_conn_says_whether_the_connection_closes() -> None:
+def test_connection_closes_after_a_request_without_keep_conn() -> None:
     side = ApplicationSide(2)
-    events(side, whole_request(1, keep=False) + whole_request(2))
+    events(side, complete_request(1, keep=False) + complete_request(2))
     side.end(2)
     assert not side.closing
     side.end(1)
     assert side.closing
 
 
-def test_management_records() -> None:
+def test_management_records_are_answered() -> None:
     side = ApplicationSide(3)
-    asked = encode_pairs([(b"FCGI_MPXS_CONNS", b""), (b"FCGI_MAX_REQS", b""), (b"OTHER", b"")])
-    assert events(side, encode(Type.GET_VALUES, 0, asked) + encode(99, 0)) == []
+    requested = encode_pairs([(b"FCGI_MPXS_CONNS", b""), (b"FCGI_MAX_REQS", b""), (b"OTHER", b"")])
+    assert events(side, encode(Type.GET_VALUES, 0, requested) + encode(99, 0)) == []
     values, unknown = Decoder().feed(bytes(side.output))
     assert dict(read_pairs(values.content, 9)) == {b"FCGI_MPXS_CONNS": b"1", b"FCGI_MAX_REQS": b"3"}
     assert (unknown.type, unknown.content[0]) == (Type.UNKNOWN_TYPE, 99)
@@ -250,17 +248,17 @@
 )  # fmt: skip
 
 
-@EVERY
+@property_test
 @given(st.lists(RECORDS, max_size=40), st.lists(st.integers(0, 2000), max_size=6), st.randoms())
-def test_a_peer_that_sends_any_record_at_any_time(
-    records: list[tuple[int, int, bytes]], cuts: list[int], chance: random.Random
+def test_any_sequence_of_records_raises_nothing_and_stays_within_limits(
+    records: list[tuple[int, int, bytes]], cuts: list[int], randomness: random.Random
 ) -> None:
-    """No exception, no more open than allowed, and each request that is whole can be ended once."""
+    """No exception is raised, open requests stay within the limit, and each complete request can be ended once."""
     data = b"".join(encode(*record) for record in records)
     side, server = ApplicationSide(2), WebServerSide()
     server.begin()
     whole: set[int] = set()
-    for part in chopped(data, cuts):
+    for part in split_at(data, cuts):
         for event in side.feed(part):
             if isinstance(event, Ended):
                 assert event.request not in whole
@@ -268,7 +266,7 @@
             elif isinstance(event, Aborted) and event.request in side.open:
                 whole.discard(event.request)
                 side.end(event.request)
-        if whole and chance.random() < 0.5:
+        if whole and randomness.random() < 0.5:
             side.end(whole.pop())
         assert len(side.open) <= 2
         server.feed(part)
@@ -277,7 +275,7 @@
 # The web server's side.
 
 
-def answered(*records: tuple[Any, ...]) -> tuple[End | None, WebServerSide]:
+def feed_records(*records: tuple[Any, ...]) -> tuple[End | None, WebServerSide]:
     side = WebServerSide()
     side.begin()
     return side.feed(b"".join(encode(*record) for record in records)), side
@@ -308,15 +306,15 @@
         ([(Type.GET_VALUES_RESULT, 0, b"")], None, False),
     ],
 )  # fmt: skip
-def test_what_the_records_of_an_answer_mean(
+def test_end_of_a_request_for_each_sequence_of_records(
     records: list[Any], end: End | None, has_stray_records: bool
 ) -> None:
-    got, side = answered(*records)
+    got, side = feed_records(*records)
     assert (got, side.has_stray_records) == (end, has_stray_records)
     assert end != End.ANSWERED or side.stdout == b"a"
 
 
-def test_an_answer_cut_at_every_byte_has_not_ended() -> None:
+def test_truncated_answer_has_not_ended() -> None:
     data = encode(Type.STDOUT, 1, b"Status: 200\r\n\r\nbody") + encode(Type.STDOUT, 1) + encode_end(1)
     for cut in range(len(data)):
         side = WebServerSide()
@@ -329,12 +327,12 @@
         )
 
 
-def test_what_goes_to_stderr_is_kept_in_part() -> None:
-    _, side = answered(*[(Type.STDERR, 1, bytes(1000))] * 10)
+def test_stderr_is_kept_up_to_a_limit() -> None:
+    _, side = feed_records(*[(Type.STDERR, 1, bytes(1000))] * 10)
     assert len(side.stderr) == MAX_STDERR_BYTES
 
 
-def test_a_late_record_of_the_request_before_is_none_of_the_next() -> None:
+def test_late_record_of_the_previous_request_is_not_read_as_the_next_answer() -> None:
     side = WebServerSide()
     first = side.begin()
     side.feed(encode(Type.STDOUT, first, b"a") + encode_end(first))
@@ -346,7 +344,7 @@
     assert side.stdout == b"b" and side.has_stray_records
 
 
-def test_an_application_can_have_begun_once_its_params_have_ended() -> None:
+def test_request_can_begin_only_after_its_params_have_ended() -> None:
     data, head = encode_request(1, PARAMS, b"body", True)
     assert [r.type for r in Decoder().feed(data[:head])] == [Type.BEGIN_REQUEST, Type.PARAMS, Type.PARAMS]
     assert [r.type for r in Decoder().feed(data[head:])] == [Type.STDIN, Type.STDIN]
@@ -364,11 +362,11 @@
         (b"Content-Type: a", 200, [b"Content-Type: a\r\n"]),
         (b"Status: 404 Gone Away\nX: y", 404, [b"X: y\r\n"]),
         (b"Location: http://x/", 302, [b"Location: http://x/\r\n"]),
-        (b"Status: 201\r\nLocation: /new", 201, [b"Location: /new\r\n"]),  # Status stands above
+        (b"Status: 201\r\nLocation: /new", 201, [b"Location: /new\r\n"]),  # Status takes precedence
         (b"Set-Cookie: a\r\nSet-Cookie: b", 200, [b"Set-Cookie: a\r\n", b"Set-Cookie: b\r\n"]),
     ],
 )
-def test_header_blocks(block: bytes, status: int, lines: list[bytes]) -> None:
+def test_valid_header_blocks_are_parsed(block: bytes, status: int, lines: list[bytes]) -> None:
     head = read_head(block)
     assert (head.status, head.lines) == (status, lines)
 
@@ -379,34 +377,34 @@
      b"A: b\x00c", b"Content-Length: ten", b"Content-Length: -1", b"Content-Length: 1\nContent-Length: 2",
      b"Transfer-Encoding: chunked", b"A: b\rC: d", b""],
 )  # fmt: skip
-def test_what_is_no_header_block(block: bytes) -> None:
+def test_invalid_header_block_is_an_error(block: bytes) -> None:
     with pytest.raises(CgiError):
         read_head(block)
 
 
 @pytest.mark.parametrize("mark", [b"\r\n\r\n", b"\n\n"])
-def test_the_end_of_a_header_block(mark: bytes) -> None:
+def test_end_of_a_header_block_is_found(mark: bytes) -> None:
     data = b"A: b" + mark + b"body\r\n\r\nmore\n\n"
     assert find_end(data) == (4, 4 + len(mark))
     assert find_end(data[: 3 + len(mark)]) is None
     assert find_end(bytes(100_000) + b"\n\n") is None
 
 
-def test_a_header_block_of_spaces_costs_no_more_than_its_length() -> None:
-    """A pattern that could split the spaces in many ways would hold up every other request."""
+def test_header_line_of_spaces_is_matched_without_backtracking() -> None:
+    """A pattern that backtracks over the spaces would block every other request."""
     with pytest.raises(CgiError):
         read_head(b"A:" + b" \t" * 15_000 + b"\x00")
 
 
 def params_of(head: bytes, length: int) -> dict[bytes, bytes]:
-    """All that an application gets."""
+    """Return all params that an application gets for a request."""
     fixed = fixed_params({b"SCRIPT_FILENAME": b"/app"})
-    asked = to_params(head, length, fixed, b"1.2.3.4", 900)
-    assert not fixed.keys() & dict(asked).keys()
-    return {**fixed, **dict(asked)}
+    requested = to_params(head, length, fixed, b"1.2.3.4", 900)
+    assert not fixed.keys() & dict(requested).keys()
+    return {**fixed, **dict(requested)}
 
 
-def test_a_request_there_and_back() -> None:
+def test_request_converted_to_params_and_back_is_unchanged() -> None:
     head = (
         b"POST /a/b?c=d HTTP/1.1\r\nHost: h:81\r\nX-Some-Thing: 1\r\nContent-Type: t\r\nContent-Length: 4\r\n"
     )
@@ -416,12 +414,12 @@
     assert (params[b"SERVER_NAME"], params[b"SERVER_PORT"]) == (b"h", b"81")
     assert params[b"CONTENT_LENGTH"] == b"4" and params[b"REQUEST_TIMEOUT_MS"] == b"900"
     assert b"HTTP_CONTENT_LENGTH" not in params and params[b"SCRIPT_FILENAME"] == b"/app"
-    asked = from_params(params)
-    assert (asked.method, asked.target, asked.length) == (b"POST", b"/a/b?c=d", 4)
-    assert dict(asked.headers) == {b"Host": b"h:81", b"X-Some-Thing": b"1", b"Content-Type": b"t"}
+    requested = from_params(params)
+    assert (requested.method, requested.target, requested.length) == (b"POST", b"/a/b?c=d", 4)
+    assert dict(requested.headers) == {b"Host": b"h:81", b"X-Some-Thing": b"1", b"Content-Type": b"t"}
 
 
-def test_clients_can_forge_no_param() -> None:
+def test_client_headers_cannot_forge_params() -> None:
     head = b"GET / HTTP/1.1\r\nHost: h\r\nProxy: evil\r\nX_User: evil\r\nX-User: good\r\nScript-Filename: evil\r\n"
     params = params_of(head, 0)
     assert b"HTTP_PROXY" not in params and params[b"HTTP_X_USER"] == b"good"
@@ -434,17 +432,17 @@
      {b"REQUEST_URI": b"/a\r\nX: 1"}, {b"REQUEST_URI": b""}, {b"HTTP_X": b"a\r\nEvil: 1"}, {b"HTTP_X\r\nEVIL": b"1"},
      {b"CONTENT_LENGTH": b"ten"}, {b"CONTENT_LENGTH": b"-1"}, {b"CONTENT_LENGTH": b"9" * 13}, {b"HTTP_X": b"\x00"}],
 )  # fmt: skip
-def test_params_that_describe_no_request(change: dict[bytes, bytes]) -> None:
+def test_invalid_params_are_an_error(change: dict[bytes, bytes]) -> None:
     with pytest.raises(CgiError):
         from_params({**dict(PARAMS), **change})
 
 
-def test_a_request_by_script_name_alone() -> None:
+def test_target_is_built_from_script_name_without_request_uri() -> None:
     params = {b"REQUEST_METHOD": b"GET", b"SCRIPT_NAME": b"/s", b"PATH_INFO": b"/p", b"QUERY_STRING": b"q"}
     assert from_params(params).target == b"/s/p?q"
 
 
-def test_answers_there_and_back() -> None:
+def test_answer_written_and_parsed_is_unchanged() -> None:
     data = write_answer(404, b"Not Found", [b"X: y\r\n"], b"body")
     at = find_end(data)
     assert at is not None
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -1,4 +1,4 @@
-"""Several requests at once on one connection to an application, where it says that it takes them."""
+"""Several requests at once on one connection to an application that supports multiplexing."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 import pytest
 from daemons import LISTENER, Ground, ground, pool, requests_to, route
 from peers import Client, play
-from test_fastcgi_random import noise
+from test_fastcgi_random import random_record
 
 from loadbalancer.fastcgi.cgi import write_answer
 from loadbalancer.fastcgi.records import Type, encode, encode_end
 from standins.fastcgi import Application, FcgiCall, saying
 
-MORE = ('protocol = "fastcgi"', "fastcgi = { multiplex = true }")
+POOL_OPTIONS = ('protocol = "fastcgi"', "fastcgi = { multiplex = true }")
 
 
 @asynccontextmanager
-async def over(folder: Path, *apps: Application, deadline: str = "4s") -> AsyncIterator[Ground]:
+async def multiplexing_pool(folder: Path, *apps: Application, deadline: str = "4s") -> AsyncIterator[Ground]:
     def text() -> str:
-        return LISTENER + route("r", "p", f'deadline = "{deadline}"') + pool("p", apps, *MORE)  # type: ignore[arg-type]
+        return LISTENER + route("r", "p", f'deadline = "{deadline}"') + pool("p", apps, *POOL_OPTIONS)  # type: ignore[arg-type]
 
     async with ground(folder, apps, text) as here:  # type: ignore[arg-type]
         for server in here.daemon.pools["p"].proxy.balancer.endpoints.values():
@@ -32,7 +32,7 @@
 
 
 class Gate:
-    """Holds every request until the test lets it go, by its body."""
+    """Records calls by their bodies; each is answered when the test releases it."""
 
     def __init__(self) -> None:
         self.calls: dict[bytes, FcgiCall] = {}
@@ -41,16 +41,16 @@
         self.calls[bytes(call.body)] = call
         call.connection.application.told()
 
-    def let(self, body: bytes) -> None:
+    def release(self, body: bytes) -> None:
         self.calls[body].say(write_answer(200, b"OK", [], body))
 
 
-async def several(here: Ground, app: Application, gate: Gate, count: int) -> list[Client]:
-    """As many unsafe requests, all out at once; a first one tells the proxy what the application takes."""
+async def send_at_once(here: Ground, app: Application, gate: Gate, count: int) -> list[Client]:
+    """Put `count` unsafe requests in flight, after a first one that lets the proxy learn whether it may multiplex."""
     first = await here.connect()
     await first.send(requests_to("/", "POST", b"first"))
     await app.until(lambda: b"first" in gate.calls)
-    gate.let(b"first")
+    gate.release(b"first")
     assert (await first.read())[0] == 200
     clients = [await here.connect() for _ in range(count)]
     for number, client in enumerate(clients):
@@ -59,16 +59,18 @@
     return clients
 
 
-@pytest.mark.parametrize("most", [1, 16])
-def test_one_connection_carries_several_only_where_the_application_says_so(most: int, tmp_path: Path) -> None:
+@pytest.mark.parametrize("max_requests", [1, 16])
+def test_connection_is_multiplexed_only_if_the_application_supports_it(
+    max_requests: int, tmp_path: Path
+) -> None:
     async def scene() -> None:
         gate = Gate()
-        app = Application("a", gate, requests_most=most)
-        async with over(tmp_path, app) as here:
-            clients = await several(here, app, gate, 5)
-            assert app.connections == (1 if most > 1 else 5)
+        app = Application("a", gate, requests_most=max_requests)
+        async with multiplexing_pool(tmp_path, app) as here:
+            clients = await send_at_once(here, app, gate, 5)
+            assert app.connections == (1 if max_requests > 1 else 5)
             for number in (3, 0, 4, 1, 2):
-                gate.let(b"%d" % number)
+                gate.release(b"%d" % number)
                 assert (await clients[number].read())[2] == b"%d" % number
             proxy = here.daemon.pools["p"].proxy
             assert proxy.budget.held_bytes == 0 and proxy.upstreams.open == app.connections
@@ -76,80 +78,80 @@
     play(scene)
 
 
-def test_a_connection_that_breaks_ends_each_request_once(tmp_path: Path) -> None:
+def test_broken_connection_fails_each_of_its_requests_once(tmp_path: Path) -> None:
     async def scene() -> None:
         gate = Gate()
-        app, well = Application("a", gate, requests_most=16), Application("well", saying(200, b"x"))
-        async with over(tmp_path, app) as here:
-            clients = await several(here, app, gate, 4)
-            gate.let(b"2")
+        app, healthy = Application("a", gate, requests_most=16), Application("well", saying(200, b"x"))
+        async with multiplexing_pool(tmp_path, app) as here:
+            clients = await send_at_once(here, app, gate, 4)
+            gate.release(b"2")
             assert (await clients[2].read())[0] == 200
             gate.calls[b"0"].die()
             for number in (0, 1, 3):
                 assert (await clients[number].read())[0] == 502
-            assert len(app.calls) == 5  # none went again
+            assert len(app.calls) == 5  # none was retried
             proxy = here.daemon.pools["p"].proxy
             assert proxy.upstreams.open == 0 and proxy.budget.held_bytes == 0 and not proxy.open
-            assert not well.calls
+            assert not healthy.calls
 
     play(scene)
 
 
-def test_a_client_that_leaves_aborts_its_own_request_alone(tmp_path: Path) -> None:
+def test_client_disconnect_aborts_only_its_own_request(tmp_path: Path) -> None:
     async def scene() -> None:
         gate = Gate()
         app = Application("a", gate, requests_most=16)
-        async with over(tmp_path, app) as here:
-            clients = await several(here, app, gate, 3)
+        async with multiplexing_pool(tmp_path, app) as here:
+            clients = await send_at_once(here, app, gate, 3)
             clients[1].writer.close()
             proxy = here.daemon.pools["p"].proxy
             await here.until(lambda: len(proxy.open) == 2)
             for number in (0, 2):
-                gate.let(b"%d" % number)
+                gate.release(b"%d" % number)
                 assert (await clients[number].read())[0] == 200
             assert app.connections == 1
             await here.until(
                 lambda: len(proxy.upstreams.endpoints["a"].idle) == 1
-            )  # its END_REQUEST has come
+            )  # the END_REQUEST of the aborted one was received
 
     play(scene)
 
 
-def test_a_request_that_times_out_leaves_the_others_alone(tmp_path: Path) -> None:
+def test_timeout_of_one_request_does_not_affect_the_others(tmp_path: Path) -> None:
     async def scene() -> None:
         gate = Gate()
         app = Application("a", gate, requests_most=16)
-        async with over(tmp_path, app) as here:
-            clients = await several(here, app, gate, 2)
+        async with multiplexing_pool(tmp_path, app) as here:
+            clients = await send_at_once(here, app, gate, 2)
             proxy = here.daemon.pools["p"].proxy
             request = min(proxy.open.values(), key=lambda r: r.id)
             proxy._attempts.time_out(request.attempts[0])
             assert (await clients[0].read())[0] == 504
-            gate.let(b"1")
+            gate.release(b"1")
             assert (await clients[1].read())[0] == 200 and app.connections == 1
 
     play(scene)
 
 
-def test_what_is_spoilt_on_one_stream_is_its_own(tmp_path: Path) -> None:
+def test_invalid_answer_on_one_stream_does_not_affect_the_others(tmp_path: Path) -> None:
     async def scene() -> None:
         gate = Gate()
         app = Application("a", gate, requests_most=16)
-        async with over(tmp_path, app) as here:
-            clients = await several(here, app, gate, 4)
+        async with multiplexing_pool(tmp_path, app) as here:
+            clients = await send_at_once(here, app, gate, 4)
             gate.calls[b"0"].raw(encode(Type.STDOUT, gate.calls[b"0"].number, b"junk"))
             gate.calls[b"0"].end()
             gate.calls[b"1"].end()
             gate.calls[b"2"].raw(encode_end(gate.calls[b"2"].number, 2))  # OVERLOADED: never ran
             statuses = [(await clients[n].read())[0] for n in range(3)]
             assert statuses == [502, 502, 503]
-            gate.let(b"3")
+            gate.release(b"3")
             assert (await clients[3].read())[0] == 200
 
     play(scene)
 
 
-def test_an_application_that_goes_on_after_an_abort_is_cut(
+def test_connection_is_closed_if_the_application_continues_after_an_abort(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("loadbalancer.upstreams.multiplex.MAX_UNASSIGNED_BYTES", 64 << 10)
@@ -157,8 +159,8 @@
     async def scene() -> None:
         gate = Gate()
         app = Application("a", gate, requests_most=16)
-        async with over(tmp_path, app) as here:
-            clients = await several(here, app, gate, 2)
+        async with multiplexing_pool(tmp_path, app) as here:
+            clients = await send_at_once(here, app, gate, 2)
             number = gate.calls[b"0"].number
             clients[0].writer.close()
             proxy = here.daemon.pools["p"].proxy
@@ -171,15 +173,18 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_random_applications_that_multiplex(seed: int, tmp_path: Path) -> None:
-    """One answer each, one effect each, nothing held; the others on a trunk may fail with a mad one, and no more."""
+def test_random_multiplexing_applications_get_one_answer_and_one_effect_each(
+    seed: int, tmp_path: Path
+) -> None:
+    """Each request gets one answer and has one effect, and no buffer leaks. A random record may fail the other requests
+    on its connection, but has no other effect on them."""
     chance = random.Random(seed)
     effects: dict[bytes, int] = {}
 
-    async def mad(call: FcgiCall) -> None:
+    async def send_random_records(call: FcgiCall) -> None:
         effects[bytes(call.body)] = effects.get(bytes(call.body), 0) + 1
         for _ in range(chance.randrange(3)):
-            data = noise(chance, call.number)
+            data = random_record(chance, call.number)
             if data[1:2] != bytes((Type.END_REQUEST,)):
                 call.raw(data)
         if chance.random() < 0.8:
@@ -188,17 +193,17 @@
             call.die()
 
     async def scene() -> None:
-        apps = [Application(f"a{n}", mad, requests_most=16) for n in range(2)]
-        async with over(tmp_path, *apps, deadline="150ms") as here:
+        apps = [Application(f"a{n}", send_random_records, requests_most=16) for n in range(2)]
+        async with multiplexing_pool(tmp_path, *apps, deadline="150ms") as here:
 
-            async def one(number: int) -> int:
+            async def ask_once(number: int) -> int:
                 client = await here.connect()
                 status, body = await client.ask(requests_to("/", "POST", b"%d" % number))
                 assert status != 200 or body.endswith(b"%d" % number) or body == b"hi"
                 return status
 
             for turn in range(4):
-                statuses = await asyncio.gather(*[one(turn * 10 + n) for n in range(10)])
+                statuses = await asyncio.gather(*[ask_once(turn * 10 + n) for n in range(10)])
                 assert set(statuses) <= {200, 500, 502, 503, 504}
             assert all(count == 1 for count in effects.values())
             proxy = here.daemon.pools["p"].proxy
--- a/tests/test_fastcgi_random.py
+++ b/tests/test_fastcgi_random.py
@@ -1,5 +1,5 @@
-"""Random peers on both sides of the proxy: whatever records they send, each request has one answer, unsafe ones have
-one effect at most, and nothing escapes."""
+"""Random FastCGI peers on both sides of the proxy: each request gets one answer, unsafe requests have one effect at
+most, and nothing leaks, whatever records are sent."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 SEEDS = range(25)
 
 
-def noise(chance: random.Random, number: int) -> bytes:
-    """One record, or bytes that are none."""
+def random_record(chance: random.Random, number: int) -> bytes:
+    """Return a random record, or random bytes."""
     if chance.random() < 0.05:
         return chance.randbytes(chance.randrange(1, 40))
     kind = chance.choice([*Type, Type.STDOUT, Type.END_REQUEST, 0, 12, 255])
@@ -39,24 +39,24 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_random_application(seed: int, tmp_path: Path) -> None:
+def test_requests_to_random_applications_get_one_answer(seed: int, tmp_path: Path) -> None:
     chance = random.Random(seed)
 
-    async def mad(call: FcgiCall) -> None:
+    async def send_random_records(call: FcgiCall) -> None:
         for _ in range(chance.randrange(6)):
-            data = noise(chance, call.number)
+            data = random_record(chance, call.number)
             cut = chance.randrange(len(data) + 1) if chance.random() < 0.2 else len(data)
             call.raw(data[:cut])
-        how = chance.random()
-        if how < 0.4:
+        ending = chance.random()
+        if ending < 0.4:
             call.say(write_answer(200, b"OK", [], b"hi"))
-        elif how < 0.7:
+        elif ending < 0.7:
             call.die()
         else:
             call.connection.close()
 
     async def scene() -> None:
-        apps = [Application(f"a{n}", mad, early=chance.random() < 0.5) for n in range(3)]
+        apps = [Application(f"a{n}", send_random_records, early=chance.random() < 0.5) for n in range(3)]
 
         def text() -> str:
             return LISTENER + route("r", "p", 'deadline = "150ms"') + pool("p", apps, FCGI)  # type: ignore[arg-type]
@@ -75,8 +75,8 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_random_web_server(seed: int, tmp_path: Path) -> None:
-    """Beside it another one's requests are all served, and what the random one opened leaves nothing."""
+def test_random_web_server_does_not_disturb_another_one(seed: int, tmp_path: Path) -> None:
+    """The requests of another web server are all served, and the random one leaves no request or buffer behind."""
     chance = random.Random(seed)
 
     async def scene() -> None:
@@ -86,18 +86,20 @@
             address = here.daemon.listeners["main"].address
             good = await WebServer.connect(address)
             for number in range(1, 16):
-                mad = await WebServer.connect(address)
+                send_random_records = await WebServer.connect(address)
                 for _ in range(chance.randrange(8)):
-                    whole = mad.request(chance.randrange(4), "POST", "/", b"x" * chance.randrange(3))
-                    data = whole if chance.random() < 0.4 else noise(chance, chance.randrange(3))
-                    mad.writer.write(
+                    whole = send_random_records.request(
+                        chance.randrange(4), "POST", "/", b"x" * chance.randrange(3)
+                    )
+                    data = whole if chance.random() < 0.4 else random_record(chance, chance.randrange(3))
+                    send_random_records.writer.write(
                         data[: chance.randrange(len(data) + 1)] if chance.random() < 0.2 else data
                     )
                 assert (await good.ask(number)).status == 200
                 if chance.random() < 0.5:
-                    mad.writer.transport.abort()
+                    send_random_records.writer.transport.abort()
                 else:
-                    mad.close()
+                    send_random_records.close()
             good.close()
             proxy = here.daemon.pools["p"].proxy
             await here.until(lambda: not here.daemon.listeners["main"].connections and not proxy.open)
@@ -108,16 +110,16 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_random_records_for_an_unsafe_request_have_one_effect_at_most(seed: int, tmp_path: Path) -> None:
-    """Applications that run what they are handed, and never say that they did not."""
+def test_unsafe_requests_to_random_applications_have_one_effect_at_most(seed: int, tmp_path: Path) -> None:
+    """Applications run every request that they receive, and never claim that they did not."""
     chance = random.Random(seed)
     effects: dict[bytes, int] = {}
 
-    async def mad(call: FcgiCall) -> None:
+    async def send_random_records(call: FcgiCall) -> None:
         await call.whole.wait()
         effects[bytes(call.body)] = effects.get(bytes(call.body), 0) + 1
         for _ in range(chance.randrange(4)):
-            data = noise(chance, call.number)
+            data = random_record(chance, call.number)
             if data[1:2] != bytes((Type.END_REQUEST,)):
                 call.raw(data)
         if chance.random() < 0.5:
@@ -126,7 +128,7 @@
             call.die()
 
     async def scene() -> None:
-        apps = [Application(f"a{n}", mad, early=True) for n in range(3)]
+        apps = [Application(f"a{n}", send_random_records, early=True) for n in range(3)]
 
         def text() -> str:
             return LISTENER + route("r", "p", 'deadline = "150ms"') + pool("p", apps, FCGI)  # type: ignore[arg-type]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Long answers: passed on as they come, bounded by what the other side takes, broken off so that it shows."""
+"""Streamed answers: forwarded as they arrive, with backpressure, and aborted in a way that the client can detect."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class End:
-    """Either side of a stream, with what it was told."""
+    """A producer or consumer of a stream that records its calls."""
 
     def __init__(self) -> None:
         self.told: list[object] = []
@@ -36,14 +36,14 @@
         self.told.append("broken")
 
 
-def test_a_stream_holds_its_giver_while_the_taker_is_full_and_ends_once() -> None:
-    giver, taker = End(), End()
-    stream = Stream(giver, taker)
+def test_stream_pauses_producer_while_consumer_is_full_and_ends_once() -> None:
+    producer, consumer = End(), End()
+    stream = Stream(producer, consumer)
     stream.send(b"a")
     for on in (True, True, False, True):
         stream.set_full(on)
-    assert giver.told == [True, False, True]
-    assert not stream.is_stalled()  # it moved, and now it is full
+    assert producer.told == [True, False, True]
+    assert not stream.is_stalled()  # a byte was sent, and the consumer is full
     assert not stream.is_stalled()
     stream.set_full(False)
     assert not stream.is_stalled() and stream.is_stalled()
@@ -51,20 +51,20 @@
     stream.send(b"b")
     stream.cut()
     stream.leave()
-    assert taker.told == [b"a", "end"] and stream.passed_bytes == 1
+    assert consumer.told == [b"a", "end"] and stream.passed_bytes == 1
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "connection"])
-def test_a_long_answer_is_passed_on_before_it_is_whole(framing: str) -> None:
+def test_long_answer_is_streamed_before_it_is_complete(framing: str) -> None:
     async def scene() -> None:
-        go_on = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(call: Call) -> None:
             head = {"length": b"Content-Length: %d\r\n" % LONG, "chunks": b"Transfer-Encoding: chunked\r\n"}
             await call.say(b"HTTP/1.1 200 OK\r\n%b\r\n" % head.get(framing, b"Connection: close\r\n"))
             for part in (bytes(100_000), b"a" * (LONG - 100_000)):
                 await call.say(b"%x\r\n%b\r\n" % (len(part), part) if framing == "chunks" else part)
-                await go_on.wait()
+                await release.wait()
             if framing == "chunks":
                 await call.say(b"0\r\nX-Trailer: a\r\n\r\n")
             elif framing == "connection":
@@ -75,10 +75,12 @@
             await client.send(request("unsafe"))
             reader = client.reader
             await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
-            await asyncio.wait_for(reader.readexactly(90_000), PATIENCE)  # while the member waits
+            await asyncio.wait_for(
+                reader.readexactly(90_000), PATIENCE
+            )  # the member has not sent the rest yet
             assert any(isinstance(event, FirstByte) for event in here.proxy.told)
             assert here.proxy.metrics.open == 1
-            go_on.set()
+            release.set()
             (outcome,) = await here.proxy.until_outcomes(1)
             assert outcome.result == AttemptResult.SERVED and outcome.request_ended
             assert here.proxy.metrics.ended[2] == [1, 0, 0] and not here.proxy.streams
@@ -86,7 +88,7 @@
     play(scene)
 
 
-def test_a_long_answer_that_breaks_is_seen_to_and_is_neither_repeated_nor_refused() -> None:
+def test_invalid_streamed_answer_aborts_the_client_connection_without_a_retry() -> None:
     async def scene() -> None:
         async def script(call: Call) -> None:
             await call.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -105,46 +107,46 @@
 
 
 @pytest.mark.parametrize("behind", [b"", b"noise"])
-def test_the_rest_of_a_known_length_goes_on_unread_and_what_comes_behind_it_does_not(behind: bytes) -> None:
+def test_streamed_answer_of_known_length_is_forwarded_without_surplus_bytes(behind: bytes) -> None:
     async def scene() -> None:
         body = bytes(range(256)) * 4000
 
         async def script(call: Call) -> None:
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:70_000]))
-            await asyncio.wait_for(begun.wait(), PATIENCE)
+            await asyncio.wait_for(stream_started.wait(), PATIENCE)
             await call.say(body[70_000:] + behind)
 
         backend = ScriptedBackend("a", script)
         async with world(backend) as here:
             for number in range(2):
-                begun = asyncio.Event()
+                stream_started = asyncio.Event()
                 client = await here.connect()
                 await client.send(request("unsafe"))
                 await here.proxy.until(lambda: here.proxy.streams)
-                begun.set()
+                stream_started.set()
                 status, _, got = await client.read()
                 assert status == 200 and got == body
                 assert here.proxy.metrics.ended[2] == [number + 1, 0, 0]
-                await asyncio.sleep(2 * REST_S)  # a connection rests before it is used again
+                await asyncio.sleep(2 * REST_S)  # a connection must be idle for REST_S before it is reused
             assert backend.connections == (2 if behind else 1)
 
     play(scene)
 
 
-def test_a_known_length_that_is_cut_short_is_seen_to() -> None:
+def test_truncated_streamed_answer_aborts_the_client_connection() -> None:
     async def scene() -> None:
         async def script(call: Call) -> None:
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (LONG, bytes(70_000)))
-            await asyncio.wait_for(begun.wait(), PATIENCE)
+            await asyncio.wait_for(stream_started.wait(), PATIENCE)
             await call.say(bytes(LONG - 70_001))
             call.writer.close()
 
-        begun = asyncio.Event()
+        stream_started = asyncio.Event()
         async with world(ScriptedBackend("a", script)) as here:
             client = await here.connect()
             await client.send(request("unsafe"))
             await here.proxy.until(lambda: here.proxy.streams)
-            begun.set()
+            stream_started.set()
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await client.read()
             (outcome,) = await here.proxy.until_outcomes(1)
@@ -154,13 +156,13 @@
     play(scene)
 
 
-def test_a_client_that_reads_nothing_holds_its_member_and_not_our_memory() -> None:
+def test_client_that_does_not_read_applies_backpressure_to_its_member() -> None:
     async def scene() -> None:
-        most = 32 << 20
+        body_size = 32 << 20
 
         async def script(call: Call) -> None:
-            await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % most)
-            for _ in range(most >> 16):
+            await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % body_size)
+            for _ in range(body_size >> 16):
                 await call.say(bytes(1 << 16))
 
         async with world(ScriptedBackend("a", script)) as here:
@@ -176,13 +178,13 @@
             assert connection.transport.get_write_buffer_size() < 2 << 20
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             status, _, body = await client.read()
-            assert status == 200 and len(body) == most
+            assert status == 200 and len(body) == body_size
             assert here.proxy.budget.held_bytes == 0
 
     play(scene)
 
 
-def test_a_client_that_leaves_ends_the_attempt() -> None:
+def test_client_disconnect_cancels_a_streamed_attempt() -> None:
     async def scene() -> None:
         async def script(call: Call) -> None:
             await call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LONG + bytes(100_000))
@@ -200,7 +202,7 @@
     play(scene)
 
 
-def test_spaces_behind_a_header_are_no_part_of_it() -> None:
+def test_trailing_whitespace_of_header_values_is_ignored() -> None:
     async def scene() -> None:
         good = b"HTTP/1.1 200 OK\r\nContent-Length: 2 \t\r\n\r\nhi"
         async with world(ScriptedBackend("a", answering(good))) as here:
