--- a/loadbalancer/fastcgi/application.py
+++ b/loadbalancer/fastcgi/application.py
@@ -97,9 +97,9 @@
 class ApplicationSide:
     """The protocol state of one connection from a web server."""
 
-    def __init__(self, requests_most: int) -> None:
-        """Create the state of a new connection. `requests_most`: open requests; more are refused as OVERLOADED."""
-        self.requests_most = requests_most
+    def __init__(self, max_requests: int) -> None:
+        """Create the state of a new connection. `max_requests`: open requests; more are refused as OVERLOADED."""
+        self.max_requests = max_requests
         self.open: dict[int, _OpenRequest] = {}
         self.output = bytearray()  # to send; the owner removes what it sends
         self.confused = ""  # the protocol violation after which nothing is read, if any
@@ -151,8 +151,8 @@
         if record.type == Type.GET_VALUES:
             known = {
                 b"FCGI_MAX_CONNS": b"1024",
-                b"FCGI_MAX_REQS": b"%d" % self.requests_most,
-                b"FCGI_MPXS_CONNS": b"1" if self.requests_most > 1 else b"0",
+                b"FCGI_MAX_REQS": b"%d" % self.max_requests,
+                b"FCGI_MPXS_CONNS": b"1" if self.max_requests > 1 else b"0",
             }
             asked = {name for name, _ in read_pairs(record.content, MAX_PAIRS)}
             pairs = [(name, value) for name, value in known.items() if name in asked]
@@ -169,7 +169,7 @@
         status = Status.REQUEST_COMPLETE
         if role != Role.RESPONDER:
             status = Status.UNKNOWN_ROLE
-        elif len(self.open) >= self.requests_most:
+        elif len(self.open) >= self.max_requests:
             status = Status.OVERLOADED
         if status == Status.REQUEST_COMPLETE:
             self.open[record.request] = _OpenRequest(keep)
--- a/loadbalancer/fastcgi/webserver.py
+++ b/loadbalancer/fastcgi/webserver.py
@@ -100,9 +100,8 @@
     def __init__(self) -> None:
         self._decoder = Decoder()
         self.exchange = Exchange(0)
-        self.has_stray_records = (
-            False  # a record that belongs to no open request was received: the connection is not kept
-        )
+        # A record that belongs to no open request was received: the connection is not kept.
+        self.has_stray_records = False
 
     @property
     def stdout(self) -> bytearray:
--- a/loadbalancer/streaming/streams.py
+++ b/loadbalancer/streaming/streams.py
@@ -37,9 +37,9 @@
 
     __slots__ = ("_has_ended", "_has_moved", "_is_full", "consumer", "passed_bytes", "producer")
 
-    def __init__(self, giver: StreamProducer, taker: StreamConsumer) -> None:
-        self.producer = giver
-        self.consumer = taker
+    def __init__(self, producer: StreamProducer, consumer: StreamConsumer) -> None:
+        self.producer = producer
+        self.consumer = consumer
         self.passed_bytes = 0
         self._has_moved = True  # since the last call of `is_stalled`
         self._has_ended = False
@@ -69,13 +69,13 @@
         """End the stream because the consumer is gone; bytes sent from now on are discarded."""
         if not self._has_ended:
             self._has_ended = True
-            self._hold(False)
+            self._set_producer_paused(False)
 
     def set_full(self, on: bool) -> None:
         """Pause the producer if the consumer's buffer is full (`on`), else resume it."""
         self._has_moved = True
         if not self._has_ended:
-            self._hold(on)
+            self._set_producer_paused(on)
 
     def is_stalled(self) -> bool:
         """Return whether no byte has been sent since the last call although the consumer has room.
@@ -86,7 +86,7 @@
         self._has_moved = False
         return stalled
 
-    def _hold(self, on: bool) -> None:
+    def _set_producer_paused(self, on: bool) -> None:
         if on != self._is_full:
             self._is_full = on
             self.producer.hold(on)
--- a/loadbalancer/streaming/tunnels.py
+++ b/loadbalancer/streaming/tunnels.py
@@ -63,20 +63,25 @@
     )
 
     def __init__(
-        self, tunnels: Tunnels, server: str, client: TunnelEnd, member: TunnelEnd, now: float
+        self,
+        tunnels: Tunnels,
+        endpoint: str,
+        client_end: TunnelEnd,
+        endpoint_end: TunnelEnd,
+        now: float,
     ) -> None:
         """Create an open tunnel.
 
         Args:
             tunnels: The owner.
-            server: Id of the endpoint.
-            client: The client's connection.
-            member: The endpoint's connection.
+            endpoint: Id of the endpoint.
+            client_end: The client's connection.
+            endpoint_end: The endpoint's connection.
             now: Seconds on the owner's clock.
         """
-        self.endpoint = server
-        self.client_end = client
-        self.endpoint_end = member
+        self.endpoint = endpoint
+        self.client_end = client_end
+        self.endpoint_end = endpoint_end
         self.opened_at = now
         self.moved_at = now  # when a byte was last received
         self.drain_started_at = 0.0  # 0: not draining
@@ -99,23 +104,23 @@
             self.moved_at = self._tunnels.clock()
             receiver.send(data)
 
-    def set_full(self, member: bool, on: bool) -> None:
+    def set_full(self, is_endpoint: bool, on: bool) -> None:
         """Pause reading from the other end while the buffer of one end is full (`on`), else resume it."""
         if not self._is_closed:
-            self._other_end(member).hold(on)
+            self._other_end(is_endpoint).hold(on)
 
-    def finish(self, member: bool) -> None:
+    def finish(self, is_endpoint: bool) -> None:
         """Half-close the tunnel after one end has sent all; close it once both have."""
-        if self._is_closed or self._has_finished[member]:
+        if self._is_closed or self._has_finished[is_endpoint]:
             return
-        self._has_finished[member] = True
+        self._has_finished[is_endpoint] = True
         if all(self._has_finished):
             self.close(orderly=True)
         else:
-            self._other_end(member).finish()
+            self._other_end(is_endpoint).finish()
 
-    def _other_end(self, member: bool) -> TunnelEnd:
-        return self.client_end if member else self.endpoint_end
+    def _other_end(self, is_endpoint: bool) -> TunnelEnd:
+        return self.client_end if is_endpoint else self.endpoint_end
 
     def lost(self) -> None:
         """Close the tunnel after one of its connections was lost."""
@@ -149,9 +154,9 @@
 class Tunnels:
     """The tunnels of one pool."""
 
-    def __init__(self, terms: TunnelLimits, clock: Callable[[], float]) -> None:
+    def __init__(self, limits: TunnelLimits, clock: Callable[[], float]) -> None:
         """Create an empty set of tunnels; `clock` returns monotonic seconds."""
-        self.limits = terms
+        self.limits = limits
         self.clock = clock
         self.open: set[Tunnel] = set()
         self.opened_count = 0  # since the start
@@ -162,9 +167,9 @@
         """Return whether one more tunnel may be opened."""
         return not self.is_retired and len(self.open) < self.limits.max_open
 
-    def open_tunnel(self, server: str, client: TunnelEnd, member: TunnelEnd) -> Tunnel:
+    def open_tunnel(self, endpoint: str, client_end: TunnelEnd, endpoint_end: TunnelEnd) -> Tunnel:
         """Open a tunnel between two connections; see `Tunnel`."""
-        tunnel = Tunnel(self, server, client, member, self.clock())
+        tunnel = Tunnel(self, endpoint, client_end, endpoint_end, self.clock())
         self.open.add(tunnel)
         self.opened_count += 1
         return tunnel
@@ -180,14 +185,14 @@
         self.is_retired = True
         self._drain(lambda _tunnel: True)
 
-    def drain_endpoints(self, servers: set[str]) -> None:
+    def drain_endpoints(self, endpoints: set[str]) -> None:
         """Drain the tunnels to these endpoints."""
-        self._drain(lambda tunnel: tunnel.endpoint in servers)
+        self._drain(lambda tunnel: tunnel.endpoint in endpoints)
 
-    def _drain(self, concerns: Callable[[Tunnel], bool]) -> None:
+    def _drain(self, matches: Callable[[Tunnel], bool]) -> None:
         now = self.clock()
         for tunnel in self.open:
-            if concerns(tunnel) and not tunnel.drain_started_at:
+            if matches(tunnel) and not tunnel.drain_started_at:
                 tunnel.drain_started_at = now
 
     def sweep(self) -> None:
--- a/loadbalancer/streaming/uploads.py
+++ b/loadbalancer/streaming/uploads.py
@@ -19,7 +19,7 @@
         "_budget",
         "_consumer",
         "_is_closed",
-        "_is_held",
+        "_is_producer_paused",
         "_on_lost",
         "is_complete",
         "kept_bytes",
@@ -30,32 +30,32 @@
 
     def __init__(
         self,
-        giver: StreamProducer,
+        producer: StreamProducer,
         length: int | None,
-        kept: bytearray,
+        kept_bytes: bytearray,
         budget: BufferBudget,
-        lost: Callable[[], None],
+        on_lost: Callable[[], None],
     ) -> None:
         """Create an upload, and pause the producer until an endpoint is attached.
 
         Args:
-            giver: The client's connection.
+            producer: The client's connection.
             length: Bytes of the body as stated by Content-Length; None if it is chunked.
-            kept: The bytes received so far, charged to the budget.
+            kept_bytes: The bytes received so far, charged to the budget.
             budget: The budget that kept bytes are charged to.
-            lost: Called once, when the first byte is no longer kept and the body cannot be sent again.
+            on_lost: Called once, when the first byte is no longer kept and the body cannot be sent again.
         """
-        self.producer = giver
+        self.producer = producer
         self.length = length
-        self.kept_bytes: bytearray | None = kept
-        self.received_bytes = len(kept)
+        self.kept_bytes: bytearray | None = kept_bytes
+        self.received_bytes = len(kept_bytes)
         self.is_complete = False
         self._budget = budget
-        self._on_lost = lost
+        self._on_lost = on_lost
         self._consumer: StreamConsumer | None = None
-        self._is_held = False
+        self._is_producer_paused = False
         self._is_closed = False
-        self._hold(True)
+        self._set_producer_paused(True)
 
     # Called by the client's connection.
 
@@ -83,43 +83,43 @@
 
     # Called by the endpoint's connection.
 
-    def attach(self, taker: StreamConsumer) -> None:
+    def attach(self, consumer: StreamConsumer) -> None:
         """Send the body to an endpoint from its first byte; allowed only while all received bytes are kept."""
         assert self.kept_bytes is not None
-        self._consumer = taker
+        self._consumer = consumer
         if self.kept_bytes:
-            taker.take_part(bytes(self.kept_bytes))
-        if self._consumer is not taker:  # the connection failed on the first bytes
+            consumer.take_part(bytes(self.kept_bytes))
+        if self._consumer is not consumer:  # the connection failed on the first bytes
             return
         if self.is_complete:
-            taker.take_end()
+            consumer.take_end()
         else:
-            self._hold(False)
+            self._set_producer_paused(False)
 
-    def detach(self, taker: StreamConsumer) -> None:
+    def detach(self, consumer: StreamConsumer) -> None:
         """Detach an endpoint and pause the producer. The next endpoint gets the whole body, if that is still kept."""
-        if self._consumer is taker:
+        if self._consumer is consumer:
             self._consumer = None
-            self._hold(True)
+            self._set_producer_paused(True)
 
     def set_full(self, on: bool) -> None:
         """Pause the producer while the endpoint's buffer is full (`on`), else resume it."""
         if self._consumer is not None:
-            self._hold(on)
+            self._set_producer_paused(on)
 
     def close(self) -> None:
         """Close the upload because its request has ended; bytes received from now on are discarded."""
         self._is_closed = True
         self._consumer = None
         self._discard_kept()
-        self._hold(False)
+        self._set_producer_paused(False)
 
     def _discard_kept(self) -> None:
         if self.kept_bytes is not None:
             self._budget.release(len(self.kept_bytes))
             self.kept_bytes = None
 
-    def _hold(self, on: bool) -> None:
-        if on != self._is_held:
-            self._is_held = on
+    def _set_producer_paused(self, on: bool) -> None:
+        if on != self._is_producer_paused:
+            self._is_producer_paused = on
             self.producer.hold(on)
--- a/loadbalancer/upstreams/dialect.py
+++ b/loadbalancer/upstreams/dialect.py
@@ -32,9 +32,8 @@
     report_fields: Sequence[str] = ()  # fields of a load report that are read, by their names in the settings
     refusal_header: bytes | None = b"x-turned-away"  # with the value 1; with any value if `platform` is False
     deadline_header: bytes | None = b"X-Remaining"  # tells the member how long the proxy waits
-    body_most: int = (
-        MAX_JUDGED_BODY_BYTES  # bytes of an answer's body that is buffered whole; a longer one is streamed
-    )
+    # Bytes of an answer's body that is buffered whole; a longer one is streamed.
+    body_most: int = MAX_JUDGED_BODY_BYTES
     stream_most: int = 0  # bytes of a streamed body; 0: a body longer than body_most is invalid
     platform: bool = True  # only 200 is SERVED; a 4xx means that no member can use the request
     close_delimited: bool = False  # an answer that ends with its connection counts as complete
--- a/loadbalancer/upstreams/fastcgi.py
+++ b/loadbalancer/upstreams/fastcgi.py
@@ -75,9 +75,8 @@
         self.received_bytes = 0
         self.stream: Stream | None = None  # receives the body of a streamed answer
         self.head: CgiHead | None = None  # the head of the streamed answer
-        self.bytes_after_params = (
-            0  # bytes of the request after its params; unsent ones don't prove that it has not run
-        )
+        # Bytes of the request after its params; unsent ones don't prove that it has not run.
+        self.bytes_after_params = 0
 
     def start(self, attempt: Attempt) -> None:
         self.assign(attempt)
--- a/loadbalancer/upstreams/http1.py
+++ b/loadbalancer/upstreams/http1.py
@@ -64,22 +64,19 @@
         self._reset_head()
         self._release_body()
         self.is_complete = self.has_surplus = self.keep_alive = self.length_only = False
-        self.is_parser_stale = (
-            False  # the parser is in the middle of an answer, and must be replaced before the next one
-        )
+        # The parser is in the middle of an answer, and must be replaced before the next one.
+        self.is_parser_stale = False
         self.received_bytes = 0
         self.stream = None
-        self.unparsed_bytes = (
-            0  # bytes of a streamed answer of known length that are forwarded without the parser
-        )
+        # Bytes of a streamed answer of known length that are forwarded without the parser.
+        self.unparsed_bytes = 0
 
     def _reset_head(self) -> None:
         self.status = 0
         self.lines: list[bytes] = []
         self.length: int | None = None
-        self.is_self_delimited = self.has_transfer_coding = (
-            False  # has a length of its own or is chunked; has a Transfer-Encoding
-        )
+        # Has a length of its own or is chunked; has a Transfer-Encoding.
+        self.is_self_delimited = self.has_transfer_coding = False
         self.refusal: bytes | None = None
         self.retry_value: bytes | None = None  # value of the header that requests a retry
         self.load_report = b""
--- a/loadbalancer/upstreams/interfaces.py
+++ b/loadbalancer/upstreams/interfaces.py
@@ -32,9 +32,8 @@
     body: bytes
     status: int = 200
     reason: bytes = b""
-    length: int | None = (
-        None  # Content-Length of an answer without a body (to HEAD, or a 304) or with a streamed one
-    )
+    # Content-Length of an answer without a body (to HEAD, or a 304) or with a streamed one.
+    length: int | None = None
     asks_for_retry: bool = False  # the member requests a retry
 
 
--- a/loadbalancer/upstreams/multiplex.py
+++ b/loadbalancer/upstreams/multiplex.py
@@ -49,9 +49,8 @@
 
     def __init__(self, connection: MultiplexedConnection, attempt: Attempt, number: int) -> None:
         self.connection, self.attempt, self.exchange = connection, attempt, Exchange(number)
-        self.start_offset = (
-            0  # bytes that the connection must have sent before the application can have begun
-        )
+        # Bytes that the connection must have sent before the application can have begun.
+        self.start_offset = 0
         self.charged_bytes = 0  # bytes of STDOUT that are charged to the budget
         self.received_bytes = 0  # bytes of records
 
@@ -90,18 +89,17 @@
         self.streams: dict[int, MultiplexedStream] = {}
         self.aborted: set[int] = set()  # ids of aborted streams whose END_REQUEST has not arrived
         self.can_multiplex = False  # the application supports multiplexing
-        self.is_exhausted = False  # accepts no new stream
+        self.is_draining = False  # accepts no new stream; closed when its last one ends
         self._decoder = Decoder()
         self._last_id = 0
-        self._unassigned_bytes = (
-            0  # bytes of records that belong to no stream; reset when the last aborted one ends
-        )
+        # Bytes of records that belong to no stream; reset when the last aborted one ends.
+        self._unassigned_bytes = 0
         self._written_bytes = 0  # bytes written, sent or still buffered
 
     def has_room(self) -> bool:
         """Return whether the connection can carry one more stream now."""
         if (
-            self.is_exhausted
+            self.is_draining
             or self.closed
             or self.transport is None
             or self.identity != self.endpoint.identity
@@ -173,7 +171,7 @@
                 self._unassigned_bytes = self._unassigned_bytes if self.aborted else 0
                 self._keep_or_close()
         else:
-            self.is_exhausted = True  # a record of a request that has ended
+            self.is_draining = True  # a record of a request that has ended
             self._keep_or_close()
 
     def _count_unassigned(self, record: Record) -> None:
@@ -191,7 +189,7 @@
         try:
             end = stream.exchange.handle_record(record)
         except ProtocolError as problem:
-            self.is_exhausted = True
+            self.is_draining = True
             self.finish_stream(stream, AttemptResult.RESET, f"protocol violation: {problem}")
             return
         stream.charge()
@@ -200,7 +198,7 @@
         if end is not None:
             self._handle_end(stream, end)
         elif len(stream.exchange.stdout) > limit or stream.received_bytes > limit + MAX_OVERHEAD_BYTES:
-            self.is_exhausted = True
+            self.is_draining = True
             self.finish_stream(
                 stream,
                 AttemptResult.RESET,
@@ -243,7 +241,7 @@
             self._write_queued(encode(Type.ABORT_REQUEST, stream.exchange.number))
             self._remove(stream)
         else:
-            self.is_exhausted = True
+            self.is_draining = True
             self._remove(stream)
 
     def _remove(self, stream: MultiplexedStream) -> None:
@@ -255,7 +253,7 @@
         """Keep the connection idle, or close it, if no stream is left on it."""
         if self.streams or self.closed:
             return
-        if self.is_exhausted or not self.application.keep:
+        if self.is_draining or not self.application.keep:
             self.drop()
         elif not self.aborted and self not in self.endpoint.idle:
             self.pool.keep_idle(self)
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -744,9 +744,8 @@
         listener = LISTENER.replace("127.0.0.1:0", f"unix:{path}")
         async with behind_fastcgi(tmp_path, backend, listener=listener) as (here, web):
             assert (await web.ask(1)).status == 200
-            assert (
-                b"X-Forwarded-For: 9.8.7.6\r\n" in backend.calls[0].head
-            )  # a peer that may open the socket is trusted to name its client
+            # A peer that may open the socket is trusted to name its client.
+            assert b"X-Forwarded-For: 9.8.7.6\r\n" in backend.calls[0].head
             before = here.daemon.listeners["main"]
             await here.reload()
             assert here.daemon.listeners["main"] is before and path.exists()
@@ -809,9 +808,8 @@
                 release = asyncio.Event()
                 client = await here.connect()
                 await client.send(requests_to("/"))
-                await asyncio.wait_for(
-                    client.reader.readuntil(b"\r\n\r\n"), 10
-                )  # the application has not sent the rest yet
+                # The application has not sent the rest yet.
+                await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), 10)
                 release.set()
                 if stated_length is not None:
                     got = await client.reader.readexactly(LONG)
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -110,9 +110,8 @@
                 gate.release(b"%d" % number)
                 assert (await clients[number].read())[0] == 200
             assert app.connections == 1
-            await here.until(
-                lambda: len(proxy.upstreams.endpoints["a"].idle) == 1
-            )  # the END_REQUEST of the aborted one was received
+            # The connection is idle once the END_REQUEST of the aborted request was received.
+            await here.until(lambda: len(proxy.upstreams.endpoints["a"].idle) == 1)
 
     play(scene)
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -75,9 +75,8 @@
             await client.send(request("unsafe"))
             reader = client.reader
             await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
-            await asyncio.wait_for(
-                reader.readexactly(90_000), PATIENCE
-            )  # the member has not sent the rest yet
+            # The member has not sent the rest yet.
+            await asyncio.wait_for(reader.readexactly(90_000), PATIENCE)
             assert any(isinstance(event, FirstByte) for event in here.proxy.told)
             assert here.proxy.metrics.open == 1
             release.set()
