--- a/tests/test_combinations.py
+++ b/tests/test_combinations.py
@@ -29,8 +29,8 @@
     "test_expect_continue_is_answered": "100 Continue",
     "test_pipelined_requests_are_answered_in_order": "FastCGI multiplexes instead",
     "test_a_pipelining_flood_is_cut_short": "FastCGI multiplexes instead",
-    "test_an_answer_that_ends_with_its_connection_is_whole": "a FastCGI answer ends with its END_REQUEST",
-    "test_each_end_of_an_attempt_is_told_as_its_result['a reset without a length']": "the same",
+    "test_answer_delimited_by_connection_close_is_served": "a FastCGI answer ends with its END_REQUEST",
+    "test_attempt_result_for_each_kind_of_answer['a reset without a length']": "the same",
     "test_an_abandoned_upload_leaves_nothing_behind": "half a message",
     "test_a_request_that_never_ends_is_answered_408": "half a message",
     "test_a_connection_that_says_nothing_is_closed_and_one_that_has_asked_stays": "a limit patched in http1",
@@ -44,9 +44,9 @@
     "test_sigterm_with_requests_held_and_new_ones_arriving": "Connection: close",
     "test_an_idle_connection_with_an_unread_request_is_not_closed": "bytes in the kernel",
     "test_hundreds_at_once_are_all_served": "hangs on the machine's speed: the translating peers are slow ones",
-    "test_a_break_before_the_last_byte_is_written_is_no_connection": "the opposite holds for FastCGI",
-    "test_an_answer_without_end_is_spoilt_and_the_request_goes_again": "framing of answers",
-    "test_what_comes_right_behind_an_answer_is_not_the_next_one": "bytes behind an answer",
+    "test_close_before_request_is_sent_completely_gives_no_connection": "the opposite holds for FastCGI",
+    "test_endless_answer_is_a_reset_and_a_keyed_request_is_retried": "framing of answers",
+    "test_bytes_after_an_answer_are_not_read_as_the_next_answer": "bytes behind an answer",
 }
 #: Tests whose draws and order hang on time: only how many answers there are is the same.
 BY_CHANCE = {"test_nothing_is_left_after_a_busy_time"}
