--- a/emulator/herd.py
+++ b/emulator/herd.py
@@ -184,7 +184,7 @@
         queue = self.waiting.get(member)
         if not queue or member in self.due:
             return
-        wait = self.pacer.take(self.herd.clock.now) if self.pacer is not None else 0.0
+        wait = self.pacer.acquire(self.herd.clock.now) if self.pacer is not None else 0.0
         if wait > 0:
             self.due.add(member)
             self.herd.clock.after(wait, self.come, member)
--- a/loadbalancer/fastcgi/application.py
+++ b/loadbalancer/fastcgi/application.py
@@ -7,7 +7,7 @@
 | --- | --- | --- | --- | --- |
 | BEGIN_REQUEST | none: PARAMS; ABORTED: error | error | error | error |
 | PARAMS; an empty one | ignored | collected; STDIN | error | error |
-| STDIN; an empty one | ignored | error | Data; WHOLE | error |
+| STDIN; an empty one | ignored | error | BodyData; WHOLE | error |
 | ABORT_REQUEST | ignored | ABORTED | ABORTED | ABORTED |
 | others | ignored | ignored | ignored | ignored |
 
@@ -49,21 +49,21 @@
     ABORTED = auto()
 
 
-class Begun(NamedTuple):
+class ParamsReceived(NamedTuple):
     """The params of a request are complete; its body follows."""
 
     request: int
     params: dict[bytes, bytes]
 
 
-class Data(NamedTuple):
+class BodyData(NamedTuple):
     """Bytes of a request's body."""
 
     request: int
     data: bytes
 
 
-class Ended(NamedTuple):
+class BodyReceived(NamedTuple):
     """The body of a request is complete."""
 
     request: int
@@ -82,15 +82,15 @@
     status: Status
 
 
-Event = Union[Begun, Data, Ended, Aborted, Refused]
+Event = Union[ParamsReceived, BodyData, BodyReceived, Aborted, Refused]
 
 
 class _OpenRequest:
-    __slots__ = ("state", "keep", "params")
+    __slots__ = ("state", "keep_connection", "params")
 
-    def __init__(self, keep: bool) -> None:
+    def __init__(self, keep_connection: bool) -> None:
         self.state = State.PARAMS
-        self.keep = keep
+        self.keep_connection = keep_connection
         self.params = bytearray()
 
 
@@ -102,21 +102,21 @@
         self.max_requests = max_requests
         self.open: dict[int, _OpenRequest] = {}
         self.output = bytearray()  # to send; the owner removes what it sends
-        self.confused = ""  # the protocol violation after which nothing is read, if any
+        self.protocol_violation = ""  # the protocol violation after which nothing is read, if any
         self.closing = False  # a request without KEEP_CONN has ended: close when no request is open
         self._decoder = Decoder()
         self._ignored_records = 0
         self._events: list[Event] = []  # events of the current call of feed
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events of received bytes. Protocol violations don't raise, but set `confused`."""
+        """Return the events of received bytes. Protocol violations don't raise, but set `protocol_violation`."""
         self._events = []
-        if not self.confused:
+        if not self.protocol_violation:
             try:
                 for record in self._decoder.feed(data):
                     self._handle_record(record)
             except ProtocolError as problem:
-                self.confused = str(problem)
+                self.protocol_violation = str(problem)
         return self._events
 
     def _handle_record(self, record: Record) -> None:
@@ -165,18 +165,18 @@
     def _handle_begin(self, record: Record) -> None:
         if record.request in self.open:
             raise ProtocolError(f"BEGIN_REQUEST for request {record.request}, which is open")
-        role, keep = read_begin(record.content)
+        role, keep_connection = read_begin(record.content)
         status = Status.REQUEST_COMPLETE
         if role != Role.RESPONDER:
             status = Status.UNKNOWN_ROLE
         elif len(self.open) >= self.max_requests:
             status = Status.OVERLOADED
         if status == Status.REQUEST_COMPLETE:
-            self.open[record.request] = _OpenRequest(keep)
+            self.open[record.request] = _OpenRequest(keep_connection)
             return
         self._count_ignored()
         self.output += encode_end(record.request, status)
-        self.closing = self.closing or not keep
+        self.closing = self.closing or not keep_connection
         self._events.append(Refused(record.request, status))
 
     def _handle_params(self, record: Record, entry: _OpenRequest) -> None:
@@ -189,17 +189,17 @@
             pairs = read_pairs(bytes(entry.params), MAX_PAIRS)
             entry.params.clear()
             entry.state = State.STDIN
-            self._events.append(Begun(record.request, dict(pairs)))
+            self._events.append(ParamsReceived(record.request, dict(pairs)))
 
     def _handle_stdin(self, record: Record, entry: _OpenRequest) -> None:
         if entry.state is not State.STDIN:
             raise ProtocolError("STDIN before the end of the params, or after its own end")
         if record.content:
-            self._events.append(Data(record.request, record.content))
+            self._events.append(BodyData(record.request, record.content))
         else:
             entry.state = State.WHOLE
             self._ignored_records = 0
-            self._events.append(Ended(record.request))
+            self._events.append(BodyReceived(record.request))
 
     def is_within_record(self) -> bool:
         """Return whether the last received record is incomplete."""
@@ -210,5 +210,5 @@
     def end(self, request: int, status: int = Status.REQUEST_COMPLETE, application: int = 0) -> bytes:
         """Close an open request, whose id is then free, and return its END_REQUEST. `application`: the exit status."""
         entry = self.open.pop(request)
-        self.closing = self.closing or not entry.keep
+        self.closing = self.closing or not entry.keep_connection
         return encode_end(request, status, application)
--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -11,7 +11,14 @@
 import socket
 import time
 
-from loadbalancer.fastcgi.application import Aborted, ApplicationSide, Begun, Data, Ended, Event
+from loadbalancer.fastcgi.application import (
+    Aborted,
+    ApplicationSide,
+    BodyData,
+    BodyReceived,
+    Event,
+    ParamsReceived,
+)
 from loadbalancer.fastcgi.cgi import CgiError, from_params, write_answer
 from loadbalancer.fastcgi.records import Status, Type, encode, encode_stream
 from loadbalancer.frontends.connection import REQUEST_S, FrontConnection, Phase
@@ -67,17 +74,17 @@
         self.stream = stream
         stated = [b"Content-Length: %d\r\n" % length] if length is not None else []
         said = reason or REASONS.get(status, b"No Reason")
-        self.take_part(b"Status: %d %b\r\n%b\r\n" % (status, said, b"".join([*lines, *stated])))
+        self.receive_data(b"Status: %d %b\r\n%b\r\n" % (status, said, b"".join([*lines, *stated])))
 
-    def take_part(self, data: bytes) -> None:
+    def receive_data(self, data: bytes) -> None:
         if not self.ended:
             self.connection.side.output += encode_stream(Type.STDOUT, self.number, data)
             self.connection.flush()
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         self._stream_over(True)
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         """The other requests on the connection go on; this one ends as one whose application has failed."""
         self._stream_over(False)
 
@@ -140,29 +147,29 @@
             self.phase = Phase.HEAD
             if self.asked:
                 self.since = time.monotonic()
-        garbled = bool(self.side.confused)
+        garbled = bool(self.side.protocol_violation)
         for event in self.side.feed(data):
             self._react(event)
-        if self.side.confused and not garbled:
+        if self.side.protocol_violation and not garbled:
             self.note_garbage()
         self.flush()
         self._after()
 
     def _react(self, event: Event) -> None:
-        if isinstance(event, Begun):
+        if isinstance(event, ParamsReceived):
             self._begin(event)
             return
         request = self.requests.get(event.request)
         if request is None or request.ended:
             return
-        if isinstance(event, Data):
+        if isinstance(event, BodyData):
             self._data(request, event.data)
-        elif isinstance(event, Ended):
+        elif isinstance(event, BodyReceived):
             self._whole(request)
         elif isinstance(event, Aborted):
             self._abort(request)
 
-    def _begin(self, event: Begun) -> None:
+    def _begin(self, event: ParamsReceived) -> None:
         reader = self.listener.reader
         client = event.params.get(b"REMOTE_ADDR", b"").decode("latin-1")
         # A web server that is trusted speaks for its client.
@@ -300,8 +307,8 @@
         """Close, or wait for the next request."""
         if self.transport is None or self.transport.is_closing() or self.phase == Phase.LINGER:
             return
-        last = self.side.closing or self.side.confused
-        if self.requests or (self.side.open and not self.side.confused):
+        last = self.side.closing or self.side.protocol_violation
+        if self.requests or (self.side.open and not self.side.protocol_violation):
             self.phase = Phase.WHOLE if self.requests else Phase.HEAD
         elif last:
             self.phase = Phase.LINGER
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -253,7 +253,7 @@
         if self.request is not None:
             self.request.owner.upload_lost(self.request)
 
-    def hold(self, on: bool) -> None:
+    def set_reading_paused(self, on: bool) -> None:
         """The member takes no more of the body now, or takes more again."""
         if self.tunnel is not None:
             self._read_on(not on)
@@ -422,7 +422,7 @@
             )
         )
 
-    def take_part(self, data: bytes) -> None:
+    def receive_data(self, data: bytes) -> None:
         assert self.transport is not None
         if self._gone():
             return
@@ -431,14 +431,14 @@
         else:
             self.transport.write(data)
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         assert self.transport is not None
         if self.chunked and not self._gone():
             self.transport.write(b"0\r\n\r\n")
         self._stream_over(True)
         self._after()
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         """Reset: whatever the framing, the client sees that this was not all."""
         self._stream_over(False)
         with suppress(OSError):
--- a/loadbalancer/proxy/answer_writer.py
+++ b/loadbalancer/proxy/answer_writer.py
@@ -70,7 +70,7 @@
             return True
         if request.retry_statuses is not None:
             return response.status in request.retry_statuses
-        return self._dialect.repeats(response.status)
+        return self._dialect.is_retryable_status(response.status)
 
     def _keep_error(self, request: OpenRequest, response: UpstreamResponse) -> None:
         if not is_better(request.kept_error, response):
--- a/loadbalancer/proxy/attempt_runner.py
+++ b/loadbalancer/proxy/attempt_runner.py
@@ -92,7 +92,7 @@
         written = attempt.is_written()
         attempt.drop()
         if written:
-            self._upstreams.suspect(attempt)
+            self._upstreams.close_idle_if_silent(attempt)
         self.finish(attempt, AttemptResult.TIMEOUT if written else AttemptResult.NO_CONNECTION)
 
     def cancel(self, attempt: Attempt) -> None:
--- a/loadbalancer/proxy/endpoint_directory.py
+++ b/loadbalancer/proxy/endpoint_directory.py
@@ -36,7 +36,7 @@
         named = self._update_upstreams(entries)
         if whole:
             for endpoint in self.listed - named:
-                self._upstreams.gone(endpoint)
+                self._upstreams.remove_endpoint(endpoint)
             self.listed = named
         else:
             self.listed |= named
@@ -59,11 +59,11 @@
         named = set()
         for entry, address in entries:
             if entry.state == EndpointState.GONE:
-                self._upstreams.gone(entry.endpoint)
+                self._upstreams.remove_endpoint(entry.endpoint)
                 self.listed.discard(entry.endpoint)
             else:
                 life = (address, entry.started)
-                self._upstreams.listed(entry.endpoint, life, entry.state == EndpointState.READY)
+                self._upstreams.update_endpoint(entry.endpoint, life, entry.state == EndpointState.READY)
                 named.add(entry.endpoint)
         return named
 
--- a/loadbalancer/proxy/idempotent_requests.py
+++ b/loadbalancer/proxy/idempotent_requests.py
@@ -269,15 +269,15 @@
         """Not called: the configuration keeps pools that stream answers apart from remembered classes."""
         raise AssertionError("an answer to a remembered key is judged whole")
 
-    def take_part(self, data: bytes) -> None:  # noqa: ARG002
+    def receive_data(self, data: bytes) -> None:  # noqa: ARG002
         """Not called; see `begin_answer`."""
         raise AssertionError("an answer to a remembered key is judged whole")
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         """Not called; see `begin_answer`."""
         raise AssertionError("an answer to a remembered key is judged whole")
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         """Not called; see `begin_answer`."""
         raise AssertionError("an answer to a remembered key is judged whole")
 
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -422,7 +422,7 @@
             self.source.close()
             self.source = None
         for endpoint in list(self.upstreams.endpoints):
-            self.upstreams.gone(endpoint)
+            self.upstreams.remove_endpoint(endpoint)
 
 
 def _platform_dialect(deployment: Deployment) -> Dialect:
--- a/loadbalancer/proxy/request_owner.py
+++ b/loadbalancer/proxy/request_owner.py
@@ -27,7 +27,7 @@
             return
         self._table.finish(request, RequestResult.FAILED)
         if request.stream is not None:
-            request.stream.leave()
+            request.stream.detach_consumer()
         self._post(ClientCancelled(request.id))
         if not request.is_complete:
             self._attempts.cancel_all(request)
@@ -61,7 +61,7 @@
             return
         self._table.finish(request, RequestResult.FAILED)
         if request.stream is not None:
-            request.stream.cut()
+            request.stream.abort()
         else:
             request.client.answer(BAD_GATEWAY, [], b"")
         self._post(ClientCancelled(request.id))
--- a/loadbalancer/proxy/response_streams.py
+++ b/loadbalancer/proxy/response_streams.py
@@ -47,7 +47,7 @@
             stream.end()
         else:
             self._table.finish(request, RequestResult.FAILED)
-            stream.cut()
+            stream.abort()
 
     def find_stalled(self, now: float) -> list[OpenRequest]:
         """The requests on whose streams nothing has moved for too long; one that moves is never cut off.
--- a/loadbalancer/streaming/streams.py
+++ b/loadbalancer/streaming/streams.py
@@ -15,20 +15,20 @@
 class StreamProducer(Protocol):
     """The connection that a body is read from."""
 
-    def hold(self, on: bool) -> None:
+    def set_reading_paused(self, on: bool) -> None:
         """Pause reading if `on`, else resume it."""
 
 
 class StreamConsumer(Protocol):
     """The connection that a body is written to."""
 
-    def take_part(self, data: bytes) -> None:
+    def receive_data(self, data: bytes) -> None:
         """Receive the next bytes; call `Stream.set_full` when the buffer is full."""
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         """Receive the end of the body, which is complete."""
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         """Abort the body before it is complete, in a way that the peer can detect."""
 
 
@@ -51,21 +51,21 @@
             return
         self._has_moved = True
         self.passed_bytes += len(data)
-        self.consumer.take_part(data)
+        self.consumer.receive_data(data)
 
     def end(self) -> None:
         """End the body, which the producer has sent completely."""
         if not self._has_ended:
             self._has_ended = True
-            self.consumer.take_end()
+            self.consumer.receive_end()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the body: the producer failed before it had sent all of it."""
         if not self._has_ended:
             self._has_ended = True
-            self.consumer.break_off()
+            self.consumer.abort_body()
 
-    def leave(self) -> None:
+    def detach_consumer(self) -> None:
         """End the stream because the consumer is gone; bytes sent from now on are discarded."""
         if not self._has_ended:
             self._has_ended = True
@@ -89,4 +89,4 @@
     def _set_producer_paused(self, on: bool) -> None:
         if on != self._is_full:
             self._is_full = on
-            self.producer.hold(on)
+            self.producer.set_reading_paused(on)
--- a/loadbalancer/streaming/tunnels.py
+++ b/loadbalancer/streaming/tunnels.py
@@ -33,7 +33,7 @@
     def send(self, data: bytes) -> None:
         """Write bytes to the peer."""
 
-    def hold(self, on: bool) -> None:
+    def set_reading_paused(self, on: bool) -> None:
         """Pause reading if `on`, else resume it."""
 
     def finish(self) -> None:
@@ -107,7 +107,7 @@
     def set_full(self, is_endpoint: bool, on: bool) -> None:
         """Pause reading from the other end while the buffer of one end is full (`on`), else resume it."""
         if not self._is_closed:
-            self._other_end(is_endpoint).hold(on)
+            self._other_end(is_endpoint).set_reading_paused(on)
 
     def finish(self, is_endpoint: bool) -> None:
         """Half-close the tunnel after one end has sent all; close it once both have."""
--- a/loadbalancer/streaming/uploads.py
+++ b/loadbalancer/streaming/uploads.py
@@ -73,13 +73,13 @@
             self._discard_kept()
             self._on_lost()
         if self._consumer is not None:
-            self._consumer.take_part(data)
+            self._consumer.receive_data(data)
 
     def end(self) -> None:
         """Mark the body as complete."""
         self.is_complete = True
         if self._consumer is not None:
-            self._consumer.take_end()
+            self._consumer.receive_end()
 
     # Called by the endpoint's connection.
 
@@ -88,11 +88,11 @@
         assert self.kept_bytes is not None
         self._consumer = consumer
         if self.kept_bytes:
-            consumer.take_part(bytes(self.kept_bytes))
+            consumer.receive_data(bytes(self.kept_bytes))
         if self._consumer is not consumer:  # the connection failed on the first bytes
             return
         if self.is_complete:
-            consumer.take_end()
+            consumer.receive_end()
         else:
             self._set_producer_paused(False)
 
@@ -122,4 +122,4 @@
     def _set_producer_paused(self, on: bool) -> None:
         if on != self._is_producer_paused:
             self._is_producer_paused = on
-            self.producer.hold(on)
+            self.producer.set_reading_paused(on)
--- a/loadbalancer/upstreams/base.py
+++ b/loadbalancer/upstreams/base.py
@@ -73,7 +73,7 @@
             self.unsent = True
             self.transport.write(data[sent:])
 
-    def hold(self, on: bool) -> None:
+    def set_reading_paused(self, on: bool) -> None:
         """Pause or resume reading: the client's buffer is full, or has room again."""
         if self.transport is not None and not self.transport.is_closing():
             (self.transport.pause_reading if on else self.transport.resume_reading)()
--- a/loadbalancer/upstreams/connections.py
+++ b/loadbalancer/upstreams/connections.py
@@ -24,14 +24,14 @@
     pass
 
 #: Idle connections kept to one backend. It holds some twenty for all proxies, and a full connection table costs it.
-IDLE_MOST = 6
+MAX_IDLE_CONNECTIONS = 6
 #: An idle connection is closed at this share of the backend's idle timeout. Backends close early, and a request that
 #: is sent while the backend closes the connection ends as a reset.
 IDLE_TIMEOUT_SHARE = 0.3
 #: Seconds that a connection must have been idle before it is reused. Guards against a duplicate answer or stray bytes
 #: right behind an answer, which would be read as the answer to the next request. Cost: now and then a new connection,
 #: when a backend gets another request at once.
-REST_S = 0.005
+MIN_IDLE_BEFORE_REUSE_S = 0.005
 
 #: Seconds that a member has to answer the close of a TLS connection (close_notify).
 TLS_SHUTDOWN_TIMEOUT_S = 1.0
@@ -185,7 +185,9 @@
         self.owner, self.budget, self.logger = owner, budget, logger
         self.sockets, self._connection_factory = sockets, connection_factory
         self.connect_timeout = connect_timeout
-        self.max_idle_connections = IDLE_MOST if max_idle_connections is None else max_idle_connections
+        self.max_idle_connections = (
+            MAX_IDLE_CONNECTIONS if max_idle_connections is None else max_idle_connections
+        )
         self.idle_timeout = idle_close * IDLE_TIMEOUT_SHARE
         self.endpoints: dict[str, UpstreamEndpoint] = {}
         self.tls: TlsConnector | None = None  # set if members are reached over TLS
@@ -203,7 +205,7 @@
         while self.open > sockets and self._close_one_idle():
             pass
 
-    def listed(self, server: str, identity: EndpointIdentity, serving: bool) -> None:
+    def update_endpoint(self, server: str, identity: EndpointIdentity, serving: bool) -> None:
         """Add or update an endpoint. Idle connections are closed if its identity changed or it is not serving."""
         backend = self.endpoints.get(server)
         if backend is None:
@@ -214,7 +216,7 @@
         backend.is_serving = serving
         backend.is_gone = False
 
-    def gone(self, server: str) -> None:
+    def remove_endpoint(self, server: str) -> None:
         """Mark an endpoint as removed from the endpoint list, and close its idle connections."""
         backend = self.endpoints.get(server)
         if backend is not None:
@@ -257,7 +259,7 @@
             backend.waiting_attempts.append(attempt)
             self._open_next(backend)
             return
-        self._open(backend, attempt)
+        self._open_connection(backend, attempt)
 
     def _open_next(self, backend: UpstreamEndpoint) -> None:
         """Open a connection for the first waiting attempt as soon as the pacer allows it.
@@ -269,13 +271,13 @@
             attempt = backend.waiting_attempts.popleft()
             if attempt.ended:
                 continue
-            wait = self.pacer.take(time.monotonic()) if self.pacer is not None else 0.0
+            wait = self.pacer.acquire(time.monotonic()) if self.pacer is not None else 0.0
             if wait > 0:
                 backend.waiting_attempts.appendleft(attempt)
                 backend.is_opening_scheduled = True
                 asyncio.get_running_loop().call_later(wait, self._on_opening_due, backend)
             else:
-                self._open(backend, attempt)
+                self._open_connection(backend, attempt)
 
     def _on_opening_due(self, backend: UpstreamEndpoint) -> None:
         backend.is_opening_scheduled = False
@@ -287,7 +289,7 @@
         for backend in list(self.endpoints.values()) if pacer is None else ():
             self._open_next(backend)  # does nothing if a timer is set; that finds no pacer when it fires
 
-    def _open(self, backend: UpstreamEndpoint, attempt: Attempt) -> None:
+    def _open_connection(self, backend: UpstreamEndpoint, attempt: Attempt) -> None:
         if self.open >= self.sockets and not self._close_one_idle():
             self.logger("no descriptor left for a backend", attempt.endpoint)
             self.owner.finish_attempt(attempt, AttemptResult.NO_CONNECTION)
@@ -325,8 +327,8 @@
         return None
 
     def _find_idle(self, backend: UpstreamEndpoint) -> Upstream | None:
-        """Return the most recently used connection that has been idle for REST_S, or None."""
-        rested = time.monotonic() - REST_S
+        """Return the most recently used connection that has been idle for MIN_IDLE_BEFORE_REUSE_S, or None."""
+        rested = time.monotonic() - MIN_IDLE_BEFORE_REUSE_S
         for connection in reversed(backend.idle.copy()):
             if connection.idle_since > rested:
                 continue
@@ -430,7 +432,7 @@
         while backend is not None and backend.idle:
             backend.idle[-1].drop()
 
-    def suspect(self, attempt: Attempt) -> None:
+    def close_idle_if_silent(self, attempt: Attempt) -> None:
         """Close a backend's idle connections after a timeout during which no byte was received from it.
 
         Guards against connections that stay open without a peer (a machine that vanished, a network path that dropped
--- a/loadbalancer/upstreams/dialect.py
+++ b/loadbalancer/upstreams/dialect.py
@@ -40,7 +40,7 @@
     repeat_statuses: frozenset[int] | None = None  # 5xx after which another member may be tried; None: all
     repeat_header: bytes | None = None  # a member sets it to request a retry of a request that failed
 
-    def repeats(self, status: int) -> bool:
+    def is_retryable_status(self, status: int) -> bool:
         """Return whether a member's 5xx concerns the path to the application, so that another member may succeed.
 
         Any other 5xx is the application's own answer; it counts against the member's health nevertheless."""
--- a/loadbalancer/upstreams/fastcgi.py
+++ b/loadbalancer/upstreams/fastcgi.py
@@ -160,7 +160,7 @@
         if end != End.ANSWERED or not is_complete:
             self._reject("the streamed answer ended before it was complete")
             return
-        self.hold(False)
+        self.set_reading_paused(False)
         self._finish_attempt(
             AttemptResult.SERVED, _read_load_report(self.pool, self.dialect, self.head), None
         )
--- a/loadbalancer/upstreams/http1.py
+++ b/loadbalancer/upstreams/http1.py
@@ -108,20 +108,20 @@
 
     # Streamed request bodies.
 
-    def take_part(self, data: bytes) -> None:
+    def receive_data(self, data: bytes) -> None:
         assert self.upload is not None
         if self.upload.length is None:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         self._write_queued(data)
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         assert self.upload is not None
         last = b"0\r\n\r\n" if self.upload.length is None else b""
         self.upload = None
         if last:
             self._write_queued(last)
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         """Abort the request: its body will not be completed, which the member sees by the close of the connection."""
         self.fail(AttemptResult.NO_CONNECTION)
 
@@ -341,7 +341,7 @@
         report = self._read_load_report()
         answer, streamed = None, self.stream is not None
         if streamed:
-            self.hold(False)
+            self.set_reading_paused(False)
         elif result == AttemptResult.SERVED or (result == AttemptResult.ERROR and not self.dialect.platform):
             stated = self.length if self.length_only or self.status in BODILESS else None
             answer = self._build_response(b"".join(self.body), stated)
--- a/loadbalancer/upstreams/pacing.py
+++ b/loadbalancer/upstreams/pacing.py
@@ -18,7 +18,7 @@
     def __init__(self, per_s: float, now: float) -> None:
         self.per_s, self._left, self._at = per_s, BURST, now
 
-    def take(self, now: float) -> float:
+    def acquire(self, now: float) -> float:
         """Acquire permission to open a connection: return 0 if granted, else the seconds to wait."""
         self._left = min(BURST, self._left + (now - self._at) * self.per_s)
         self._at = now
--- a/standins/fastcgi.py
+++ b/standins/fastcgi.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Awaitable, Callable, cast
 
-from loadbalancer.fastcgi.application import Aborted, ApplicationSide, Begun, Data, Ended
+from loadbalancer.fastcgi.application import Aborted, ApplicationSide, BodyData, BodyReceived, ParamsReceived
 from loadbalancer.fastcgi.cgi import find_end, read_head, write_answer
 from loadbalancer.fastcgi.records import Decoder, Record, Type, encode, encode_stream, read_end
 from loadbalancer.fastcgi.webserver import encode_request
@@ -37,7 +37,7 @@
         body = status.to_bytes(4, "big") + bytes((protocol, 0, 0, 0))
         self.raw(before + encode(Type.END_REQUEST, self.number, body))
         entry = self.connection.side.open.pop(self.number, None)
-        if entry is not None and not entry.keep:
+        if entry is not None and not entry.keep_connection:
             self.connection.close()
 
     def die(self) -> None:
@@ -66,12 +66,12 @@
 
     def data_received(self, data: bytes) -> None:
         for event in self.side.feed(data):
-            if isinstance(event, Begun):
+            if isinstance(event, ParamsReceived):
                 call = self.calls[event.request] = FcgiCall(event.request, event.params, self)
                 self.application.begun(call)
-            elif isinstance(event, Data):
+            elif isinstance(event, BodyData):
                 self.calls[event.request].body += event.data
-            elif isinstance(event, Ended):
+            elif isinstance(event, BodyReceived):
                 call = self.calls.pop(event.request)
                 call.whole.set()
                 self.application.ended(call)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -34,7 +34,7 @@
 @pytest.fixture(autouse=True)
 def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections to backends are used again at once, so that which one is used does not hang on time."""
-    monkeypatch.setattr(connections, "REST_S", 0.0)
+    monkeypatch.setattr(connections, "MIN_IDLE_BEFORE_REUSE_S", 0.0)
 
 
 @pytest.hookimpl(wrapper=True)
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -38,7 +38,7 @@
 def test_openings_keep_their_pace() -> None:
     pacer, opened, now = Pacer(10.0, 0.0), 0, 0.0
     while now < 2.0:
-        wait = pacer.take(now)
+        wait = pacer.acquire(now)
         opened += wait == 0.0
         now += max(wait, 0.001)
     assert opened <= 20 + BURST
@@ -75,7 +75,7 @@
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
             pool = UpstreamPools(ends, BufferBudget(1 << 20), RateLimitedLogger(), 20, make, 0.5, 15.0)
-            pool.listed("m1", (closed.getsockname(), 0.0), True)
+            pool.update_endpoint("m1", (closed.getsockname(), 0.0), True)
             pool.set_pace(Pacer(2.0 if ends_early else 200.0, time.monotonic()))
             for number in range(6):
                 pool.send(Attempt(job, number, "m1", 0.0, 1.0))
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -520,7 +520,7 @@
     def send(self, data: bytes) -> None:
         self.said.append(data)
 
-    def hold(self, on: bool) -> None:
+    def set_reading_paused(self, on: bool) -> None:
         self.said.append(on)
 
     def finish(self) -> None:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -150,7 +150,7 @@
         backend = ScriptedBackend("s", silent)
         async with world(backend) as here:
             host, port = server.sockets[0].getsockname()
-            here.proxy.upstreams.listed("s", ((host, port), 0.0), True)
+            here.proxy.upstreams.update_endpoint("s", ((host, port), 0.0), True)
             client = await here.connect()
             status, _ = await client.ask(request("unsafe", bytes(64_000)))
             assert {o.result for o in await here.proxy.until_outcomes(1)} == {AttemptResult.NO_CONNECTION}
@@ -263,7 +263,7 @@
 
 
 def test_idle_connections_are_limited_in_number_and_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connections_module, "IDLE_MOST", 1)
+    monkeypatch.setattr(connections_module, "MAX_IDLE_CONNECTIONS", 1)
 
     async def scene() -> None:
         release = asyncio.Event()
@@ -436,7 +436,7 @@
 
 
 def test_connection_is_not_reused_before_the_minimum_idle_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connections_module, "REST_S", 60.0)
+    monkeypatch.setattr(connections_module, "MIN_IDLE_BEFORE_REUSE_S", 60.0)
 
     async def scene() -> None:
         backend = ScriptedBackend("a", answering(OK))
@@ -459,7 +459,7 @@
     async def scene() -> None:
         async with world(ScriptedBackend("a", silent)) as here:
             backends = here.proxy.upstreams
-            backends.listed("odd", (("127.0.0.1", 70_000), 0.0), True)
+            backends.update_endpoint("odd", (("127.0.0.1", 70_000), 0.0), True)
             client = await here.connect()
             assert (await client.ask(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 200
             for server, rounds in [("a", 0), ("a", 1), ("a", 2), ("a", 3), ("odd", 0), ("odd", 3)]:
@@ -492,7 +492,7 @@
             filler.setblocking(False)
             filler.connect_ex(address)
         async with world(ScriptedBackend("s", silent)) as here:
-            here.proxy.upstreams.listed("s", (address, 0.0), True)
+            here.proxy.upstreams.update_endpoint("s", (address, 0.0), True)
             client = await here.connect()
             assert (await client.ask(request("unsafe", None, "60m")))[0] == 503
             assert {o.result for o in await here.proxy.until_outcomes(1)} == {AttemptResult.NO_CONNECTION}
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -553,7 +553,7 @@
                 await asyncio.sleep(0)
             while pool.open != (idle := sum(len(b.idle) for b in pool.endpoints.values())):
                 await asyncio.sleep(0)  # one that was being opened is still to be given up
-            assert idle <= 6 * backend_module.IDLE_MOST
+            assert idle <= 6 * backend_module.MAX_IDLE_CONNECTIONS
             assert here.proxy.budget.held_bytes == 0 and not here.server.idle
             assert not here.proxy.balancer.requests
             assert not any(s.in_flight or s.responding for s in here.proxy.balancer.endpoints.values())
--- a/tests/test_combinations.py
+++ b/tests/test_combinations.py
@@ -104,7 +104,7 @@
 
 def main() -> None:
     """The table of the docs: `PYTHONPATH=.:tests python -m test_combinations`."""
-    connections.REST_S = 0.0  # as conftest.py has it
+    connections.MIN_IDLE_BEFORE_REUSE_S = 0.0  # as conftest.py has it
     for combination in COMBINATIONS:
         total: Counter[str] = Counter()
         for _, test, arguments in SCENES:
--- a/tests/test_fastcgi_codec.py
+++ b/tests/test_fastcgi_codec.py
@@ -10,7 +10,14 @@
 from hypothesis import strategies as st
 
 from loadbalancer.fastcgi import application as app
-from loadbalancer.fastcgi.application import Aborted, ApplicationSide, Begun, Data, Ended, Refused
+from loadbalancer.fastcgi.application import (
+    Aborted,
+    ApplicationSide,
+    BodyData,
+    BodyReceived,
+    ParamsReceived,
+    Refused,
+)
 from loadbalancer.fastcgi.cgi import (
     CgiError,
     find_end,
@@ -140,14 +147,14 @@
     for cut in range(len(data) + 1):
         side = ApplicationSide(1)
         got = events(side, data[:cut]) + events(side, data[cut:])
-        assert got == [Begun(1, dict(PARAMS)), Data(1, b"body"), Ended(1)]
-        assert side.end(1) and not side.closing and not side.confused
+        assert got == [ParamsReceived(1, dict(PARAMS)), BodyData(1, b"body"), BodyReceived(1)]
+        assert side.end(1) and not side.closing and not side.protocol_violation
 
 
 def test_truncated_request_is_not_complete() -> None:
     data = complete_request()
     for cut in range(len(data) - 8):
-        assert not any(isinstance(event, Ended) for event in events(ApplicationSide(1), data[:cut]))
+        assert not any(isinstance(event, BodyReceived) for event in events(ApplicationSide(1), data[:cut]))
 
 
 def test_interleaved_requests_give_the_events_of_each() -> None:
@@ -164,11 +171,11 @@
     side = ApplicationSide(1)
     got = events(side, complete_request(1) + complete_request(2))
     assert Refused(2, Status.OVERLOADED) in got and not any(
-        isinstance(e, Begun) and e.request == 2 for e in got
+        isinstance(e, ParamsReceived) and e.request == 2 for e in got
     )
     (end,) = Decoder().feed(bytes(side.output))
     assert (end.type, end.request, read_end(end.content)) == (Type.END_REQUEST, 2, (0, Status.OVERLOADED))
-    assert not side.confused and 1 in side.open
+    assert not side.protocol_violation and 1 in side.open
 
 
 def test_other_roles_are_refused() -> None:
@@ -202,7 +209,7 @@
     side = ApplicationSide(4)
     events(side, complete_request(99))
     events(side, data)
-    assert side.confused and side.open[99].state == app.State.WHOLE
+    assert side.protocol_violation and side.open[99].state == app.State.WHOLE
     assert events(side, complete_request(5)) == []
 
 
@@ -211,8 +218,8 @@
 )
 def test_records_of_requests_that_are_not_open_are_ignored(data: bytes) -> None:
     side = ApplicationSide(1)
-    assert events(side, data) == [] and not side.confused
-    assert events(side, complete_request())[-1] == Ended(1)
+    assert events(side, data) == [] and not side.protocol_violation
+    assert events(side, complete_request())[-1] == BodyReceived(1)
 
 
 def test_id_of_an_aborted_request_is_free_after_its_end() -> None:
@@ -221,7 +228,7 @@
     assert events(side, encode(Type.ABORT_REQUEST, 1)) == [Aborted(1)]
     assert events(side, encode(Type.ABORT_REQUEST, 1)) == []  # once
     side.end(1)
-    assert events(side, complete_request())[-1] == Ended(1)
+    assert events(side, complete_request())[-1] == BodyReceived(1)
 
 
 def test_connection_closes_after_a_request_without_keep_conn() -> None:
@@ -260,7 +267,7 @@
     whole: set[int] = set()
     for part in split_at(data, cuts):
         for event in side.feed(part):
-            if isinstance(event, Ended):
+            if isinstance(event, BodyReceived):
                 assert event.request not in whole
                 whole.add(event.request)
             elif isinstance(event, Aborted) and event.request in side.open:
@@ -349,8 +356,8 @@
     assert [r.type for r in Decoder().feed(data[:head])] == [Type.BEGIN_REQUEST, Type.PARAMS, Type.PARAMS]
     assert [r.type for r in Decoder().feed(data[head:])] == [Type.STDIN, Type.STDIN]
     for cut in range(head):
-        assert not any(isinstance(e, Begun) for e in events(ApplicationSide(1), data[:cut]))
-    assert any(isinstance(e, Begun) for e in events(ApplicationSide(1), data[:head]))
+        assert not any(isinstance(e, ParamsReceived) for e in events(ApplicationSide(1), data[:cut]))
+    assert any(isinstance(e, ParamsReceived) for e in events(ApplicationSide(1), data[:head]))
 
 
 # CGI.
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -51,13 +51,13 @@
 def test_a_connection_that_came_up_while_the_process_was_held_up_is_used(
     cls: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    open_connection = UpstreamPools._open
+    open_connection = UpstreamPools._open_connection
 
     def open_and_stall(self: UpstreamPools, *arguments: Any) -> None:
         open_connection(self, *arguments)
         asyncio.get_running_loop().call_soon(asyncio.get_running_loop().call_soon, stall)
 
-    monkeypatch.setattr(UpstreamPools, "_open", open_and_stall)
+    monkeypatch.setattr(UpstreamPools, "_open_connection", open_and_stall)
 
     async def scene() -> None:
         backend = ScriptedBackend("a", answering(OK))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -12,32 +12,32 @@
     FirstByte,
 )
 from loadbalancer.streaming.streams import Stream
-from loadbalancer.upstreams.connections import REST_S
+from loadbalancer.upstreams.connections import MIN_IDLE_BEFORE_REUSE_S
 
 LONG = 300_000
 
 
-class End:
+class RecordingEnd:
     """A producer or consumer of a stream that records its calls."""
 
     def __init__(self) -> None:
         self.told: list[object] = []
 
-    def hold(self, on: bool) -> None:
+    def set_reading_paused(self, on: bool) -> None:
         self.told.append(on)
 
-    def take_part(self, data: bytes) -> None:
+    def receive_data(self, data: bytes) -> None:
         self.told.append(data)
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         self.told.append("end")
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         self.told.append("broken")
 
 
 def test_stream_pauses_producer_while_consumer_is_full_and_ends_once() -> None:
-    producer, consumer = End(), End()
+    producer, consumer = RecordingEnd(), RecordingEnd()
     stream = Stream(producer, consumer)
     stream.send(b"a")
     for on in (True, True, False, True):
@@ -49,8 +49,8 @@
     assert not stream.is_stalled() and stream.is_stalled()
     stream.end()
     stream.send(b"b")
-    stream.cut()
-    stream.leave()
+    stream.abort()
+    stream.detach_consumer()
     assert consumer.told == [b"a", "end"] and stream.passed_bytes == 1
 
 
@@ -126,7 +126,7 @@
                 status, _, got = await client.read()
                 assert status == 200 and got == body
                 assert here.proxy.metrics.ended[2] == [number + 1, 0, 0]
-                await asyncio.sleep(2 * REST_S)  # a connection must be idle for REST_S before it is reused
+                await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE_S)  # or it is not reused
             assert backend.connections == (2 if behind else 1)
 
     play(scene)
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -10,7 +10,7 @@
 
 import pytest
 from peers import PATIENCE, SETTINGS, Client, ScriptedBackend, World, answering, play, request, world
-from test_streams import End
+from test_streams import RecordingEnd
 
 from loadbalancer.frontends import http1
 from loadbalancer.policy.events import (
@@ -30,15 +30,15 @@
 PART = bytes(1 << 16)
 
 
-def upload(kept: bytes = b"ab") -> tuple[Upload, End, BufferBudget, list[str]]:
-    client, budget, lost = End(), BufferBudget(100), list[str]()
+def upload(kept: bytes = b"ab") -> tuple[Upload, RecordingEnd, BufferBudget, list[str]]:
+    client, budget, lost = RecordingEnd(), BufferBudget(100), list[str]()
     assert budget.try_acquire_upload(len(kept))
     return Upload(client, None, bytearray(kept), budget, lambda: lost.append("lost")), client, budget, lost
 
 
 def test_a_body_waits_for_its_member_and_is_kept_until_more_has_left() -> None:
     body, client, budget, lost = upload()
-    member = End()
+    member = RecordingEnd()
     assert client.told == [True]
     body.receive(b"c")  # was on its way when the client was held
     body.attach(member)
@@ -55,7 +55,7 @@
 
 def test_a_member_that_ends_before_more_has_left_leaves_it_whole_to_the_next() -> None:
     body, client, budget, lost = upload()
-    first, second = End(), End()
+    first, second = RecordingEnd(), RecordingEnd()
     body.attach(first)
     body.detach(first)
     assert client.told == [True, False, True]
--- a/tests/translated.py
+++ b/tests/translated.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from loadbalancer.fastcgi.application import Aborted, ApplicationSide, Begun, Data, Ended
+from loadbalancer.fastcgi.application import Aborted, ApplicationSide, BodyData, BodyReceived, ParamsReceived
 from loadbalancer.fastcgi.cgi import from_params
 from loadbalancer.fastcgi.records import Type, encode, encode_stream
 from loadbalancer.fastcgi.webserver import encode_request
@@ -133,13 +133,13 @@
     body = b""
     while data := await reader.read(65536):
         for event in side.feed(data):
-            if isinstance(event, Begun):
+            if isinstance(event, ParamsReceived):
                 params, body = event.params, b""
-            elif isinstance(event, Data):
+            elif isinstance(event, BodyData):
                 body += event.data
             elif isinstance(event, Aborted):
                 side.end(event.request)
-            elif isinstance(event, Ended):
+            elif isinstance(event, BodyReceived):
                 asked = from_params(params)
                 lines = b"".join(b"%b: %b\r\n" % pair for pair in asked.headers)
                 head = b"%b %b HTTP/1.1\r\n%b\r\n" % (asked.method, asked.target, lines)
