--- a/loadbalancer/frontends/fastcgi.py
+++ b/loadbalancer/frontends/fastcgi.py
@@ -11,7 +11,14 @@
 import socket
 import time
 
-from loadbalancer.fastcgi.application import Aborted, ApplicationSide, Begun, Data, Ended, Event
+from loadbalancer.fastcgi.application import (
+    Aborted,
+    ApplicationSide,
+    BodyData,
+    BodyReceived,
+    Event,
+    ParamsReceived,
+)
 from loadbalancer.fastcgi.cgi import CgiError, from_params, write_answer
 from loadbalancer.fastcgi.records import Status, Type, encode, encode_stream
 from loadbalancer.frontends.connection import REQUEST_S, FrontConnection, Phase
@@ -68,19 +75,19 @@
         self.stream = stream
         length_lines = [b"Content-Length: %d\r\n" % length] if length is not None else []
         reason_phrase = reason or REASONS.get(status, b"No Reason")
-        self.take_part(
+        self.receive_data(
             b"Status: %d %b\r\n%b\r\n" % (status, reason_phrase, b"".join([*lines, *length_lines]))
         )
 
-    def take_part(self, data: bytes) -> None:
+    def receive_data(self, data: bytes) -> None:
         if not self.ended:
             self.connection.side.output += encode_stream(Type.STDOUT, self.number, data)
             self.connection.flush()
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         self._end_stream(True)
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         """End this request as failed by its application; the other requests on the connection go on."""
         self._end_stream(False)
 
@@ -146,29 +153,29 @@
             self.phase = Phase.HEAD
             if self.request_count:
                 self.since = time.monotonic()
-        was_malformed = bool(self.side.confused)
+        was_malformed = bool(self.side.protocol_violation)
         for event in self.side.feed(data):
             self._handle_event(event)
-        if self.side.confused and not was_malformed:
+        if self.side.protocol_violation and not was_malformed:
             self.record_malformed()
         self.flush()
         self._finish_answer()
 
     def _handle_event(self, event: Event) -> None:
-        if isinstance(event, Begun):
+        if isinstance(event, ParamsReceived):
             self._begin_request(event)
             return
         request = self.requests.get(event.request)
         if request is None or request.ended:
             return
-        if isinstance(event, Data):
+        if isinstance(event, BodyData):
             self._receive_body(request, event.data)
-        elif isinstance(event, Ended):
+        elif isinstance(event, BodyReceived):
             self._complete_request(request)
         elif isinstance(event, Aborted):
             self._abort_request(request)
 
-    def _begin_request(self, event: Begun) -> None:
+    def _begin_request(self, event: ParamsReceived) -> None:
         reader = self.listener.reader
         client = event.params.get(b"REMOTE_ADDR", b"").decode("latin-1")
         # A trusted web server reports the address of its client.
@@ -310,8 +317,8 @@
         """Close the connection, or wait for the next request."""
         if self.transport is None or self.transport.is_closing() or self.phase == Phase.LINGER:
             return
-        last = self.side.closing or self.side.confused
-        if self.requests or (self.side.open and not self.side.confused):
+        last = self.side.closing or self.side.protocol_violation
+        if self.requests or (self.side.open and not self.side.protocol_violation):
             self.phase = Phase.WHOLE if self.requests else Phase.HEAD
         elif last:
             self.phase = Phase.LINGER
--- a/loadbalancer/frontends/http1.py
+++ b/loadbalancer/frontends/http1.py
@@ -256,7 +256,7 @@
         if self.request is not None:
             self.request.owner.upload_not_replayable(self.request)
 
-    def hold(self, on: bool) -> None:
+    def set_reading_paused(self, on: bool) -> None:
         """Pause or resume reading the body, as the member applies backpressure."""
         if self.tunnel is not None:
             self._set_reading(not on)
@@ -440,7 +440,7 @@
             )
         )
 
-    def take_part(self, data: bytes) -> None:
+    def receive_data(self, data: bytes) -> None:
         assert self.transport is not None
         if self._is_closed():
             return
@@ -449,14 +449,14 @@
         else:
             self.transport.write(data)
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         assert self.transport is not None
         if self.chunked and not self._is_closed():
             self.transport.write(b"0\r\n\r\n")
         self._end_stream(True)
         self._finish_answer()
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         """Abort the answer with a reset, so that the client sees that it is incomplete whatever its framing."""
         self._end_stream(False)
         with suppress(OSError):
--- a/loadbalancer/proxy/idempotent_requests.py
+++ b/loadbalancer/proxy/idempotent_requests.py
@@ -270,15 +270,15 @@
         """Not called: the configuration does not allow remembered classes in pools that stream answers."""
         raise AssertionError("answers to remembered keys are buffered, not streamed")
 
-    def take_part(self, data: bytes) -> None:  # noqa: ARG002
+    def receive_data(self, data: bytes) -> None:  # noqa: ARG002
         """Not called; see `begin_answer`."""
         raise AssertionError("answers to remembered keys are buffered, not streamed")
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         """Not called; see `begin_answer`."""
         raise AssertionError("answers to remembered keys are buffered, not streamed")
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         """Not called; see `begin_answer`."""
         raise AssertionError("answers to remembered keys are buffered, not streamed")
 
--- a/loadbalancer/proxy/response_streams.py
+++ b/loadbalancer/proxy/response_streams.py
@@ -47,7 +47,7 @@
             stream.end()
         else:
             self._table.finish(request, RequestResult.FAILED)
-            stream.cut()
+            stream.abort()
 
     def find_stalled(self, now: float) -> list[OpenRequest]:
         """Return the requests whose streams have made no progress for longer than `STALL_S`.
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -38,7 +38,7 @@
 def test_connections_are_opened_at_the_limited_rate() -> None:
     pacer, opened, now = Pacer(10.0, 0.0), 0, 0.0
     while now < 2.0:
-        wait = pacer.take(now)
+        wait = pacer.acquire(now)
         opened += wait == 0.0
         now += max(wait, 0.001)
     assert opened <= 20 + BURST
@@ -75,7 +75,7 @@
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
             pool = UpstreamPools(recorder, BufferBudget(1 << 20), RateLimitedLogger(), 20, make, 0.5, 15.0)
-            pool.listed("m1", (closed.getsockname(), 0.0), True)
+            pool.update_endpoint("m1", (closed.getsockname(), 0.0), True)
             pool.set_pace(Pacer(2.0 if limit_is_removed else 200.0, time.monotonic()))
             for number in range(6):
                 pool.send(Attempt(job, number, "m1", 0.0, 1.0))
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -530,7 +530,7 @@
     def send(self, data: bytes) -> None:
         self.calls.append(data)
 
-    def hold(self, on: bool) -> None:
+    def set_reading_paused(self, on: bool) -> None:
         self.calls.append(on)
 
     def finish(self) -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -568,7 +568,7 @@
                 await asyncio.sleep(0)
             while pool.open != (idle := sum(len(b.idle) for b in pool.endpoints.values())):
                 await asyncio.sleep(0)  # a connection that was being opened is still to be closed
-            assert idle <= 6 * backend_module.IDLE_MOST
+            assert idle <= 6 * backend_module.MAX_IDLE_CONNECTIONS
             assert here.proxy.budget.held_bytes == 0 and not here.server.idle
             assert not here.proxy.balancer.requests
             assert not any(s.in_flight or s.responding for s in here.proxy.balancer.endpoints.values())
--- a/tests/test_combinations.py
+++ b/tests/test_combinations.py
@@ -29,8 +29,8 @@
     "test_expect_continue_is_answered_100": "100 Continue",
     "test_pipelined_requests_are_answered_in_order": "FastCGI multiplexes instead",
     "test_pipelining_flood_is_limited_and_closes_the_connection": "FastCGI multiplexes instead",
-    "test_an_answer_that_ends_with_its_connection_is_whole": "a FastCGI answer ends with its END_REQUEST",
-    "test_each_end_of_an_attempt_is_told_as_its_result['a reset without a length']": "as above",
+    "test_answer_delimited_by_connection_close_is_served": "a FastCGI answer ends with its END_REQUEST",
+    "test_attempt_result_for_each_kind_of_answer['a reset without a length']": "as above",
     "test_aborted_upload_releases_its_buffers": "half a message",
     "test_incomplete_request_is_answered_408": "half a message",
     "test_unused_connection_times_out_and_a_used_one_stays": "a limit patched in http1",
@@ -44,9 +44,9 @@
     "test_drain_serves_open_and_new_requests_and_closes_idle_connections": "Connection: close",
     "test_an_idle_connection_with_an_unread_request_is_not_closed": "bytes in the kernel",
     "test_300_concurrent_requests_are_all_served": "depends on the machine's speed: the translating peers are slow",
-    "test_a_break_before_the_last_byte_is_written_is_no_connection": "the opposite holds for FastCGI",
-    "test_an_answer_without_end_is_spoilt_and_the_request_goes_again": "framing of answers",
-    "test_what_comes_right_behind_an_answer_is_not_the_next_one": "bytes behind an answer",
+    "test_close_before_request_is_sent_completely_gives_no_connection": "the opposite holds for FastCGI",
+    "test_endless_answer_is_a_reset_and_a_keyed_request_is_retried": "framing of answers",
+    "test_bytes_after_an_answer_are_not_read_as_the_next_answer": "bytes behind an answer",
 }
 #: Tests with results that depend on timing: only the total number of answers is compared.
 BY_CHANCE = {"test_many_concurrent_requests_release_all_resources"}
@@ -106,7 +106,7 @@
 
 def main() -> None:
     """Print the table of the documentation: `PYTHONPATH=.:tests python -m test_combinations`."""
-    connections.REST_S = 0.0  # as in conftest.py
+    connections.MIN_IDLE_BEFORE_REUSE_S = 0.0  # as in conftest.py
     for combination in COMBINATIONS:
         total: Counter[str] = Counter()
         for _, test, arguments in SCENES:
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -49,13 +49,13 @@
 # Guards against an attempt that counts as failed although its connection was up in time.
 @pytest.mark.parametrize("cls", ["safe", "keyed", "unsafe"])
 def test_connection_established_during_a_stall_is_used(cls: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    open_connection = UpstreamPools._open
+    open_connection = UpstreamPools._open_connection
 
     def open_and_stall(self: UpstreamPools, *arguments: Any) -> None:
         open_connection(self, *arguments)
         asyncio.get_running_loop().call_soon(asyncio.get_running_loop().call_soon, stall)
 
-    monkeypatch.setattr(UpstreamPools, "_open", open_and_stall)
+    monkeypatch.setattr(UpstreamPools, "_open_connection", open_and_stall)
 
     async def scene() -> None:
         backend = ScriptedBackend("a", answering(OK))
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -20,7 +20,7 @@
     run_with_timeout,
     running_proxy,
 )
-from test_streams import End
+from test_streams import RecordingEnd
 
 from loadbalancer.frontends import http1
 from loadbalancer.policy.events import (
@@ -40,15 +40,15 @@
 PART = bytes(1 << 16)
 
 
-def make_upload(kept: bytes = b"ab") -> tuple[Upload, End, BufferBudget, list[str]]:
-    client, budget, lost = End(), BufferBudget(100), list[str]()
+def make_upload(kept: bytes = b"ab") -> tuple[Upload, RecordingEnd, BufferBudget, list[str]]:
+    client, budget, lost = RecordingEnd(), BufferBudget(100), list[str]()
     assert budget.try_acquire_upload(len(kept))
     return Upload(client, None, bytearray(kept), budget, lambda: lost.append("lost")), client, budget, lost
 
 
 def test_buffered_body_is_sent_on_attach_and_dropped_once_more_is_sent() -> None:
     body, client, budget, lost = make_upload()
-    member = End()
+    member = RecordingEnd()
     assert client.told == [True]
     body.receive(b"c")  # was in flight when the client was paused
     body.attach(member)
@@ -65,7 +65,7 @@
 
 def test_buffered_body_is_sent_again_to_the_next_member() -> None:
     body, client, budget, lost = make_upload()
-    first, second = End(), End()
+    first, second = RecordingEnd(), RecordingEnd()
     body.attach(first)
     body.detach(first)
     assert client.told == [True, False, True]
