--- a/loadbalancer/config/reader.py
+++ b/loadbalancer/config/reader.py
@@ -264,5 +264,5 @@
         return str(ipaddress.IPv4Address(host)), port_number
     except ValueError:
         raise ValueError(
-            f"{text!r} is neither an IPv4 address and a port, such as 127.0.0.1:8080, nor unix:/path"
+            f"{text!r} is not an IPv4 address and a port, such as 127.0.0.1:8080, nor unix:/path"
         ) from None
