--- a/loadbalancer/importer/fates.py
+++ b/loadbalancer/importer/fates.py
@@ -1,30 +1,32 @@
-"""The fate of every directive and parameter of mod_proxy, mod_proxy_balancer and mod_jk. Data alone.
+"""Tables of how each directive and parameter of mod_proxy, mod_proxy_balancer and mod_jk is translated.
 
-docs/operating/importing.md holds these tables, printed by `python -m loadbalancer.importer.fates`; a test compares
-them. Where the fate hangs on the value, this is the usual one, and the report of an import has the one that was met.
+docs/operating/importing.md holds these tables as printed by `python -m loadbalancer.importer.fates`; a test compares
+them. Where the outcome depends on the value, the table gives the usual one and the report of an import the actual one.
 """
 
 from __future__ import annotations
 
 from typing import Mapping, NamedTuple
 
-from loadbalancer.importer.report import Fate
+from loadbalancer.importer.report import Outcome
 
-YES, DIFFERS, NO = Fate.CARRIED, Fate.DIFFERENT, Fate.NONE
+YES, DIFFERS, NO = Outcome.CARRIED, Outcome.DIFFERENT, Outcome.NONE
 
 
 class Entry(NamedTuple):
-    fate: Fate
+    """Holds the outcome of a directive or parameter and the text that explains it in the report."""
+
+    outcome: Outcome
     text: str = ""
 
 
-def _same(fate: Fate, text: str, *names: str) -> dict[str, Entry]:
-    return dict.fromkeys(names, Entry(fate, text))
+def _shared(outcome: Outcome, text: str, *names: str) -> dict[str, Entry]:
+    return dict.fromkeys(names, Entry(outcome, text))
 
 
-#: Directives of httpd's core and of mod_proxy, names in lower case.
+#: Directives of httpd's core and of mod_proxy, by name in lower case.
 HTTPD: Mapping[str, Entry] = {
-    **_same(YES, "taken by the importer", "define", "undefine", "include", "includeoptional", "ifmodule", "ifdefine",
+    **_shared(YES, "taken by the importer", "define", "undefine", "include", "includeoptional", "ifmodule", "ifdefine",
             "ifversion", "iffile", "macro", "use", "undefmacro", "serverroot"),
     "listen": Entry(YES, "a listener"),
     "virtualhost": Entry(YES, "hosts of the routes in it"),
@@ -59,17 +61,17 @@
     "balancergrowth": Entry(YES, "members are added at a reload without a bound"),
     "balancerpersist": Entry(DIFFERS, "marks of operators outlast restarts where [management] says so"),
     "keepalive": Entry(DIFFERS, "connections of clients are kept, by pressure on slots"),
-    **_same(DIFFERS, "connections of clients are kept by pressure on slots", "maxkeepaliverequests",
+    **_shared(DIFFERS, "connections of clients are kept by pressure on slots", "maxkeepaliverequests",
             "keepalivetimeout"),
-    **_same(NO, "", "noproxy", "proxyblock", "proxydomain", "proxyerroroverride", "proxypassinterpolateenv",
+    **_shared(NO, "", "noproxy", "proxyblock", "proxydomain", "proxyerroroverride", "proxypassinterpolateenv",
             "proxyremote", "proxyremotematch", "proxysourceaddress", "proxyftpdircharset", "proxyftpescapewildcards",
             "proxyftplistonwildcard"),
-    **_same(NO, "health calls of mod_proxy_hcheck; members are judged by the answers to requests", "proxyhcexpr",
+    **_shared(NO, "health calls of mod_proxy_hcheck; members are judged by the answers to requests", "proxyhcexpr",
             "proxyhctemplate", "proxyhctpsize"),
     "namevirtualhost": Entry(YES, "is of older versions and says nothing"),
 }  # fmt: skip
 
-#: Parameters of a member (BalancerMember, ProxySet on a worker, ProxyPass to one).
+#: Parameters of a member, given by BalancerMember, by ProxySet on a worker or by ProxyPass to a worker.
 MEMBER: Mapping[str, Entry] = {
     "loadfactor": Entry(YES, "weight"),
     "route": Entry(YES, "route"),
@@ -87,19 +89,19 @@
     "keepalive": Entry(DIFFERS, "idle connections are closed before the member closes them; none is probed"),
     "disablereuse": Entry(YES, "On: idle_connections = 0"),
     "enablereuse": Entry(YES, "Off: idle_connections = 0"),
-    **_same(DIFFERS, "answers are passed on as they come once they are long, and whole otherwise", "flushpackets",
+    **_shared(DIFFERS, "answers are passed on as they come once they are long, and whole otherwise", "flushpackets",
             "flushwait", "flusher"),
-    **_same(DIFFERS, "buffers are sized by [process] memory", "iobuffersize", "receivebuffersize"),
+    **_shared(DIFFERS, "buffers are sized by [process] memory", "iobuffersize", "receivebuffersize"),
     "responsefieldsize": Entry(DIFFERS, "a head of an answer may hold 32 KiB"),
     "addressttl": Entry(YES, "addresses are numbers here and do not change"),
     "nocanon": Entry(DIFFERS, "a path goes on in its one form (targets.py)"),
     "upgrade": Entry(NO, "upgraded connections of this worker"),
-    **_same(NO, "", "ping", "secret", "mapping", "interpolate", "noquery"),
-    **_same(NO, "health calls; members are judged by the answers to requests", "hcmethod", "hcpasses", "hcfails",
+    **_shared(NO, "", "ping", "secret", "mapping", "interpolate", "noquery"),
+    **_shared(NO, "health calls; members are judged by the answers to requests", "hcmethod", "hcpasses", "hcfails",
             "hcinterval", "hcuri", "hcexpr", "hctemplate"),
 }  # fmt: skip
 
-#: Flags of status=, each with its + or -.
+#: Flags of the parameter status, where each flag is preceded by + or -.
 STATUS: Mapping[str, Entry] = {
     "D": Entry(YES, "stopped"),
     "S": Entry(YES, "stopped"),
@@ -113,7 +115,7 @@
     "C": Entry(DIFFERS, "every member is tried at the start; there are no health calls"),
 }
 
-#: Parameters of a balancer (ProxySet, ProxyPass to one).
+#: Parameters of a balancer, given by ProxySet or by ProxyPass to a balancer.
 BALANCER: Mapping[str, Entry] = {
     "lbmethod": Entry(
         YES, "byrequests: a draw by weight; bybusyness is near how members are scored; others are named"
@@ -131,7 +133,7 @@
     "nonce": Entry(YES, "is of the balancer's manager alone"),
 }
 
-#: Directives of mod_jk in httpd's files.
+#: Directives of mod_jk in the configuration files of httpd.
 JK: Mapping[str, Entry] = {
     "jkworkersfile": Entry(YES, "read"),
     "jkworkerproperty": Entry(YES, "read as a line of the workers' file"),
@@ -140,18 +142,18 @@
     "jkunmount": Entry(DIFFERS, "a route that answers 404; httpd would serve files of its own"),
     "jkmountcopy": Entry(YES, "All and On: the server's mounts are those of the hosts too"),
     "jkmountfilereload": Entry(DIFFERS, "SIGHUP takes the file anew"),
-    **_same(DIFFERS, "this proxy logs in its own way", "jklogfile", "jkloglevel", "jklogstampformat",
+    **_shared(DIFFERS, "this proxy logs in its own way", "jklogfile", "jkloglevel", "jklogstampformat",
             "jkrequestlogformat"),
-    **_same(YES, "instances of this proxy share no memory", "jkshmfile", "jkshmsize", "jkwatchdoginterval"),
+    **_shared(YES, "instances of this proxy share no memory", "jkshmfile", "jkshmsize", "jkwatchdoginterval"),
     "jkstripsession": Entry(NO, "the path goes on as it came"),
     "jkautoalias": Entry(NO, "this proxy serves no files"),
-    **_same(NO, "AJP's own; HTTP has no such fields", "jkoptions", "jkenvvar", "jkextractssl", "jkhttpsindicator",
+    **_shared(NO, "AJP's own; HTTP has no such fields", "jkoptions", "jkenvvar", "jkextractssl", "jkhttpsindicator",
             "jkcertsindicator", "jkcipherindicator", "jkcertchainprefix", "jksessionindicator", "jkkeysizeindicator",
             "jksslprotocolindicator", "jklocalnameindicator", "jklocalportindicator", "jkremotehostindicator",
             "jkremoteaddrindicator", "jkremoteportindicator", "jkremoteuserindicator", "jkauthtypeindicator"),
 }  # fmt: skip
 
-#: Properties of a worker.
+#: Properties of a mod_jk worker that is not a balancer.
 JK_WORKER: Mapping[str, Entry] = {
     "type": Entry(NO, "ajp13 and ajp14: this proxy speaks HTTP; say --connector AJPPORT=HTTPPORT for each port"),
     "host": Entry(YES, "address"),
@@ -176,18 +178,18 @@
     "retry_interval": Entry(DIFFERS, "attempts follow one another at once, within a budget"),
     "recovery_options": Entry(DIFFERS, "what may have run goes again only where the route's class says that it may"),
     "max_reply_timeouts": Entry(DIFFERS, "attempts that run out of time count by their share"),
-    **_same(DIFFERS, "no connection is probed; idle ones are closed early", "ping_mode", "ping_timeout",
+    **_shared(DIFFERS, "no connection is probed; idle ones are closed early", "ping_mode", "ping_timeout",
             "connect_timeout", "prepost_timeout", "connection_ping_interval", "socket_keepalive"),
-    **_same(DIFFERS, "the system's buffers are used", "socket_buffer"),
+    **_shared(DIFFERS, "the system's buffers are used", "socket_buffer"),
     "max_packet_size": Entry(YES, "is AJP's own and bounds nothing here"),
     "mount": Entry(YES, "a route"),
     "fail_on_status": Entry(NO, "statuses that put a member out"),
-    **_same(NO, "", "secret", "busy_limit", "prefer_ipv6", "maintain"),
-    **_same(YES, "of older versions: connections are kept by the pool", "cachesize", "cache_timeout",
+    **_shared(NO, "", "secret", "busy_limit", "prefer_ipv6", "maintain"),
+    **_shared(YES, "of older versions: connections are kept by the pool", "cachesize", "cache_timeout",
             "recycle_timeout"),
 }  # fmt: skip
 
-#: Properties of a worker of type lb.
+#: Properties of a mod_jk worker of type lb, which is a balancer.
 JK_BALANCER: Mapping[str, Entry] = {
     "type": Entry(YES, "a pool"),
     "balance_workers": Entry(YES, "its members"),
@@ -201,7 +203,7 @@
     "session_path": Entry(YES, "path_parameter of sticky"),
     "set_session_cookie": Entry(NO, "this proxy sets no cookie"),
     "session_cookie_path": Entry(NO, "this proxy sets no cookie"),
-    **_same(DIFFERS, "a failing member is tried again after 1 s, later each time, 30 s at most", "recover_time",
+    **_shared(DIFFERS, "a failing member is tried again after 1 s, later each time, 30 s at most", "recover_time",
             "error_escalation_time"),
     "retry_interval": Entry(DIFFERS, "attempts follow one another at once, within a budget"),
     "max_reply_timeouts": Entry(DIFFERS, "attempts that run out of time count by their share"),
@@ -209,7 +211,7 @@
     "mount": Entry(YES, "a route"),
 }  # fmt: skip
 
-#: Extensions behind a rule of a uriworkermap.
+#: Extensions of a rule in a uriworkermap file, written after `;`.
 JK_MOUNT: Mapping[str, Entry] = {
     "-": Entry(YES, "the rule is switched off"),
     "reply_timeout": Entry(DIFFERS, "the deadline of a whole request, not of each wait"),
@@ -235,13 +237,15 @@
 
 
 def document() -> str:
-    """All tables as they stand in the docs."""
-    out = []
+    """Return all tables in Markdown, as the documentation holds them."""
+    lines = []
     for title, table in TABLES:
-        out += [f"### {title}", "", "| name | fate | |", "| --- | --- | --- |"]
-        out += [f"| `{name}` | {entry.fate.value} | {entry.text} |" for name, entry in sorted(table.items())]
-        out.append("")
-    return "\n".join(out)
+        lines += [f"### {title}", "", "| name | fate | |", "| --- | --- | --- |"]
+        lines += [
+            f"| `{name}` | {entry.outcome.value} | {entry.text} |" for name, entry in sorted(table.items())
+        ]
+        lines.append("")
+    return "\n".join(lines)
 
 
 if __name__ == "__main__":
--- a/loadbalancer/importer/httpd.py
+++ b/loadbalancer/importer/httpd.py
@@ -1,9 +1,10 @@
-"""The configuration language of httpd: text into a tree of directives, with what it includes, defines and expands.
+"""Parses the configuration language of httpd into a tree of directives.
 
-Grammar (httpd's manual, "Configuration Files"): a directive a line, a name and arguments in words, quotes around words
-that hold spaces, sections `<Name arguments>` to `</Name>`, names in any case. What the language itself decides
-(Include, Define, IfModule, IfDefine, IfVersion, Macro and Use) is decided here; what a directive means is meaning.py's.
-Nothing is dropped: a directive in a section that is not in force stays in the tree, marked with why.
+Grammar (httpd's manual, "Configuration Files"): each line holds a directive, that is a name and arguments; arguments
+with spaces are quoted; sections run from `<Name arguments>` to `</Name>`; names are case-insensitive. This module
+evaluates the directives of the language itself (Include, Define, IfModule, IfDefine, IfVersion, Macro and Use);
+meaning.py translates the others. Nothing is dropped: a directive in a section whose condition is false stays in the
+tree, together with the reason why it is inactive.
 """
 
 from __future__ import annotations
@@ -13,19 +14,19 @@
 from typing import Iterator, Mapping, Sequence
 
 from loadbalancer.importer.source import (
-    DEPTH_MOST,
-    INCLUDES_MOST,
-    Place,
-    Reading,
+    MAX_INCLUDE_DEPTH,
+    MAX_SECTION_DEPTH,
+    Position,
     SourceError,
+    SourceReader,
     logical_lines,
 )  # fmt: skip
 
 VARIABLE = re.compile(r"\$\{([^${}\s]+)\}")
 SECTION = re.compile(r"<\s*(/?)\s*([A-Za-z][A-Za-z0-9_.]*)\s*(.*?)\s*(>?)$", re.DOTALL)
 VERSION = re.compile(r"(\d+)(?:\.(\d+))?(?:\.(\d+))?$")
-#: What a proxy of httpd can't be without; a condition on any of these holds though no LoadModule names it.
-ALWAYS = frozenset((
+#: Modules that every httpd proxy has: <IfModule> is true for them even if no LoadModule names them.
+BUILT_IN_MODULES = frozenset((
     "core", "core.c", "core_module", "mod_so.c", "so_module", "http_core.c", "http_module", "mod_proxy.c",
     "proxy_module",
     "mod_proxy_http.c", "proxy_http_module", "mod_proxy_balancer.c", "proxy_balancer_module",
@@ -34,38 +35,40 @@
 
 @dataclass(slots=True)
 class Directive:
-    """One directive, or a section with what stands in it."""
+    """Holds one directive, or a section with the directives in it."""
 
-    name: str  # as it is written
+    name: str  # as it is written in the file
     args: list[str]
-    place: Place
-    children: list[Directive] | None = None  # of a section
-    idle: str = ""  # why it is not in force
+    position: Position
+    children: list[Directive] | None = None  # None unless it is a section
+    inactive_reason: str = ""  # why it has no effect; empty if it is active
 
     @property
     def key(self) -> str:
         return self.name.lower()
 
     def walk(self) -> Iterator[Directive]:
-        """This one and all within it, in order."""
+        """Yield this directive and all directives within it, in file order."""
         stack = [self]
         while stack:
-            one = stack.pop()
-            yield one
-            stack.extend(reversed(one.children or ()))
+            directive = stack.pop()
+            yield directive
+            stack.extend(reversed(directive.children or ()))
 
 
 @dataclass(slots=True)
 class Given:
-    """What the command line of httpd, or its build, says: the import is told, it does not look."""
+    """Describes the build and command line of httpd as the caller gives them; the importer doesn't inspect httpd."""
 
     modules: set[str] = field(default_factory=set)
     version: tuple[int, int, int] = (2, 4, 62)
-    root: str = ""  # ServerRoot, that relative names of included files start from
+    server_root: str = ""  # ServerRoot, against which relative names of included files are resolved
 
 
 @dataclass(slots=True)
 class _Macro:
+    """Holds the definition of a macro; `body` has the line numbers and the unexpanded lines."""
+
     name: str
     params: list[str]
     body: list[tuple[int, str]]
@@ -74,15 +77,15 @@
 
 @dataclass(slots=True)
 class _Frame:
-    """A section that is open. `into`: where its directives go, also those of a condition's section."""
+    """Holds a section that is not closed yet, and the list to which its directives are added."""
 
     directive: Directive
-    into: list[Directive]
-    idle: str
+    destination: list[Directive]
+    inactive_reason: str
 
 
-def words(text: str, place: Place) -> list[str]:
-    """The arguments of a directive: words, or what stands between quotes, in which a backslash keeps a quote."""
+def split_arguments(text: str, position: Position) -> list[str]:
+    """Split the arguments of a directive at white space, except inside quotes, where a backslash escapes a quote."""
     found: list[str] = []
     at = 0
     while at < len(text):
@@ -96,7 +99,7 @@
                 word.append(text[at])
                 at += 1
             if at >= len(text):
-                raise SourceError(place, f"a quote {quote} that is not closed")
+                raise SourceError(position, f"a quote {quote} that is not closed")
             at += 1
             found.append("".join(word))
         else:
@@ -109,242 +112,265 @@
 
 
 class Parser:
-    """Reads files into one tree. It is used once."""
+    """Parses a file and all files that it includes into one tree. An instance is used once."""
 
-    def __init__(self, reading: Reading, given: Given) -> None:
-        self.reading, self.given = reading, given
+    def __init__(self, reader: SourceReader, environment: Given) -> None:
+        self.reader, self.environment = reader, environment
         self.variables: dict[str, str] = {}
-        self.modules = {name.lower() for name in given.modules} | ALWAYS
+        self.modules = {name.lower() for name in environment.modules} | BUILT_IN_MODULES
         self.macros: dict[str, _Macro] = {}
-        self.files: list[str] = []  # that are open, each included by the one before
-        self.top: list[Directive] = []
-        self.open: list[_Frame] = []
-        self.root = given.root
+        self.open_files: list[str] = []  # each is included by the one before it
+        self.roots: list[Directive] = []
+        self.open_sections: list[_Frame] = []
+        self.server_root = environment.server_root
         self._recording: tuple[_Macro, Directive] | None = None
 
     def parse(self, path: str) -> list[Directive]:
-        """The directives of a file and of all that it includes; SourceError at the first that can't be read."""
-        self._file(path, None)
-        return self.top
-
-    def _file(self, path: str, by: Place | None) -> None:
-        if path in self.files:
-            cycle = " includes ".join([*self.files[self.files.index(path) :], path])
-            raise SourceError(by or Place(path, 0), f"an include cycle: {cycle}")
-        if len(self.files) >= INCLUDES_MOST:
-            raise SourceError(by or Place(path, 0), f"more than {INCLUDES_MOST} files within one another")
-        depth = len(self.open)
-        self.files.append(path)
-        for number, line in logical_lines(self.reading.text(path, by), path):
-            self._line(line, Place(path, number))
-        self.files.pop()
+        """Return the directives of a file and its included files; raise SourceError at the first invalid one."""
+        self._parse_file(path, None)
+        return self.roots
+
+    def _parse_file(self, path: str, included_at: Position | None) -> None:
+        if path in self.open_files:
+            cycle = " includes ".join([*self.open_files[self.open_files.index(path) :], path])
+            raise SourceError(included_at or Position(path, 0), f"an include cycle: {cycle}")
+        if len(self.open_files) >= MAX_INCLUDE_DEPTH:
+            raise SourceError(
+                included_at or Position(path, 0),
+                f"more than {MAX_INCLUDE_DEPTH} nested included files",
+            )
+        depth = len(self.open_sections)
+        self.open_files.append(path)
+        for number, line in logical_lines(self.reader.read_text(path, included_at), path):
+            self._parse_line(line, Position(path, number))
+        self.open_files.pop()
         if self._recording is not None:
-            raise SourceError(self._recording[1].place, "<Macro> is not closed in its file")
-        if len(self.open) != depth:
-            frame = self.open[-1].directive
-            raise SourceError(frame.place, f"<{frame.name}> is not closed in its file")
+            raise SourceError(self._recording[1].position, "<Macro> is not closed in its file")
+        if len(self.open_sections) != depth:
+            frame = self.open_sections[-1].directive
+            raise SourceError(frame.position, f"<{frame.name}> is not closed in its file")
 
-    def _line(self, line: str, place: Place) -> None:
+    def _parse_line(self, line: str, position: Position) -> None:
         if self._recording is not None:
-            self._record(line, place)
+            self._record_macro_line(line, position)
             return
-        line = self._substitute(line, place)
+        line = self._substitute(line, position)
         if line.startswith("<"):
-            self._section(line, place)
+            self._parse_section(line, position)
             return
         name, _, rest = line.partition(" ") if " " in line else line.partition("\t")
         if "\t" in name:
             name, _, more = name.partition("\t")
             rest = f"{more} {rest}"
-        self._directive(Directive(name, words(rest, place), place))
+        self._add_directive(Directive(name, split_arguments(rest, position), position))
+
+    def _substitute(self, line: str, position: Position) -> str:
+        """Replace each `${NAME}` by the value that Define gave it.
 
-    def _substitute(self, line: str, place: Place) -> str:
-        """`${NAME}` of Define. One that is not defined is left as it stands by httpd, with a warning: here it is an
-        error, since what the environment of httpd holds is not known."""
-        if "${" not in line or (self.open and self.open[-1].idle):
+        An undefined name is an error here, since the environment of httpd is unknown; httpd leaves it in place with a
+        warning.
+        """
+        if "${" not in line or (self.open_sections and self.open_sections[-1].inactive_reason):
             return line
 
         def value(match: re.Match[str]) -> str:
             if match[1] not in self.variables:
-                raise SourceError(place, f"${{{match[1]}}} is not defined; say --define {match[1]}=VALUE")
+                raise SourceError(position, f"${{{match[1]}}} is not defined; use --define {match[1]}=VALUE")
             return self.variables[match[1]]
 
         return VARIABLE.sub(value, line)
 
-    def _into(self) -> list[Directive]:
-        return self.open[-1].into if self.open else self.top
+    def _destination(self) -> list[Directive]:
+        return self.open_sections[-1].destination if self.open_sections else self.roots
 
-    def _idle(self) -> str:
-        return self.open[-1].idle if self.open else ""
+    def _inactive_reason(self) -> str:
+        return self.open_sections[-1].inactive_reason if self.open_sections else ""
 
-    # Directives that the language itself takes.
+    # Directives of the language itself.
 
-    def _directive(self, made: Directive) -> None:
-        self.reading.count(made.place)
-        made.idle = self._idle()
-        self._into().append(made)
-        if made.idle:
+    def _add_directive(self, directive: Directive) -> None:
+        self.reader.count_directive(directive.position)
+        directive.inactive_reason = self._inactive_reason()
+        self._destination().append(directive)
+        if directive.inactive_reason:
             return
-        if made.key in ("include", "includeoptional"):
-            self._include(made)
-        elif made.key == "define":
-            self._define(made)
-        elif made.key == "undefine":
-            for name in made.args[:1]:
+        if directive.key in ("include", "includeoptional"):
+            self._include(directive)
+        elif directive.key == "define":
+            self._define(directive)
+        elif directive.key == "undefine":
+            for name in directive.args[:1]:
                 self.variables.pop(name, None)
-        elif made.key == "loadmodule" and made.args:
-            self.modules.add(made.args[0].lower())
-            if len(made.args) > 1:  # modules/mod_x.so: conditions may name it by its source, mod_x.c
-                self.modules.add(made.args[1].rpartition("/")[2].removesuffix(".so").lower() + ".c")
-        elif made.key == "serverroot" and made.args:
-            self.root = made.args[0]
-        elif made.key == "use":
-            self._use(made)
-
-    def _define(self, made: Directive) -> None:
-        if not 1 <= len(made.args) <= 2:
-            raise SourceError(made.place, "Define takes a name, and a value if any")
-        self.variables[made.args[0]] = made.args[1] if len(made.args) == 2 else ""
-
-    def _include(self, made: Directive) -> None:
-        if len(made.args) != 1:
-            raise SourceError(made.place, f"{made.name} takes one file, folder or pattern")
-        wanted = made.args[0]
-        if not wanted.startswith("/"):
-            base = self.root or self.files[0].rpartition("/")[0]
-            wanted = f"{base}/{wanted}" if base else wanted
-        plain = not any(c in wanted for c in "*?[")
-        names = self.reading.opener.match(wanted)
-        if not names and made.key == "include":
-            what = "there is no such file" if plain else "the pattern names no file"
+        elif directive.key == "loadmodule" and directive.args:
+            self.modules.add(directive.args[0].lower())
+            if len(directive.args) > 1:  # <IfModule> may name modules/mod_x.so by its source file, mod_x.c
+                self.modules.add(directive.args[1].rpartition("/")[2].removesuffix(".so").lower() + ".c")
+        elif directive.key == "serverroot" and directive.args:
+            self.server_root = directive.args[0]
+        elif directive.key == "use":
+            self._expand_macro(directive)
+
+    def _define(self, directive: Directive) -> None:
+        if not 1 <= len(directive.args) <= 2:
+            raise SourceError(
+                directive.position,
+                f"Define takes a name and an optional value, not {len(directive.args)} arguments",
+            )
+        self.variables[directive.args[0]] = directive.args[1] if len(directive.args) == 2 else ""
+
+    def _include(self, directive: Directive) -> None:
+        if len(directive.args) != 1:
             raise SourceError(
-                made.place, f"Include {made.args[0]}: {what}; IncludeOptional would pass that over"
+                directive.position,
+                f"{directive.name} takes one file, directory or pattern, not {len(directive.args)} arguments",
+            )
+        pattern = directive.args[0]
+        if not pattern.startswith("/"):
+            base = self.server_root or self.open_files[0].rpartition("/")[0]
+            pattern = f"{base}/{pattern}" if base else pattern
+        plain = not any(c in pattern for c in "*?[")
+        names = self.reader.opener.match(pattern)
+        if not names and directive.key == "include":
+            failure = "there is no such file" if plain else "no file matches the pattern"
+            raise SourceError(
+                directive.position,
+                f"Include {directive.args[0]}: {failure}; IncludeOptional would ignore that",
             )
         for name in names:
-            self._file(name, made.place)
+            self._parse_file(name, directive.position)
 
     # Macros.
 
-    def _record(self, line: str, place: Place) -> None:
+    def _record_macro_line(self, line: str, position: Position) -> None:
         assert self._recording is not None
         macro, section = self._recording
         match = SECTION.match(line)
         if match and match[2].lower() == "macro":
             if not match[1]:
-                raise SourceError(place, "a <Macro> within a <Macro>")
+                raise SourceError(position, "a <Macro> within a <Macro>")
             self._recording = None
             return
-        macro.body.append((place.line, line))
-        self.reading.count(place)
+        macro.body.append((position.line, line))
+        self.reader.count_directive(position)
 
-    def _use(self, made: Directive) -> None:
-        if not made.args:
-            raise SourceError(made.place, "Use takes the name of a macro and its arguments")
-        macro = self.macros.get(made.args[0].lower())
+    def _expand_macro(self, directive: Directive) -> None:
+        if not directive.args:
+            raise SourceError(
+                directive.position, "Use takes the name of a macro and its arguments; no name is given"
+            )
+        macro = self.macros.get(directive.args[0].lower())
         if macro is None:
-            raise SourceError(made.place, f"there is no <Macro {made.args[0]}> before this")
-        given = made.args[1:]
-        if len(given) != len(macro.params):
+            raise SourceError(directive.position, f"there is no <Macro {directive.args[0]}> before this")
+        arguments = directive.args[1:]
+        if len(arguments) != len(macro.params):
             raise SourceError(
-                made.place, f"macro {macro.name} takes {len(macro.params)} arguments, {len(given)} are given"
+                directive.position,
+                f"macro {macro.name} takes {len(macro.params)} arguments, {len(arguments)} are given",
             )
-        if made.place.via.count(" in ") >= INCLUDES_MOST:
-            raise SourceError(made.place, f"more than {INCLUDES_MOST} macros within one another")
-        via = f"Use {macro.name} at {made.place.file}:{made.place.line}"
-        via += f" in {made.place.via}" if made.place.via else ""
-        # The longest names first, so that $a does not take a part of $ab.
-        pairs = sorted(zip(macro.params, given, strict=True), key=lambda pair: -len(pair[0]))
-        depth = len(self.open)
+        if directive.position.via.count(" in ") >= MAX_INCLUDE_DEPTH:
+            raise SourceError(directive.position, f"more than {MAX_INCLUDE_DEPTH} nested macro uses")
+        via = f"Use {macro.name} at {directive.position.file}:{directive.position.line}"
+        via += f" in {directive.position.via}" if directive.position.via else ""
+        # Replace the longest names first, so that $a does not match a part of $ab.
+        pairs = sorted(zip(macro.params, arguments, strict=True), key=lambda pair: -len(pair[0]))
+        depth = len(self.open_sections)
         for number, line in macro.body:
             for name, value in pairs:
                 line = line.replace(name, value)
-            self._line(line, Place(macro.file, number, via))
-        if len(self.open) != depth:
-            raise SourceError(made.place, f"macro {macro.name} leaves a section open")
+            self._parse_line(line, Position(macro.file, number, via))
+        if len(self.open_sections) != depth:
+            raise SourceError(directive.position, f"macro {macro.name} leaves a section open")
 
     # Sections.
 
-    def _section(self, line: str, place: Place) -> None:
+    def _parse_section(self, line: str, position: Position) -> None:
         match = SECTION.match(line)
         if match is None or not match[4]:
-            raise SourceError(place, f"{line[:40]!r} is no section; <Name ...> or </Name> is wanted")
+            raise SourceError(position, f"{line[:40]!r} is not a section; expected <Name ...> or </Name>")
         if match[1]:
-            self._close(match[2], place)
+            self._close_section(match[2], position)
             return
-        self.reading.count(place)
-        made = Directive(match[2], words(match[3], place), place, [], self._idle())
-        if len(self.open) >= DEPTH_MOST:
-            raise SourceError(place, f"more than {DEPTH_MOST} sections within one another")
-        self._into().append(made)
-        if made.key == "macro" and not made.idle:
-            self._begin_macro(made)
+        self.reader.count_directive(position)
+        directive = Directive(
+            match[2], split_arguments(match[3], position), position, [], self._inactive_reason()
+        )
+        if len(self.open_sections) >= MAX_SECTION_DEPTH:
+            raise SourceError(position, f"more than {MAX_SECTION_DEPTH} nested sections")
+        self._destination().append(directive)
+        if directive.key == "macro" and not directive.inactive_reason:
+            self._begin_macro(directive)
             return
-        idle = made.idle or self._untrue(made)
-        assert made.children is not None
-        self.open.append(_Frame(made, made.children, idle))
-
-    def _begin_macro(self, made: Directive) -> None:
-        if not made.args:
-            raise SourceError(made.place, "<Macro> takes a name and its parameters")
-        name, *params = made.args
+        inactive_reason = directive.inactive_reason or self._unmet_condition(directive)
+        assert directive.children is not None
+        self.open_sections.append(_Frame(directive, directive.children, inactive_reason))
+
+    def _begin_macro(self, directive: Directive) -> None:
+        if not directive.args:
+            raise SourceError(directive.position, "<Macro> takes a name and its parameters; no name is given")
+        name, *params = directive.args
         if bad := next((p for p in params if p[:1] not in "$%@" or len(p) < 2), None):
-            raise SourceError(made.place, f"parameter {bad!r}: one of $ % @ and a name is wanted")
-        macro = self.macros[name.lower()] = _Macro(name, params, [], made.place.file)
-        self._recording = macro, made
-
-    def _close(self, name: str, place: Place) -> None:
-        if not self.open or self.open[-1].directive.key != name.lower():
-            found = f"<{self.open[-1].directive.name}> is open" if self.open else "no section is open"
-            raise SourceError(place, f"</{name}> closes nothing: {found}")
-        self.open.pop()
-
-    def _untrue(self, made: Directive) -> str:
-        """Why what stands in a section of a condition is not in force; empty where it is, and for other sections."""
-        if made.key not in ("ifmodule", "ifdefine", "ifversion", "iffile"):
+            raise SourceError(directive.position, f"parameter {bad!r}: expected one of $ % @ and a name")
+        macro = self.macros[name.lower()] = _Macro(name, params, [], directive.position.file)
+        self._recording = macro, directive
+
+    def _close_section(self, name: str, position: Position) -> None:
+        if not self.open_sections or self.open_sections[-1].directive.key != name.lower():
+            found = (
+                f"<{self.open_sections[-1].directive.name}> is open"
+                if self.open_sections
+                else "no section is open"
+            )
+            raise SourceError(position, f"</{name}> closes nothing: {found}")
+        self.open_sections.pop()
+
+    def _unmet_condition(self, directive: Directive) -> str:
+        """Return why the content of a section is inactive; empty if its condition is true or it isn't a condition."""
+        if directive.key not in ("ifmodule", "ifdefine", "ifversion", "iffile"):
             return ""
-        if not made.args:
-            raise SourceError(made.place, f"<{made.name}> takes a condition")
-        if made.key == "ifversion":
-            true = self._is_version(made)
+        if not directive.args:
+            raise SourceError(directive.position, f"<{directive.name}> takes a condition; none is given")
+        if directive.key == "ifversion":
+            holds = self._version_matches(directive)
         else:
-            name = made.args[0]
+            name = directive.args[0]
             bare = name.removeprefix("!")
-            if made.key == "ifmodule":
-                true = bare.lower() in self.modules
-            elif made.key == "ifdefine":
-                true = bare in self.variables
+            if directive.key == "ifmodule":
+                holds = bare.lower() in self.modules
+            elif directive.key == "ifdefine":
+                holds = bare in self.variables
             else:
-                true = bool(self.reading.opener.match(bare))
-            true = true != name.startswith("!")
-        return "" if true else f"<{made.name} {' '.join(made.args)}> does not hold"
-
-    def _is_version(self, made: Directive) -> bool:
-        args = list(made.args)
-        sign = args.pop(0) if len(args) > 1 else "="
-        turned = sign.startswith("!")
+                holds = bool(self.reader.opener.match(bare))
+            holds = holds != name.startswith("!")
+        return "" if holds else f"<{directive.name} {' '.join(directive.args)}> does not hold"
+
+    def _version_matches(self, directive: Directive) -> bool:
+        args = list(directive.args)
+        operator = args.pop(0) if len(args) > 1 else "="
+        negated = operator.startswith("!")
         match = VERSION.match(args[0])
-        if match is None or sign.removeprefix("!") not in ("=", "==", ">", ">=", "<", "<="):
+        if match is None or operator.removeprefix("!") not in ("=", "==", ">", ">=", "<", "<="):
             raise SourceError(
-                made.place, "<IfVersion> takes =, >, >=, < or <= and a version; patterns are not read"
+                directive.position,
+                "<IfVersion>: expected =, >, >=, < or <= and a version; patterns are not supported",
             )
-        wanted = tuple(int(part) for part in match.groups() if part is not None)
-        mine: Sequence[int] = self.given.version[: len(wanted)]
-        mine = tuple(mine)
-        true = {
-            "=": mine == wanted,
-            "==": mine == wanted,
-            ">": mine > wanted,
-            ">=": mine >= wanted,
-            "<": mine < wanted,
-            "<=": mine <= wanted,
-        }[sign.removeprefix("!")]
-        return true != turned
+        expected = tuple(int(part) for part in match.groups() if part is not None)
+        current: Sequence[int] = self.environment.version[: len(expected)]
+        current = tuple(current)
+        holds = {
+            "=": current == expected,
+            "==": current == expected,
+            ">": current > expected,
+            ">=": current >= expected,
+            "<": current < expected,
+            "<=": current <= expected,
+        }[operator.removeprefix("!")]
+        return holds != negated
 
 
 def parse(
-    reading: Reading, path: str, given: Given, variables: Mapping[str, str]
+    reader: SourceReader, path: str, environment: Given, variables: Mapping[str, str]
 ) -> tuple[list[Directive], Mapping[str, str]]:
-    """The tree of a file, and the variables that were given and that it has defined."""
-    parser = Parser(reading, given)
+    """Return the directive tree of a file, and the variables with those that the file defines."""
+    parser = Parser(reader, environment)
     parser.variables.update(variables)
     return parser.parse(path), parser.variables
--- a/loadbalancer/importer/jkmeaning.py
+++ b/loadbalancer/importer/jkmeaning.py
@@ -1,10 +1,10 @@
-"""What mod_jk's workers and mounts mean: pools and rules, with a fate for each property. Pure.
+"""Translates the workers and mounts of mod_jk into pools and rules, and reports each property. No I/O.
 
-mod_jk speaks AJP to ports that speak nothing else. A worker of type ajp13 is carried over only where the caller says
-which HTTP port stands beside its AJP port (`--connector 8009=8080`); otherwise its type is named, and nothing is
-guessed.
+mod_jk speaks AJP to ports that accept only AJP. A worker of type ajp13 is carried over only if the caller gives the
+HTTP port that belongs to its AJP port (`--connector 8009=8080`). Otherwise its properties are reported as having no
+equivalent; no port is guessed.
 
-Order of mounts: whole paths, then patterns by length, the longest first; an exclusion stands above the mounts of its
+Order of mounts: exact paths, then patterns by length, the longest first; an exclusion precedes the mounts of its
 worker.
 """
 
@@ -13,23 +13,29 @@
 from typing import Iterable, Mapping
 
 from loadbalancer.importer.fates import JK_BALANCER, JK_MOUNT, JK_WORKER, Entry
-from loadbalancer.importer.jk import Mount, Property, Workers, names
+from loadbalancer.importer.jk import Mount, Property, WorkerProperties, split_list
 from loadbalancer.importer.meaning import Target
-from loadbalancer.importer.order import Kind, Rule
-from loadbalancer.importer.report import Fate, Report
-from loadbalancer.importer.setup import Member, Names, Pool, Setup, fit
-from loadbalancer.importer.source import Place
-from loadbalancer.importer.workers import BadValueError, Balancer, Hosts, number, session_name
-
-#: mod_jk's own figures: AJP's port, and the session's names of servlet containers.
-PORT, COOKIE, PARAMETER = "8009", "JSESSIONID", "jsessionid"
-#: Two attempts, as mod_jk's retries has it.
-RETRIES = 2
-#: References from one worker to another.
-REFERENCES_MOST = 10
-#: Properties in milliseconds and in seconds of which the least of the members holds for the pool.
-LEAST_MS = {"socket_connect_timeout": "connect_timeout", "reply_timeout": "deadline"}
-LEAST_S = {"socket_timeout": "deadline", "connection_pool_timeout": "idle_close"}
+from loadbalancer.importer.order import Rule, RuleKind
+from loadbalancer.importer.report import Outcome, Report
+from loadbalancer.importer.setup import Member, Pool, Setup, UniqueNames, sanitize_name
+from loadbalancer.importer.source import Position
+from loadbalancer.importer.workers import (
+    BadValueError,
+    Balancer,
+    HostAddresses,
+    parse_integer,
+    parse_session_name,
+)
+
+#: Defaults of mod_jk: the AJP port, and the names by which servlet containers store the session.
+DEFAULT_PORT, DEFAULT_COOKIE, DEFAULT_PARAMETER = "8009", "JSESSIONID", "jsessionid"
+#: Attempts per request, the default of mod_jk's retries.
+DEFAULT_ATTEMPTS = 2
+#: Longest chain of references from one worker to another.
+MAX_REFERENCE_DEPTH = 10
+#: Properties in milliseconds, and in seconds, whose minimum over the members becomes a setting of the pool.
+MINIMUM_FIELDS_MS = {"socket_connect_timeout": "connect_timeout", "reply_timeout": "deadline"}
+MINIMUM_FIELDS_S = {"socket_timeout": "deadline", "connection_pool_timeout": "idle_close"}
 STATES = {
     "a": "serving",
     "active": "serving",
@@ -52,300 +58,317 @@
 }
 
 
-def truth(value: str) -> bool:
+def parse_boolean(value: str) -> bool:
+    """Return the value of a boolean property; raise BadValueError if it is neither true nor false."""
     word = value.lower()
     if word in ("1", "true", "t", "yes", "y", "on"):
         return True
     if word in ("0", "false", "f", "no", "n", "off"):
         return False
-    raise BadValueError(f"{value!r}: true or false is wanted")
+    raise BadValueError(f"{value!r}: expected true or false")
 
 
-class JkMeaning:
-    """Reads the workers once, then any number of maps."""
+class JkTranslator:
+    """Translates the workers once, then any number of maps."""
 
     def __init__(
-        self, report: Report, hosts: Hosts, connectors: Mapping[str, str], setup: Setup, names_: Names
+        self,
+        report: Report,
+        hosts: HostAddresses,
+        connectors: Mapping[str, str],
+        setup: Setup,
+        unique_names: UniqueNames,
     ) -> None:
-        """`connectors`: HTTP ports by the AJP ports beside them."""
+        """`connectors` maps AJP ports to the HTTP ports of the same servers."""
         self.report, self.hosts, self.connectors = report, hosts, connectors
-        self.setup, self.names = setup, names_
+        self.setup, self.unique_names = setup, unique_names
         self.by_worker: dict[str, dict[str, Property]] = {}
         self.balancers: dict[str, Balancer] = {}
-        self._told: set[tuple[Place, str]] = set()
+        self._reported: set[tuple[Position, str]] = set()
 
     # Workers.
 
-    def read(self, workers: Workers) -> None:
+    def translate(self, workers: WorkerProperties) -> None:
         self.by_worker = workers.by_worker()
         kinds = {name: self._value(name, "type") or "ajp13" for name in self.by_worker if name}
-        held = {member for name, kind in kinds.items() if kind == "lb" for member in self._members(name)}
-        self._general(workers)
+        member_names = {
+            member for name, kind in kinds.items() if kind == "lb" for member in self._member_names(name)
+        }
+        self._report_general(workers)
         for name, kind in kinds.items():
-            if kind == "lb" and name in held:
-                self._refuse(name, f"{name} is a balancer and a member of one; two names are wanted")
+            if kind == "lb" and name in member_names:
+                self._reject(name, f"{name} is both a balancer and a member of one; give them two names")
             elif kind == "lb":
                 self._balancer(name)
             elif kind in ("ajp13", "ajp14"):
-                if name not in held:
-                    self._alone(name)
+                if name not in member_names:
+                    self._single_member_balancer(name)
             else:
-                self._refuse(name, f"type {kind}: lb, ajp13 or ajp14 is wanted")
-        for one in workers.properties:  # whatever nobody has met
-            if one.worker and (one.place, one.name) not in self._told:
-                entry = (JK_BALANCER if kinds.get(one.worker) == "lb" else JK_WORKER).get(one.key)
-                self._tell(one, *(entry or Entry(Fate.NONE, "is no property of a worker that mod_jk has")))
-
-    def _general(self, workers: Workers) -> None:
-        """The lines that are no worker's."""
-        for one in workers.properties:
-            if one.worker:
+                self._reject(name, f"type {kind}: expected lb, ajp13 or ajp14")
+        for prop in workers.properties:  # the properties that are not reported yet
+            if prop.worker and (prop.position, prop.name) not in self._reported:
+                entry = (JK_BALANCER if kinds.get(prop.worker) == "lb" else JK_WORKER).get(prop.key)
+                self._report(prop, *(entry or Entry(Outcome.NONE, "is not a worker property of mod_jk")))
+
+    def _report_general(self, workers: WorkerProperties) -> None:
+        """Report the properties that belong to no worker."""
+        for prop in workers.properties:
+            if prop.worker:
                 continue
-            if one.name == "worker.list":
-                self._tell(one, Fate.CARRIED, "what is mounted is carried over, listed or not")
-            elif one.name == "worker.maintain":
-                self._tell(one, Fate.DIFFERENT, "members are looked after all the time")
-            elif one.name.startswith("worker."):
-                self._tell(one, Fate.NONE, "is no property that mod_jk has")
+            if prop.name == "worker.list":
+                self._report(prop, Outcome.CARRIED, "mounted workers are carried over, listed or not")
+            elif prop.name == "worker.maintain":
+                self._report(prop, Outcome.DIFFERENT, "members are maintained continuously")
+            elif prop.name.startswith("worker."):
+                self._report(prop, Outcome.NONE, "is not a property of mod_jk")
             else:
-                self._tell(one, Fate.CARRIED, "a variable")
+                self._report(prop, Outcome.CARRIED, "a variable")
 
-    def _own(self, worker: str) -> dict[str, Property]:
-        """A worker's properties, those that it refers to below them."""
+    def _resolved_properties(self, worker: str) -> dict[str, Property]:
+        """Return the properties of a worker, which override those of the workers that it refers to."""
         found: dict[str, Property] = {}
-        name, seen = worker, 0
-        while name and seen < REFERENCES_MOST:
+        name, followed = worker, 0
+        while name and followed < MAX_REFERENCE_DEPTH:
             mine = self.by_worker.get(name, {})
             found = {**mine, **found}
             reference = mine.get("reference")
             name = reference.value.removeprefix("worker.") if reference is not None else ""
-            seen += 1
+            followed += 1
         if name:
-            raise BadValueError(f"worker {worker} refers to others without end")
+            raise BadValueError(
+                f"worker {worker}: its references form a cycle, or a chain of more than {MAX_REFERENCE_DEPTH}"
+            )
         return found
 
     def _value(self, worker: str, key: str) -> str:
         try:
-            one = self._own(worker).get(key)
+            prop = self._resolved_properties(worker).get(key)
         except BadValueError:
             return ""
-        return one.value if one is not None else ""
+        return prop.value if prop is not None else ""
 
-    def _members(self, worker: str) -> list[str]:
-        return names(self._value(worker, "balance_workers") + "," + self._value(worker, "balanced_workers"))
+    def _member_names(self, worker: str) -> list[str]:
+        return split_list(
+            self._value(worker, "balance_workers") + "," + self._value(worker, "balanced_workers")
+        )
 
-    def _tell(self, one: Property, fate: Fate, text: str = "") -> None:
-        self._told.add((one.place, one.name))
-        self.report.add(one.place, one.name, fate, text)
+    def _report(self, prop: Property, outcome: Outcome, text: str = "") -> None:
+        self._reported.add((prop.position, prop.name))
+        self.report.add(prop.position, prop.name, outcome, text)
 
-    def _refuse(self, worker: str, why: str) -> None:
-        for one in self.by_worker[worker].values():
-            self._tell(one, Fate.NONE, why)
+    def _reject(self, worker: str, reason: str) -> None:
+        for prop in self.by_worker[worker].values():
+            self._report(prop, Outcome.NONE, reason)
 
     def _balancer(self, worker: str) -> None:
-        pool = Pool(self.names.new(worker), attempts=RETRIES)
-        balancer = Balancer(pool, Place("", 0), "", cookie=COOKIE, parameter=PARAMETER)
-        for one in self._own(worker).values():
-            entry = JK_BALANCER.get(one.key)
+        pool = Pool(self.unique_names.allocate(worker), attempts=DEFAULT_ATTEMPTS)
+        balancer = Balancer(pool, Position("", 0), "", cookie=DEFAULT_COOKIE, parameter=DEFAULT_PARAMETER)
+        for prop in self._resolved_properties(worker).values():
+            entry = JK_BALANCER.get(prop.key)
             if entry is None:
-                self._tell(one, Fate.NONE, "is no property of a balancer that mod_jk has")
+                self._report(prop, Outcome.NONE, "is not a balancer property of mod_jk")
                 continue
             try:
-                fate, text = self._take_balancer(balancer, one, entry)
+                outcome, text = self._apply_balancer_property(balancer, prop, entry)
             except BadValueError as problem:
-                fate, text = Fate.NONE, str(problem)
-            self._tell(one, fate, text)
+                outcome, text = Outcome.NONE, str(problem)
+            self._report(prop, outcome, text)
         self.setup.pools[pool.name] = pool
         self.balancers[worker] = balancer
-        for name in self._members(worker):
+        for name in self._member_names(worker):
             if name in self.by_worker:
-                self._member(balancer, name)
+                self._add_member(balancer, name)
             else:
-                own = self._own(worker)
-                place = (own.get("balance_workers") or own["balanced_workers"]).place
-                self.report.add(place, "balance_workers", Fate.NONE, "there is no such worker", name)
+                properties = self._resolved_properties(worker)
+                position = (properties.get("balance_workers") or properties["balanced_workers"]).position
+                self.report.add(position, "balance_workers", Outcome.NONE, "there is no such worker", name)
         balancer.finish()
 
-    def _take_balancer(self, balancer: Balancer, one: Property, entry: Entry) -> Entry:
-        if one.key == "sticky_session" and not truth(one.value):
+    def _apply_balancer_property(self, balancer: Balancer, prop: Property, entry: Entry) -> Entry:
+        if prop.key == "sticky_session" and not parse_boolean(prop.value):
             balancer.cookie = ""
-        elif one.key == "sticky_session_force":
-            balancer.bound = truth(one.value)
-        elif one.key == "session_cookie" and balancer.cookie:
-            balancer.cookie = one.value
-        elif one.key == "session_path":
-            balancer.parameter = one.value
-        elif one.key == "retries":
-            balancer.pool.attempts = number(one.value, 1 << 20)
-        elif one.key == "method":
-            return _method(one.value)
+        elif prop.key == "sticky_session_force":
+            balancer.bound = parse_boolean(prop.value)
+        elif prop.key == "session_cookie" and balancer.cookie:
+            balancer.cookie = prop.value
+        elif prop.key == "session_path":
+            balancer.parameter = prop.value
+        elif prop.key == "retries":
+            balancer.pool.attempts = parse_integer(prop.value, 1 << 20)
+        elif prop.key == "method":
+            return _translate_method(prop.value)
         return entry
 
-    def _alone(self, worker: str) -> None:
-        """A worker that is mounted without a balancer."""
-        pool = Pool(self.names.new(worker), attempts=RETRIES)
-        balancer = Balancer(pool, Place("", 0), "")
+    def _single_member_balancer(self, worker: str) -> None:
+        """Make a pool of one member for a worker that belongs to no balancer."""
+        pool = Pool(self.unique_names.allocate(worker), attempts=DEFAULT_ATTEMPTS)
+        balancer = Balancer(pool, Position("", 0), "")
         self.setup.pools[pool.name] = pool
         self.balancers[worker] = balancer
-        self._member(balancer, worker)
+        self._add_member(balancer, worker)
 
-    def _member(self, balancer: Balancer, worker: str) -> None:
-        member = Member(fit(worker), "", route=worker if fit(worker) != worker else None)
+    def _add_member(self, balancer: Balancer, worker: str) -> None:
+        member = Member(sanitize_name(worker), "", route=worker if sanitize_name(worker) != worker else None)
         try:
-            own = self._own(worker)
-            member.address = self._address(own, worker)
+            properties = self._resolved_properties(worker)
+            member.address = self._address(properties, worker)
         except BadValueError as problem:
-            self._refuse(worker, str(problem))
+            self._reject(worker, str(problem))
             return
-        for one in own.values():
-            entry = JK_WORKER.get(one.key)
+        for prop in properties.values():
+            entry = JK_WORKER.get(prop.key)
             if entry is None:
-                self._tell(one, Fate.NONE, "is no property of a worker that mod_jk has")
+                self._report(prop, Outcome.NONE, "is not a worker property of mod_jk")
                 continue
             try:
-                fate, text = self._take(balancer.pool, member, one, entry)
+                outcome, text = self._apply_member_property(balancer.pool, member, prop, entry)
             except BadValueError as problem:
-                fate, text = Fate.NONE, str(problem)
-            self._tell(one, fate, text)
+                outcome, text = Outcome.NONE, str(problem)
+            self._report(prop, outcome, text)
         balancer.pool.members.append(member)
         balancer.origins.append(f"http://{member.address}")
 
-    def _address(self, own: Mapping[str, Property], worker: str) -> str:
-        """BadValueError where the host is a name, or nobody says which HTTP port is beside the AJP port."""
-        host = own["host"].value if "host" in own else "localhost"
-        host, colon, within = host.partition(":")
-        port = own["port"].value if "port" in own else within if colon else PORT
-        address = self.hosts.address(host)
+    def _address(self, properties: Mapping[str, Property], worker: str) -> str:
+        """Return the HTTP address of a worker; raise BadValueError if its host or its HTTP port is unknown."""
+        host = properties["host"].value if "host" in properties else "localhost"
+        host, colon, host_port = host.partition(":")
+        port = properties["port"].value if "port" in properties else host_port if colon else DEFAULT_PORT
+        address = self.hosts.resolve(host)
         if address is None:
-            raise BadValueError(f"{host!r} is a name; say --resolve {host}=ADDRESS")
+            raise BadValueError(f"{host!r} is a host name; use --resolve {host}=ADDRESS")
         if port not in self.connectors:
             raise BadValueError(
-                f"worker {worker} speaks AJP at port {port}, which has no equivalent; say --connector {port}=HTTPPORT"
+                f"worker {worker} speaks AJP at port {port}, which has no equivalent; use --connector {port}=HTTPPORT"
             )
         return f"{address}:{self.connectors[port]}"
 
-    def _take(self, pool: Pool, member: Member, one: Property, entry: Entry) -> Entry:
-        key, value = one.key, one.value
+    def _apply_member_property(self, pool: Pool, member: Member, prop: Property, entry: Entry) -> Entry:
+        key, value = prop.key, prop.value
         if key == "type":
-            return Entry(Fate.DIFFERENT, f"HTTP at {member.address}, as --connector says")
-        if key in LEAST_MS or key in LEAST_S:
-            name, scale = (LEAST_MS[key], 1e-3) if key in LEAST_MS else (LEAST_S[key], 1.0)
-            if time := number(value, 1 << 31) * scale:  # 0 is without end
-                pool.least(name, max(1.0, time) if name == "idle_close" else time)
+            return Entry(Outcome.DIFFERENT, f"HTTP at {member.address}, as --connector says")
+        if key in MINIMUM_FIELDS_MS or key in MINIMUM_FIELDS_S:
+            name, scale = (
+                (MINIMUM_FIELDS_MS[key], 1e-3) if key in MINIMUM_FIELDS_MS else (MINIMUM_FIELDS_S[key], 1.0)
+            )
+            if time := parse_integer(value, 1 << 31) * scale:  # 0 means no limit
+                pool.set_minimum(name, max(1.0, time) if name == "idle_close" else time)
         elif key == "lbfactor":
-            member.weight = float(number(value, 1 << 20))
+            member.weight = float(parse_integer(value, 1 << 20))
             if not member.weight:
-                raise BadValueError("0 is no weight; activation=S takes a worker out")
+                raise BadValueError(f"{value!r}: expected a weight above 0; activation=S takes a worker out")
         elif key in ("route", "redirect", "domain"):
-            setattr(member, key, session_name(value))
+            setattr(member, key, parse_session_name(value))
         elif key == "distance":
-            member.set = number(value, 1 << 20)
+            member.set = parse_integer(value, 1 << 20)
         elif key in ("activation", "disabled", "stopped"):
-            self._state(member, key, value)
+            self._apply_state(member, key, value)
         elif key == "connection_pool_size":
-            pool.least("idle_connections", number(value, 1 << 20))
+            pool.set_minimum("idle_connections", parse_integer(value, 1 << 20))
         return entry
 
     @staticmethod
-    def _state(member: Member, key: str, value: str) -> None:
+    def _apply_state(member: Member, key: str, value: str) -> None:
         if key == "activation":
             if value.lower() not in STATES:
-                raise BadValueError(f"{value!r}: A, D or S is wanted")
+                raise BadValueError(f"{value!r}: expected A, D or S")
             member.state = STATES[value.lower()]
-        elif truth(value) and member.state != "stopped":
+        elif parse_boolean(value) and member.state != "stopped":
             member.state = "stopped" if key == "stopped" else "draining"
 
     # Mounts.
 
-    def rules(self, mounts: Iterable[Mount], told: bool) -> list[Rule]:
-        """Rules in the order in which they count. `told`: the mounts are httpd's directives, which have their lines."""
+    def rules(self, mounts: Iterable[Mount], already_reported: bool) -> list[Rule]:
+        """Return the rules of mounts in order of precedence.
+
+        `already_reported` says that the mounts come from httpd directives, which have report lines of their own.
+        """
         excluded: list[tuple[tuple[int, ...], Rule]] = []
         found: list[tuple[tuple[int, ...], Rule]] = []
         for mount in mounts:
-            fate, text, rule = self._mount(mount)
-            if not told or fate == Fate.NONE:
+            outcome, text, rule = self._translate_mount(mount)
+            if not already_reported or outcome == Outcome.NONE:
                 self.report.add(
-                    mount.place, f"{'!' * mount.excluded}{mount.pattern}={mount.worker}", fate, text
+                    mount.position, f"{'!' * mount.excluded}{mount.pattern}={mount.worker}", outcome, text
                 )
             if rule is not None:
-                rank = (rule.kind != Kind.EXACT, -len(mount.pattern))
-                (excluded if mount.excluded else found).append((rank, rule))
-        return [rule for _, rule in [*sorted(excluded, key=_rank), *sorted(found, key=_rank)]]
+                precedence = (rule.kind != RuleKind.EXACT, -len(mount.pattern))
+                (excluded if mount.excluded else found).append((precedence, rule))
+        return [rule for _, rule in [*sorted(excluded, key=_precedence), *sorted(found, key=_precedence)]]
 
-    def _mount(self, mount: Mount) -> tuple[Fate, str, Rule | None]:
-        fates = [self._option(mount, name, value) for name, value in mount.options.items()]
+    def _translate_mount(self, mount: Mount) -> tuple[Outcome, str, Rule | None]:
+        outcomes = [self._report_option(mount, name, value) for name, value in mount.options.items()]
         if "-" in mount.options:
-            return Fate.CARRIED, JK_MOUNT["-"].text, None
-        if Fate.NONE in fates:
-            return Fate.NONE, "an extension of it has none", None
+            return Outcome.CARRIED, JK_MOUNT["-"].text, None
+        if Outcome.NONE in outcomes:
+            return Outcome.NONE, "one of its extensions has no equivalent", None
         try:
-            kind, path, ending = _pattern(mount.pattern)
+            kind, path, suffix = _parse_pattern(mount.pattern)
         except BadValueError as problem:
-            return Fate.NONE, str(problem), None
+            return Outcome.NONE, str(problem), None
         if mount.excluded:
             if mount.worker != "*" and len(self.balancers) > 1:
                 return (
-                    Fate.DIFFERENT,
+                    Outcome.DIFFERENT,
                     "answers 404, also where another worker is mounted below it",
-                    Rule(kind, path, None, ending),
+                    Rule(kind, path, None, suffix),
                 )
             return (
-                Fate.DIFFERENT,
+                Outcome.DIFFERENT,
                 "answers 404; httpd would serve files of its own",
-                Rule(kind, path, None, ending),
+                Rule(kind, path, None, suffix),
             )
         balancer = self.balancers.get(mount.worker)
         if balancer is None:
-            return Fate.NONE, f"there is no worker {mount.worker} that could be carried over", None
+            return Outcome.NONE, f"no worker {mount.worker} could be carried over", None
         return (
-            Fate.CARRIED,
+            Outcome.CARRIED,
             f"to pool {balancer.pool.name}",
-            Rule(kind, path, Target(balancer, "" if path == "/" else path, path, mount.place), ending),
+            Rule(kind, path, Target(balancer, "" if path == "/" else path, path, mount.position), suffix),
         )
 
-    def _option(self, mount: Mount, name: str, value: str) -> Fate:
+    def _report_option(self, mount: Mount, name: str, value: str) -> Outcome:
         if name == "-":
-            return Fate.CARRIED
-        entry = JK_MOUNT.get(name, Entry(Fate.NONE, "is no extension that mod_jk has"))
-        fate, text = entry
-        if name in ("sticky_ignore", "session_cookie", "session_path"):  # they are of the pool here
-            fate, text = Fate.NONE, "sessions by rule; give the rule a balancer of its own"
-        self.report.add(mount.place, mount.pattern, fate, text, f"{name}={value}")
-        return fate
+            return Outcome.CARRIED
+        entry = JK_MOUNT.get(name, Entry(Outcome.NONE, "is not an extension of mod_jk"))
+        outcome, text = entry
+        if name in ("sticky_ignore", "session_cookie", "session_path"):  # settings of the whole pool here
+            outcome, text = Outcome.NONE, "sessions by rule; give the rule a balancer of its own"
+        self.report.add(mount.position, mount.pattern, outcome, text, f"{name}={value}")
+        return outcome
 
 
-def _rank(pair: tuple[tuple[int, ...], Rule]) -> tuple[int, ...]:
+def _precedence(pair: tuple[tuple[int, ...], Rule]) -> tuple[int, ...]:
     return pair[0]
 
 
-def _method(value: str) -> Entry:
+def _translate_method(value: str) -> Entry:
     method = METHODS.get(value.lower())
     if method == "r":
-        return Entry(Fate.CARRIED, "a draw by weight")
+        return Entry(Outcome.CARRIED, "a draw by weight")
     if method == "b":
         return Entry(
-            Fate.DIFFERENT, "two are drawn by weight, and what is in flight at each decides between them"
+            Outcome.DIFFERENT, "two are drawn by weight, and what is in flight at each decides between them"
         )
     if method is None:
-        raise BadValueError(f"{value!r}: R, S, N, T or B is wanted")
-    return Entry(Fate.NONE, f"{value}: splits by what this proxy does not count; R would be carried over")
+        raise BadValueError(f"{value!r}: expected R, S, N, T or B")
+    return Entry(
+        Outcome.NONE, f"{value}: balances by a measure that this proxy does not have; R would be carried over"
+    )
 
 
-def _pattern(pattern: str) -> tuple[Kind, str, str]:
-    """What a mount takes: a path, `/path/*`, `/path/*.end` or `*.end`."""
+def _parse_pattern(pattern: str) -> tuple[RuleKind, str, str]:
+    """Return the kind, path and suffix of a mount: a path, `/path/*`, `/path/*.end` or `*.end`."""
     text = pattern if pattern.startswith("/") else f"/{pattern}"
     if "?" in text or text.count("*") > 1:
-        raise BadValueError(
-            f"{pattern!r}: a path, /path/* or /path/*.end is wanted; other patterns are not routed by"
-        )
+        raise BadValueError(f"{pattern!r}: expected a path, /path/* or /path/*.end")
     if "*" not in text:
         if text != "/" and text.endswith("/"):
-            raise BadValueError(f"{pattern!r}: a path that ends with a slash and nothing behind it")
-        return Kind.EXACT, text, ""
-    head, _, ending = text.partition("*")
-    if not head.endswith("/") or (ending and not ending.startswith(".")):
+            raise BadValueError(f"{pattern!r}: expected a path without a trailing slash")
+        return RuleKind.EXACT, text, ""
+    head, _, suffix = text.partition("*")
+    if not head.endswith("/") or (suffix and not suffix.startswith(".")):
         raise BadValueError(f"{pattern!r}: * may stand for whole segments, or before an ending such as .jsp")
     path = head.rstrip("/") or "/"
-    if ending:
-        return Kind.ENDS, path, ending
-    return (Kind.TREE if path == "/" else Kind.UNDER), path, ""
+    if suffix:
+        return RuleKind.SUFFIX, path, suffix
+    return (RuleKind.TREE if path == "/" else RuleKind.UNDER), path, ""
--- a/loadbalancer/importer/report.py
+++ b/loadbalancer/importer/report.py
@@ -1,4 +1,4 @@
-"""What became of each directive and parameter: a line each, for people and as JSON. Pure."""
+"""Reports how each directive and parameter was translated, one line each, as text and as JSON. No I/O."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Any, Iterable, Sequence
 
-from loadbalancer.importer.source import Place
+from loadbalancer.importer.source import Position
 
 
-class Fate(enum.Enum):
-    """What an import does with a directive or a parameter."""
+class Outcome(enum.Enum):
+    """Tells how an import translates a directive or a parameter. The names and values are part of the report."""
 
     CARRIED = "carried over"
     DIFFERENT = "carried over with a stated difference"
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One directive (`part` empty), or one parameter of it."""
+    """Reports one directive (`part` is empty) or one parameter of it."""
 
-    place: Place
+    position: Position
     name: str
     part: str
-    fate: Fate
+    outcome: Outcome
     text: str
 
     @property
@@ -33,64 +33,70 @@
         return f"{self.name} {self.part}" if self.part else self.name
 
     def names(self) -> set[str]:
-        """By which of these `--allow` may name it."""
+        """Return the names by which `--allow` may refer to this line, in lower case."""
         part, _, _ = self.part.partition("=")
         return {name.lower() for name in (self.name, self.part, part, self.label) if name}
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.label}: {self.fate.value}" + (f": {self.text}" if self.text else "")
+        return f"{self.position}: {self.label}: {self.outcome.value}" + (
+            f": {self.text}" if self.text else ""
+        )
 
 
 class Report:
-    """The lines of one import, in the order in which things were met."""
+    """Collects the report lines of one import in the order in which they were added."""
 
     def __init__(self) -> None:
         self.lines: list[Line] = []
 
-    def add(self, place: Place, name: str, fate: Fate, text: str = "", part: str = "") -> None:
-        self.lines.append(Line(place, name, part, fate, text))
+    def add(self, position: Position, name: str, outcome: Outcome, text: str = "", part: str = "") -> None:
+        self.lines.append(Line(position, name, part, outcome, text))
 
-    def without_equivalent(self, allowed: Iterable[str]) -> list[Line]:
-        """What forbids that anything is written, unless `allowed` names it (in any case)."""
-        known = {name.lower() for name in allowed}
-        return [line for line in self.lines if line.fate == Fate.NONE and not line.names() & known]
+    def find_blocking(self, allowed: Iterable[str]) -> list[Line]:
+        """Return the lines without an equivalent that `allowed` does not name; any of them blocks the import.
+
+        Upper and lower case are not distinguished."""
+        allowed_names = {name.lower() for name in allowed}
+        return [
+            line for line in self.lines if line.outcome == Outcome.NONE and not line.names() & allowed_names
+        ]
 
     def unused(self, allowed: Iterable[str]) -> list[str]:
-        """Names that were allowed and that no line without an equivalent bears: a word that was mistyped."""
-        met = {name for line in self.lines if line.fate == Fate.NONE for name in line.names()}
-        return [name for name in allowed if name.lower() not in met]
+        """Return the allowed names that match no line without an equivalent, for example because of a typo."""
+        matched = {name for line in self.lines if line.outcome == Outcome.NONE for name in line.names()}
+        return [name for name in allowed if name.lower() not in matched]
 
-    def counts(self) -> Counter[Fate]:
-        return Counter(line.fate for line in self.lines)
+    def counts(self) -> Counter[Outcome]:
+        return Counter(line.outcome for line in self.lines)
 
     def text(self, blocking: Sequence[Line]) -> list[str]:
-        """For people: what blocks first, then what differs, then how much was carried over."""
-        held = set(map(id, blocking))
-        out = [f"BLOCKS  {line}" for line in blocking]
+        """Return the report as text lines: blocking, allowed and differing lines, then the counts by outcome."""
+        blocking_ids = set(map(id, blocking))
+        lines = [f"BLOCKS  {line}" for line in blocking]
         for line in self.lines:
-            if line.fate == Fate.NONE and id(line) not in held:
-                out.append(f"ALLOWED {line}")
-        out += [f"DIFFERS {line}" for line in self.lines if line.fate == Fate.DIFFERENT]
+            if line.outcome == Outcome.NONE and id(line) not in blocking_ids:
+                lines.append(f"ALLOWED {line}")
+        lines += [f"DIFFERS {line}" for line in self.lines if line.outcome == Outcome.DIFFERENT]
         counts = self.counts()
-        out.append(", ".join(f"{counts[fate]} {fate.value}" for fate in Fate))
-        return out
+        lines.append(", ".join(f"{counts[outcome]} {outcome.value}" for outcome in Outcome))
+        return lines
 
     def json(self, blocking: Sequence[Line]) -> dict[str, Any]:
-        held = set(map(id, blocking))
+        blocking_ids = set(map(id, blocking))
         return {
             "version": 1,
-            "counts": {fate.name.lower(): self.counts()[fate] for fate in Fate},
+            "counts": {outcome.name.lower(): self.counts()[outcome] for outcome in Outcome},
             "blocked": bool(blocking),
             "lines": [
                 {
-                    "file": line.place.file,
-                    "line": line.place.line,
-                    "via": line.place.via,
+                    "file": line.position.file,
+                    "line": line.position.line,
+                    "via": line.position.via,
                     "name": line.name,
                     "part": line.part,
-                    "fate": line.fate.name.lower(),
+                    "fate": line.outcome.name.lower(),
                     "text": line.text,
-                    "blocks": id(line) in held,
+                    "blocks": id(line) in blocking_ids,
                 }
                 for line in self.lines
             ],
--- a/loadbalancer/importer/setup.py
+++ b/loadbalancer/importer/setup.py
@@ -1,4 +1,4 @@
-"""What an import makes: listeners, routes and pools as tables of our own configuration. Pure."""
+"""Builds the listeners, routes and pools of the imported configuration as tables of this proxy. No I/O."""
 
 from __future__ import annotations
 
@@ -6,29 +6,31 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-UNFIT = re.compile(r"[^A-Za-z0-9_.\-]+")
+INVALID_NAME_CHARS = re.compile(r"[^A-Za-z0-9_.\-]+")
 
 
-def fit(name: str) -> str:
-    """A name as our tables take it."""
-    return UNFIT.sub("-", name).strip("-.") or "x"
+def sanitize_name(name: str) -> str:
+    """Return the name with each run of characters that configuration names may not contain replaced by a hyphen."""
+    return INVALID_NAME_CHARS.sub("-", name).strip("-.") or "x"
 
 
-class Names:
-    """Names that are given once."""
+class UniqueNames:
+    """Allocates names that are unique within one import."""
 
     def __init__(self) -> None:
-        self._given: dict[str, int] = {}
+        self._uses: dict[str, int] = {}
 
-    def new(self, wanted: str) -> str:
-        name = fit(wanted)
-        count = self._given.get(name, 0)
-        self._given[name] = count + 1
-        return self.new(f"{name}-{count + 1}") if count else name
+    def allocate(self, base: str) -> str:
+        name = sanitize_name(base)
+        count = self._uses.get(name, 0)
+        self._uses[name] = count + 1
+        return self.allocate(f"{name}-{count + 1}") if count else name
 
 
 @dataclass(slots=True)
 class Member:
+    """Holds the settings of one member of a pool."""
+
     id: str
     address: str
     weight: float = 1.0
@@ -39,22 +41,25 @@
     redirect: str | None = None
 
     def table(self) -> dict[str, Any]:
-        box: dict[str, Any] = {"id": self.id, "address": self.address}
+        table: dict[str, Any] = {"id": self.id, "address": self.address}
         if self.weight != 1.0:
-            box["weight"] = self.weight
+            table["weight"] = self.weight
         if self.set:
-            box["set"] = self.set
+            table["set"] = self.set
         if self.state != "serving":
-            box["state"] = self.state
+            table["state"] = self.state
         for key in ("route", "domain", "redirect"):
             if (value := getattr(self, key)) is not None:
-                box[key] = value
-        return box
+                table[key] = value
+        return table
 
 
 @dataclass(slots=True)
 class Pool:
-    """`idle_close`, `connect_timeout`, `deadline`: in seconds, where anything says so."""
+    """Holds the settings of one pool; a setting that the source files don't give is None.
+
+    `idle_close`, `connect_timeout` and `deadline` are in seconds.
+    """
 
     name: str
     members: list[Member] = field(default_factory=list)
@@ -65,37 +70,37 @@
     idle_connections: int | None = None
     sticky: dict[str, Any] | None = None
 
-    def least(self, key: str, value: float) -> None:
-        """Of what several members say the least holds for all."""
+    def set_minimum(self, key: str, value: float) -> None:
+        """Set a pool setting to the smallest of the values given for its members."""
         before = getattr(self, key)
         setattr(self, key, value if before is None else min(before, value))
 
     def table(self) -> dict[str, Any]:
         limits: dict[str, Any] = {"attempts": max(1, min(10, self.attempts or max(2, len(self.members))))}
         if self.idle_close is not None:
-            limits["idle_close"] = duration(self.idle_close)
+            limits["idle_close"] = format_duration(self.idle_close)
         if self.connect_timeout is not None:
-            limits["connect_timeout"] = duration(self.connect_timeout)
+            limits["connect_timeout"] = format_duration(self.connect_timeout)
         if self.idle_connections is not None:
             limits["idle_connections"] = self.idle_connections
-        box: dict[str, Any] = {"name": self.name}
+        table: dict[str, Any] = {"name": self.name}
         if any(member.state == "draining" for member in self.members):
-            box["sticky_while_draining"] = True
-        # Neither httpd nor mod_jk spares a member that has just been put in.
-        box |= {"limits": limits, "rules": {"new_members": "warm", "standby": "warm"}}
-        return box | {"member": [member.table() for member in self.members]}
+            table["sticky_while_draining"] = True
+        # Neither httpd nor mod_jk has a slow start for new members.
+        table |= {"limits": limits, "rules": {"new_members": "warm", "standby": "warm"}}
+        return table | {"member": [member.table() for member in self.members]}
 
 
 @dataclass(slots=True)
 class Setup:
-    """All of it; `routes` and `listeners` are tables as they are written."""
+    """Collects the imported configuration; `routes` and `listeners` hold tables in their output form."""
 
     pools: dict[str, Pool] = field(default_factory=dict)
     routes: list[dict[str, Any]] = field(default_factory=list)
     listeners: list[dict[str, Any]] = field(default_factory=list)
 
     def tables(self) -> dict[str, Any]:
-        """The file, keys in the order in which people read them."""
+        """Return the tables of the configuration file, listeners first; pools that no route uses are left out."""
         used = {route["pool"] for route in self.routes if "pool" in route}
         return {
             "listener": self.listeners,
@@ -104,20 +109,23 @@
         }
 
 
-def duration(seconds: float) -> str:
-    """As our file writes it.
+def format_duration(seconds: float) -> str:
+    """Format a duration as the configuration file writes it.
 
-    >>> duration(0.25), duration(60)
+    >>> format_duration(0.25), format_duration(60)
     ('250ms', '60s')
     """
     return f"{seconds:g}s" if seconds >= 1 else f"{max(1, round(seconds * 1000))}ms"
 
 
-def sticky(cookie: str, parameter: str, separator: str, bound: bool) -> dict[str, Any]:
-    """As both originals read a session: the path's parameter stands above the cookie, the first separator counts."""
-    box: dict[str, Any] = {"cookie": cookie}
+def sticky_table(cookie: str, parameter: str, separator: str, bound: bool) -> dict[str, Any]:
+    """Return the `sticky` table of routes that read sessions as httpd and mod_jk do.
+
+    The path parameter takes precedence over the cookie, and the route follows the first separator.
+    """
+    table: dict[str, Any] = {"cookie": cookie}
     if parameter:
-        box |= {"path_parameter": fit(parameter.lstrip(";")), "prefer": "path"}
+        table |= {"path_parameter": sanitize_name(parameter.lstrip(";")), "prefer": "path"}
     if separator:
-        box |= {"separator": separator, "separator_at": "first"}
-    return box | ({"bound": True} if bound else {})
+        table |= {"separator": separator, "separator_at": "first"}
+    return table | ({"bound": True} if bound else {})
--- a/loadbalancer/importer/source.py
+++ b/loadbalancer/importer/source.py
@@ -1,37 +1,37 @@
-"""Where text comes from, its lines, and the bounds that hold for any of it.
+"""Reads source files, splits them into logical lines and enforces the limits on their size and nesting.
 
-Both languages are read line by line with backslashes that continue a line. Every bound guards against a file that is
-hostile or damaged: what passes it is an error that names file and line, in time and memory that the bound states.
+In both configuration languages a backslash at the end of a line continues it. The limits guard against hostile and
+damaged files: exceeding one is an error that names file and line, and the limits bound the time and memory spent.
 """
 
 from __future__ import annotations
 
 from typing import Iterator, NamedTuple, Protocol
 
-#: Bytes of one file, and of all files that one import reads.
+#: Largest size of one file, and of all files of one import together.
 FILE_MOST = 32 << 20
-ALL_MOST = 64 << 20
-#: Characters of one line, continued ones joined. The longest in use are lists of aliases.
-LINE_MOST = 64 << 10
-#: Sections within sections, and files within files.
-DEPTH_MOST = 64
-INCLUDES_MOST = 16
-#: Directives of one import, those that macros make among them.
-DIRECTIVES_MOST = 400_000
+MAX_TOTAL_BYTES = 64 << 20
+#: Longest logical line, with its continuation lines joined. The longest lines in practice are lists of aliases.
+MAX_LINE_CHARS = 64 << 10
+#: Nesting limits: of sections, and of included files and macros.
+MAX_SECTION_DEPTH = 64
+MAX_INCLUDE_DEPTH = 16
+#: Directives of one import, including those that macros expand to.
+MAX_DIRECTIVES = 400_000
 
 
 class Opener(Protocol):
-    """Reads files for the importer; the only way by which it reaches any."""
+    """Gives the importer access to files; the importer does no other I/O."""
 
     def read(self, path: str) -> bytes:
-        """The whole of a file, OSError where it can't be had. At most FILE_MOST + 1 bytes are wanted."""
+        """Return the content of a file, of which FILE_MOST + 1 bytes are enough; raise OSError if it can't be read."""
 
     def match(self, pattern: str) -> list[str]:
-        """The files that a pattern with wildcards names, in order; of a folder, all files in and below it."""
+        """Return the files that match a wildcard pattern, sorted; for a directory, all files in and below it."""
 
 
-class Place(NamedTuple):
-    """Where something stands. `via`: of what a macro made, where it was used."""
+class Position(NamedTuple):
+    """Identifies a line of a source file. `via` names the macro use that produced the text, if any."""
 
     file: str
     line: int
@@ -42,65 +42,74 @@
 
 
 class SourceError(ValueError):
-    """A file that can't be read whole; says where and what would be right."""
+    """Raised when a file can't be read or parsed; the message names the position and what was expected."""
 
-    def __init__(self, place: Place, text: str) -> None:
-        super().__init__(f"{place}: {text}")
-        self.place, self.text = place, text
+    def __init__(self, position: Position, text: str) -> None:
+        super().__init__(f"{position}: {text}")
+        self.position, self.text = position, text
 
 
-class Reading:
-    """One import's reading: what it has read so far, against the bounds."""
+class SourceReader:
+    """Reads the files of one import and checks the totals read so far against the limits."""
 
     def __init__(self, opener: Opener) -> None:
         self.opener = opener
-        self.bytes = self.directives = 0
+        self.bytes_read = self.directives = 0
 
-    def text(self, path: str, by: Place | None = None) -> str:
-        """The text of a file; SourceError where it is none."""
-        at = by or Place(path, 0)
+    def read_text(self, path: str, included_at: Position | None = None) -> str:
+        """Return the text of a file; raise SourceError if it can't be read, is too large or is not UTF-8 text.
+
+        `included_at` is the position of the directive that includes the file, if any.
+        """
+        error_position = included_at or Position(path, 0)
         try:
             data = self.opener.read(path)
         except OSError as problem:
-            raise SourceError(at, f"{path} can't be read: {problem.strerror or problem}") from None
-        self.bytes += len(data)
-        if len(data) > FILE_MOST or self.bytes > ALL_MOST:
             raise SourceError(
-                Place(path, 0), f"more than {FILE_MOST >> 20} MiB in a file or {ALL_MOST >> 20} MiB in all"
+                error_position, f"{path} can't be read: {problem.strerror or problem}"
+            ) from None
+        self.bytes_read += len(data)
+        if len(data) > FILE_MOST or self.bytes_read > MAX_TOTAL_BYTES:
+            raise SourceError(
+                Position(path, 0),
+                f"more than {FILE_MOST >> 20} MiB in one file or {MAX_TOTAL_BYTES >> 20} MiB in all files",
             )
         if (nul := data.find(b"\0")) >= 0:
-            raise SourceError(Place(path, data.count(b"\n", 0, nul) + 1), "a NUL byte; a text file is wanted")
+            raise SourceError(
+                Position(path, data.count(b"\n", 0, nul) + 1), "a NUL byte; expected a text file"
+            )
         try:
             return data.decode("utf-8-sig")
         except UnicodeDecodeError as problem:
             line = data.count(b"\n", 0, problem.start) + 1
             raise SourceError(
-                Place(path, line), f"byte {problem.start} is not UTF-8; convert the file"
+                Position(path, line), f"byte {problem.start} is not UTF-8; convert the file"
             ) from None
 
-    def count(self, place: Place) -> None:
+    def count_directive(self, position: Position) -> None:
         self.directives += 1
-        if self.directives > DIRECTIVES_MOST:
-            raise SourceError(place, f"more than {DIRECTIVES_MOST} directives in all")
+        if self.directives > MAX_DIRECTIVES:
+            raise SourceError(position, f"more than {MAX_DIRECTIVES} directives in all")
 
 
 def logical_lines(text: str, path: str) -> Iterator[tuple[int, str]]:
-    """Number of the first line and the text of each logical line, continued ones joined, comments and blank lines left
-    out. A backslash at a line's end continues it, also a comment, as httpd has it."""
-    first, parts, size = 0, [], 0
-    for number, raw in enumerate(text.split("\n"), 1):
-        line = raw.rstrip("\r")
-        size += len(line)
-        if size > LINE_MOST:
-            raise SourceError(Place(path, number), f"a line of more than {LINE_MOST} characters")
-        first = first or number
+    """Yield the number of the first line and the text of each logical line, without comments and blank lines.
+
+    A backslash at the end of a line continues it, also in a comment, as in httpd."""
+    first_number, parts, length = 0, [], 0
+    for number, raw_line in enumerate(text.split("\n"), 1):
+        line = raw_line.rstrip("\r")
+        length += len(line)
+        if length > MAX_LINE_CHARS:
+            raise SourceError(Position(path, number), f"a line of more than {MAX_LINE_CHARS} characters")
+        first_number = first_number or number
         if line.endswith("\\"):
             parts.append(line[:-1])
             continue
-        whole = ("".join(parts) + line).strip()
-        if whole and not whole.startswith("#"):
-            yield first, whole
-        first, parts, size = 0, [], 0
-    whole = "".join(parts).strip()
-    if whole and not whole.startswith("#"):
-        yield first, whole
+        logical_line = ("".join(parts) + line).strip()
+        if logical_line and not logical_line.startswith("#"):
+            yield first_number, logical_line
+        first_number, parts, length = 0, [], 0
+    logical_line = "".join(parts).strip()
+    if logical_line and not logical_line.startswith("#"):
+        yield first_number, logical_line
--- a/tests/test_import_parsers.py
+++ b/tests/test_import_parsers.py
@@ -1,4 +1,4 @@
-"""The importer's languages: what they read, and what hostile files get."""
+"""Tests of the importer's parsers, of the conversion of rules into routes, and of the import command."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
 from loadbalancer.importer.httpd import Directive, Given, parse
 from loadbalancer.importer.imports import Options, import_apache, import_jk
 from loadbalancer.importer.jk import parse_map, parse_workers
-from loadbalancer.importer.order import Kind, Placed, Rule, arrange, takes
-from loadbalancer.importer.report import Fate
-from loadbalancer.importer.source import DEPTH_MOST, LINE_MOST, Reading, SourceError
+from loadbalancer.importer.order import RouteMatch, Rule, RuleKind, arrange, matches
+from loadbalancer.importer.report import Outcome
+from loadbalancer.importer.source import MAX_LINE_CHARS, MAX_SECTION_DEPTH, SourceError, SourceReader
 from loadbalancer.routing.routes import Routes
 from loadbalancer.routing.routes import Rule as RouteRule
 
 
-class Raw(Texts):
+class RawFile(Texts):
+    """Serves the same bytes for any file name."""
+
     def __init__(self, data: bytes) -> None:
         super().__init__()
         self.data = data
@@ -32,21 +34,22 @@
         return self.data
 
 
-def tree(text: str, **files: str) -> list[Directive]:
-    return parse(Reading(Texts(conf=text, **files)), "conf", Given(), {})[0]
+def parse_text(text: str, **files: str) -> list[Directive]:
+    return parse(SourceReader(Texts(conf=text, **files)), "conf", Given(), {})[0]
 
 
-def flat(text: str, **files: str) -> list[str]:
+def active_directives(text: str, **files: str) -> list[str]:
+    """Return the active directives of a file in order, one string each."""
     return [
-        f"{one.name} {' '.join(one.args)}".strip()
-        for top in tree(text, **files)
-        for one in top.walk()
-        if not one.idle
+        f"{directive.name} {' '.join(directive.args)}".strip()
+        for root in parse_text(text, **files)
+        for directive in root.walk()
+        if not directive.inactive_reason
     ]
 
 
 @pytest.mark.parametrize(
-    "text, read",
+    "text, expected",
     [
         ("A b\\\n c\n# no \\\n still none\nB", ["A b c", "B"]),
         ('A "x y" \'z "w"\' "a\\"b"', ['A x y z "w" a"b']),
@@ -62,64 +65,64 @@
         ("ServerRoot /etc/h\nInclude x.conf", ["ServerRoot /etc/h", "Include x.conf", "A in"]),
     ],
 )  # fmt: skip
-def test_httpd_is_read(text: str, read: list[str]) -> None:
-    assert flat(text, **{"/etc/h/x.conf": "A in"}) == read
+def test_httpd_files_are_parsed_into_active_directives(text: str, expected: list[str]) -> None:
+    assert active_directives(text, **{"/etc/h/x.conf": "A in"}) == expected
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, message",
     [
         ("A\n<Proxy x>", "conf:2: <Proxy> is not closed"),
         ("</Proxy>", "closes nothing: no section is open"),
         ("<A>\n</B>", "conf:2: </B> closes nothing: <A> is open"),
         ('A "x', "a quote"),
-        ("A ${NO}", "say --define NO=VALUE"),
+        ("A ${NO}", "use --define NO=VALUE"),
         ("Include gone", "conf:1: Include gone: there is no such file"),
         ("Include conf", "an include cycle: conf includes conf"),
         ("Use M", "there is no <Macro M>"),
         ("<Macro M $a>\n</Macro>\nUse M", "takes 1 arguments, 0 are given"),
-        ("<Macro M>\nUse M\n</Macro>\nUse M", "macros within one another"),
+        ("<Macro M>\nUse M\n</Macro>\nUse M", "nested macro uses"),
         ("<Macro M>\n", "<Macro> is not closed"),
-        ("<IfVersion ~ 2>\n</IfVersion>", "patterns are not read"),
-        ("A " + "x" * (LINE_MOST + 1), f"conf:1: a line of more than {LINE_MOST}"),
-        ("A\\\n" * LINE_MOST, "a line of more than"),
-        ("<A>\n" * (DEPTH_MOST + 1), f"more than {DEPTH_MOST} sections"),
+        ("<IfVersion ~ 2>\n</IfVersion>", "patterns are not supported"),
+        ("A " + "x" * (MAX_LINE_CHARS + 1), f"conf:1: a line of more than {MAX_LINE_CHARS}"),
+        ("A\\\n" * MAX_LINE_CHARS, "a line of more than"),
+        ("<A>\n" * (MAX_SECTION_DEPTH + 1), f"more than {MAX_SECTION_DEPTH} nested sections"),
     ],
 )
-def test_what_can_not_be_read_is_named_by_file_and_line(text: str, words: str) -> None:
+def test_parse_error_names_file_and_line(text: str, message: str) -> None:
     with pytest.raises(SourceError) as caught:
-        tree(text)
-    assert words in str(caught.value)
+        parse_text(text)
+    assert message in str(caught.value)
 
 
 @pytest.mark.parametrize(
-    "data, words",
+    "data, message",
     [
         (b"A\nB \0", "conf:2: a NUL byte"),
         (b"A\n\xff\xfe", "conf:2: byte 2 is not UTF-8"),
         (b"A " + b"x" * (10 << 20), "a line of more than"),
-        (b"<A>\n" * 10_000, "sections within one another"),
+        (b"<A>\n" * 10_000, "nested sections"),
         (b"x" * (33 << 20), "more than 32 MiB"),
         (b"<Macro M>\n" + b"A\n" * 3000 + b"</Macro>\n" + b"Use M\n" * 3000, "directives in all"),
     ],
     ids=["nul", "encoding", "long line", "deep", "large", "macros"],
 )
-def test_a_hostile_file_is_refused_in_bounded_time(data: bytes, words: str) -> None:
+def test_a_hostile_file_is_refused_in_bounded_time(data: bytes, message: str) -> None:
     with pytest.raises(SourceError) as caught:
-        parse(Reading(Raw(data)), "conf", Given(), {})
-    assert words in str(caught.value)
+        parse(SourceReader(RawFile(data)), "conf", Given(), {})
+    assert message in str(caught.value)
     with pytest.raises(SourceError):
-        parse_workers(Reading(Raw(data)), "conf", {})
+        parse_workers(SourceReader(RawFile(data)), "conf", {})
 
 
-def test_two_files_that_include_each_other() -> None:
+def test_include_cycle_is_refused() -> None:
     with pytest.raises(SourceError, match="/x includes /y includes /x"):
-        tree("Include /x", **{"/x": "Include /y", "/y": "Include /x"})
+        parse_text("Include /x", **{"/x": "Include /y", "/y": "Include /x"})
 
 
-def test_jk_adds_lists_up_and_expands_what_was_set_before() -> None:
+def test_jk_lists_accumulate_and_references_are_expanded() -> None:
     workers = parse_workers(
-        Reading(
+        SourceReader(
             Texts(
                 f="p=80$(q)\nworker.a.port=$(p)\nworker.lb.balance_workers=a\nworker.lb.balance_workers=b c"
             )
@@ -127,9 +130,9 @@
         "f",
         {"q": "09"},
     )
-    assert workers.of("a")["port"].value == "8009"
-    assert workers.of("lb")["balance_workers"].value == "a,b c"
-    rules = parse_map(Reading(Texts(m="/a|/*=w;reply_timeout=5\n!/a/b=w\n-/c=w")), "m")
+    assert workers.properties_of("a")["port"].value == "8009"
+    assert workers.properties_of("lb")["balance_workers"].value == "a,b c"
+    rules = parse_map(SourceReader(Texts(m="/a|/*=w;reply_timeout=5\n!/a/b=w\n-/c=w")), "m")
     assert [(r.pattern, r.excluded, sorted(r.options)) for r in rules] == [
         ("/a", False, ["reply_timeout"]),
         ("/a/*", False, ["reply_timeout"]),
@@ -139,25 +142,25 @@
 
 
 @pytest.mark.parametrize("line", ["x", "a b=c", "worker.a=b\nx", "worker.a%.port=1", "a=$(none)", "a=$(a)"])
-def test_a_bad_line_of_jk_is_named(line: str) -> None:
+def test_invalid_jk_line_is_refused_with_its_position(line: str) -> None:
     with pytest.raises(SourceError, match=r"^f:\d: "):
-        parse_workers(Reading(Texts(f=line)), "f", {})
+        parse_workers(SourceReader(Texts(f=line)), "f", {})
 
 
-# The order of rules.
+# Conversion of ordered rules into routes.
 
 PATHS = st.sampled_from(["/", "/a", "/a/b", "/a/b/c", "/b", "/a/x.gif"])
 ENDINGS = st.sampled_from([".gif", ".a"])
 RULES = st.lists(
     st.one_of(
-        st.builds(lambda p, w: Rule(Kind.TREE, p, w), PATHS, st.integers(0, 9)),
-        st.builds(lambda p, w: Rule(Kind.UNDER if p != "/" else Kind.TREE, p, w), PATHS, st.integers(0, 9)),
-        st.builds(lambda p, w: Rule(Kind.EXACT, p, w), PATHS.filter(lambda p: p != "/"), st.integers(0, 9)),
-        st.builds(lambda p, w, e: Rule(Kind.ENDS, p, w, e), PATHS, st.integers(0, 9), ENDINGS),
+        st.builds(lambda p, w: Rule(RuleKind.TREE, p, w), PATHS, st.integers(0, 9)),
+        st.builds(lambda p, w: Rule(RuleKind.UNDER if p != "/" else RuleKind.TREE, p, w), PATHS, st.integers(0, 9)),
+        st.builds(lambda p, w: Rule(RuleKind.EXACT, p, w), PATHS.filter(lambda p: p != "/"), st.integers(0, 9)),
+        st.builds(lambda p, w, e: Rule(RuleKind.SUFFIX, p, w, e), PATHS, st.integers(0, 9), ENDINGS),
     ),
     max_size=8,
 )  # fmt: skip
-ASKED = [
+REQUEST_PATHS = [
     "/",
     "/a",
     "/a/",
@@ -173,37 +176,39 @@
 ]
 
 
-def first(rules: list[Rule], path: str) -> object:
-    """What the first rule that takes a path leads to; `/a/` lies under `/a`."""
+def first_match(rules: list[Rule], path: str) -> object:
+    """Return the target of the first rule that matches a path, where `/a/` lies below `/a`."""
     for rule in rules:
         if path.endswith("/") and path != "/":
-            hit = rule.kind in (Kind.TREE, Kind.UNDER) and (rule.path == path[:-1] or takes(rule, path[:-1]))
+            hit = rule.kind in (RuleKind.TREE, RuleKind.UNDER) and (
+                rule.path == path[:-1] or matches(rule, path[:-1])
+            )
         else:
-            hit = takes(rule, path)
+            hit = matches(rule, path)
         if hit:
-            return rule.what
+            return rule.target
     return None
 
 
 @settings(max_examples=400, deadline=None)
 @given(rules=RULES)
-def test_the_routes_take_what_the_first_rule_took(rules: list[Rule]) -> None:
-    placed, _ = arrange(rules)
+def test_routes_match_what_the_first_matching_rule_matches(rules: list[Rule]) -> None:
+    arranged, _ = arrange(rules)
     routes = Routes(
-        [RouteRule(str(n), path=p.path, prefix=p.prefix, suffix=p.suffix) for n, p in enumerate(placed)]
+        [RouteRule(str(n), path=p.path, prefix=p.prefix, suffix=p.suffix) for n, p in enumerate(arranged)]
     )
-    for path in ASKED:
+    for path in REQUEST_PATHS:
         found = routes.find("any", path[1:].split("/") if path != "/" else [], "GET", lambda name: None)
-        got = placed[int(found.name)].what if found is not None else None
-        assert got == first(rules, path), (path, placed)
+        target = arranged[int(found.name)].target if found is not None else None
+        assert target == first_match(rules, path), (path, arranged)
 
 
-def test_what_is_never_reached_is_told() -> None:
-    rules = [Rule(Kind.TREE, "/a", 1), Rule(Kind.TREE, "/a/b", 2), Rule(Kind.UNDER, "/a", 3)]
-    assert arrange(rules) == ([Placed(1, prefix="/a")], rules[1:])
+def test_unreachable_rules_are_returned() -> None:
+    rules = [Rule(RuleKind.TREE, "/a", 1), Rule(RuleKind.TREE, "/a/b", 2), Rule(RuleKind.UNDER, "/a", 3)]
+    assert arrange(rules) == ([RouteMatch(1, prefix="/a")], rules[1:])
 
 
-# Fuzz: whatever stands in a file is read or refused by name, and what is written reads as what was meant.
+# Fuzz tests: any file is either translated or refused with a position, and the result parses into the same tables.
 
 NAMES = st.sampled_from(
     (
@@ -227,19 +232,19 @@
 
 @settings(max_examples=300, deadline=None)
 @given(lines=st.lists(LINES, max_size=14))
-def test_any_file_of_httpd_is_read_or_refused_by_name(lines: list[str]) -> None:
+def test_any_httpd_file_is_translated_or_refused_with_a_position(lines: list[str]) -> None:
     text = "\n".join(lines)
     try:
-        made = import_apache(Texts(conf=text), "conf", Options(listen=("127.0.0.1:1",)))
+        result = import_apache(Texts(conf=text), "conf", Options(listen=("127.0.0.1:1",)))
     except SourceError as problem:
-        assert problem.place.file == "conf"
+        assert problem.position.file == "conf"
         return
-    directives = [one for top in tree(text) for one in top.walk()]
-    assert len({(line.place, line.name) for line in made.report.lines}) >= len(
-        {(one.place, one.name) for one in directives}
+    directives = [directive for root in parse_text(text) for directive in root.walk()]
+    assert len({(line.position, line.name) for line in result.report.lines}) >= len(
+        {(directive.position, directive.name) for directive in directives}
     )
-    if made.text is not None:
-        assert tomllib.loads(made.text) == {k: v for k, v in made.setup.tables().items() if v}
+    if result.text is not None:
+        assert tomllib.loads(result.text) == {k: v for k, v in result.setup.tables().items() if v}
 
 
 @settings(max_examples=200, deadline=None)
@@ -253,17 +258,17 @@
         max_size=14,
     )
 )  # fmt: skip
-def test_any_file_of_jk_is_read_and_each_line_told_of(lines: list[str]) -> None:
+def test_any_jk_file_is_translated_and_each_line_reported(lines: list[str]) -> None:
     files = Texts(w="\n".join(lines), m="/*=lb\n/a/*=a")
-    made = import_jk(files, "w", ["m"], Options(listen=("127.0.0.1:1",), connectors={"8009": "8080"}))
-    told = {line.place.line for line in made.report.lines if line.place.file == "w"}
-    assert told >= set(range(1, len(lines) + 1))
+    result = import_jk(files, "w", ["m"], Options(listen=("127.0.0.1:1",), connectors={"8009": "8080"}))
+    reported = {line.position.line for line in result.report.lines if line.position.file == "w"}
+    assert reported >= set(range(1, len(lines) + 1))
 
 
-# The command.
+# The import command.
 
 
-def test_the_command_writes_a_file_that_can_be_served_and_refuses_to_guess(
+def test_import_command_writes_a_valid_file_and_refuses_directives_without_equivalent(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     conf, out = tmp_path / "h.conf", tmp_path / "out.toml"
@@ -280,37 +285,38 @@
     assert main(["import", "jk", str(conf), "--connector", "8009"]) == 2
 
 
-def test_names_are_not_looked_up(tmp_path: Path) -> None:
+def test_host_names_are_not_resolved(tmp_path: Path) -> None:
     files = Texts(conf="Listen app.test:80\nProxyPass / http://app.test/\n")
-    made = import_apache(files, "conf", Options())
-    assert [line.text for line in made.blocking][:2] == [
-        "'app.test' is no IPv4 address; say --resolve app.test=ADDRESS",
-        "'app.test' is a name; say --resolve app.test=ADDRESS",
+    result = import_apache(files, "conf", Options())
+    assert [line.text for line in result.blocking][:2] == [
+        "'app.test' is not an IPv4 address; use --resolve app.test=ADDRESS",
+        "'app.test' is a host name; use --resolve app.test=ADDRESS",
     ]
     assert import_apache(files, "conf", Options(resolve={"APP.test": "127.0.0.9"})).text is not None
 
 
-def test_the_docs_hold_the_tables() -> None:
+def test_documentation_holds_the_tables() -> None:
     page = Path(__file__).parent.parent / "docs" / "operating" / "importing.md"
     assert fates.document().strip() in page.read_text()
 
 
-def test_every_fate_of_none_in_a_table_blocks() -> None:
+def test_every_directive_without_equivalent_blocks_the_import() -> None:
     for key, entry in fates.HTTPD.items():
-        if entry.fate == Fate.NONE and not key.startswith("proxypass") and key != "locationmatch":
-            made = import_apache(Texts(conf=f"{key} x y"), "conf", Options())
-            assert [line.name for line in made.blocking] == [key]
+        if entry.outcome == Outcome.NONE and not key.startswith("proxypass") and key != "locationmatch":
+            result = import_apache(Texts(conf=f"{key} x y"), "conf", Options())
+            assert [line.name for line in result.blocking] == [key]
 
 
-def test_many_members_are_imported_in_time_that_grows_with_their_number() -> None:
-    def took(count: int) -> float:
+def test_import_time_grows_linearly_with_the_number_of_members() -> None:
+    def import_seconds(count: int) -> float:
         members = "".join(
             f"BalancerMember http://10.{n >> 14}.{n >> 7 & 127}.{n & 127}:80\n" for n in range(count)
         )
         text = f"Listen 80\n<Proxy balancer://b>\n{members}</Proxy>\nProxyPass / balancer://b/\n"
-        began = time.perf_counter()
+        start = time.perf_counter()
         assert import_apache(Texts(conf=text), "conf", Options()).text is not None
-        return time.perf_counter() - began
+        return time.perf_counter() - start
 
-    took(100)
-    assert took(2000) < 60 * max(0.001, took(200))  # squared, it would be a hundred times
+    import_seconds(100)
+    # Quadratic growth would give a factor of 100.
+    assert import_seconds(2000) < 60 * max(0.001, import_seconds(200))
--- a/tests/test_import_samples.py
+++ b/tests/test_import_samples.py
@@ -1,6 +1,6 @@
-"""Each sample of tests/samples imported and run: its report, and its traffic beside a model of Apache's split.
+"""Imports each sample of tests/samples, checks its report, and compares its traffic with a model of Apache's balancing.
 
-A sample's first lines (`#!`) say, independently of the importer, what its workers are and what is asked.
+The first lines (`#!`) of a sample give its workers and requests, independently of the importer.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from loadbalancer.importer.httpd import Given, parse
 from loadbalancer.importer.imports import Imported, Options, import_apache, import_jk
 from loadbalancer.importer.jk import parse_map, parse_workers
-from loadbalancer.importer.report import Fate
-from loadbalancer.importer.source import Reading
+from loadbalancer.importer.report import Outcome
+from loadbalancer.importer.source import SourceReader
 from loadbalancer.policy import outlier_detection
 from loadbalancer.routing import fair_shares as shares
 from standins.apache import Balancer, Worker
 from standins.member import Member
 
 SAMPLES = sorted((Path(__file__).parent / "samples").glob("*.*"))
-#: Requests of a run, one after another: chance moves a share by 0.8 points.
-ASKED = 4000
-#: Points that a member's share may differ by.
-POINTS = 0.02
+#: Sequential requests of a run; random variation moves a share by 0.8 percentage points.
+REQUEST_COUNT = 4000
+#: Largest accepted deviation of a member's share.
+SHARE_TOLERANCE = 0.02
 
 
 class Texts:
-    """Files by their names."""
+    """Serves files from memory."""
 
     def __init__(self, **files: str) -> None:
         self.files = files
@@ -49,11 +49,13 @@
 
 
 class Sample:
+    """Holds a sample file with the settings from its first lines, and the members that it needs."""
+
     def __init__(self, path: Path) -> None:
         self.text = path.read_text()
-        self.report = path.parent / "reports" / f"{path.name}.txt"
-        says = "\n".join(line[2:] for line in self.text.splitlines() if line.startswith("#!"))
-        self.says: dict[str, Any] = tomllib.loads(says)
+        self.report_path = path.parent / "reports" / f"{path.name}.txt"
+        spec = "\n".join(line[2:] for line in self.text.splitlines() if line.startswith("#!"))
+        self.spec: dict[str, Any] = tomllib.loads(spec)
         self.is_jk = path.suffix == ".jk"
         self.members = [Member(name) for name in "abc"]
 
@@ -61,7 +63,7 @@
         ports = {m.name.upper(): m.address.rpartition(":")[2] for m in self.members}
         variables = ports if self.is_jk else {m.name.upper(): m.address for m in self.members}
         return Options(
-            tuple(self.says.get("allow", ())) if allow else (),
+            tuple(self.spec.get("allow", ())) if allow else (),
             ("127.0.0.1:0",),
             {},
             {port: port for port in ports.values()},
@@ -81,156 +83,160 @@
         return import_apache(self.files(), "conf", self.options(allow))
 
     def directives(self) -> int:
-        """How many there are, by the parsers alone."""
-        reading, options = Reading(self.files()), self.options()
+        """Count the directives, using only the parsers."""
+        reader, options = SourceReader(self.files()), self.options()
         if self.is_jk:
-            return len(parse_workers(reading, "workers", options.variables).properties) + len(
-                parse_map(reading, "map")
+            return len(parse_workers(reader, "workers", options.variables).properties) + len(
+                parse_map(reader, "map")
             )
-        tree, _ = parse(reading, "conf", options.given, options.variables)
-        return sum(1 for one in tree for _ in one.walk())
+        tree, _ = parse(reader, "conf", options.environment, options.variables)
+        return sum(1 for directive in tree for _ in directive.walk())
 
 
-async def started(sample: Sample) -> None:
+async def start_members(sample: Sample) -> None:
     for member in sample.members:
         await member.start()
 
 
-async def ended(sample: Sample) -> None:
+async def stop_members(sample: Sample) -> None:
     for member in sample.members:
         await member.stop()
 
 
 @pytest.mark.parametrize("path", SAMPLES, ids=lambda path: path.name)
-def test_report_names_all_and_the_split_is_that_of_apache(
+def test_report_is_complete_and_traffic_shares_match_apache(
     path: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Members, client and proxy share one process here: a full processor says nothing of the pools, and a pause of the
-    # machine (one of 0.1 s moved a split by 3 points beside the whole suite) nothing of a member.
+    # Members, client and proxy share one process here: a saturated processor says nothing about the pools, and a pause
+    # of the machine says nothing about a member. During a run of the whole suite, a pause of 0.1 s moved a share by
+    # 3 points.
     monkeypatch.setattr(shares, "SATURATED_UTILIZATION", 2.0)
     monkeypatch.setattr(outlier_detection, "MIN_SLOW_OBJECTIVE_SHARE", 1.0)
-    asyncio.run(played(Sample(path), tmp_path))
+    asyncio.run(run_sample(Sample(path), tmp_path))
 
 
-async def played(sample: Sample, tmp_path: Path) -> None:
-    await started(sample)
+async def run_sample(sample: Sample, tmp_path: Path) -> None:
+    await start_members(sample)
     try:
         check_report(sample)
-        made = sample.run()
-        assert made.text is not None, made.report.text(made.blocking)
-        file = tmp_path / "micastand.toml"
-        file.write_text(made.text)
+        result = sample.run()
+        assert result.text is not None, result.report.text(result.blocking)
+        config_file = tmp_path / "micastand.toml"
+        config_file.write_text(result.text)
         daemon = Daemon(RecordingLogger(), seed=1)
-        here = DaemonHarness(daemon, file, RecordingLogger())
+        harness = DaemonHarness(daemon, config_file, RecordingLogger())
         try:
-            daemon.apply(load(file))
-            await check_traffic(sample, here)
+            daemon.apply(load(config_file))
+            await check_traffic(sample, harness)
         finally:
-            for client in here.clients:
+            for client in harness.clients:
                 client.writer.close()
             daemon.close()
     finally:
-        await ended(sample)
+        await stop_members(sample)
 
 
-def shortly(made: Imported) -> list[str]:
-    """A report without its words: line, name and fate of each thing, in order."""
-    return [f"{line.place.line} {line.fate.name.lower()} {line.label}" for line in made.report.lines]
+def report_summary(result: Imported) -> list[str]:
+    """Return the line, outcome and label of each report line in order, without its text."""
+    return [f"{line.position.line} {line.outcome.name.lower()} {line.label}" for line in result.report.lines]
 
 
 def check_report(sample: Sample) -> None:
-    """Nothing is dropped silently: no fewer lines than directives, what blocks is named, and it writes nothing."""
-    made = sample.run(allow=False)
-    whole = [line for line in made.report.lines if not line.part]
-    places = {(line.place, line.name) for line in whole}
-    assert len(places) >= sample.directives()
-    assert sorted({line.label for line in made.blocking}) == sorted(sample.says.get("blocks", []))
-    assert shortly(made) == sample.report.read_text().splitlines()
-    assert (made.text is None) == bool(made.blocking)
-    if made.blocking:
+    """Check that every directive is reported, and that those without an equivalent block the import unless allowed."""
+    result = sample.run(allow=False)
+    directive_lines = [line for line in result.report.lines if not line.part]
+    reported = {(line.position, line.name) for line in directive_lines}
+    assert len(reported) >= sample.directives()
+    assert sorted({line.label for line in result.blocking}) == sorted(sample.spec.get("blocks", []))
+    assert report_summary(result) == sample.report_path.read_text().splitlines()
+    assert (result.text is None) == bool(result.blocking)
+    if result.blocking:
         allowed = sample.run()
-        assert not allowed.blocking and allowed.report.counts()[Fate.NONE] >= len(made.blocking)
-        assert not allowed.report.unused(sample.says["allow"])
-
-
-async def check_traffic(sample: Sample, here: DaemonHarness) -> None:
-    says = sample.says
-    model = Balancer([Worker.read(text) for text in says["workers"]], says.get("bound", False))
-    listener = next(iter(here.daemon.listeners))
-    for target, status in says.get("answers", []):
-        assert (await here.ask(asks(says, target), listener))[0] == status, target
-    if "goes" in says:
-        _, _, body = await here.ask(asks(says, says["ask"]), listener)
-        assert f'"target": "{says["goes"]}"'.encode() in body
-    if says.get("reverse"):
-        await check_reverse(sample, here, listener)
-    for step in range(2 if "dies" in says else 1):
+        assert not allowed.blocking and allowed.report.counts()[Outcome.NONE] >= len(result.blocking)
+        assert not allowed.report.unused(sample.spec["allow"])
+
+
+async def check_traffic(sample: Sample, harness: DaemonHarness) -> None:
+    spec = sample.spec
+    model = Balancer([Worker.read(text) for text in spec["workers"]], spec.get("bound", False))
+    listener = next(iter(harness.daemon.listeners))
+    for target, status in spec.get("answers", []):
+        assert (await harness.ask(encode_get(spec, target), listener))[0] == status, target
+    if "goes" in spec:
+        _, _, body = await harness.ask(encode_get(spec, spec["ask"]), listener)
+        assert f'"target": "{spec["goes"]}"'.encode() in body
+    if spec.get("reverse"):
+        await check_reverse(sample, harness, listener)
+    for step in range(2 if "dies" in spec else 1):
         if step:
-            await next(m for m in sample.members if m.name == says["dies"]).stop()
-            next(w for w in model.workers if w.name == says["dies"]).dead = True
-        expected, refused = expect(says, model)
+            await next(m for m in sample.members if m.name == spec["dies"]).stop()
+            next(w for w in model.workers if w.name == spec["dies"]).dead = True
+        expected, refused = expected_shares(spec, model)
         before = {m.name: m.counts.requests for m in sample.members}
-        statuses = await drive(says, here, listener)
-        got = {m.name: (m.counts.requests - before[m.name]) / ASKED for m in sample.members}
-        assert abs(statuses[503] / ASKED - refused) <= POINTS, statuses
-        assert statuses[200] + statuses[503] == ASKED, statuses
+        statuses = await send_requests(spec, harness, listener)
+        shares_seen = {m.name: (m.counts.requests - before[m.name]) / REQUEST_COUNT for m in sample.members}
+        assert abs(statuses[503] / REQUEST_COUNT - refused) <= SHARE_TOLERANCE, statuses
+        assert statuses[200] + statuses[503] == REQUEST_COUNT, statuses
         for name in "abc":
-            assert abs(got[name] - expected[name]) <= POINTS, (step, got, expected)
+            assert abs(shares_seen[name] - expected[name]) <= SHARE_TOLERANCE, (step, shares_seen, expected)
 
 
-def expect(says: dict[str, Any], model: Balancer) -> tuple[dict[str, float], float]:
+def expected_shares(spec: dict[str, Any], model: Balancer) -> tuple[dict[str, float], float]:
     counts: Counter[str] = Counter()
     refused = 0
-    for number in range(ASKED):
-        chosen = model.choose(route_of(says, number))
+    for number in range(REQUEST_COUNT):
+        chosen = model.choose(session_route(spec, number))
         if chosen is None:
             refused += 1
         else:
             counts[chosen.name] += 1
-    return {name: counts[name] / ASKED for name in "abc"}, refused / ASKED
+    return {name: counts[name] / REQUEST_COUNT for name in "abc"}, refused / REQUEST_COUNT
 
 
-def route_of(says: dict[str, Any], number: int) -> str:
-    """The route in the session of a request: behind the first separator."""
-    if "path_session" in says:
-        return str(says["path_session"])
-    if "session" not in says or number % says["every"]:
+def session_route(spec: dict[str, Any], number: int) -> str:
+    """Return the route in the session of a request, that is the part after the first separator."""
+    if "path_session" in spec:
+        return str(spec["path_session"])
+    if "session" not in spec or number % spec["every"]:
         return ""
-    value = says["session"].partition("=")[2]
+    value = spec["session"].partition("=")[2]
     return str(value.partition("!" if "!" in value else ".")[2])
 
 
-def asks(says: dict[str, Any], target: str, cookie: str = "") -> bytes:
-    lines = f"GET {target} HTTP/1.1\r\nHost: {says.get('host', 'any.test')}\r\n"
+def encode_get(spec: dict[str, Any], target: str, cookie: str = "") -> bytes:
+    lines = f"GET {target} HTTP/1.1\r\nHost: {spec.get('host', 'any.test')}\r\n"
     return (lines + (f"Cookie: other=1.a; {cookie}\r\n" if cookie else "") + "\r\n").encode()
 
 
-async def drive(says: dict[str, Any], here: DaemonHarness, listener: str) -> Counter[int]:
-    """One request after another, so that nothing but the weights decides."""
-    target = says.get("ask", "/")
-    plain, with_session = asks(says, target), asks(says, target, says.get("session", ""))
+async def send_requests(spec: dict[str, Any], harness: DaemonHarness, listener: str) -> Counter[int]:
+    """Send requests one after another, so that only the weights decide, and count the statuses."""
+    target = spec.get("ask", "/")
+    without_session, with_session = (
+        encode_get(spec, target),
+        encode_get(spec, target, spec.get("session", "")),
+    )
     statuses: Counter[int] = Counter()
-    reader, writer = await asyncio.open_connection(*here.daemon.listeners[listener].address)
-    for number in range(ASKED):
-        writer.write(plain if "session" not in says or number % says["every"] else with_session)
+    reader, writer = await asyncio.open_connection(*harness.daemon.listeners[listener].address)
+    for number in range(REQUEST_COUNT):
+        writer.write(without_session if "session" not in spec or number % spec["every"] else with_session)
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
         await reader.readexactly(length)
         statuses[int(head[9:12])] += 1
         if b"connection: close" in head.lower():
             writer.close()
-            reader, writer = await asyncio.open_connection(*here.daemon.listeners[listener].address)
+            reader, writer = await asyncio.open_connection(*harness.daemon.listeners[listener].address)
     writer.close()
     return statuses
 
 
-async def check_reverse(sample: Sample, here: DaemonHarness, listener: str) -> None:
+async def check_reverse(sample: Sample, harness: DaemonHarness, listener: str) -> None:
     member = sample.members[0]
     member.behaviour.headers = (
         f"Location: http://{member.address}/app/next?q=1\r\n"
         "Set-Cookie: s=1; Path=/app/in; Domain=inner.test; Secure\r\n"
     ).encode()
-    _, head, _ = await here.ask(asks(sample.says, "/x"), listener)
+    _, head, _ = await harness.ask(encode_get(sample.spec, "/x"), listener)
     member.behaviour.headers = b""
     assert b"Location: http://any.test/next?q=1\r\n" in head
     assert b"Path=/in; Domain=shop.test; Secure" in head
