--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,2 +1,1 @@
-"""A model of what the proxy balances, in virtual time: members, clients, lists, and many instances of the real
-module."""
+"""Simulates members, clients, endpoint lists and many instances of the real policy module in virtual time."""
--- a/emulator/charts.py
+++ b/emulator/charts.py
@@ -1,4 +1,4 @@
-"""Drawings of results: PNG, and one HTML file that holds all of them."""
+"""Draws charts of results as PNG files and as one HTML file that contains all of them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import matplotlib
 
-matplotlib.use("Agg")  # files alone: there may be no screen
+matplotlib.use("Agg")  # renders to files, since there may be no display
 
 from matplotlib.figure import Figure  # noqa: E402
 
@@ -21,20 +21,20 @@
 
 
 def figure() -> tuple[Figure, Any]:
-    made = Figure(figsize=SIZE, layout="constrained")
-    return made, made.add_subplot()
+    chart = Figure(figsize=SIZE, layout="constrained")
+    return chart, chart.add_subplot()
 
 
 def over_load(rows: Sequence[Row], title: str) -> Figure:
-    """Goodput by multiples of capacity, a line for each rule, with the spread over seeds."""
-    made, axes = figure()
+    """Draw goodput over load in multiples of capacity, one line per rule, with the spread over seeds."""
+    chart, axes = figure()
     best = max((row.goodput for row in rows), default=1.0)
     for rule in sorted({row.rule for row in rows}):
-        mine = sorted((row for row in rows if row.rule == rule), key=lambda row: row.load)
+        rule_rows = sorted((row for row in rows if row.rule == rule), key=lambda row: row.load)
         axes.errorbar(
-            [r.load for r in mine],
-            [r.goodput / best for r in mine],
-            [r.spread / best for r in mine],
+            [r.load for r in rule_rows],
+            [r.goodput / best for r in rule_rows],
+            [r.spread / best for r in rule_rows],
             label=rule,
             marker="o",
             capsize=3,
@@ -48,53 +48,53 @@
     )
     axes.legend()
     axes.grid(alpha=0.3)
-    return made
+    return chart
 
 
 def over_time(result: Result) -> Figure:
-    """Worth earned and asked for by second, and the level of refusing."""
-    made, axes = figure()
+    """Draw the worth earned and requested in each second, and the shed level."""
+    chart, axes = figure()
     seconds = range(len(result.series["earned"]))
     axes.plot(seconds, result.series["possible"], label="worth asked for", color="grey")
     axes.plot(seconds, result.series["earned"], label="worth earned")
-    other = axes.twinx()
-    other.plot(seconds, result.series["level"], label="level of refusing", color="tab:red", alpha=0.5)
+    level_axes = axes.twinx()
+    level_axes.plot(seconds, result.series["level"], label="level of refusing", color="tab:red", alpha=0.5)
     axes.set(
         xlabel="second",
         ylabel="worth a second",
         ylim=(0, None),
         title=f"{result.scenario}, seed {result.seed}, rule {result.rule}, build {result.build}",
     )
-    other.set(ylabel="level", ylim=(0, None))
+    level_axes.set(ylabel="level", ylim=(0, None))
     axes.legend(loc="upper left")
     axes.grid(alpha=0.3)
-    return made
+    return chart
 
 
-def png(made: Figure) -> bytes:
+def png(chart: Figure) -> bytes:
     out = io.BytesIO()
-    made.savefig(out, format="png", dpi=110)
+    chart.savefig(out, format="png", dpi=110)
     return out.getvalue()
 
 
 def page(title: str, figures: Sequence[Figure], tables: Sequence[str]) -> str:
-    """One file that needs no other."""
+    """Return an HTML page that embeds all charts and tables."""
     parts = [
         f"<!doctype html><meta charset=utf-8><title>{html.escape(title)}</title><h1>{html.escape(title)}</h1>"
     ]
-    for made in figures:
-        data = base64.b64encode(png(made)).decode()
+    for chart in figures:
+        data = base64.b64encode(png(chart)).decode()
         parts.append(f'<p><img alt="chart" src="data:image/png;base64,{data}">')
     parts += [f"<pre>{html.escape(text)}</pre>" for text in tables]
     return "\n".join(parts)
 
 
 def write(out: Path, title: str, figures: Sequence[Figure], tables: Sequence[str]) -> list[Path]:
-    """`out`: the name of the HTML file; pictures stand beside it."""
+    """Write the HTML file `out` and a PNG file per chart beside it; return the paths."""
     written = []
-    for number, made in enumerate(figures, 1):
+    for number, chart in enumerate(figures, 1):
         path = out.with_name(f"{out.stem}-{number}.png")
-        path.write_bytes(png(made))
+        path.write_bytes(png(chart))
         written.append(path)
     out.write_text(page(title, figures, tables), encoding="utf-8")
     return [*written, out]
--- a/emulator/draws.py
+++ b/emulator/draws.py
@@ -1,7 +1,7 @@
-"""Random numbers by numpy, a generator for each part of the model: a change of one part shifts no other part's draws.
+"""Random numbers from numpy, with a generator for each part of the model.
 
-Numbers are drawn by the thousand and handed out one by one, since one call of numpy for one number costs more than all
-that is done with it.
+A change in one part does not change the draws of another. Numbers are drawn in chunks of about a thousand and returned
+one by one, since a numpy call for a single number costs more than all that is done with it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Stream:
-    """Numbers of one distribution."""
+    """Returns random numbers of one distribution, one per call."""
 
     def __init__(self, draw: Callable[[int], np.ndarray]) -> None:
         self._draw = draw
@@ -28,29 +28,30 @@
 
 
 class Draws:
-    """All parts of one run."""
+    """Creates the random streams of one run, each named by the part of the model that uses it."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
     def generator(self, *part: str | int) -> Generator:
-        """Of one part, whatever others there are."""
-        words = [
+        """Return the generator of one part, which depends only on the seed and the name of the part."""
+        entropy = [
             self.seed,
             *(int.from_bytes(str(word).encode()[:16].ljust(16, b"\0"), "big") for word in part),
         ]
-        return default_rng(SeedSequence(words))
+        return default_rng(SeedSequence(entropy))
 
     def uniform(self, *part: str | int, low: float = 0.0, high: float = 1.0) -> Stream:
-        made = self.generator(*part)
-        return Stream(lambda count: made.uniform(low, high, count))
+        """Return a uniform stream."""
+        generator = self.generator(*part)
+        return Stream(lambda count: generator.uniform(low, high, count))
 
     def exponential(self, *part: str | int) -> Stream:
-        """Of mean 1."""
-        made = self.generator(*part)
-        return Stream(lambda count: made.exponential(1.0, count))
+        """Return an exponential stream with mean 1."""
+        generator = self.generator(*part)
+        return Stream(lambda count: generator.exponential(1.0, count))
 
     def work(self, *part: str | int, spread: float) -> Stream:
-        """Log-normal of mean 1; `spread`: of its logarithm."""
-        made = self.generator(*part)
-        return Stream(lambda count: made.lognormal(-spread * spread / 2, spread, count))
+        """Return a log-normal stream with mean 1, where `spread` is the standard deviation of the logarithm."""
+        generator = self.generator(*part)
+        return Stream(lambda count: generator.lognormal(-spread * spread / 2, spread, count))
--- a/emulator/experiment.py
+++ b/emulator/experiment.py
@@ -1,8 +1,8 @@
-"""Sweeps: a scenario with other values, under other rules, over seeds, on all cores; kept in one SQLite file a run.
+"""Runs a scenario with varied values, rules and seeds on all cores, and stores the runs in an SQLite file.
 
-An experiment is a TOML file: `scenario`, `seeds`, `rules`, and `[vary]` with a list of values for each dotted key.
-What is played is every combination. Each row names its seed, its build and its values, and can be played again from
-these alone."""
+An experiment is a TOML file with `scenario`, `seeds`, `rules`, and `[vary]` with a list of values for each dotted key.
+Every combination is run. Each row contains its seed, build and values, from which the run can be reproduced.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 from emulator.figures import Result
 from emulator.rules import RULES
-from emulator.scenario import Scenario, ScenarioError, at_times, build, put
+from emulator.scenario import Scenario, ScenarioError, at_times, build, set_value
 
 TABLE = """\
 CREATE TABLE IF NOT EXISTS runs (
@@ -28,98 +28,103 @@
 
 
 class Experiment(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """Holds the settings of an experiment file; the field names are its keys."""
+
     name: str
-    scenario: str  # a file beside this one
+    scenario: str  # a file in the same directory
     seeds: int = 10
     first_seed: int = 1
     rules: tuple[str, ...] = ("program",)
-    loads: tuple[float, ...] = ()  # multiples of the scenario's capacity; its own rate if there are none
+    loads: tuple[float, ...] = ()  # multiples of the scenario's capacity; if empty, the scenario's own rate
     vary: dict[str, list[Any]] = {}
 
 
 class Job(NamedTuple):
-    box: dict[str, Any]
+    """Holds the settings of one run."""
+
+    values: dict[str, Any]
     seed: int
     rule: str
-    load: float  # 0: the scenario's own
+    load: float  # 0: the scenario's own rate
     params: dict[str, Any]
 
 
 def read(path: Path) -> tuple[Experiment, dict[str, Any]]:
-    """The experiment and its scenario's values; ScenarioError with what is wrong."""
+    """Return an experiment and the values of its scenario; raise ScenarioError if a file or value is invalid."""
     import tomllib
 
     try:
-        found = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Experiment)
-        box = tomllib.loads((path.parent / found.scenario).read_text(encoding="utf-8"))
+        experiment = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Experiment)
+        values = tomllib.loads((path.parent / experiment.scenario).read_text(encoding="utf-8"))
     except (OSError, ValueError, msgspec.ValidationError) as problem:
         raise ScenarioError(f"{path}: {problem}") from None
-    unknown = [rule for rule in found.rules if rule not in RULES]
+    unknown = [rule for rule in experiment.rules if rule not in RULES]
     if unknown:
-        raise ScenarioError(f"{path}: no rule named {', '.join(unknown)}; there are: {', '.join(RULES)}")
-    for job in jobs(found, box, 1):
+        raise ScenarioError(f"{path}: no rule named {', '.join(unknown)}; expected one of {', '.join(RULES)}")
+    for job in jobs(experiment, values, 1):
         scenario_of(job)
-    return found, box
+    return experiment, values
 
 
-def jobs(experiment: Experiment, box: Mapping[str, Any], seeds: int | None = None) -> Iterator[Job]:
-    """Everything that is to be played, seeds in the outer turn, so that a run that is cut short is of all values."""
+def jobs(experiment: Experiment, values: Mapping[str, Any], seeds: int | None = None) -> Iterator[Job]:
+    """Yield all runs, with the seeds in the outer loop, so that an interrupted experiment covers all values."""
     keys = list(experiment.vary)
     for seed in range(experiment.first_seed, experiment.first_seed + (seeds or experiment.seeds)):
-        for values in itertools.product(*experiment.vary.values()):
-            params = dict(zip(keys, values, strict=True))
-            changed = json.loads(json.dumps(box))
+        for combination in itertools.product(*experiment.vary.values()):
+            params = dict(zip(keys, combination, strict=True))
+            changed = json.loads(json.dumps(values))
             for key, value in params.items():
-                put(changed, key, value)
+                set_value(changed, key, value)
             for load in experiment.loads or (0.0,):
                 for rule in experiment.rules:
                     yield Job(changed, seed, rule, load, params)
 
 
 def scenario_of(job: Job) -> Scenario:
-    made = build(job.box, "experiment")
-    return at_times(made, job.load) if job.load else made
+    """Return the scenario of a run at its load."""
+    scenario = build(job.values, "experiment")
+    return at_times(scenario, job.load) if job.load else scenario
 
 
 def run_job(job: Job) -> tuple[Result, float]:
-    """In a process of its own; with it the seconds that it took."""
+    """Execute one run in a worker process; return the result and the seconds that it took."""
     from emulator.play import play
 
-    began = time.perf_counter()
+    start = time.perf_counter()
     result = play(scenario_of(job), job.seed, job.rule)
     result.params = dict(job.params)
-    return result, time.perf_counter() - began
+    return result, time.perf_counter() - start
 
 
 def run(
     experiment: Experiment,
-    box: Mapping[str, Any],
+    values: Mapping[str, Any],
     out: Path,
     workers: int,
     progress: Callable[[int, int], None],
 ) -> int:
-    """Play all of it; the number of runs that were kept. Runs are kept as they end."""
-    todo = list(jobs(experiment, box))
-    base = sqlite3.connect(out)
-    done = 0
+    """Execute all runs, store each when it ends, and return the number of stored runs."""
+    all_jobs = list(jobs(experiment, values))
+    connection = sqlite3.connect(out)
+    completed = 0
     try:
-        base.execute(TABLE)
+        connection.execute(TABLE)
         with ProcessPoolExecutor(workers) as pool:
-            waiting = {pool.submit(run_job, job): job for job in todo}
-            for future in as_completed(waiting):
-                job = waiting[future]
-                result, took = future.result()
-                keep(base, job, result, took)
-                done += 1
-                progress(done, len(todo))
+            job_by_future = {pool.submit(run_job, job): job for job in all_jobs}
+            for future in as_completed(job_by_future):
+                job = job_by_future[future]
+                result, elapsed = future.result()
+                store(connection, job, result, elapsed)
+                completed += 1
+                progress(completed, len(all_jobs))
     finally:
-        base.close()
-    return done
+        connection.close()
+    return completed
 
 
-def keep(base: sqlite3.Connection, job: Job, result: Result, took: float) -> None:
-    with base:
-        base.execute(
+def store(connection: sqlite3.Connection, job: Job, result: Result, elapsed: float) -> None:
+    with connection:
+        connection.execute(
             "INSERT INTO runs (at, build, scenario, rule, seed, load, params, goodput, possible, refused_share, "
             "sent_for_each, seconds, result) VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
             (
@@ -134,14 +139,14 @@
                 result.possible,
                 result.refused_share,
                 result.sent_for_each,
-                took,
+                elapsed,
                 msgspec.json.encode(result).decode(),
             ),
         )
 
 
 class Row(NamedTuple):
-    """Of one rule, load and set of values, over its seeds."""
+    """Holds the means over the seeds for one rule, load and set of values."""
 
     rule: str
     load: float
@@ -155,27 +160,38 @@
 
 
 def table(path: Path) -> list[Row]:
-    """What a file of results holds, means over seeds."""
-    base = sqlite3.connect(path)
+    """Return the rows of a results file, averaged over seeds."""
+    connection = sqlite3.connect(path)
     try:
-        rows = base.execute(
+        rows = connection.execute(
             "SELECT rule, load, params, COUNT(*), AVG(goodput), AVG(goodput * goodput), AVG(possible), "
             "AVG(refused_share), AVG(sent_for_each) FROM runs GROUP BY rule, load, params ORDER BY params, load, rule"
         ).fetchall()
     finally:
-        base.close()
+        connection.close()
     return [
-        Row(rule, load, params, count, good, max(0.0, square - good * good) ** 0.5, possible, refused, sent)
-        for rule, load, params, count, good, square, possible, refused, sent in rows
+        Row(
+            rule,
+            load,
+            params,
+            count,
+            goodput,
+            max(0.0, square - goodput * goodput) ** 0.5,
+            possible,
+            refused,
+            sent,
+        )
+        for rule, load, params, count, goodput, square, possible, refused, sent in rows
     ]
 
 
 def results(path: Path) -> list[Result]:
-    base = sqlite3.connect(path)
+    """Return the results of all runs in a results file."""
+    connection = sqlite3.connect(path)
     try:
         return [
             msgspec.json.decode(row[0], type=Result)
-            for row in base.execute("SELECT result FROM runs ORDER BY id")
+            for row in connection.execute("SELECT result FROM runs ORDER BY id")
         ]
     finally:
-        base.close()
+        connection.close()
--- a/emulator/figures.py
+++ b/emulator/figures.py
@@ -1,4 +1,4 @@
-"""What a run came to: counts by second and class, times, worth, and whether the rules held."""
+"""Collects the figures of a run: counts by second and class, response times, worth, and rule violations."""
 
 from __future__ import annotations
 
@@ -10,41 +10,46 @@
 
 from emulator.scenario import Scenario
 
-#: Ends of a client's request: served in its aim, later, refused or failed to the last, given up by the client.
+#: How a client's request ends: served within its aim, served later, refused or failed at the last try, or given up by
+#: the client.
 ENDS = ("in_aim", "late", "refused", "failed", "given_up")
 
 
 class ClassFigures(Struct):
+    """Holds the figures of one request class; the field names are those of the JSON output."""
+
     asked: int
     ends: dict[str, int]
     p50: float
     p99: float
     worth: float  # earned
-    possible: float  # worth of all that was asked
+    possible: float  # worth of all requests
 
 
 class Result(Struct):
-    """All of it, as JSON has it."""
+    """Holds the figures of one run; the field names are those of the JSON output."""
 
     scenario: str
     seed: int
     build: str
     seconds: float
     classes: dict[str, ClassFigures]
-    goodput: float  # worth a second
-    possible: float  # worth a second that was asked for
+    goodput: float  # worth earned per second
+    possible: float  # worth requested per second
     attempts: dict[str, int]  # by result
-    sent_for_each: float  # attempts for each first try of a client
+    sent_for_each: float  # attempts per client request
     handshakes: int
-    refused_share: float  # of first tries, that were refused once at least
-    rules: dict[str, float]  # broken: how often; for cold members the most work for what they could do
+    refused_share: float  # share of client requests refused at least once
+    rules: dict[
+        str, float
+    ]  # violations by rule; for cold_work the highest ratio of work to capacity of a cold member
     series: dict[str, list[float]]  # by second
-    rule: str = ""  # of refusing, where it is not the program's
+    rule: str = ""  # name of the shedding rule
     params: dict[str, Any] = {}
 
 
 class Counts:
-    """Kept while a run goes on."""
+    """Counts requests, attempts and rule violations while a run goes on."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -59,16 +64,17 @@
         self.times: list[list[float]] = [[] for _ in range(classes)]
         self.broken: Counter[str] = Counter()
 
-    def ask(self, cls: int, second: float) -> None:
+    def record_request(self, cls: int, second: float) -> None:
         self.asked[cls, int(second)] += 1
 
-    def end(self, cls: int, end: str, asked_at: float, took: float) -> None:
-        """`asked_at`: the second of the first try, under which it counts."""
+    def record_end(self, cls: int, end: str, asked_at: float, duration: float) -> None:
+        """Record how a request ended, under the second of its first try `asked_at`."""
         self.ends[end][cls, int(asked_at)] += 1
         if end in ("in_aim", "late") and asked_at >= self.scenario.ignore:
-            self.times[cls].append(took)
+            self.times[cls].append(duration)
 
     def result(self, seed: int, build: str) -> Result:
+        """Return the figures of the run, without the seconds that the scenario ignores."""
         scenario = self.scenario
         begin, end = int(scenario.ignore), int(scenario.seconds)
         span = end - begin
--- a/emulator/members.py
+++ b/emulator/members.py
@@ -1,8 +1,8 @@
-"""Modelled members: cores shared by what they work on, a queue before them, cold starts, phases in which they are bad.
+"""Models members with shared cores, a queue in front of them, cold starts and phases of faults.
 
-Processor sharing by attained service: while n requests are worked on, each gets `speed` times the smaller of 1 and
-cores / n of a second a second. The service that each has had since the member began is one figure for all, so the next
-to end is the one with the least figure to end at; an event costs the logarithm of what is there.
+Processor sharing by attained service: while n requests are processed, each gets `speed` times min(1, cores / n) seconds
+of service per second. The service that each has attained since the member started is one number for all requests, so
+the next one to finish is that with the smallest finishing value; an event costs O(log n).
 """
 
 from __future__ import annotations
@@ -15,25 +15,31 @@
 from emulator.clock import Clock
 from emulator.scenario import MemberPart, RulesPart
 
-#: While a member is cold its speed changes all the time; it is looked at this often, in seconds.
-COLD_LOOK_S = 0.1
-TURN_AWAY_S = 0.001
+#: Longest interval between recomputations while a member is cold, since its speed changes continuously then.
+COLD_RECOMPUTE_S = 0.1
+#: Seconds until a member with a full backlog rejects a request.
+REJECTION_S = 0.001
 Key = tuple[int, int, int]  # proxy, request, attempt
 
 
 @dataclass(slots=True, eq=False)
 class Job:
+    """Holds an attempt at a member while it waits or is processed."""
+
     key: Key
     work: float
-    rest: float
-    token: tuple[int, str]  # of its effect: client's request, class
-    ends: float = 0.0  # attained service at which it is done
-    gone: bool = False
+    delay_after: float  # seconds between the end of the work and the response
+    effect: tuple[int, str]  # number of the client's request, kind of effect
+    finishes_at: float = 0.0  # attained service at which it is done
+    removed: bool = False  # finished or cancelled
 
 
 class Member:
-    """`answer(member, job)` and `turned_away(member, key)` hear what becomes of requests; `ran(member, job)` that one
-    has begun."""
+    """Models one member.
+
+    The callbacks `on_response(member, job)` and `on_rejected(member, key)` report the results of requests,
+    `on_started(member, job)` the start of processing.
+    """
 
     def __init__(
         self, clock: Clock, part: MemberPart, rules: RulesPart, name: str, zone: str, speed: float
@@ -46,27 +52,29 @@
             zone,
             speed,
         )
-        self.started = 0.0  # long ago
+        self.started = 0.0  # 0: before the simulation, so the member is warm
         self.down = self.silent = self.draining = False
         self.paused = False
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.errors = 0.0
-        self.idle: dict[int, int] = {}  # connections kept, by proxy
+        self.idle_connections: dict[int, int] = {}  # by proxy
         self.jobs: dict[Key, Job] = {}
         self.waiting: deque[Job] = deque()
         self._heap: list[tuple[float, int, Job]] = []
         self._order = 0
         self._service, self._at, self._version = 0.0, clock.now, 0
-        self.busy = 0.0  # core seconds
-        self.given: list[tuple[float, float]] = []  # work sent here while cold, and when
-        self.answer: Callable[[Member, Job], None]
-        self.turned_away: Callable[[Member, Key], None]
-        self.ran: Callable[[Member, Job], None]
+        self.busy = 0.0  # in core seconds
+        self.cold_work: list[
+            tuple[float, float]
+        ] = []  # time and work of requests that came while it was cold
+        self.on_response: Callable[[Member, Job], None]
+        self.on_rejected: Callable[[Member, Key], None]
+        self.on_started: Callable[[Member, Job], None]
 
     # Speed.
 
     def warmth(self, at: float) -> float:
-        """Share of its speed that it has at a time."""
+        """Return the share of its full speed that the member has at a time."""
         age = max(0.0, at - self.started)
         if not self.started or age >= self.rules.cold_time:
             return 1.0
@@ -76,111 +84,116 @@
         return bool(self.started) and self.clock.now - self.started < self.rules.cold_time
 
     def rate(self) -> float:
-        """Service of each request a second."""
+        """Return the service that each request gets per second."""
         if not self.jobs or self.paused or self.down:
             return 0.0
         return (
-            self.speed / self.slow * self.warmth(self.clock.now) * min(1.0, self.part.cores / len(self.jobs))
+            self.speed
+            / self.slowdown
+            * self.warmth(self.clock.now)
+            * min(1.0, self.part.cores / len(self.jobs))
         )
 
     def advance(self) -> None:
-        """Up to now, at the rate that held since the last change."""
+        """Account for the service up to now, at the rate since the last change."""
         passed = self.clock.now - self._at
         self._at = self.clock.now
         if passed > 0 and self.jobs:
             self._service += passed * self.rate()
             self.busy += passed * min(self.part.cores, len(self.jobs)) * (not self.paused)
 
-    def change(self) -> None:
-        """Something that the rate hangs on has changed: from now on."""
+    def reschedule(self) -> None:
+        """Schedule the next completion after a change of the rate."""
         self._version += 1
         rate = self.rate()
-        while self._heap and self._heap[0][2].gone:
+        while self._heap and self._heap[0][2].removed:
             heapq.heappop(self._heap)
         if rate > 0 and self._heap:
             wait = max(0.0, (self._heap[0][0] - self._service) / rate)
             if self.is_cold():
-                wait = min(wait, COLD_LOOK_S)
-            self.clock.after(wait + 1e-9, self._due, self._version)
+                wait = min(wait, COLD_RECOMPUTE_S)
+            self.clock.after(wait + 1e-9, self._complete_due, self._version)
 
-    def _due(self, version: int) -> None:
+    def _complete_due(self, version: int) -> None:
         if version != self._version:
             return
         self.advance()
-        while self._heap and (self._heap[0][2].gone or self._heap[0][0] <= self._service + 1e-9):
+        while self._heap and (self._heap[0][2].removed or self._heap[0][0] <= self._service + 1e-9):
             job = heapq.heappop(self._heap)[2]
-            if not job.gone:
+            if not job.removed:
                 del self.jobs[job.key]
-                job.gone = True
+                job.removed = True
                 if not self.silent:
-                    self.clock.after(job.rest, self.answer, self, job)
-        self._fill()
-        self.change()
+                    self.clock.after(job.delay_after, self.on_response, self, job)
+        self._start_waiting()
+        self.reschedule()
 
     # Requests.
 
-    def take(self, job: Job) -> None:
-        """A request has come whole."""
+    def receive(self, job: Job) -> None:
+        """Receive a complete request: process it, queue it, or reject it if the backlog is full."""
         self.advance()
         if self.is_cold():
-            self.given.append((self.clock.now, job.work))
+            self.cold_work.append((self.clock.now, job.work))
         if len(self.jobs) >= self.part.workers:
             if len(self.waiting) >= self.part.backlog:
-                self.clock.after(TURN_AWAY_S, self.turned_away, self, job.key)
+                self.clock.after(REJECTION_S, self.on_rejected, self, job.key)
                 return
             self.waiting.append(job)
             return
-        self._begin(job)
-        self.change()
+        self._start(job)
+        self.reschedule()
 
-    def _begin(self, job: Job) -> None:
-        self.ran(self, job)
+    def _start(self, job: Job) -> None:
+        self.on_started(self, job)
         self._order += 1
-        job.ends = self._service + job.work
+        job.finishes_at = self._service + job.work
         self.jobs[job.key] = job
-        heapq.heappush(self._heap, (job.ends, self._order, job))
+        heapq.heappush(self._heap, (job.finishes_at, self._order, job))
 
-    def _fill(self) -> None:
+    def _start_waiting(self) -> None:
         while self.waiting and len(self.jobs) < self.part.workers:
             job = self.waiting.popleft()
-            if not job.gone:
-                self._begin(job)
+            if not job.removed:
+                self._start(job)
 
-    def drop(self, key: Key) -> None:
-        """Its proxy wants no answer any more, and has closed the connection; what waits is not begun."""
+    def cancel(self, key: Key) -> None:
+        """Remove a request whose proxy has closed the connection; a waiting one is never started."""
         job = self.jobs.get(key)
         if job is not None:
             self.advance()
-            job.gone = True
+            job.removed = True
             del self.jobs[key]
-            self._fill()
-            self.change()
+            self._start_waiting()
+            self.reschedule()
             return
         for job in self.waiting:
             if job.key == key:
-                job.gone = True
+                job.removed = True
 
-    def lost(self) -> list[Key]:
-        """It dies: the requests that were there."""
+    def crash(self) -> list[Key]:
+        """Drop all requests and idle connections, and return the keys of the requests."""
         self.advance()
-        keys = [*self.jobs, *(job.key for job in self.waiting if not job.gone)]
+        keys = [*self.jobs, *(job.key for job in self.waiting if not job.removed)]
         for job in (*self.jobs.values(), *self.waiting):
-            job.gone = True
+            job.removed = True
         self.jobs.clear()
         self.waiting.clear()
         self._heap.clear()
-        self.idle.clear()
-        self.change()
+        self.idle_connections.clear()
+        self.reschedule()
         return keys
 
-    def most_while_cold(self) -> float:
-        """The most work that it was sent in any window of the rule while cold, for what it could do in it."""
-        most, first, total = 0.0, 0, 0.0
-        for at, work in self.given:
+    def peak_cold_load(self) -> float:
+        """Return the highest ratio of work received to capacity in any window of the rule while cold."""
+        peak, first, total = 0.0, 0, 0.0
+        for at, work in self.cold_work:
             total += work
-            while self.given[first][0] < at - self.rules.fall_time:
-                total -= self.given[first][1]
+            while self.cold_work[first][0] < at - self.rules.fall_time:
+                total -= self.cold_work[first][1]
                 first += 1
-            able = self.speed * self.part.cores * self.warmth(self.given[first][0]) * self.rules.fall_time
-            most = max(most, total / able)
-        return most
+            capacity = (
+                self.speed * self.part.cores * self.warmth(self.cold_work[first][0]) * self.rules.fall_time
+            )
+            peak = max(peak, total / capacity)
+        return peak
--- a/emulator/play.py
+++ b/emulator/play.py
@@ -1,4 +1,4 @@
-"""One run of a scenario under a seed, and which build it was of."""
+"""Runs a scenario under a seed and identifies the build that was run."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from emulator.figures import Result
 from emulator.rules import RULES
 from emulator.scenario import Scenario
-from emulator.world import World
+from emulator.world import Simulation
 
 
 @cache
 def build() -> str:
-    """Of the decisions and of the model: a digest of their sources, the same wherever they lie."""
+    """Return a digest of the sources of the policy and of the emulator, independent of where they are installed."""
     import emulator
     import loadbalancer
 
@@ -27,7 +27,7 @@
 
 
 def play(scenario: Scenario, seed: int, rule: str = "program") -> Result:
-    """`rule`: of refusing, by its name in `emulator.rules`; "program" is what the program does."""
-    found = World(scenario, seed, RULES[rule]).play().result(seed, build())
-    found.rule = rule
-    return found
+    """Run a scenario with a shedding rule of `emulator.rules`; "program" is the rule of the product."""
+    result = Simulation(scenario, seed, RULES[rule]).play().result(seed, build())
+    result.rule = rule
+    return result
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -1,4 +1,4 @@
-"""Results as text."""
+"""Formats results as text."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from emulator.figures import Result
 
 
-def of_result(result: Result) -> str:
+def format_result(result: Result) -> str:
+    """Return the summary of one run."""
     share = result.goodput / max(result.possible, 1e-9)
     lines = [
         f"{result.scenario}, seed {result.seed}, rule {result.rule}, build {result.build}: "
@@ -29,16 +30,16 @@
     return "\n".join(lines)
 
 
-def of_rows(rows: Sequence[Row]) -> str:
-    """Worth a second beside the best rule at the same load and values."""
+def format_rows(rows: Sequence[Row]) -> str:
+    """Return a table of worth per second, also relative to the best rule at the same load and values."""
     best: dict[tuple[float, str], float] = {}
     for row in rows:
-        place = row.load, row.params
-        best[place] = max(best.get(place, 0.0), row.goodput)
+        setting = row.load, row.params
+        best[setting] = max(best.get(setting, 0.0), row.goodput)
     lines = ["load   rule       seeds  worth/s  spread  of best  refused  attempts  values"]
     for row in rows:
         share = row.goodput / max(1e-9, best[row.load, row.params])
         values = row.params if row.params != "{}" else ""
-        first = f"{row.load:5.2f}  {row.rule:9}  {row.seeds:5}  {row.goodput:7.0f}  {row.spread:6.0f}  {share:7.3f}"
-        lines.append(f"{first}  {row.refused:7.3f}  {row.sent:8.2f}  {values}".rstrip())
+        line = f"{row.load:5.2f}  {row.rule:9}  {row.seeds:5}  {row.goodput:7.0f}  {row.spread:6.0f}  {share:7.3f}"
+        lines.append(f"{line}  {row.refused:7.3f}  {row.sent:8.2f}  {values}".rstrip())
     return "\n".join(lines)
--- a/emulator/rules.py
+++ b/emulator/rules.py
@@ -1,7 +1,7 @@
-"""Rules of refusing that were tried in place of the program's, each a whole `Balancer` with another level.
+"""Alternative load-shedding rules for comparison with that of the product, each as a `Balancer` subclass.
 
-All refuse by the same order (`LoadShedding.rejects`: the least worth for its work first); they differ in what the
-level is taken from. `program` is the real one.
+All reject in the same order (`LoadShedding.rejects`: the least worth per work first); they differ in how the shed level
+is computed. `program` is the rule of the product.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import math
 from typing import Any, Mapping
 
-from emulator.world import Make
+from emulator.world import BalancerFactory
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
 from loadbalancer.policy.events import (
@@ -21,7 +21,7 @@
 from loadbalancer.policy.pending_requests import PendingRequest
 from loadbalancer.policy.settings import PolicySettings
 
-COUNTED_NOT = (
+IGNORED_RESULTS = (
     AttemptResult.CANCELLED,
     AttemptResult.NOT_SENT,
     AttemptResult.NO_CONNECTION,
@@ -30,7 +30,7 @@
 
 
 class NoLimit(ConcurrencyLimit):
-    """The program's own limit is not asked."""
+    """Disables the concurrency limit of the product."""
 
     def is_full(self, class_index: int, ranks_below_class: bool) -> bool:
         return False
@@ -40,25 +40,27 @@
 
 
 class NoShedding(LoadShedding):
-    """Nothing is refused but what can't be sent: the floor."""
+    """Sheds no load, as a baseline: only requests that can't be sent are rejected."""
 
     def rejects(self, event: Request, is_late: bool, now: float) -> bool:
         return False
 
 
 class LimitShedding(LoadShedding):
-    """A limit on own requests in flight, below which nothing is refused. The classes that earn least give way first:
-    each rank may fill its part of the limit alone."""
+    """Rejects requests only at a limit on the requests in flight of this instance.
 
-    LEAST, START, MOST = 2.0, 20.0, 10_000.0
-    #: Parts of the limit that classes may fill, the dearest all of it.
-    PART = 0.8
+    Classes with less worth are rejected first: each lower rank may use only a smaller part of the limit.
+    """
+
+    MIN_LIMIT, INITIAL_LIMIT, MAX_LIMIT = 2.0, 20.0, 10_000.0
+    #: Part of the limit for each rank, relative to the rank above; the class with the most worth may use all of it.
+    RANK_SHARE = 0.8
 
     def __init__(self, settings: PolicySettings, *parts: Any) -> None:
         super().__init__(settings, *parts)
-        self.limit = self.START
-        self.best = [math.inf] * len(settings.classes)  # the least time an answer took of late
-        self.renewed = 0.0
+        self.limit = self.INITIAL_LIMIT
+        self.best_times = [math.inf] * len(settings.classes)  # shortest recent response time, by class
+        self.relaxed_at = 0.0
 
     @property
     def in_flight(self) -> int:
@@ -67,31 +69,34 @@
     def rejects(self, event: Request, is_late: bool, now: float) -> bool:
         values = self._value.by_class()
         rank = sum(value > values[event.class_index] for value in values) + is_late
-        room = self.limit * self.PART**rank
-        over = self.in_flight >= room
+        allowed = self.limit * self.RANK_SHARE**rank
+        over = self.in_flight >= allowed
         self.level = max(0.0, self.in_flight / max(self.limit, 1e-9) - 1.0) if over else 0.0
         return over
 
     def record_outcome(self, pending: PendingRequest, event: Outcome, now: float) -> None:
-        if event.result in COUNTED_NOT:
+        if event.result in IGNORED_RESULTS:
             return
-        took = event.response_time
+        response_time = event.response_time
         if event.result == AttemptResult.SERVED:
-            if now - self.renewed > 10.0:  # the fleet may have changed
-                self.best, self.renewed = [one * 1.5 for one in self.best], now
-            self.best[pending.class_index] = min(self.best[pending.class_index], took)
-        self._adapt(pending, event, took)
-        self.limit = min(self.MOST, max(self.LEAST, self.limit))
+            if now - self.relaxed_at > 10.0:  # relax the best times, since the fleet may have changed
+                self.best_times, self.relaxed_at = [best * 1.5 for best in self.best_times], now
+            self.best_times[pending.class_index] = min(self.best_times[pending.class_index], response_time)
+        self._adapt(pending, event, response_time)
+        self.limit = min(self.MAX_LIMIT, max(self.MIN_LIMIT, self.limit))
 
-    def _adapt(self, pending: PendingRequest, event: Outcome, took: float) -> None:
+    def _adapt(self, pending: PendingRequest, event: Outcome, response_time: float) -> None:
         raise NotImplementedError
 
 
 class AimdShedding(LimitShedding):
-    """Up by one for each limit's worth of answers in time, down by a tenth for one that is late."""
+    """Adapts the limit by AIMD: plus one per `limit` responses in time, minus a tenth, and at most 1, per late one."""
 
-    def _adapt(self, pending: PendingRequest, event: Outcome, took: float) -> None:
-        late = event.result != AttemptResult.SERVED or took > 0.7 * pending.request_class.latency_objective
+    def _adapt(self, pending: PendingRequest, event: Outcome, response_time: float) -> None:
+        late = (
+            event.result != AttemptResult.SERVED
+            or response_time > 0.7 * pending.request_class.latency_objective
+        )
         if late:
             self.limit *= 1 - 0.1 / max(1.0, self.limit / 10)
         elif self.in_flight > self.limit / 2:
@@ -99,27 +104,30 @@
 
 
 class GradientShedding(LimitShedding):
-    """The limit times the best time over the present one, and room for a queue of its square root."""
+    """Adapts the limit by the ratio of best to current response time, with room for a queue of its square root."""
 
-    def _adapt(self, pending: PendingRequest, event: Outcome, took: float) -> None:
-        best = self.best[pending.class_index]
+    def _adapt(self, pending: PendingRequest, event: Outcome, response_time: float) -> None:
+        best = self.best_times[pending.class_index]
         if not math.isfinite(best):
             return
-        gradient = max(0.5, min(1.0, 2.0 * best / max(took, 1e-6)))
+        gradient = max(0.5, min(1.0, 2.0 * best / max(response_time, 1e-6)))
         wanted = self.limit * gradient + math.sqrt(self.limit)
         if wanted < self.limit or self.in_flight > self.limit / 2:
             self.limit += 0.05 * (wanted - self.limit) / max(1.0, self.limit / 10)
 
 
 class VegasShedding(LimitShedding):
-    """Up while few of those in flight wait in queues, by the best time over the present one, and down while many do."""
+    """Adapts the limit by the estimated queue: up while it is short and down while it is long.
+
+    The queue is estimated from the ratio of best to current response time.
+    """
 
-    def _adapt(self, pending: PendingRequest, event: Outcome, took: float) -> None:
-        best = self.best[pending.class_index]
+    def _adapt(self, pending: PendingRequest, event: Outcome, response_time: float) -> None:
+        best = self.best_times[pending.class_index]
         if not math.isfinite(best) or event.result != AttemptResult.SERVED:
             self.limit -= 1.0 / self.limit
             return
-        queued = self.limit * (1 - best / max(took, best))
+        queued = self.limit * (1 - best / max(response_time, best))
         low, high = 3 * math.log10(self.limit + 1), 6 * math.log10(self.limit + 1)
         if queued < low and self.in_flight > self.limit / 2:
             self.limit += 1.0 / self.limit
@@ -128,71 +136,80 @@
 
 
 class DelayShedding(LoadShedding):
-    """The program's level, stepped by the delay over the best time in place of the share of late attempts: while even
-    the quickest answer of an interval waited longer than a part of its aim, the queue stands (CoDel's idea)."""
+    """Changes the shed level of the product by the response time instead of the share of late attempts.
 
-    INTERVAL_S, PART, STEP = 0.5, 0.35, 0.25
+    While even the fastest response of an interval takes longer than a part of its aim, there is a standing queue (the
+    idea of CoDel).
+    """
+
+    INTERVAL_S, DELAY_SHARE, STEP = 0.5, 0.35, 0.25
 
     def __init__(self, settings: PolicySettings, *parts: Any) -> None:
         super().__init__(settings, *parts)
-        self.least = math.inf  # of the interval, as a part of the aim
-        self.until = 0.0
+        self.fastest_share = math.inf  # fastest response of the interval, as a share of its aim
+        self.interval_end = 0.0
 
     def record_outcome(self, pending: PendingRequest, event: Outcome, now: float) -> None:
-        if event.result in COUNTED_NOT:
+        if event.result in IGNORED_RESULTS:
             return
-        took = event.response_time
-        part = took / pending.request_class.latency_objective if event.result == AttemptResult.SERVED else 1.0
-        self.least = min(self.least, part)
-        if now < self.until:
+        response_time = event.response_time
+        objective_share = (
+            response_time / pending.request_class.latency_objective
+            if event.result == AttemptResult.SERVED
+            else 1.0
+        )
+        self.fastest_share = min(self.fastest_share, objective_share)
+        if now < self.interval_end:
             return
-        step = self.STEP if self.least > self.PART else -self.STEP
+        step = self.STEP if self.fastest_share > self.DELAY_SHARE else -self.STEP
         self.level = min(self._max_level, max(0.0, self.level + step))
-        self.least, self.until = math.inf, now + self.INTERVAL_S
+        self.fastest_share, self.interval_end = math.inf, now + self.INTERVAL_S
 
 
 class EngagedLimit(ConcurrencyLimit):
-    """The program's limit, but there is none until more than SHARE of the latest attempts take long; it begins at
-    what is in flight then, and is gone again once next to none do and it is half empty: a burst or a restart meets
-    none."""
+    """Applies the limit of the product only while more than SHARE of the latest attempts are late.
+
+    It starts at the number of requests in flight at that time, and is removed once almost no attempts are late and less
+    than half of it is used, so that a burst or a restart meets no limit.
+    """
 
-    SHARE, STEP, GONE, FROM, LEAST = 0.1, 0.02, 0.01, 0.7, 16.0
+    SHARE, STEP, REMOVE_SHARE, LATE_FROM, MIN_LIMIT = 0.1, 0.02, 0.01, 0.7, 16.0
 
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
-        self.limit, self.late, self.usual_flight = math.inf, 0.0, 0.0
+        self.limit, self.late_ewma, self.in_flight_ewma = math.inf, 0.0, 0.0
 
     def is_full(self, class_index: int, ranks_below_class: bool) -> bool:
-        self.late_share = float(
-            self.limit < math.inf
-        )  # which the program asks for before it holds to a limit
+        # The product applies its limit only if there is a share of late attempts.
+        self.late_share = float(self.limit < math.inf)
         return super().is_full(class_index, ranks_below_class)
 
     def record_outcome(self, pending: PendingRequest, event: Outcome) -> None:
         if event.result not in (AttemptResult.SERVED, AttemptResult.TIMEOUT, AttemptResult.FULL):
             return
-        took = event.response_time
+        response_time = event.response_time
         late = (
-            event.result != AttemptResult.SERVED or took > self.FROM * pending.request_class.latency_objective
+            event.result != AttemptResult.SERVED
+            or response_time > self.LATE_FROM * pending.request_class.latency_objective
         )
-        flight = self.in_flight + 1
-        self.late += self.STEP * (late - self.late)
-        self.usual_flight += self.STEP * (flight - self.usual_flight)
+        in_flight = self.in_flight + 1
+        self.late_ewma += self.STEP * (late - self.late_ewma)
+        self.in_flight_ewma += self.STEP * (in_flight - self.in_flight_ewma)
         if self.limit == math.inf:
-            if self.late > self.SHARE:
-                self.limit = max(self.LEAST, self.usual_flight)
+            if self.late_ewma > self.SHARE:
+                self.limit = max(self.MIN_LIMIT, self.in_flight_ewma)
             return
         if late:
             self.limit -= (1 - self.SHARE) / self.SHARE / self.limit
-        elif flight > self.limit / 2:
+        elif in_flight > self.limit / 2:
             self.limit += 1.0 / self.limit
-        elif self.late < self.GONE:
+        elif self.late_ewma < self.REMOVE_SHARE:
             self.limit = math.inf
             return
-        self.limit = max(self.LEAST, self.limit)
+        self.limit = max(self.MIN_LIMIT, self.limit)
 
 
-class NoRefusing(Balancer):
+class NoSheddingBalancer(Balancer):
     load_shedding_type = NoShedding
 
 
@@ -212,14 +229,14 @@
 
 
 class LevelLimit(ConcurrencyLimit):
-    """Learns as the program's limit does, and rejects nothing."""
+    """Adapts as the limit of the product does, but never rejects."""
 
     def is_full(self, class_index: int, ranks_below_class: bool) -> bool:
         return False
 
 
 class Level(Balancer):
-    """The level alone, as the program had it before the limit (`policy/concurrency_limit.py`)."""
+    """Uses the shed level without the concurrency limit (`policy/concurrency_limit.py`)."""
 
     concurrency_limit_type = LevelLimit
 
@@ -233,7 +250,7 @@
     concurrency_limit_type = EngagedLimit
 
 
-RULES: Mapping[str, Make] = {
-    "program": Balancer, "level": Level, "none": NoRefusing, "aimd": Aimd, "gradient": Gradient, "vegas": Vegas,
+RULES: Mapping[str, BalancerFactory] = {
+    "program": Balancer, "level": Level, "none": NoSheddingBalancer, "aimd": Aimd, "gradient": Gradient, "vegas": Vegas,
     "delay": Delay, "engaged": Engaged,
 }  # fmt: skip
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator: its parts by what is known of queues, its rules by scenes, its files by what they say when wrong."""
+"""Tests of the emulator: its parts against queueing theory, whole runs, and the errors for invalid files."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from emulator.rules import RULES
 from emulator.scenario import MemberPart, RulesPart, Scenario, ScenarioError, at_times, read
 from emulator.scenario import build as build_scenario
-from emulator.world import World
+from emulator.world import Simulation
 
 FOLDER = Path(__file__).parent.parent / "emulator" / "scenarios"
 SMALL: dict[str, Any] = {
@@ -33,25 +33,25 @@
 def small(**changes: Any) -> Scenario:
     box = json.loads(json.dumps(SMALL))
     for key, value in changes.items():
-        from emulator.scenario import put
+        from emulator.scenario import set_value
 
-        put(box, key.replace("__", "."), value)
+        set_value(box, key.replace("__", "."), value)
     return build_scenario(box, "small")
 
 
-# Parts.
+# Parts of the model.
 
 
-def test_the_clock_goes_in_order_and_never_back() -> None:
-    clock, seen = Clock(), []
+def test_clock_calls_in_order_and_never_goes_back() -> None:
+    clock, calls = Clock(), []
     for wait in (0.3, 0.1, 0.2, 0.1):
-        clock.after(wait, lambda name: seen.append((round(clock.second, 3), name)), len(seen) or wait)
-    clock.after(0.15, lambda: clock.after(-1.0, lambda: seen.append((round(clock.second, 3), "late"))))
+        clock.after(wait, lambda name: calls.append((round(clock.second, 3), name)), len(calls) or wait)
+    clock.after(0.15, lambda: clock.after(-1.0, lambda: calls.append((round(clock.second, 3), "late"))))
     clock.run(0.25)
-    assert [at for at, _ in seen] == [0.1, 0.1, 0.15, 0.2] and clock.second == 0.25
+    assert [at for at, _ in calls] == [0.1, 0.1, 0.15, 0.2] and clock.second == 0.25
 
 
-def test_a_change_of_one_part_shifts_no_other_parts_draws() -> None:
+def test_draws_of_one_part_do_not_change_those_of_another() -> None:
     one, other = Draws(5), Draws(5)
     for _ in range(3000):
         other.uniform("class")()
@@ -62,80 +62,84 @@
     assert abs(np.mean([work() for _ in range(20_000)]) - 1.0) < 0.02
 
 
-class Heard:
+class MemberRecorder:
+    """Creates members and records when their requests finish and which are rejected."""
+
     def __init__(self, clock: Clock) -> None:
-        self.clock, self.ends, self.away = clock, {}, []  # type: ignore[var-annotated]
+        self.clock, self.ends, self.rejected = clock, {}, []  # type: ignore[var-annotated]
 
     def member(self, **part: Any) -> Member:
-        made = Member(self.clock, MemberPart(**part), RulesPart(), "m", "a", 1.0)
-        made.answer = lambda member, job: self.ends.__setitem__(job.key[1], round(self.clock.second, 4))
-        made.turned_away = lambda member, key: self.away.append(key[1])
-        made.ran = lambda member, job: None
-        return made
+        member = Member(self.clock, MemberPart(**part), RulesPart(), "m", "a", 1.0)
+        member.on_response = lambda member, job: self.ends.__setitem__(
+            job.key[1], round(self.clock.second, 4)
+        )
+        member.on_rejected = lambda member, key: self.rejected.append(key[1])
+        member.on_started = lambda member, job: None
+        return member
 
 
 def job(number: int, work: float, rest: float = 0.0) -> Job:
     return Job((0, number, 0), work, rest, (number, "safe"))
 
 
-def test_a_core_is_shared_and_two_cores_are_two() -> None:
+def test_requests_share_cores_equally() -> None:
     clock = Clock()
-    heard = Heard(clock)
-    one = heard.member(cores=1.0)
-    one.take(job(1, 0.1))
-    one.take(job(2, 0.2))
+    recorder = MemberRecorder(clock)
+    one = recorder.member(cores=1.0)
+    one.receive(job(1, 0.1))
+    one.receive(job(2, 0.2))
     clock.run(1.0)
-    assert heard.ends == {1: 0.2, 2: 0.3}  # 0.1 of each by 0.2, and the rest alone
+    assert recorder.ends == {1: 0.2, 2: 0.3}  # each has had 0.1 at 0.2, then the second runs alone
     clock = Clock()
-    heard = Heard(clock)
-    two = heard.member(cores=2.0)
+    recorder = MemberRecorder(clock)
+    two = recorder.member(cores=2.0)
     for number in range(4):
-        two.take(job(number, 0.1, 0.05))
+        two.receive(job(number, 0.1, 0.05))
     clock.run(1.0)
-    assert set(heard.ends.values()) == {0.25} and two.busy == pytest.approx(0.4)
+    assert set(recorder.ends.values()) == {0.25} and two.busy == pytest.approx(0.4)
 
 
-def test_what_waits_is_begun_in_turn_and_what_is_one_too_many_never_runs() -> None:
+def test_waiting_requests_start_in_order_and_those_past_the_backlog_are_rejected() -> None:
     clock = Clock()
-    heard = Heard(clock)
-    member = heard.member(workers=1, backlog=2)
+    recorder = MemberRecorder(clock)
+    member = recorder.member(workers=1, backlog=2)
     for number in range(4):
-        member.take(job(number, 0.1))
-    member.drop((0, 1, 0))
+        member.receive(job(number, 0.1))
+    member.cancel((0, 1, 0))
     clock.run(1.0)
-    assert heard.ends == {0: 0.1, 2: 0.2} and heard.away == [3]
+    assert recorder.ends == {0: 0.1, 2: 0.2} and recorder.rejected == [3]
 
 
-def test_slow_paused_cold_and_dead() -> None:
+def test_slow_paused_cold_and_crashed_member() -> None:
     clock = Clock()
-    heard = Heard(clock)
-    member = heard.member()
-    member.slow = 4.0
-    member.take(job(1, 0.1))
+    recorder = MemberRecorder(clock)
+    member = recorder.member()
+    member.slowdown = 4.0
+    member.receive(job(1, 0.1))
     clock.run(0.2)
     member.advance()
     member.paused = True
-    member.change()
+    member.reschedule()
     clock.run(1.2)
     member.advance()
     member.paused = False
-    member.change()
+    member.reschedule()
     clock.run(2.0)
-    assert heard.ends[1] == pytest.approx(1.4)
-    member.slow, member.started = 1.0, clock.now
+    assert recorder.ends[1] == pytest.approx(1.4)
+    member.slowdown, member.started = 1.0, clock.now
     assert member.warmth(clock.now) == 0.3 and member.warmth(clock.now + 5.0) == pytest.approx(0.65)
-    member.take(job(2, 0.3))
+    member.receive(job(2, 0.3))
     clock.run(4.0)
-    assert 2.85 < heard.ends[2] < 3.0  # a third of its speed, and a little more as it warms
-    assert member.most_while_cold() == pytest.approx(0.3 / 0.6)
-    member.take(job(3, 1.0))
-    assert member.lost() == [(0, 3, 0)]
+    assert 2.85 < recorder.ends[2] < 3.0  # a third of its speed, and a little more as it warms
+    assert member.peak_cold_load() == pytest.approx(0.3 / 0.6)
+    member.receive(job(3, 1.0))
+    assert member.crash() == [(0, 3, 0)]
     clock.run(9.0)
-    assert 3 not in heard.ends
+    assert 3 not in recorder.ends
 
 
-def test_a_queue_is_as_long_as_theory_says() -> None:
-    """One core shared among Poisson arrivals: a request of mean work w takes w / (1 - load) on average."""
+def test_mean_response_time_matches_queueing_theory() -> None:
+    """With one core and Poisson arrivals, a request of mean work w takes w / (1 - load) on average."""
     scenario = build_scenario(
         {
             **json.loads(json.dumps(SMALL)),
@@ -148,20 +152,20 @@
         },
         "queue",
     )
-    world = World(scenario, 3)
-    counts = world.play()
+    simulation = Simulation(scenario, 3)
+    counts = simulation.play()
     assert np.mean(counts.times[0]) == pytest.approx(0.02 / (1 - 0.6), rel=0.1)
 
 
 # Runs.
 
 
-def test_a_run_can_be_played_again_and_another_seed_is_another() -> None:
+def test_run_is_reproducible_and_depends_on_the_seed() -> None:
     one, again, other = (play(small(), seed) for seed in (1, 1, 2))
     assert one == again and one.classes != other.classes and one.build == build()
 
 
-def test_every_request_has_one_end_and_the_rules_hold_at_rest_and_in_trouble() -> None:
+def test_every_request_has_one_end_and_safety_rules_hold_through_faults() -> None:
     events = [
         {"at": 1.5, "members": "m-0", "what": "restart", "last": 1.0},
         {"at": 2.0, "what": "rate", "factor": 4.0, "last": 1.0},
@@ -176,7 +180,7 @@
     assert result.rules["cold_work"] < 2.5
 
 
-def test_capacity_is_what_can_be_worked_off() -> None:
+def test_capacity_separates_served_load_from_overload() -> None:
     scenario = small()
     assert scenario.capacity == pytest.approx(4 / 0.025)
     quiet, full = play(at_times(scenario, 0.6), 1), play(at_times(scenario, 3.0), 1)
@@ -185,62 +189,67 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_limit_serves_more_of_an_overload_than_the_level_alone(seed: int) -> None:
+def test_concurrency_limit_serves_more_of_an_overload_than_the_shed_level_alone(seed: int) -> None:
     scenario = read(FOLDER / "overload.toml")
     for load, gain in ((1.5, 1.0), (4.0, 1.1)):
-        now, before = play(at_times(scenario, load), seed), play(at_times(scenario, load), seed, "level")
-        assert now.goodput > gain * before.goodput
-        assert now.classes["book"].p99 < before.classes["book"].p99
+        with_limit, level_alone = (
+            play(at_times(scenario, load), seed),
+            play(at_times(scenario, load), seed, "level"),
+        )
+        assert with_limit.goodput > gain * level_alone.goodput
+        assert with_limit.classes["book"].p99 < level_alone.classes["book"].p99
 
 
-def test_service_is_back_after_a_short_overload_with_clients_that_come_back_at_once() -> None:
-    """The trigger ends at second 10; from second 15 on all is as before it."""
+def test_service_recovers_from_a_short_overload_with_immediate_client_retries() -> None:
+    """The overload ends at second 10; from second 15 on the service is as before it."""
     result = play(read(FOLDER / "metastable.toml"), 1)
     assert result.goodput > 0.97 * result.possible and result.refused_share < 0.01
 
 
-def test_where_the_work_of_one_class_grows_tenfold_no_class_is_refused_whole() -> None:
-    """While it lasts one class alone asks for two and a half times what the fleet can do."""
+def test_tenfold_work_of_one_class_does_not_reject_any_class_completely() -> None:
+    """During the event, one class alone needs two and a half times the capacity of the fleet."""
     scenario = read(FOLDER / "tenfold.toml", {"seconds": 16.0, "ignore": 11.0})
     result = play(scenario, 1)
     assert result.classes["book"].ends["in_aim"] > 0.6 * result.classes["book"].asked
     assert 0 < result.classes["track"].ends["in_aim"] + result.classes["track"].ends["late"]
 
 
-def test_every_rule_can_be_played() -> None:
+def test_every_shedding_rule_can_be_simulated() -> None:
     for rule in RULES:
         result = play(small(seconds=3.0), 1, rule)
         assert result.rule == rule and sum(part.asked for part in result.classes.values()) > 60
 
 
-# Files.
+# Scenario and experiment files.
 
 
 @pytest.mark.parametrize(
     "name",
     sorted(path.name for path in FOLDER.glob("*.toml") if path.name not in ("rules.toml", "honour.toml")),
 )
-def test_scenarios_that_come_along_can_be_read(name: str) -> None:
+def test_bundled_scenarios_are_valid(name: str) -> None:
     assert read(FOLDER / name).capacity > 0
 
 
 @pytest.mark.parametrize(
-    "changes, words",
+    "changes, message",
     [({"clients.rate": -1}, "rate"), ({"nonsense": 1}, "nonsense"), ({"class.0.aim": 9.0}, "past the deadline"),
      ({"class.0.effect": "keyed"}, "dedup_window"), ({"ignore": 50.0}, "leaves nothing"),
-     ({"class.7.aim": 1}, "no entry"),
+     ({"class.7.aim": 1}, "expected an index"),
      ({"event": [{"at": 1, "what": "vanish"}]}, "vanish")],
 )  # fmt: skip
-def test_a_scenario_that_is_wrong_says_where(tmp_path: Path, changes: dict[str, Any], words: str) -> None:
+def test_invalid_scenario_error_names_the_value(
+    tmp_path: Path, changes: dict[str, Any], message: str
+) -> None:
     import tomli_w
 
     path = tmp_path / "s.toml"
     path.write_text(tomli_w.dumps(SMALL))
-    with pytest.raises(ScenarioError, match=words):
+    with pytest.raises(ScenarioError, match=message):
         read(path, changes)
 
 
-def test_an_experiment_keeps_every_run_and_each_can_be_played_again(tmp_path: Path, capsys: Any) -> None:
+def test_experiment_stores_every_run_and_each_is_reproducible(tmp_path: Path, capsys: Any) -> None:
     import tomli_w
 
     (tmp_path / "s.toml").write_text(tomli_w.dumps({**SMALL, "seconds": 2.0, "ignore": 0.5}))
@@ -257,11 +266,11 @@
         assert any(again.goodput == one.goodput and again.seed == one.seed for one in results), result.params
 
 
-def test_the_command_plays_draws_and_says_what_is_wrong(tmp_path: Path, capsys: Any) -> None:
+def test_rehearse_command_runs_draws_and_reports_errors(tmp_path: Path, capsys: Any) -> None:
     import tomli_w
 
     (tmp_path / "s.toml").write_text(tomli_w.dumps({**SMALL, "seconds": 2.0, "ignore": 0.5}))
-    words = [
+    arguments = [
         "rehearse",
         str(tmp_path / "s.toml"),
         "--set",
@@ -271,10 +280,10 @@
         "--html",
         str(tmp_path / "r.html"),
     ]
-    assert main(words) == 0
+    assert main(arguments) == 0
     assert "rules: kept" in capsys.readouterr().out
     assert "data:image/png;base64," in (tmp_path / "r.html").read_text() and (tmp_path / "r-1.png").exists()
-    assert main([*words[:2], "--json"]) == 0 and json.loads(capsys.readouterr().out)["seed"] == 1
-    assert main([*words[:2], "--set", "proxy.count=none"]) == 2
+    assert main([*arguments[:2], "--json"]) == 0 and json.loads(capsys.readouterr().out)["seed"] == 1
+    assert main([*arguments[:2], "--set", "proxy.count=none"]) == 2
     assert main(["rehearse", str(tmp_path / "nowhere.toml")]) == 2
     assert "nowhere.toml" in capsys.readouterr().err
