--- a/emulator/fleetstate.py
+++ b/emulator/fleetstate.py
@@ -1,4 +1,4 @@
-"""Replicas in virtual time: the program's own Paxos replica and lease, over a network and disks that fail at will."""
+"""Simulates replicas in virtual time: the real Paxos replica and lease over a faulty network and faulty disks."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class Disk:
-    """What one instance has kept.
+    """Holds the persistent state of one instance.
 
-    `store`: its identity; a new disk has another. `is_new`: the store is not admitted. The first disks of a model are
-    those of a fleet that has been founded, unless it is told otherwise.
+    `store` is the identity of the store, which differs for a new disk; `is_new` means that it is not admitted yet.
+    The first disks of a model are those of a founded fleet, unless the model is created with `founded=False`.
     """
 
     def __init__(self, store: str, is_new: bool = False) -> None:
@@ -44,10 +44,10 @@
 
 
 class Instance:
-    """One process over its disk.
+    """Simulates one process and its disk.
 
-    `lives` counts its starts, and `ended` holds what became of its commands, by identifier. `versions` is its replica,
-    `fence` its lease. A stopped process takes up what has come meanwhile when it goes on.
+    `lives` counts its starts, and `ended` holds the results of its commands by identifier. `versions` is its replica,
+    `fence` its lease. A stopped process handles the pending calls when it is resumed.
     """
 
     def __init__(self, model: StateModel, name: str) -> None:
@@ -57,13 +57,14 @@
         self.lives = 0
         self.pending_calls: list[Callable[[], None]] = []
         self.ended: dict[str, CommandCompleted] = {}
-        self.drift = 1.0  # seconds of its clock for a true one
+        self.drift = 1.0  # seconds of its clock per second of real time
 
     def clock(self) -> float:
+        """Return the time of the instance's own clock."""
         return self.model.clock.now * self.drift
 
     def start(self) -> None:
-        """Begin a new life over the disk as it is."""
+        """Start a new process with the current disk."""
         self.lives += 1
         self.up, self.stopped, self.pending_calls = True, False, []
         self.disk.opened += 1
@@ -75,7 +76,7 @@
         self.tick(self.lives)
 
     def _enable_vote(self) -> None:
-        """The opening of the store is on disk, before which the replica has none."""
+        """Give the replica its store, once the opening of the store is on disk."""
         self.versions.store_id = self.disk.store
 
     def _make_replica(self) -> PaxosReplica:
@@ -107,15 +108,16 @@
         self.stopped = True
 
     def lose_disk(self) -> None:
-        """The store is gone; the next start has a new one."""
+        """Kill the process and replace its disk by an empty one with a new store."""
         self.up = False
         self.disk = Disk(f"{self.name}-s{self.lives + 2}", is_new=True)
 
     def do_later(self, wait: float, call: Callable[..., None], *arguments: Any) -> None:
+        """Schedule a call that is dropped if the process has ended or restarted by then."""
         self.model.clock.after(wait, self.run, self.lives, call, arguments)
 
     def run(self, life: int, call: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        """In this life, and not while it is stopped."""
+        """Call a function if the process `life` still runs; while the process is stopped, defer the call."""
         if not self.up or life != self.lives:
             return
         if self.stopped:
@@ -124,16 +126,24 @@
             call(*arguments)
 
     def go_on(self) -> None:
+        """Resume a stopped process and make its pending calls."""
         self.stopped = False
         pending_calls, self.pending_calls = self.pending_calls, []
         for call in pending_calls:
             call()
 
     def tick(self, life: int) -> None:
+        """Run the timers of the replica and of the lease that are due, and schedule the next tick."""
         if not self.up or life != self.lives:
             return
-        self.hand(
-            TimerExpired(tuple(one.name for one in self.model.all.values() if one.up and one is not self))
+        self.handle(
+            TimerExpired(
+                tuple(
+                    instance.name
+                    for instance in self.model.all.values()
+                    if instance.up and instance is not self
+                )
+            )
         )
         now = self.clock()
         if now >= self.fence.next_timer:
@@ -143,7 +153,7 @@
         due = min(self.versions.next_timer, self.fence.next_timer)
         self.do_later(min(0.5, max(0.005, due - now)), self.tick, self.lives)
 
-    def hand(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         for action in self.versions.handle(self.clock(), event):
             self.perform(action)
 
@@ -177,7 +187,7 @@
 
     def admit(self) -> None:
         self.disk.is_new = False
-        self.hand(StoreAdmitted())
+        self.handle(StoreAdmitted())
 
     def send(self, to: str, message: Any) -> None:
         self.model.send(self.name, to, message)
@@ -200,7 +210,7 @@
                 versions.state.version,
             )
         else:
-            self.hand(MessageReceived(sender, message))
+            self.handle(MessageReceived(sender, message))
 
     def transfer_state(self, name: str) -> None:
         other = self.model.all[name]
@@ -209,22 +219,21 @@
         for message in other.state_sender.answer(
             self.state_receiver.next_request(self.versions.state.version)
         ):
-            found, last = self.state_receiver.receive(message)
-            if found is not None:
-                self.hand(found)
+            event, last = self.state_receiver.receive(message)
+            if event is not None:
+                self.handle(event)
             if last:
                 break
-        for action in (
-            self.versions.announce_to_all()
-        ):  # as the program does, so that who pending_calls for a word has it
+        # As in the product: instances that wait for an announcement get it.
+        for action in self.versions.announce_to_all():
             self.perform(action)
 
     def propose(self, change: Command, seconds: float = 5.0, if_version: int = -1) -> None:
-        self.hand(Propose(change, self.clock() + seconds, if_version))
+        self.handle(Propose(change, self.clock() + seconds, if_version))
 
 
 class StateModel:
-    """All of them, and a network with loss, delay and cuts by pair and direction."""
+    """Simulates all instances and a network with loss, delay, duplication and cuts by pair and direction."""
 
     def __init__(
         self, count: int, seed: int, stale_most: float = 2.0, kept: int = 1024, founded: bool = True
@@ -239,10 +248,10 @@
         self.all = {name: Instance(self, name) for name in self.voters}
 
     def join(self, count: int) -> None:
-        """So many more, which do not vote and keep nothing."""
+        """Add instances that do not vote and have no store."""
         for number in range(len(self.all), len(self.all) + count):
-            one = self.all[f"i{number}"] = Instance(self, f"i{number}")
-            one.disk.store = ""
+            instance = self.all[f"i{number}"] = Instance(self, f"i{number}")
+            instance.disk.store = ""
 
     def send(self, sender: str, to: str, message: Any) -> None:
         target = self.all.get(to)
@@ -253,18 +262,19 @@
             return
         for _ in range(2 if self.random.random() < self.doubled else 1):
             if self.random.random() >= self.loss:
-                late = 20 if self.random.random() < 0.02 else 1
-                wait = self.delay * (1 + self.random.random()) * late
+                delay_factor = 20 if self.random.random() < 0.02 else 1
+                wait = self.delay * (1 + self.random.random()) * delay_factor
                 self.clock.after(wait, self._arrive, target, sender, message)
 
     @staticmethod
     def _arrive(target: Instance, sender: str, message: Any) -> None:
-        """Into whatever life is there then: a message of long ago may come to another one."""
+        """Deliver a message to the current process of the target; a delayed one may reach a later process."""
         target.run(target.lives, target.receive, (sender, message))
 
     def part(self, *sides: list[str]) -> None:
+        """Cut the network between these groups in both directions; any earlier cuts are replaced."""
         self.cut = {
-            (a, b) for one in sides for other in sides if one is not other for a in one for b in other
+            (a, b) for side in sides for other in sides if side is not other for a in side for b in other
         }
 
     def heal(self) -> None:
@@ -273,21 +283,24 @@
     def run(self, seconds: float) -> None:
         self.clock.run(self.clock.second + seconds)
 
-    def until(self, true: Callable[[], bool], most: float, step: float = 0.01) -> float | None:
-        began = self.clock.second
-        while self.clock.second - began < most:
-            if true():
-                return self.clock.second - began
+    def until(self, condition: Callable[[], bool], limit: float, step: float = 0.01) -> float | None:
+        """Return the seconds until the condition holds, or None if it does not within `limit` seconds."""
+        start = self.clock.second
+        while self.clock.second - start < limit:
+            if condition():
+                return self.clock.second - start
             self.run(step)
         return None
 
     @property
     def up(self) -> list[Instance]:
-        return [one for one in self.all.values() if one.up and not one.stopped]
+        """The instances that are up and not stopped."""
+        return [instance for instance in self.all.values() if instance.up and not instance.stopped]
 
     def agree(self) -> bool:
-        return len({one.versions.state.digest() for one in self.up}) == 1
+        """Tell whether all running instances have the same replicated state."""
+        return len({instance.versions.state.digest() for instance in self.up}) == 1
 
     def open(self) -> bool:
-        """Whether all that are up may act."""
-        return all(one.fence.may_act(one.clock()) for one in self.up)
+        """Tell whether all instances that are up hold a valid lease."""
+        return all(instance.fence.may_act(instance.clock()) for instance in self.up)
--- a/emulator/fleetview.py
+++ b/emulator/fleetview.py
@@ -1,7 +1,8 @@
-"""The view of the fleet in virtual time: the program's own state machine over a network that loses, delays, doubles and
-cuts under a seed. What a datagram costs is counted as the program would write it.
+"""Simulates the membership view in virtual time: the real state machine over a network with seeded faults.
 
-A whole exchange is modelled as TCP is: whole or not at all, one way after the other, and only while both ways are open.
+The network loses, delays, duplicates and cuts datagrams, whose size is that of the real encoding. A state
+synchronization is modelled like TCP: it transfers everything or nothing, one direction after the other, and only while
+both directions are open.
 """
 
 from __future__ import annotations
@@ -28,34 +29,33 @@
 from loadbalancer.fleet.wire import Packet, Piece, Sealer
 
 SEALER = Sealer([b"k" * 32])
-#: Datagrams that wait for a process that is stopped; the kernel drops what comes past them.
-QUEUE_MOST = 400
-#: Facts in one piece.
-PIECE_FACTS = 150
+#: Datagrams queued for a stopped process; the kernel drops any further ones.
+MAX_QUEUED_DATAGRAMS = 400
+#: Member states in one piece of a state synchronization.
+PIECE_MEMBER_STATES = 150
 
 
 @dataclass
 class Net:
-    """What happens to each datagram. Seconds and shares."""
+    """Holds the settings of the network: delay in seconds, loss and duplication as shares of the datagrams."""
 
-    delay: float = 0.001  # at the least; as much again at random, and now and then ten times as much
+    delay: float = 0.001  # minimum; up to twice as much at random, and occasionally ten times that
     loss: float = 0.0
     doubled: float = 0.0
-    cut: set[tuple[int, int]] = field(default_factory=set)  # from, to
-    fates: list[str] = field(
-        default_factory=list
-    )  # of the next datagrams, in turn: "gone", "twice", "late", "" for none
+    cut: set[tuple[int, int]] = field(default_factory=set)  # pairs of sender and receiver
+    # Scheduled faults of the next datagrams, in order: "gone", "twice", "late", or "" for none.
+    fates: list[str] = field(default_factory=list)
 
 
 class Instance:
-    """A process of the program, or one that is down."""
+    """Simulates one process, which may be down."""
 
     def __init__(self, model: FleetModel, number: int) -> None:
         self.model, self.number = model, number
         self.address: Address = ("10.0.0.1", number + 1)
         self.up = self.stopped = False
         self.lives = 0
-        self.slow = 0.0  # seconds by which all that it does is late
+        self.slow = 0.0  # seconds by which its timers and received datagrams are delayed
         self.waits: list[Event] = []
         self.counts: Counter[str] = Counter()
 
@@ -71,31 +71,31 @@
             Identity(f"i{self.number}", boot, self.address), settings, model.random.getrandbits(40)
         )
         self.replays, self.numbers, self.due = ReplayProtection(), 0, -1.0
-        self.hand(TimerExpired())
+        self.handle(TimerExpired())
 
     def kill(self) -> None:
         self.up = False
 
     def leave(self) -> None:
-        self.hand(Leave())
+        self.handle(Leave())
         self.up = False
 
     def stop(self) -> None:
         self.stopped = True
 
     def go_on(self) -> None:
-        """What had come is read first, as the program does."""
+        """Resume a stopped process, which reads its queued datagrams first, as the real one does."""
         self.stopped = False
-        waits, self.waits = self.waits, []
-        for event in waits:
-            self.hand(event)
-        self.hand(TimerExpired())
+        queued_events, self.waits = self.waits, []
+        for event in queued_events:
+            self.handle(event)
+        self.handle(TimerExpired())
 
-    def hand(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         if not self.up:
             return
         if self.stopped:
-            if len(self.waits) < QUEUE_MOST and not isinstance(event, TimerExpired):
+            if len(self.waits) < MAX_QUEUED_DATAGRAMS and not isinstance(event, TimerExpired):
                 self.waits.append(event)
             return
         if isinstance(event, PacketReceived):
@@ -111,6 +111,7 @@
         self.wake()
 
     def wake(self) -> None:
+        """Schedule the next timer of the view, unless it is scheduled already."""
         due = max(self.view.next_timer, self.model.clock.now + 1e-6)
         if due != self.due:
             self.due = due
@@ -119,7 +120,7 @@
     def tick(self, life: int, due: float) -> None:
         if self.up and life == self.lives and due == self.due:
             self.due = -1.0
-            self.hand(TimerExpired())
+            self.handle(TimerExpired())
 
     def do(self, action: Action) -> None:
         if isinstance(action, SendPacket):
@@ -141,32 +142,33 @@
             self.model.clock.after(2 * self.model.net.delay, self.model.exchange, self, action)
 
     def pieces(self, to: int) -> list[Packet]:
-        facts = list(self.view.member_states())
-        cuts = range(0, max(1, len(facts)), PIECE_FACTS)
-        found = []
-        for number, at in enumerate(cuts):
+        """Return all member states of the view as packets of a state synchronization."""
+        member_states = list(self.view.member_states())
+        starts = range(0, max(1, len(member_states)), PIECE_MEMBER_STATES)
+        packets = []
+        for number, start in enumerate(starts):
             self.numbers += 1
-            piece = Piece(number, number == len(cuts) - 1)
-            part = tuple(facts[at : at + PIECE_FACTS])
-            found.append(
+            piece = Piece(number, number == len(starts) - 1)
+            part = tuple(member_states[start : start + PIECE_MEMBER_STATES])
+            packets.append(
                 Packet(self.view.identity.name, self.view.identity.boot, to, self.numbers, piece, part)
             )
         if self.model.weighs:
-            self.counts["bytes"] += sum(len(SEALER.seal(packet)) for packet in found)
-        return found
+            self.counts["bytes"] += sum(len(SEALER.seal(packet)) for packet in packets)
+        return packets
 
 
 class FleetModel:
-    """All of them, the network between them, and what is true."""
+    """Simulates all instances and the network between them, and compares their views with the facts."""
 
     def __init__(self, count: int, seed: int, timers: Timers | None = None, weighs: bool = False) -> None:
-        """`weighs`: count bytes, which takes most of the time."""
+        """`weighs` enables the counting of bytes, which takes most of the run time."""
         self.random = random.Random(seed)
         self.timers = timers or Timers()
         self.clock, self.net, self.weighs = Clock(), Net(), weighs
         self.instances: list[Instance] = []
         self.instances.extend(Instance(self, number) for number in range(count))
-        self._by_address = {one.address: one for one in self.instances}
+        self._by_address = {instance.address: instance for instance in self.instances}
         self.changed_at = 0.0
 
     # The network.
@@ -177,21 +179,21 @@
             return
         net, draw = self.net, self.random.random
         if net.fates:
-            self._meet(net.fates.pop(0), target, packet)
+            self._apply_fault(net.fates.pop(0), target, packet)
             return
         for _ in range(2 if net.doubled and draw() < net.doubled else 1):
             if not net.loss or draw() >= net.loss:
                 delay = net.delay * (1 + draw()) * (10 if draw() < 0.01 else 1)
-                self.clock.after(delay + target.slow, target.hand, PacketReceived(packet))
+                self.clock.after(delay + target.slow, target.handle, PacketReceived(packet))
 
-    def _meet(self, fate: str, target: Instance, packet: Packet) -> None:
-        """A fate that a schedule has laid down. "late": after others that are sent now have come, and some answers."""
+    def _apply_fault(self, fault: str, target: Instance, packet: Packet) -> None:
+        """Apply a scheduled fault; "late" delays a datagram until after others sent now and some responses to them."""
         delays = {"gone": (), "twice": (self.net.delay, 3 * self.net.delay), "late": (0.3,)}
-        for delay in delays.get(fate, (self.net.delay,)):
-            self.clock.after(delay, target.hand, PacketReceived(packet))
+        for delay in delays.get(fault, (self.net.delay,)):
+            self.clock.after(delay, target.handle, PacketReceived(packet))
 
     def exchange(self, source: Instance, action: SynchronizeState) -> None:
-        """One way, then the other; nothing where either end, or either way, is not there."""
+        """Synchronize one direction, then the other; do nothing if an end is not running or a direction is cut."""
         target = self._by_address.get(action.address)
         if target is None or not source.up or source.stopped or not target.up or target.stopped:
             return
@@ -199,66 +201,67 @@
         if pair in self.net.cut or pair[::-1] in self.net.cut:
             return
         for packet in source.pieces(action.boot):
-            target.hand(PacketReceived(packet))
+            target.handle(PacketReceived(packet))
         if target.view.identity.boot == action.boot and not target.stopped:
             for packet in target.pieces(source.view.identity.boot):
-                self.clock.after(self.net.delay, source.hand, PacketReceived(packet))
+                self.clock.after(self.net.delay, source.handle, PacketReceived(packet))
 
     def part(self, *sides: Iterable[int]) -> None:
-        """Cut all ways between these sides."""
+        """Cut the network between these groups in both directions; any earlier cuts are replaced."""
         groups = [list(side) for side in sides]
         self.net.cut = {
-            (a, b) for one in groups for other in groups if one is not other for a in one for b in other
+            (a, b) for group in groups for other in groups if group is not other for a in group for b in other
         }
 
     def heal(self) -> None:
         self.net.cut = set()
 
-    # What is true.
+    # Facts about the instances.
 
     @property
     def up(self) -> list[Instance]:
-        return [one for one in self.instances if one.up]
+        return [instance for instance in self.instances if instance.up]
 
     def settled(self) -> bool:
-        """All that live hold the same, and just those that live."""
+        """Tell whether all running instances have the same view, which contains exactly the running instances."""
         up = self.up
-        names = {one.view.identity.name for one in up}
+        names = {instance.view.identity.name for instance in up}
         digest = up[0].view.table.digest if up else 0
         return (
             all(
-                one.view.joined
-                and one.view.table.digest == digest
-                and len(one.view.table.living) == len(up) - 1
-                for one in up
+                instance.view.joined
+                and instance.view.table.digest == digest
+                and len(instance.view.table.living) == len(up) - 1
+                for instance in up
             )
             and {peer.state.name for peer in up[0].view.table.living} | {up[0].view.identity.name} == names
         )
 
     def held_dead(self) -> list[tuple[str, str]]:
-        """Who holds whom for dead that is up."""
-        names = {one.view.identity.name: one for one in self.up}
+        """Return pairs of an instance and a running instance that it considers dead."""
+        names = {instance.view.identity.name: instance for instance in self.up}
         return [
-            (one.view.identity.name, peer.state.name)
-            for one in self.up
-            for peer in one.view.table
+            (instance.view.identity.name, peer.state.name)
+            for instance in self.up
+            for peer in instance.view.table
             if peer.state.status == MemberStatus.DEAD
             and peer.state.name in names
             and names[peer.state.name].view.identity.boot == peer.state.boot
         ]
 
-    def until(self, true: Callable[[], bool], most: float, step: float = 0.05) -> float | None:
-        """Seconds until it is so, within `step`; None where it is not within `most`."""
-        began = self.clock.second
-        while self.clock.second - began < most:
+    def until(self, condition: Callable[[], bool], limit: float, step: float = 0.05) -> float | None:
+        """Return the seconds until the condition holds, to within `step`, or None if it does not within `limit`."""
+        start_second = self.clock.second
+        while self.clock.second - start_second < limit:
             self.clock.run(self.clock.second + step)
-            if true():
-                return self.clock.second - began
+            if condition():
+                return self.clock.second - start_second
         return None
 
     def start_all(self, settle: float = 60.0) -> float | None:
-        for one in self.instances:
-            one.start()
+        """Start all instances; return the seconds until their views agree, or None if that takes too long."""
+        for instance in self.instances:
+            instance.start()
         return self.until(self.settled, settle)
 
     def run(self, seconds: float) -> None:
--- a/emulator/herd.py
+++ b/emulator/herd.py
@@ -1,10 +1,10 @@
-"""Most proxies of a large fleet killed and started at once, in virtual time: the program's own phases, turns, choice of
-survivors, medians' worth and pace of connections, over modelled members, a slow source of lists and busy survivors.
+"""Simulates the simultaneous restart of most proxies of a large fleet in virtual time.
 
-What is modelled: each instance sees what others say of themselves some time after they say it; a request takes a
-connection to a drawn member, a kept one if there is one, and answers after a while; opening one costs its member; a
-call at the source and an answer of a survivor take their turn in a queue. What is not: the decision module, whose draw
-is even here but for a member that is known to be sick.
+The recovery phases, staggering, choice of survivors and pacing of connections are the real ones; members, the slow
+source of endpoint lists and the busy survivors are modelled. An instance sees the phases of the others after a delay; a
+request uses an idle connection to a random member or opens a new one, and its response takes some time; opening a
+connection costs time of the member; calls to the source and responses of a survivor are processed one after another.
+The policy module is not simulated: members are drawn uniformly, except for one that is known to be sick.
 """
 
 from __future__ import annotations
@@ -27,20 +27,21 @@
 from loadbalancer.policy.idle_connections import MIN_RATE_PER_CONNECTION
 from loadbalancer.upstreams.pacing import Pacer
 
-#: Seconds: of a whole start of the program, until a word of an instance is heard by another, of an answer.
-START, HEARD, ANSWER = 0.6, 0.25, 0.05
-#: Seconds that a call takes at the source, and an answer at a survivor, one after another.
-CALL, TELL = 0.02, 0.01
-SPAN = 0.1
-#: Between the calls of two that have a list already (daemon/recovery.py).
-SOURCE, SOURCES = 0.25, 5.0
-#: What a client waits for an answer.
-PATIENCE = 1.5
+#: Seconds of a process start, of the propagation of a phase to other instances, and of a response on average.
+START_S, PROPAGATION_S, MEAN_RESPONSE_S = 0.6, 0.25, 0.05
+#: Seconds of a call at the source and of a response at a survivor, each processed one after another.
+SOURCE_CALL_S, SURVIVOR_RESPONSE_S = 0.02, 0.01
+#: Seconds per entry of the counters in the result.
+SPAN_S = 0.1
+#: Seconds between the source calls of two instances that have a list already, and the maximum (daemon/recovery.py).
+STAGGER_STEP_S, STAGGER_MAX_S = 0.25, 5.0
+#: Seconds that a client waits for a response.
+CLIENT_TIMEOUT_S = 1.5
 
 
 @dataclass
 class Measures:
-    """Those that are on."""
+    """Tells which of the measures against overload at a restart are enabled."""
 
     pace: bool = True
     lessons: bool = True
@@ -50,9 +51,9 @@
 
 @dataclass
 class Told:
-    """What came of one run. Seconds since the processes were started; counts by span of 100 ms."""
+    """Holds the results of one run: seconds since the start of the processes, and counts per span of 100 ms."""
 
-    full: list[float] = field(default_factory=list)  # of each instance that came back
+    full: list[float] = field(default_factory=list)  # when each restarted instance was fully recovered
     opened: Counter[int] = field(default_factory=Counter)
     calls: Counter[int] = field(default_factory=Counter)
     served: Counter[int] = field(default_factory=Counter)
@@ -62,99 +63,105 @@
 
 
 class Queue:
-    """What one thing at a time is done by."""
+    """Models a server that processes one task at a time, `each` seconds per task."""
 
     def __init__(self, clock: Clock, each: float) -> None:
         self.clock, self.each, self.free_at = clock, each, 0.0
 
     def wait(self) -> float:
-        """Seconds until what is asked now is done."""
+        """Enqueue a task and return the seconds until it is done."""
         begin = max(self.clock.now, self.free_at)
         self.free_at = begin + self.each
         return self.free_at - self.clock.now
 
 
 class Proxy:
-    """One instance that comes back, or has not been away."""
+    """Simulates one instance, which is restarted if `restarts` is set and otherwise has survived."""
 
-    def __init__(self, herd: Herd, number: int, comes: bool) -> None:
+    def __init__(self, herd: Herd, number: int, restarts: bool) -> None:
         self.herd, self.number, self.name = herd, number, f"i{number:03}"
-        self.phase, self.listed, self.knows_sick = RecoveryPhase.FULL, not comes, not comes
+        self.phase, self.listed, self.knows_sick_member = RecoveryPhase.FULL, not restarts, not restarts
         self.idle: Counter[int] = Counter()
         self.waiting: dict[int, deque[float]] = {}
-        self.due: set[int] = set()
+        self.paced_members: set[int] = set()
         self.pacer: Pacer | None = None
         self.served = self.ended = 0
-        self.comeback: RecoveryCoordinator | None = None
-        self.tells = Queue(herd.clock, TELL)
-        if not comes and not herd.sparse:
+        self.recovery: RecoveryCoordinator | None = None
+        self.survivor_queue = Queue(herd.clock, SURVIVOR_RESPONSE_S)
+        if not restarts and not herd.sparse:
             self.idle.update(range(herd.members))
 
     def start(self) -> None:
-        self.comeback = RecoveryCoordinator(self.name, self.herd.clock.now)
-        self.say(RecoveryPhase.FINDING)
-        self.look()
+        self.recovery = RecoveryCoordinator(self.name, self.herd.clock.now)
+        self.announce_phase(RecoveryPhase.FINDING)
+        self.step_recovery()
         self.herd.clock.after(self.herd.draw() / self.herd.rate, self.request)
 
-    def say(self, phase: RecoveryPhase) -> None:
+    def announce_phase(self, phase: RecoveryPhase) -> None:
         self.phase = phase
-        self.herd.clock.after(HEARD, self.herd.hear, self.name, phase)
+        self.herd.clock.after(PROPAGATION_S, self.herd.receive_phase, self.name, phase)
 
-    def look(self) -> None:
-        assert self.comeback is not None
+    def step_recovery(self) -> None:
+        assert self.recovery is not None
         herd = self.herd
-        heard = herd.heard
-        full = tuple(name for name, phase in heard.items() if is_full(phase) and name != self.name)
-        coming = tuple(name for name, phase in heard.items() if not is_full(phase) and name != self.name)
-        silent = len(herd.proxies) - 1 - len(full) - len(coming)
-        inside = herd.clock.now > self.comeback.began + 0.15
-        seen = RecoveryObservation(inside, True, True, full, coming, silent, self.served, self.ended)
-        for wish in self.comeback.step(herd.clock.now, seen):
-            if isinstance(wish, PhaseChanged):
-                self.turned(wish.phase, coming)
-            elif isinstance(wish, LearnFromPeers):
-                self.learn(wish)
-            elif isinstance(wish, ConnectionPace) and herd.measures.pace and not herd.sparse:
-                per_s = wish.per_member_s
+        phases = herd.known_phases
+        full = tuple(name for name, phase in phases.items() if is_full(phase) and name != self.name)
+        recovering = tuple(name for name, phase in phases.items() if not is_full(phase) and name != self.name)
+        silent = len(herd.proxies) - 1 - len(full) - len(recovering)
+        joined = herd.clock.now > self.recovery.began + 0.15
+        observation = RecoveryObservation(
+            joined, True, True, full, recovering, silent, self.served, self.ended
+        )
+        for action in self.recovery.step(herd.clock.now, observation):
+            if isinstance(action, PhaseChanged):
+                self.enter_phase(action.phase, recovering)
+            elif isinstance(action, LearnFromPeers):
+                self.learn_from_survivors(action)
+            elif isinstance(action, ConnectionPace) and herd.measures.pace and not herd.sparse:
+                per_s = action.per_member_s
                 self.pacer = None if per_s is None else Pacer(per_s * herd.members, herd.clock.now)
         if self.phase != RecoveryPhase.FULL:
-            herd.clock.after(0.05, self.look)
+            herd.clock.after(0.05, self.step_recovery)
         else:
-            herd.told.full.append(self.comeback.full_after or 99.0)
+            herd.result.full.append(self.recovery.full_after or 99.0)
 
-    def turned(self, phase: RecoveryPhase, coming: tuple[str, ...]) -> None:
-        self.say(phase)
+    def enter_phase(self, phase: RecoveryPhase, recovering: tuple[str, ...]) -> None:
+        self.announce_phase(phase)
         if phase == RecoveryPhase.WARMING and not self.listed:
-            self.call()
+            self.call_source()
         elif phase == RecoveryPhase.WARMING:
-            after = stagger_delay(self.name, coming, SOURCE, SOURCES) if self.herd.measures.turns else 0.0
-            self.herd.clock.after(after, self.call)
-
-    def learn(self, wish: LearnFromPeers) -> None:
-        """Each survivor answers one after another; the list comes of the first."""
+            after = (
+                stagger_delay(self.name, recovering, STAGGER_STEP_S, STAGGER_MAX_S)
+                if self.herd.measures.turns
+                else 0.0
+            )
+            self.herd.clock.after(after, self.call_source)
+
+    def learn_from_survivors(self, action: LearnFromPeers) -> None:
+        """Query survivors; each processes its queries one after another, and the list comes from the first of them."""
         herd = self.herd
-        waits = [herd.by_name[name].tells.wait() for name in wish.names]
+        waits = [herd.by_name[name].survivor_queue.wait() for name in action.names]
         if herd.measures.lists:
-            herd.clock.after(waits[0], self.take_list)
+            herd.clock.after(waits[0], self.receive_list)
         if herd.measures.lessons:
-            herd.clock.after(max(waits), self.lesson)
+            herd.clock.after(max(waits), self.receive_learned_state)
         else:
-            assert self.comeback is not None
-            herd.clock.after(max(waits), self.comeback.on_survivors_answered)
+            assert self.recovery is not None
+            herd.clock.after(max(waits), self.recovery.on_survivors_answered)
 
-    def lesson(self) -> None:
-        assert self.comeback is not None
-        self.knows_sick = True
-        self.comeback.on_survivors_answered()
+    def receive_learned_state(self) -> None:
+        assert self.recovery is not None
+        self.knows_sick_member = True
+        self.recovery.on_survivors_answered()
 
-    def take_list(self) -> None:
+    def receive_list(self) -> None:
         self.listed = True
 
-    def call(self) -> None:
-        """The source."""
+    def call_source(self) -> None:
+        """Request the endpoint list from the source."""
         herd = self.herd
-        herd.told.calls[herd.span] += 1
-        herd.clock.after(herd.source.wait(), self.take_list)
+        herd.result.calls[herd.span] += 1
+        herd.clock.after(herd.source.wait(), self.receive_list)
 
     # Requests.
 
@@ -163,64 +170,64 @@
         herd.clock.after(herd.gap() / herd.rate, self.request)
         if not self.listed:
             self.ended += 1
-            herd.told.late[herd.span] += 1
+            herd.result.late[herd.span] += 1
             return
         member = int(herd.draw() * herd.members)
-        if member == 0 and self.knows_sick and herd.draw() < 0.9:
+        if member == 0 and self.knows_sick_member and herd.draw() < 0.9:
             member = 1 + int(herd.draw() * (herd.members - 1))
-        herd.told.sent += 1
-        herd.told.sick += member == 0
+        herd.result.sent += 1
+        herd.result.sick += member == 0
         if self.idle[member]:
             self.idle[member] -= 1
-            self.answer(member, herd.clock.now)
+            self.schedule_response(member, herd.clock.now)
         elif self.pacer is None:
             self.open(member, herd.clock.now)
         else:
             self.waiting.setdefault(member, deque()).append(herd.clock.now)
-            self.next(member)
+            self.open_next(member)
 
-    def next(self, member: int) -> None:
-        """As upstreams/connections.py does it."""
+    def open_next(self, member: int) -> None:
+        """Open the next connection to a member when the pacer allows it, as in upstreams/connections.py."""
         queue = self.waiting.get(member)
-        if not queue or member in self.due:
+        if not queue or member in self.paced_members:
             return
         wait = self.pacer.take(self.herd.clock.now) if self.pacer is not None else 0.0
         if wait > 0:
-            self.due.add(member)
-            self.herd.clock.after(wait, self.come, member)
+            self.paced_members.add(member)
+            self.herd.clock.after(wait, self.paced_open_due, member)
         else:
             self.open(member, queue.popleft())
 
-    def come(self, member: int) -> None:
-        self.due.discard(member)
-        self.next(member)
+    def paced_open_due(self, member: int) -> None:
+        self.paced_members.discard(member)
+        self.open_next(member)
 
-    def open(self, member: int, began: float) -> None:
+    def open(self, member: int, sent_at: float) -> None:
         herd = self.herd
-        herd.told.opened[herd.span] += 1
+        herd.result.opened[herd.span] += 1
         at = herd.opening[member] = max(herd.clock.now, herd.opening[member]) + herd.handshake
-        herd.clock.after(at - herd.clock.now, self.answer, member, began)
+        herd.clock.after(at - herd.clock.now, self.schedule_response, member, sent_at)
 
-    def answer(self, member: int, began: float) -> None:
-        self.herd.clock.after(ANSWER * self.herd.gap(), self.done, member, began)
+    def schedule_response(self, member: int, sent_at: float) -> None:
+        self.herd.clock.after(MEAN_RESPONSE_S * self.herd.gap(), self.complete_request, member, sent_at)
 
-    def done(self, member: int, began: float) -> None:
+    def complete_request(self, member: int, sent_at: float) -> None:
         herd = self.herd
         self.ended += 1
-        if herd.clock.now - began <= PATIENCE:
+        if herd.clock.now - sent_at <= CLIENT_TIMEOUT_S:
             self.served += 1
-            herd.told.served[herd.span] += 1
+            herd.result.served[herd.span] += 1
         else:
-            herd.told.late[herd.span] += 1
+            herd.result.late[herd.span] += 1
         queue = self.waiting.get(member)
         if queue:
-            self.answer(member, queue.popleft())
+            self.schedule_response(member, queue.popleft())
         elif not herd.sparse:
             self.idle[member] += 1
 
 
 class Herd:
-    """One run."""
+    """Simulates one run."""
 
     def __init__(
         self,
@@ -232,30 +239,34 @@
         rate: float = 50.0,
         handshake: float = 0.004,
     ) -> None:
-        """`comes`: how many are started at once. `rate`: requests a second of each. `handshake`: seconds of a member's
-        time that a new connection takes, one after another."""
+        """`comes` is the number of instances restarted at once, `rate` the requests per second of each instance.
+
+        `handshake` is the time in seconds that a new connection costs a member, one connection after another.
+        """
         self.measures, self.members, self.rate, self.handshake = measures, members, rate, handshake
-        self.sparse = rate < MIN_RATE_PER_CONNECTION * proxies * members  # connections are not kept
-        self.clock, self.told = Clock(), Told()
+        # Too few requests to keep idle connections.
+        self.sparse = rate < MIN_RATE_PER_CONNECTION * proxies * members
+        self.clock, self.result = Clock(), Told()
         draws = Draws(seed)
         self.draw, self.gap = draws.uniform("draw"), draws.exponential("gap")
         self.opening = [0.0] * members
-        self.source = Queue(self.clock, CALL)
+        self.source = Queue(self.clock, SOURCE_CALL_S)
         self.proxies = [Proxy(self, number, number < comes) for number in range(proxies)]
-        self.by_name = {one.name: one for one in self.proxies}
-        self.heard: dict[str, int] = {one.name: RecoveryPhase.FULL for one in self.proxies[comes:]}
-        for one in self.proxies[:comes]:
-            self.clock.after(START * (0.8 + 0.4 * self.draw()), one.start)
-        for one in self.proxies[comes:]:
-            self.clock.after(self.gap() / rate, one.request)
+        self.by_name = {proxy.name: proxy for proxy in self.proxies}
+        self.known_phases: dict[str, int] = {proxy.name: RecoveryPhase.FULL for proxy in self.proxies[comes:]}
+        for proxy in self.proxies[:comes]:
+            self.clock.after(START_S * (0.8 + 0.4 * self.draw()), proxy.start)
+        for proxy in self.proxies[comes:]:
+            self.clock.after(self.gap() / rate, proxy.request)
 
     @property
     def span(self) -> int:
-        return int(self.clock.second / SPAN)
+        return int(self.clock.second / SPAN_S)
 
-    def hear(self, name: str, phase: RecoveryPhase) -> None:
-        self.heard[name] = phase
+    def receive_phase(self, name: str, phase: RecoveryPhase) -> None:
+        self.known_phases[name] = phase
 
     def play(self, seconds: float = 12.0) -> Told:
+        """Run the simulation and return its results."""
         self.clock.run(seconds)
-        return self.told
+        return self.result
--- a/tests/translated.py
+++ b/tests/translated.py
@@ -1,6 +1,7 @@
-"""Peers whose scripts are written in HTTP and that speak FastCGI: so one suite plays in every combination.
+"""Test peers that translate HTTP to FastCGI, so that one test suite covers every combination of protocols.
 
-A script's bytes are read as HTTP; what can be said in FastCGI is said so, and what is no HTTP goes out as it is.
+The bytes that a test sends are parsed as HTTP and sent as FastCGI records. Bytes that are not valid HTTP are sent
+unchanged.
 """
 
 from __future__ import annotations
@@ -18,36 +19,36 @@
 from loadbalancer.fastcgi.webserver import encode_request
 from standins.fastcgi import WebServer
 
-#: What a suite has come to: answers by kind, and requests that members were handed.
+#: Totals of a test suite: responses by kind, and requests that reached members.
 TALLY: Counter[str] = Counter()
 
 
 def tally(status: int) -> None:
-    """Counts an answer as the platform's protocol does."""
+    """Count a response as served, refused or failed."""
     TALLY["served" if status == 200 else "refused" if status in (429, 503) else "failed"] += 1
 
 
-class _Answers:
-    """Reads HTTP answers and writes each as records."""
+class _ResponseTranslator:
+    """Parses HTTP responses and encodes each as FastCGI records."""
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.parser = httptools.HttpResponseParser(self)
         self.out = b""
-        self.close = self.broken = False
-        self._begin()
+        self.closes = self.invalid = False
+        self._reset()
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self.lines: list[bytes] = []
         self.body = b""
-        self.done = False
+        self.complete = False
 
     def on_message_begin(self) -> None:
-        self._begin()
+        self._reset()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"connection" and value.lower() == b"close":
-            self.close = True
+            self.closes = True
         if name.lower() not in (b"connection", b"transfer-encoding", b"content-length"):
             self.lines.append(b"%b: %b\r\n" % (name, value))
 
@@ -60,32 +61,32 @@
     def on_message_complete(self) -> None:
         if self.parser.get_status_code() < 200:
             return
-        self.done = True
+        self.complete = True
         self.out += encode_stream(Type.STDOUT, self.number, self.head() + self.body)
         self.out += encode(Type.END_REQUEST, self.number, bytes(8))
 
     def feed(self, data: bytes) -> bytes:
-        """Records for these bytes; of an answer that is not whole, none yet."""
-        if self.broken:
+        """Return the records for these bytes; an incomplete response yields none yet."""
+        if self.invalid:
             return data
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.broken = True
+            self.invalid = True
             out, self.out = self.out, b""
             return out + data
         out, self.out = self.out, b""
         return out
 
-    def rest(self) -> bytes:
-        """What is known of an answer that will not become whole."""
-        if self.done or self.broken or not self.body:
+    def partial_records(self) -> bytes:
+        """Return the records for the received part of a response that will not be completed."""
+        if self.complete or self.invalid or not self.body:
             return b""
         return encode_stream(Type.STDOUT, self.number, self.head() + self.body)
 
 
 class FcgiCall:
-    """As peers.Call, for a script that answers in HTTP."""
+    """Implements the interface of peers.Call for a test that responds in HTTP."""
 
     def __init__(
         self,
@@ -103,18 +104,18 @@
             writer,
             connection,
         )
-        self._answers = _Answers(number)
+        self._translator = _ResponseTranslator(number)
 
     async def say(self, data: bytes) -> None:
-        out = self._answers.feed(data)
+        out = self._translator.feed(data)
         if out:
             self.writer.write(out)
             await self.writer.drain()
-        if self._answers.close and self._answers.done:
+        if self._translator.closes and self._translator.complete:
             self.writer.close()
 
     def reset(self) -> None:
-        self.writer.write(self._answers.rest())
+        self.writer.write(self._translator.partial_records())
         self.writer.transport.abort()
 
     async def left(self) -> None:
@@ -127,7 +128,7 @@
 async def serve_fcgi(
     backend: Any, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int
 ) -> None:
-    """One connection to a ScriptedBackend that speaks FastCGI."""
+    """Serve one FastCGI connection of a ScriptedBackend."""
     side = ApplicationSide(1)
     params: dict[bytes, bytes] = {}
     body = b""
@@ -140,30 +141,30 @@
             elif isinstance(event, Aborted):
                 side.end(event.request)
             elif isinstance(event, Ended):
-                asked = from_params(params)
-                lines = b"".join(b"%b: %b\r\n" % pair for pair in asked.headers)
-                head = b"%b %b HTTP/1.1\r\n%b\r\n" % (asked.method, asked.target, lines)
+                request = from_params(params)
+                lines = b"".join(b"%b: %b\r\n" % pair for pair in request.headers)
+                head = b"%b %b HTTP/1.1\r\n%b\r\n" % (request.method, request.target, lines)
                 call = FcgiCall(head, body, reader, writer, number, event.request)
                 await backend.handed(call)
                 side.open.pop(event.request, None)
 
 
 class TranslatedClient:
-    """As peers.Client: requests are written in HTTP, answers read as if they were."""
+    """Implements the interface of peers.Client: takes requests and returns responses as HTTP."""
 
     def __init__(self, web: WebServer) -> None:
         self.web, self.writer, self.reader = web, web.writer, web.reader
         self.parser = httptools.HttpRequestParser(self)
-        self.waiting: list[int] = []
-        self._numbers = count(1)
-        self._begin()
+        self.pending_numbers: list[int] = []
+        self._request_numbers = count(1)
+        self._reset()
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self.url = self.body = b""
         self.pairs: list[tuple[bytes, bytes]] = []
 
     def on_message_begin(self) -> None:
-        self._begin()
+        self._reset()
 
     def on_url(self, url: bytes) -> None:
         self.url += url
@@ -179,8 +180,8 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        number = next(self._numbers)
-        self.waiting.append(number)
+        number = next(self._request_numbers)
+        self.pending_numbers.append(number)
         pairs = [
             (b"REQUEST_METHOD", self.parser.get_method()),
             (b"REQUEST_URI", self.url),
@@ -194,10 +195,10 @@
         await self.writer.drain()
 
     async def read(self) -> tuple[int, bytes, bytes]:
-        answer = await self.web.read(self.waiting.pop(0))
-        tally(answer.status)
-        lines = b"".join(b"%b: %b\r\n" % (name.title(), value) for name, value in answer.headers.items())
-        return answer.status, b"HTTP/1.1 %d\r\n%b\r\n" % (answer.status, lines), answer.body
+        response = await self.web.read(self.pending_numbers.pop(0))
+        tally(response.status)
+        lines = b"".join(b"%b: %b\r\n" % (name.title(), value) for name, value in response.headers.items())
+        return response.status, b"HTTP/1.1 %d\r\n%b\r\n" % (response.status, lines), response.body
 
     async def ask(self, data: bytes) -> tuple[int, bytes]:
         await self.send(data)
@@ -205,7 +206,7 @@
         return status, body
 
     async def ended(self) -> bytes:
-        """An answer that ends an HTTP connection ends nothing here: each request has its own records."""
+        """Return no bytes: a response that closes an HTTP connection leaves a FastCGI connection open."""
         return b""
 
 
