--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -34,7 +34,7 @@
 from typing import Any, Sequence
 
 from benchmarks.fleetview import quantile
-from emulator.herd import Herd, Measures, Told
+from emulator.herd import MassRestart, Measures, RestartResult
 from standins.member import Behaviour, Member
 from standins.processes import CONFIG, Fleet, until
 
@@ -229,14 +229,14 @@
 
 MEASURES = {
     "all measures": Measures(), "without the pace": Measures(pace=False),
-    "without lessons": Measures(lessons=False), "without lists handed on": Measures(lists=False),
-    "without turns": Measures(turns=False), "none": Measures(False, False, False, False),
+    "without lessons": Measures(learned_state=False), "without lists handed on": Measures(peer_lists=False),
+    "without turns": Measures(stagger=False), "none": Measures(False, False, False, False),
 }  # fmt: skip
 
 
 def model_part(html: Path | None, seeds: int = 10) -> None:
-    drawn: dict[str, Told] = {}
-    small: dict[str, Any] = {"proxies": 8, "members": 10, "comes": 7, "rate": 110.0}
+    drawn: dict[str, RestartResult] = {}
+    small: dict[str, Any] = {"proxies": 8, "members": 10, "restarted": 7, "rate": 110.0}
     shapes: dict[str, dict[str, Any]] = {
         "180 of 200 before 250 members, 10,000 requests a second": {},
         "7 of 8 before 10 members, 880 requests a second": small,
@@ -247,7 +247,7 @@
             "openings and calls at the source in the worst 100 ms, the sick member's share, requests late"
         )
         for name, measures in MEASURES.items():
-            runs = [Herd(seed, measures, **shape).play(8.0) for seed in range(seeds)]
+            runs = [MassRestart(seed, measures, **shape).play(8.0) for seed in range(seeds)]
             drawn.setdefault(name, runs[0])
             full = [sorted(run.full) for run in runs]
             rows = [
@@ -265,7 +265,7 @@
         draw(html, drawn)
 
 
-def draw(html: Path, runs: dict[str, Told]) -> None:
+def draw(html: Path, runs: dict[str, RestartResult]) -> None:
     """The share served of the requests of each 100 ms, a line for each measure that is left out."""
     from emulator import charts
 
--- a/benchmarks/fleetversions.py
+++ b/benchmarks/fleetversions.py
@@ -143,13 +143,13 @@
 
 
 def in_force(model: StateModel) -> bool:
-    return all(one.versions.state.version == 1 for one in model.up)
+    return all(one.replica.state.version == 1 for one in model.up)
 
 
 def model_part(runs: int) -> None:
     took: list[float] = []
     for seed in range(runs):
-        model = StateModel(7, seed, stale_most=10.0)
+        model = StateModel(7, seed, max_staleness=10.0)
         model.join(193)
         for one in model.all.values():
             one.start()
--- a/benchmarks/fleetview.py
+++ b/benchmarks/fleetview.py
@@ -83,7 +83,7 @@
         ("halves, 20 min", 1200, [EIGHT[:4], EIGHT[4:]]),
     )
     for name, seconds, sides in partitions:
-        model.part(*sides)
+        model.partition(*sides)
         model.run(seconds)
         model.heal()
         settles(name)
@@ -93,7 +93,7 @@
     settles("one way, 20 s")
     model.instances[5].stop()
     model.run(5)
-    model.instances[5].go_on()
+    model.instances[5].resume()
     settles("stopped for 5 s")
     for number in EIGHT[1:]:
         model.instances[number].kill()
--- a/emulator/fleetstate.py
+++ b/emulator/fleetstate.py
@@ -46,8 +46,8 @@
 class Instance:
     """Simulates one process and its disk.
 
-    `lives` counts its starts, and `ended` holds the results of its commands by identifier. `versions` is its replica,
-    `fence` its lease. A stopped process handles the pending calls when it is resumed.
+    `lives` counts its starts, and `ended` holds the results of its commands by identifier. A stopped
+    process handles the pending calls when it is resumed.
     """
 
     def __init__(self, model: StateModel, name: str) -> None:
@@ -69,15 +69,15 @@
         self.up, self.stopped, self.pending_calls = True, False, []
         self.disk.opened += 1
         first_number = 1 + self.model.random.getrandbits(FIRST_NUMBER_BITS)
-        self.fence = Lease(self.model.stale_most, serves_when_expired=False, first_number=first_number)
-        self.versions = self._make_replica()
-        self.state_sender, self.state_receiver = StateSender(self.versions), StateReceiver()
+        self.lease = Lease(self.model.max_staleness, serves_when_expired=False, first_number=first_number)
+        self.replica = self._make_replica()
+        self.state_sender, self.state_receiver = StateSender(self.replica), StateReceiver()
         self.do_later(self.model.fsync, self._enable_vote)
         self.tick(self.lives)
 
     def _enable_vote(self) -> None:
         """Give the replica its store, once the opening of the store is on disk."""
-        self.versions.store_id = self.disk.store
+        self.replica.store_id = self.disk.store
 
     def _make_replica(self) -> PaxosReplica:
         disk, source = self.disk, self.model.random
@@ -91,7 +91,7 @@
             generation,
             state,
             random.Random(source.getrandbits(40)),
-            self.fence.active_leaseholders,
+            self.lease.active_leaseholders,
         )
         replica.restore(
             copy.deepcopy(disk.acceptor_state),
@@ -125,7 +125,7 @@
         else:
             call(*arguments)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume a stopped process and make its pending calls."""
         self.stopped = False
         pending_calls, self.pending_calls = self.pending_calls, []
@@ -146,39 +146,36 @@
             )
         )
         now = self.clock()
-        if now >= self.fence.next_timer:
-            number = self.fence.request(now)
-            for name in self.versions.state.voters:
-                self.send(name, messages.LeaseRequest(number, self.versions.state.version))
-        due = min(self.versions.next_timer, self.fence.next_timer)
+        if now >= self.lease.next_timer:
+            number = self.lease.request(now)
+            for name in self.replica.state.voters:
+                self.send(name, messages.LeaseRequest(number, self.replica.state.version))
+        due = min(self.replica.next_timer, self.lease.next_timer)
         self.do_later(min(0.5, max(0.005, due - now)), self.tick, self.lives)
 
     def handle(self, event: Event) -> None:
-        for action in self.versions.handle(self.clock(), event):
+        for action in self.replica.handle(self.clock(), event):
             self.perform(action)
 
     def perform(self, action: Action) -> None:
-        versions = self.versions
+        replica = self.replica
         if isinstance(action, SendMessage):
             self.send(action.to, action.message)
         elif isinstance(action, Persist):
-            self.do_later(self.model.fsync, self.keep, action)
+            self.do_later(self.model.fsync, self.persist, action)
         elif isinstance(action, AdmitStore):
             self.do_later(self.model.fsync, self.admit)
         elif isinstance(action, (CommandApplied, SnapshotInstalled)):
-            self.disk.state = versions.state.encode()
-            self.disk.log = dict(versions.command_log)
-            self.fence.extend(versions.state.majority, versions.state.version)
+            self.disk.state = replica.state.encode()
+            self.disk.log = dict(replica.command_log)
+            self.lease.extend(replica.state.majority, replica.state.version)
         elif isinstance(action, RequestStateTransfer):
             self.do_later(self.model.delay, self.transfer_state, action.source)
         elif isinstance(action, CommandCompleted):
             self.ended[action.command_id] = action
 
-    def keep(self, action: Persist) -> None:
-        if (
-            action.acceptor_state is not None
-            and action.acceptor_state.slot == self.versions.state.version + 1
-        ):
+    def persist(self, action: Persist) -> None:
+        if action.acceptor_state is not None and action.acceptor_state.slot == self.replica.state.version + 1:
             self.disk.acceptor_state = copy.deepcopy(action.acceptor_state)
         if action.observed_store is not None:
             self.disk.observed_stores[action.observed_store[0]] = action.observed_store[1]
@@ -194,20 +191,20 @@
 
     def receive(self, sender: str, message: Any) -> None:
         now = self.clock()
-        versions = self.versions
+        replica = self.replica
         if isinstance(message, messages.LeaseRequest):
-            if versions.can_vote:
-                self.fence.grant(now, sender)
-                self.send(sender, messages.LeaseGrant(message.number, versions.highest_accepted_version, now))
+            if replica.can_vote:
+                self.lease.grant(now, sender)
+                self.send(sender, messages.LeaseGrant(message.number, replica.highest_accepted_version, now))
         elif isinstance(message, messages.LeaseGrant):
-            self.fence.granted(
+            self.lease.granted(
                 now,
                 message.number,
                 sender,
                 message.highest_known_version,
                 message.clock,
-                versions.state.majority,
-                versions.state.version,
+                replica.state.majority,
+                replica.state.version,
             )
         else:
             self.handle(MessageReceived(sender, message))
@@ -217,7 +214,7 @@
         if not other.up or other.stopped or {(self.name, name), (name, self.name)} & self.model.cut:
             return
         for message in other.state_sender.answer(
-            self.state_receiver.next_request(self.versions.state.version)
+            self.state_receiver.next_request(self.replica.state.version)
         ):
             event, last = self.state_receiver.receive(message)
             if event is not None:
@@ -225,7 +222,7 @@
             if last:
                 break
         # As in the product: instances that wait for an announcement get it.
-        for action in self.versions.announce_to_all():
+        for action in self.replica.announce_to_all():
             self.perform(action)
 
     def propose(self, change: Command, seconds: float = 5.0, if_version: int = -1) -> None:
@@ -236,13 +233,13 @@
     """Simulates all instances and a network with loss, delay, duplication and cuts by pair and direction."""
 
     def __init__(
-        self, count: int, seed: int, stale_most: float = 2.0, kept: int = 1024, founded: bool = True
+        self, count: int, seed: int, max_staleness: float = 2.0, kept: int = 1024, founded: bool = True
     ) -> None:
         self.founded = founded
         self.random = random.Random(seed)
         self.clock = Clock()
-        self.delay, self.fsync, self.loss, self.doubled = 0.001, 0.002, 0.0, 0.0
-        self.stale_most = stale_most
+        self.delay, self.fsync, self.loss, self.duplication = 0.001, 0.002, 0.0, 0.0
+        self.max_staleness = max_staleness
         self.cut: set[tuple[str, str]] = set()
         self.voters = [f"i{number}" for number in range(count)]
         self.all = {name: Instance(self, name) for name in self.voters}
@@ -260,18 +257,18 @@
         if sender == to:
             target.do_later(0.0, target.receive, sender, message)
             return
-        for _ in range(2 if self.random.random() < self.doubled else 1):
+        for _ in range(2 if self.random.random() < self.duplication else 1):
             if self.random.random() >= self.loss:
                 delay_factor = 20 if self.random.random() < 0.02 else 1
                 wait = self.delay * (1 + self.random.random()) * delay_factor
-                self.clock.after(wait, self._arrive, target, sender, message)
+                self.clock.after(wait, self._deliver, target, sender, message)
 
     @staticmethod
-    def _arrive(target: Instance, sender: str, message: Any) -> None:
+    def _deliver(target: Instance, sender: str, message: Any) -> None:
         """Deliver a message to the current process of the target; a delayed one may reach a later process."""
         target.run(target.lives, target.receive, (sender, message))
 
-    def part(self, *sides: list[str]) -> None:
+    def partition(self, *sides: list[str]) -> None:
         """Cut the network between these groups in both directions; any earlier cuts are replaced."""
         self.cut = {
             (a, b) for side in sides for other in sides if side is not other for a in side for b in other
@@ -297,10 +294,10 @@
         """The instances that are up and not stopped."""
         return [instance for instance in self.all.values() if instance.up and not instance.stopped]
 
-    def agree(self) -> bool:
+    def states_agree(self) -> bool:
         """Tell whether all running instances have the same replicated state."""
-        return len({instance.versions.state.digest() for instance in self.up}) == 1
+        return len({instance.replica.state.digest() for instance in self.up}) == 1
 
-    def open(self) -> bool:
+    def all_may_act(self) -> bool:
         """Tell whether all instances that are up hold a valid lease."""
-        return all(instance.fence.may_act(instance.clock()) for instance in self.up)
+        return all(instance.lease.may_act(instance.clock()) for instance in self.up)
--- a/emulator/fleetview.py
+++ b/emulator/fleetview.py
@@ -41,10 +41,10 @@
 
     delay: float = 0.001  # minimum; up to twice as much at random, and occasionally ten times that
     loss: float = 0.0
-    doubled: float = 0.0
+    duplication: float = 0.0
     cut: set[tuple[int, int]] = field(default_factory=set)  # pairs of sender and receiver
     # Scheduled faults of the next datagrams, in order: "gone", "twice", "late", or "" for none.
-    fates: list[str] = field(default_factory=list)
+    scheduled_faults: list[str] = field(default_factory=list)
 
 
 class Instance:
@@ -56,14 +56,14 @@
         self.up = self.stopped = False
         self.lives = 0
         self.slow = 0.0  # seconds by which its timers and received datagrams are delayed
-        self.waits: list[Event] = []
+        self.queued_events: list[Event] = []
         self.counts: Counter[str] = Counter()
 
     def start(self) -> None:
         model = self.model
         self.lives += 1
         self.up, self.stopped = True, False
-        self.waits = []
+        self.queued_events = []
         boot = model.random.getrandbits(62) + 1
         seeds = tuple(model.instances[n].address for n in range(min(2, len(model.instances))))
         settings = Settings(seeds, len(model.instances), model.timers)
@@ -83,10 +83,10 @@
     def stop(self) -> None:
         self.stopped = True
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume a stopped process, which reads its queued datagrams first, as the real one does."""
         self.stopped = False
-        queued_events, self.waits = self.waits, []
+        queued_events, self.queued_events = self.queued_events, []
         for event in queued_events:
             self.handle(event)
         self.handle(TimerExpired())
@@ -95,8 +95,8 @@
         if not self.up:
             return
         if self.stopped:
-            if len(self.waits) < MAX_QUEUED_DATAGRAMS and not isinstance(event, TimerExpired):
-                self.waits.append(event)
+            if len(self.queued_events) < MAX_QUEUED_DATAGRAMS and not isinstance(event, TimerExpired):
+                self.queued_events.append(event)
             return
         if isinstance(event, PacketReceived):
             packet = event.packet
@@ -105,7 +105,7 @@
                 return
         before = self.view.table.digest
         for action in self.view.handle(self.model.clock.now, event):
-            self.do(action)
+            self.perform(action)
         if self.view.table.digest != before:
             self.model.changed_at = self.model.clock.now
         self.wake()
@@ -122,7 +122,7 @@
             self.due = -1.0
             self.handle(TimerExpired())
 
-    def do(self, action: Action) -> None:
+    def perform(self, action: Action) -> None:
         if isinstance(action, SendPacket):
             self.numbers += 1
             identity = self.view.identity
@@ -178,10 +178,10 @@
         if target is None or (source.number, target.number) in self.net.cut:
             return
         net, draw = self.net, self.random.random
-        if net.fates:
-            self._apply_fault(net.fates.pop(0), target, packet)
+        if net.scheduled_faults:
+            self._apply_fault(net.scheduled_faults.pop(0), target, packet)
             return
-        for _ in range(2 if net.doubled and draw() < net.doubled else 1):
+        for _ in range(2 if net.duplication and draw() < net.duplication else 1):
             if not net.loss or draw() >= net.loss:
                 delay = net.delay * (1 + draw()) * (10 if draw() < 0.01 else 1)
                 self.clock.after(delay + target.slow, target.handle, PacketReceived(packet))
@@ -206,7 +206,7 @@
             for packet in target.pieces(source.view.identity.boot):
                 self.clock.after(self.net.delay, source.handle, PacketReceived(packet))
 
-    def part(self, *sides: Iterable[int]) -> None:
+    def partition(self, *sides: Iterable[int]) -> None:
         """Cut the network between these groups in both directions; any earlier cuts are replaced."""
         groups = [list(side) for side in sides]
         self.net.cut = {
@@ -237,7 +237,7 @@
             and {peer.state.name for peer in up[0].view.table.living} | {up[0].view.identity.name} == names
         )
 
-    def held_dead(self) -> list[tuple[str, str]]:
+    def wrongly_dead(self) -> list[tuple[str, str]]:
         """Return pairs of an instance and a running instance that it considers dead."""
         names = {instance.view.identity.name: instance for instance in self.up}
         return [
--- a/emulator/herd.py
+++ b/emulator/herd.py
@@ -44,13 +44,13 @@
     """Tells which of the measures against overload at a restart are enabled."""
 
     pace: bool = True
-    lessons: bool = True
-    lists: bool = True
-    turns: bool = True
+    learned_state: bool = True
+    peer_lists: bool = True
+    stagger: bool = True
 
 
 @dataclass
-class Told:
+class RestartResult:
     """Holds the results of one run: seconds since the start of the processes, and counts per span of 100 ms."""
 
     full: list[float] = field(default_factory=list)  # when each restarted instance was fully recovered
@@ -78,8 +78,8 @@
 class Proxy:
     """Simulates one instance, which is restarted if `restarts` is set and otherwise has survived."""
 
-    def __init__(self, herd: Herd, number: int, restarts: bool) -> None:
-        self.herd, self.number, self.name = herd, number, f"i{number:03}"
+    def __init__(self, model: MassRestart, number: int, restarts: bool) -> None:
+        self.model, self.number, self.name = model, number, f"i{number:03}"
         self.phase, self.listed, self.knows_sick_member = RecoveryPhase.FULL, not restarts, not restarts
         self.idle: Counter[int] = Counter()
         self.waiting: dict[int, deque[float]] = {}
@@ -87,43 +87,43 @@
         self.pacer: Pacer | None = None
         self.served = self.ended = 0
         self.recovery: RecoveryCoordinator | None = None
-        self.survivor_queue = Queue(herd.clock, SURVIVOR_RESPONSE_S)
-        if not restarts and not herd.sparse:
-            self.idle.update(range(herd.members))
+        self.survivor_queue = Queue(model.clock, SURVIVOR_RESPONSE_S)
+        if not restarts and not model.sparse:
+            self.idle.update(range(model.members))
 
     def start(self) -> None:
-        self.recovery = RecoveryCoordinator(self.name, self.herd.clock.now)
+        self.recovery = RecoveryCoordinator(self.name, self.model.clock.now)
         self.announce_phase(RecoveryPhase.FINDING)
         self.step_recovery()
-        self.herd.clock.after(self.herd.draw() / self.herd.rate, self.request)
+        self.model.clock.after(self.model.draw() / self.model.rate, self.request)
 
     def announce_phase(self, phase: RecoveryPhase) -> None:
         self.phase = phase
-        self.herd.clock.after(PROPAGATION_S, self.herd.receive_phase, self.name, phase)
+        self.model.clock.after(PROPAGATION_S, self.model.receive_phase, self.name, phase)
 
     def step_recovery(self) -> None:
         assert self.recovery is not None
-        herd = self.herd
-        phases = herd.known_phases
+        model = self.model
+        phases = model.known_phases
         full = tuple(name for name, phase in phases.items() if is_full(phase) and name != self.name)
         recovering = tuple(name for name, phase in phases.items() if not is_full(phase) and name != self.name)
-        silent = len(herd.proxies) - 1 - len(full) - len(recovering)
-        joined = herd.clock.now > self.recovery.began + 0.15
+        silent = len(model.proxies) - 1 - len(full) - len(recovering)
+        joined = model.clock.now > self.recovery.began + 0.15
         observation = RecoveryObservation(
             joined, True, True, full, recovering, silent, self.served, self.ended
         )
-        for action in self.recovery.step(herd.clock.now, observation):
+        for action in self.recovery.step(model.clock.now, observation):
             if isinstance(action, PhaseChanged):
                 self.enter_phase(action.phase, recovering)
             elif isinstance(action, LearnFromPeers):
                 self.learn_from_survivors(action)
-            elif isinstance(action, ConnectionPace) and herd.measures.pace and not herd.sparse:
+            elif isinstance(action, ConnectionPace) and model.measures.pace and not model.sparse:
                 per_s = action.per_member_s
-                self.pacer = None if per_s is None else Pacer(per_s * herd.members, herd.clock.now)
+                self.pacer = None if per_s is None else Pacer(per_s * model.members, model.clock.now)
         if self.phase != RecoveryPhase.FULL:
-            herd.clock.after(0.05, self.step_recovery)
+            model.clock.after(0.05, self.step_recovery)
         else:
-            herd.result.full.append(self.recovery.full_after or 99.0)
+            model.result.full.append(self.recovery.full_after or 99.0)
 
     def enter_phase(self, phase: RecoveryPhase, recovering: tuple[str, ...]) -> None:
         self.announce_phase(phase)
@@ -132,22 +132,22 @@
         elif phase == RecoveryPhase.WARMING:
             after = (
                 stagger_delay(self.name, recovering, STAGGER_STEP_S, STAGGER_MAX_S)
-                if self.herd.measures.turns
+                if self.model.measures.stagger
                 else 0.0
             )
-            self.herd.clock.after(after, self.call_source)
+            self.model.clock.after(after, self.call_source)
 
     def learn_from_survivors(self, action: LearnFromPeers) -> None:
-        """Query survivors; each processes its queries one after another, and the list comes from the first of them."""
-        herd = self.herd
-        waits = [herd.by_name[name].survivor_queue.wait() for name in action.names]
-        if herd.measures.lists:
-            herd.clock.after(waits[0], self.receive_list)
-        if herd.measures.lessons:
-            herd.clock.after(max(waits), self.receive_learned_state)
+        """Query survivors; each processes its queries one after another, and the list comes from the first."""
+        model = self.model
+        waits = [model.by_name[name].survivor_queue.wait() for name in action.names]
+        if model.measures.peer_lists:
+            model.clock.after(waits[0], self.receive_list)
+        if model.measures.learned_state:
+            model.clock.after(max(waits), self.receive_learned_state)
         else:
             assert self.recovery is not None
-            herd.clock.after(max(waits), self.recovery.on_survivors_answered)
+            model.clock.after(max(waits), self.recovery.on_survivors_answered)
 
     def receive_learned_state(self) -> None:
         assert self.recovery is not None
@@ -159,31 +159,31 @@
 
     def call_source(self) -> None:
         """Request the endpoint list from the source."""
-        herd = self.herd
-        herd.result.calls[herd.span] += 1
-        herd.clock.after(herd.source.wait(), self.receive_list)
+        model = self.model
+        model.result.calls[model.span] += 1
+        model.clock.after(model.source.wait(), self.receive_list)
 
     # Requests.
 
     def request(self) -> None:
-        herd = self.herd
-        herd.clock.after(herd.gap() / herd.rate, self.request)
+        model = self.model
+        model.clock.after(model.gap() / model.rate, self.request)
         if not self.listed:
             self.ended += 1
-            herd.result.late[herd.span] += 1
+            model.result.late[model.span] += 1
             return
-        member = int(herd.draw() * herd.members)
-        if member == 0 and self.knows_sick_member and herd.draw() < 0.9:
-            member = 1 + int(herd.draw() * (herd.members - 1))
-        herd.result.sent += 1
-        herd.result.sick += member == 0
+        member = int(model.draw() * model.members)
+        if member == 0 and self.knows_sick_member and model.draw() < 0.9:
+            member = 1 + int(model.draw() * (model.members - 1))
+        model.result.sent += 1
+        model.result.sick += member == 0
         if self.idle[member]:
             self.idle[member] -= 1
-            self.schedule_response(member, herd.clock.now)
+            self.schedule_response(member, model.clock.now)
         elif self.pacer is None:
-            self.open(member, herd.clock.now)
+            self.open(member, model.clock.now)
         else:
-            self.waiting.setdefault(member, deque()).append(herd.clock.now)
+            self.waiting.setdefault(member, deque()).append(model.clock.now)
             self.open_next(member)
 
     def open_next(self, member: int) -> None:
@@ -191,10 +191,10 @@
         queue = self.waiting.get(member)
         if not queue or member in self.paced_members:
             return
-        wait = self.pacer.take(self.herd.clock.now) if self.pacer is not None else 0.0
+        wait = self.pacer.take(self.model.clock.now) if self.pacer is not None else 0.0
         if wait > 0:
             self.paced_members.add(member)
-            self.herd.clock.after(wait, self.paced_open_due, member)
+            self.model.clock.after(wait, self.paced_open_due, member)
         else:
             self.open(member, queue.popleft())
 
@@ -203,30 +203,30 @@
         self.open_next(member)
 
     def open(self, member: int, sent_at: float) -> None:
-        herd = self.herd
-        herd.result.opened[herd.span] += 1
-        at = herd.opening[member] = max(herd.clock.now, herd.opening[member]) + herd.handshake
-        herd.clock.after(at - herd.clock.now, self.schedule_response, member, sent_at)
+        model = self.model
+        model.result.opened[model.span] += 1
+        at = model.opening[member] = max(model.clock.now, model.opening[member]) + model.handshake
+        model.clock.after(at - model.clock.now, self.schedule_response, member, sent_at)
 
     def schedule_response(self, member: int, sent_at: float) -> None:
-        self.herd.clock.after(MEAN_RESPONSE_S * self.herd.gap(), self.complete_request, member, sent_at)
+        self.model.clock.after(MEAN_RESPONSE_S * self.model.gap(), self.complete_request, member, sent_at)
 
     def complete_request(self, member: int, sent_at: float) -> None:
-        herd = self.herd
+        model = self.model
         self.ended += 1
-        if herd.clock.now - sent_at <= CLIENT_TIMEOUT_S:
+        if model.clock.now - sent_at <= CLIENT_TIMEOUT_S:
             self.served += 1
-            herd.result.served[herd.span] += 1
+            model.result.served[model.span] += 1
         else:
-            herd.result.late[herd.span] += 1
+            model.result.late[model.span] += 1
         queue = self.waiting.get(member)
         if queue:
             self.schedule_response(member, queue.popleft())
-        elif not herd.sparse:
+        elif not model.sparse:
             self.idle[member] += 1
 
 
-class Herd:
+class MassRestart:
     """Simulates one run."""
 
     def __init__(
@@ -235,28 +235,30 @@
         measures: Measures,
         proxies: int = 200,
         members: int = 250,
-        comes: int = 180,
+        restarted: int = 180,
         rate: float = 50.0,
         handshake: float = 0.004,
     ) -> None:
-        """`comes` is the number of instances restarted at once, `rate` the requests per second of each instance.
+        """`restarted` is the number of instances restarted at once, `rate` the requests per second of each instance.
 
         `handshake` is the time in seconds that a new connection costs a member, one connection after another.
         """
         self.measures, self.members, self.rate, self.handshake = measures, members, rate, handshake
         # Too few requests to keep idle connections.
         self.sparse = rate < MIN_RATE_PER_CONNECTION * proxies * members
-        self.clock, self.result = Clock(), Told()
+        self.clock, self.result = Clock(), RestartResult()
         draws = Draws(seed)
         self.draw, self.gap = draws.uniform("draw"), draws.exponential("gap")
         self.opening = [0.0] * members
         self.source = Queue(self.clock, SOURCE_CALL_S)
-        self.proxies = [Proxy(self, number, number < comes) for number in range(proxies)]
+        self.proxies = [Proxy(self, number, number < restarted) for number in range(proxies)]
         self.by_name = {proxy.name: proxy for proxy in self.proxies}
-        self.known_phases: dict[str, int] = {proxy.name: RecoveryPhase.FULL for proxy in self.proxies[comes:]}
-        for proxy in self.proxies[:comes]:
+        self.known_phases: dict[str, int] = {
+            proxy.name: RecoveryPhase.FULL for proxy in self.proxies[restarted:]
+        }
+        for proxy in self.proxies[:restarted]:
             self.clock.after(START_S * (0.8 + 0.4 * self.draw()), proxy.start)
-        for proxy in self.proxies[comes:]:
+        for proxy in self.proxies[restarted:]:
             self.clock.after(self.gap() / rate, proxy.request)
 
     @property
@@ -266,7 +268,7 @@
     def receive_phase(self, name: str, phase: RecoveryPhase) -> None:
         self.known_phases[name] = phase
 
-    def play(self, seconds: float = 12.0) -> Told:
+    def play(self, seconds: float = 12.0) -> RestartResult:
         """Run the simulation and return its results."""
         self.clock.run(seconds)
         return self.result
--- a/loadbalancer/cli/import_files.py
+++ b/loadbalancer/cli/import_files.py
@@ -12,8 +12,8 @@
 from typing import Mapping, Sequence
 
 from loadbalancer.cli.errors import UseError
-from loadbalancer.importer.httpd import VERSION, Given
-from loadbalancer.importer.source import FILE_MOST, SourceError
+from loadbalancer.importer.httpd import VERSION, HttpdEnvironment
+from loadbalancer.importer.source import MAX_FILE_BYTES, SourceError
 
 
 class Files:
@@ -21,7 +21,7 @@
 
     def read(self, path: str) -> bytes:
         with open(path, "rb") as file:
-            return file.read(FILE_MOST + 1)
+            return file.read(MAX_FILE_BYTES + 1)
 
     def match(self, pattern: str) -> list[str]:
         found = []
@@ -46,12 +46,12 @@
 def run(options: argparse.Namespace) -> int:
     from loadbalancer.importer.imports import Options, import_apache, import_jk
 
-    given = Given()
+    given = HttpdEnvironment()
     if options.kind == "apache":
         match = VERSION.match(options.httpd_version)
         if match is None:
             raise UseError(f"--httpd-version {options.httpd_version!r} is no version")
-        given = Given(
+        given = HttpdEnvironment(
             set(options.module), (int(match[1]), int(match[2] or 0), int(match[3] or 0)), options.server_root
         )
     asked = Options(
--- a/loadbalancer/importer/httpd.py
+++ b/loadbalancer/importer/httpd.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Given:
+class HttpdEnvironment:
     """Describes the build and command line of httpd as the caller gives them; the importer doesn't inspect httpd."""
 
     modules: set[str] = field(default_factory=set)
@@ -114,7 +114,7 @@
 class Parser:
     """Parses a file and all files that it includes into one tree. An instance is used once."""
 
-    def __init__(self, reader: SourceReader, environment: Given) -> None:
+    def __init__(self, reader: SourceReader, environment: HttpdEnvironment) -> None:
         self.reader, self.environment = reader, environment
         self.variables: dict[str, str] = {}
         self.modules = {name.lower() for name in environment.modules} | BUILT_IN_MODULES
@@ -368,7 +368,7 @@
 
 
 def parse(
-    reader: SourceReader, path: str, environment: Given, variables: Mapping[str, str]
+    reader: SourceReader, path: str, environment: HttpdEnvironment, variables: Mapping[str, str]
 ) -> tuple[list[Directive], Mapping[str, str]]:
     """Return the directive tree of a file, and the variables with those that the file defines."""
     parser = Parser(reader, environment)
--- a/loadbalancer/importer/imports.py
+++ b/loadbalancer/importer/imports.py
@@ -11,7 +11,7 @@
 
 import tomli_w
 
-from loadbalancer.importer.httpd import Given, parse
+from loadbalancer.importer.httpd import HttpdEnvironment, parse
 from loadbalancer.importer.jk import (
     Mount,
     Property,
@@ -40,7 +40,7 @@
     listen: Sequence[str] = ()  # listen addresses that replace those of the files
     resolve: Mapping[str, str] = field(default_factory=dict)  # IPv4 addresses by host name
     connectors: Mapping[str, str] = field(default_factory=dict)  # HTTP ports by AJP ports
-    environment: Given = field(default_factory=Given)
+    environment: HttpdEnvironment = field(default_factory=HttpdEnvironment)
     variables: Mapping[str, str] = field(default_factory=dict)  # values for Define and $(name)
 
 
--- a/loadbalancer/importer/source.py
+++ b/loadbalancer/importer/source.py
@@ -9,7 +9,7 @@
 from typing import Iterator, NamedTuple, Protocol
 
 #: Largest size of one file, and of all files of one import together.
-FILE_MOST = 32 << 20
+MAX_FILE_BYTES = 32 << 20
 MAX_TOTAL_BYTES = 64 << 20
 #: Longest logical line, with its continuation lines joined. The longest lines in practice are lists of aliases.
 MAX_LINE_CHARS = 64 << 10
@@ -24,7 +24,7 @@
     """Gives the importer access to files; the importer does no other I/O."""
 
     def read(self, path: str) -> bytes:
-        """Return the content of a file, of which FILE_MOST + 1 bytes are enough; raise OSError if it can't be read."""
+        """Return a file, of which MAX_FILE_BYTES + 1 bytes are enough; raise OSError if it can't be read."""
 
     def match(self, pattern: str) -> list[str]:
         """Return the files that match a wildcard pattern, sorted; for a directory, all files in and below it."""
@@ -69,10 +69,10 @@
                 error_position, f"{path} can't be read: {problem.strerror or problem}"
             ) from None
         self.bytes_read += len(data)
-        if len(data) > FILE_MOST or self.bytes_read > MAX_TOTAL_BYTES:
+        if len(data) > MAX_FILE_BYTES or self.bytes_read > MAX_TOTAL_BYTES:
             raise SourceError(
                 Position(path, 0),
-                f"more than {FILE_MOST >> 20} MiB in one file or {MAX_TOTAL_BYTES >> 20} MiB in all files",
+                f"more than {MAX_FILE_BYTES >> 20} MiB in one file or {MAX_TOTAL_BYTES >> 20} MiB in all files",
             )
         if (nul := data.find(b"\0")) >= 0:
             raise SourceError(
--- a/tests/fleet/membership/test_view.py
+++ b/tests/fleet/membership/test_view.py
@@ -31,7 +31,7 @@
     """
     source = random.Random(seed)
     model = FleetModel(8, seed)
-    model.net.loss, model.net.doubled = source.choice((0.0, 0.01, 0.05)), source.choice((0.0, 0.05))
+    model.net.loss, model.net.duplication = source.choice((0.0, 0.01, 0.05)), source.choice((0.0, 0.05))
     model.net.delay = source.choice((0.001, 0.02))
     for instance in model.instances:
         model.clock.after(source.random(), instance.start)
@@ -44,7 +44,7 @@
     for instance in model.instances:
         instance.slow = 0.0
         if instance.stopped:
-            instance.go_on()
+            instance.resume()
     return model
 
 
@@ -54,11 +54,11 @@
     if fault == "kill":
         instance.kill() if instance.up and not instance.stopped else instance.start()
     elif fault == "stop":
-        instance.go_on() if instance.stopped else instance.stop()
+        instance.resume() if instance.stopped else instance.stop()
     elif fault == "part":
         order = source.sample(range(8), 8)
         at = source.randint(1, 7)
-        model.part(order[:at], order[at:])
+        model.partition(order[:at], order[at:])
     elif fault == "oneway":
         model.net.cut |= {(instance.number, other) for other in range(8)}
     elif fault == "slow":
@@ -74,7 +74,7 @@
     settled_after = model.until(model.settled, SETTLE_S)
 
     assert settled_after is not None
-    assert not model.held_dead()
+    assert not model.wrongly_dead()
     for instance in model.up:
         assert len(instance.view.table.peers) <= 7
         assert len(instance.view.gossip_queue) <= 8
@@ -99,7 +99,7 @@
         model.instances[0].start()
         model.instances[1].start()
         assert model.until(model.settled, 10.0) is not None
-        model.net.fates = list(deliveries)
+        model.net.scheduled_faults = list(deliveries)
         model.instances[2].start()
         assert model.until(model.settled, SETTLE_S) is not None, deliveries
 
@@ -113,7 +113,7 @@
     assert model.start_all() is not None
     for instance in model.instances:
         instance.view.joining.seeds = ()
-    model.part(range(4), range(4, 8))
+    model.partition(range(4), range(4, 8))
     model.run(60)
     model.heal()
     return model.until(model.settled, SETTLE_S) is not None
@@ -126,7 +126,7 @@
     stopped = model.instances[5]
     stopped.stop()
     model.run(20)
-    stopped.go_on()
+    stopped.resume()
     return model.until(model.settled, SETTLE_S) is not None and stopped.view.own_state.generation == 1
 
 
@@ -145,10 +145,10 @@
 
     assert model.until(is_suspected, 10.0) is not None
     observer.stop()
-    suspect.go_on()
+    suspect.resume()
     model.run(20)
-    observer.waits.clear()
-    observer.go_on()
+    observer.queued_events.clear()
+    observer.resume()
     settled = model.until(model.settled, SETTLE_S) is not None
     return settled and not observer.view.counters["died"]
 
@@ -304,13 +304,13 @@
     assert model.start_all() is not None
     replaced = model.instances[2]
     generation, states = replaced.view.hand_over()
-    waiting, replaced.waits = replaced.waits, []
+    waiting, replaced.queued_events = replaced.queued_events, []
     replaced.up = False
 
     replaced.start()  # another process with the same address
     replaced.view = MembershipView(Identity("i2", 99, replaced.address), replaced.view.settings, 3)
     for action in replaced.view.resume(model.clock.now, generation, states):
-        replaced.do(action)
+        replaced.perform(action)
     replaced.wake()
 
     assert model.until(model.settled, SETTLE_S) is not None
--- a/tests/fleet/replication/lost_store_model.py
+++ b/tests/fleet/replication/lost_store_model.py
@@ -56,7 +56,7 @@
             case "kill":
                 instance.kill() if instance.up else instance.start()
             case "stop" if instance.up:
-                instance.go_on() if instance.stopped else instance.stop()
+                instance.resume() if instance.stopped else instance.stop()
             case "part":
                 self.partition()
             case "lose":
@@ -76,7 +76,7 @@
     def partition(self) -> None:
         order = self.source.sample(list(self.model.all), len(self.model.all))
         split = self.source.randint(1, len(order) - 1)
-        self.model.part(order[:split], order[split:])
+        self.model.partition(order[:split], order[split:])
 
     def lose_store(self, instance: Instance) -> None:
         """Lose the store of a voter, once per voter, of a minority only, and only once the fleet is founded."""
@@ -93,7 +93,7 @@
     def replay(self) -> None:
         """Deliver some recorded messages again, to the current processes of their receivers."""
         for sender, to, message in self.source.sample(self.sent, min(20, len(self.sent))):
-            self.model._arrive(self.model.all[to], sender, message)
+            self.model._deliver(self.model.all[to], sender, message)
 
     def heal(self) -> None:
         model = self.model
@@ -102,7 +102,7 @@
         model.fsync = 0.002
         for instance in model.all.values():
             if instance.stopped:
-                instance.go_on()
+                instance.resume()
             if not instance.up:
                 instance.start()
 
@@ -112,7 +112,7 @@
     source = random.Random(seed)
     model = StateModel(source.choice((3, 5)), seed, founded=source.random() < 0.5)
     model.join(source.choice((0, 1, 2)))
-    model.loss, model.doubled = source.choice((0.0, 0.02, 0.1)), source.choice((0.0, 0.1))
+    model.loss, model.duplication = source.choice((0.0, 0.02, 0.1)), source.choice((0.0, 0.1))
     model.delay, model.fsync = source.choice((0.001, 0.04)), source.choice((0.002, 0.06))
     run = LostStoreRun(model, source)
     run.record_messages()
@@ -126,11 +126,15 @@
             model.run(0.05)
             invariants.check()
     run.heal()
-    assert model.until(lambda: model.agree() and model.open(), 30.0) is not None, "not all may act"
+    assert model.until(lambda: model.states_agree() and model.all_may_act(), 30.0) is not None, (
+        "not all may act"
+    )
     model.all["i0"].propose(override_command(9999))
     assert model.until(lambda: "c9999" in model.all["i0"].ended, 10.0) is not None
     assert model.all["i0"].ended["c9999"].version
-    assert model.until(lambda: model.agree() and model.open(), 10.0) is not None, "not all may act"
+    assert model.until(lambda: model.states_agree() and model.all_may_act(), 10.0) is not None, (
+        "not all may act"
+    )
     invariants.check()
     invariants.check_end()
     return invariants
--- a/tests/fleet/replication/replica_model.py
+++ b/tests/fleet/replication/replica_model.py
@@ -44,7 +44,7 @@
         for instance in self.model.all.values():
             if not instance.lives:
                 continue
-            for version, command in instance.versions.command_log.items():
+            for version, command in instance.replica.command_log.items():
                 assert self.order.setdefault(version, command.id) == command.id, (
                     f"two orders at version {version}"
                 )
@@ -54,16 +54,16 @@
                 elif "does not stand" in completed.reason:
                     self.refused.add(completed.command_id)
         for instance in self.model.up:
-            if instance.fence.may_act(instance.clock()):
+            if instance.lease.may_act(instance.clock()):
                 for version, reported_at in self.decided.values():
-                    allowed = instance.fence.expiry_with_drift + 0.1
-                    assert instance.versions.state.version >= version or now < reported_at + allowed, (
-                        f"{instance.name} acts on version {instance.versions.state.version}, older than {version}"
+                    allowed = instance.lease.expiry_with_drift + 0.1
+                    assert instance.replica.state.version >= version or now < reported_at + allowed, (
+                        f"{instance.name} acts on version {instance.replica.state.version}, older than {version}"
                     )
 
     def check_end(self) -> None:
         """Check the invariants that hold once all faults are healed."""
-        log = self.model.up[0].versions.command_log
+        log = self.model.up[0].replica.command_log
         ids = {command.id for command in log.values()}
         assert all(log[version].id == name for name, (version, _) in self.decided.items())
         assert not self.refused & ids, f"rejected commands were decided: {self.refused & ids}"
@@ -80,11 +80,11 @@
     elif fault == "kill":
         instance.kill() if instance.up else instance.start()
     elif fault == "stop" and instance.up:
-        instance.go_on() if instance.stopped else instance.stop()
+        instance.resume() if instance.stopped else instance.stop()
     elif fault == "part":
         order = source.sample(model.voters, len(model.voters))
         split = source.randint(1, len(order) - 1)
-        model.part(order[:split], order[split:])
+        model.partition(order[:split], order[split:])
     elif fault == "lose" and not lost and len(model.up) == len(model.all):
         lost.append(instance.name)
         instance.lose_disk()
@@ -97,7 +97,7 @@
     """Run commands while instances are killed, stopped and cut off; then heal everything and check agreement."""
     source = random.Random(seed)
     model = StateModel(5, seed)
-    model.loss, model.doubled = source.choice((0.0, 0.02, 0.1)), source.choice((0.0, 0.1))
+    model.loss, model.duplication = source.choice((0.0, 0.02, 0.1)), source.choice((0.0, 0.1))
     model.delay, model.fsync = (
         source.choice((0.001, 0.04)),
         source.choice((0.002, 0.06)),
@@ -115,14 +115,18 @@
     model.loss = 0.0
     for instance in model.all.values():
         if instance.stopped:
-            instance.go_on()
+            instance.resume()
         if not instance.up:
             instance.start()
-    assert model.until(model.agree, 10.0) is not None, "the instances do not agree on one state within 10 s"
+    assert model.until(model.states_agree, 10.0) is not None, (
+        "the instances do not agree on one state within 10 s"
+    )
     model.all["i0"].propose(override_command(9999))
     assert model.until(lambda: "c9999" in model.all["i0"].ended, 10.0) is not None
     assert model.all["i0"].ended["c9999"].version
-    assert model.until(lambda: model.agree() and model.open(), 10.0) is not None, "not all may act"
+    assert model.until(lambda: model.states_agree() and model.all_may_act(), 10.0) is not None, (
+        "not all may act"
+    )
     invariants.check()
     invariants.check_end()
     return invariants
--- a/tests/fleet/replication/test_founding.py
+++ b/tests/fleet/replication/test_founding.py
@@ -35,13 +35,13 @@
     model.all["i1"].start()
     model.all["i2"].start()
     model.run(3)
-    assert not any(model.all[name].versions.can_vote for name in ("i1", "i2"))
-    assert model.all["i1"].versions.missing_voters == ["i0"]
+    assert not any(model.all[name].replica.can_vote for name in ("i1", "i2"))
+    assert model.all["i1"].replica.missing_voters == ["i0"]
     assert decide(model, "i1", 1) == 0
 
     model.all["i0"].start()
     model.run(1)
-    assert all(instance.versions.can_vote for instance in model.all.values())
+    assert all(instance.replica.can_vote for instance in model.all.values())
     assert decide(model, "i0", 2) > 0
 
 
@@ -58,12 +58,12 @@
     model.run(1)
     model.all["i0"].start()
     model.run(3)
-    assert not model.all["i2"].versions.can_vote
+    assert not model.all["i2"].replica.can_vote
     assert decide(model, "i0", 1) == 0
 
     model.all["i1"].start()
-    assert model.until(lambda: model.all["i2"].versions.can_vote, 15.0) is not None
-    assert model.all["i2"].versions.state.voters["i2"] == model.all["i2"].disk.store
+    assert model.until(lambda: model.all["i2"].replica.can_vote, 15.0) is not None
+    assert model.all["i2"].replica.state.voters["i2"] == model.all["i2"].disk.store
 
 
 # Guards against a founding that never completes if voters die or messages are lost meanwhile.
@@ -80,7 +80,7 @@
         if not instance.up:
             instance.start()
     assert (
-        model.until(lambda: all(instance.versions.can_vote for instance in model.all.values()), 10.0)
+        model.until(lambda: all(instance.replica.can_vote for instance in model.all.values()), 10.0)
         is not None
     )
     assert decide(model, "i0", 1, seconds=5.0) == 1
@@ -98,8 +98,8 @@
     for name in lost:
         model.all[name].lose_disk()
         model.all[name].start()
-    assert model.until(lambda: all(model.all[name].versions.can_vote for name in lost), 15.0) is not None
-    voters = model.all["i0"].versions.state.voters
+    assert model.until(lambda: all(model.all[name].replica.can_vote for name in lost), 15.0) is not None
+    voters = model.all["i0"].replica.state.voters
     assert {name: voters[name] for name in lost} == {name: model.all[name].disk.store for name in lost}
     assert decide(model, lost[0], 2) > 1
     invariants.check()
@@ -112,7 +112,7 @@
     model.all["i1"].start()
     model.all["i1"].do_later = lambda *_: None  # type: ignore[method-assign]  # its disk never completes a write
     model.run(1)
-    assert "i1" not in model.all["i0"].versions.registration._founding_replies
+    assert "i1" not in model.all["i0"].replica.registration._founding_replies
 
 
 # Guards against two commands for one version, and leases that outlast a decision, after the loss of any minority of
--- a/tests/fleet/replication/test_lost_store.py
+++ b/tests/fleet/replication/test_lost_store.py
@@ -29,6 +29,6 @@
     model.all["i1"].start()
     model.run(5)
 
-    logs = [instance.versions.command_log for instance in model.all.values()]
+    logs = [instance.replica.command_log for instance in model.all.values()]
     decided = {log[1].id for log in logs if 1 in log}
     assert len(decided) == 1, f"version 1 is decided twice: {sorted(decided)}"
--- a/tests/fleet/replication/test_replica.py
+++ b/tests/fleet/replication/test_replica.py
@@ -36,7 +36,7 @@
     model = started_model(5, 3)
     invariants = Invariants(model)
     model.run(2)
-    model.part(["i0", "i1", "i2"], ["i3", "i4"])
+    model.partition(["i0", "i1", "i2"], ["i3", "i4"])
     model.all["i0"].propose(override_command(1))
     model.run(1)
     assert model.all["i0"].ended["c1"].version == 1
@@ -53,7 +53,7 @@
     invariants.check()
     for name in ("i0", "i1"):
         model.all[name].start()
-    assert model.until(model.agree, 10.0) is not None
+    assert model.until(model.states_agree, 10.0) is not None
     invariants.check()
     invariants.check_end()
 
@@ -63,7 +63,7 @@
     model = started_model(3, 4)
     invariants = Invariants(model)
     model.run(2)
-    model.part(["i0", "i1"], ["i2"])
+    model.partition(["i0", "i1"], ["i2"])
     send = model.send
 
     def drop_decisions(sender: str, to: str, message: Any) -> None:
@@ -84,7 +84,7 @@
     model.run(5)
     invariants.check()
     model.all["i0"].start()
-    assert model.until(model.agree, 10.0) is not None
+    assert model.until(model.states_agree, 10.0) is not None
     invariants.check()
     invariants.check_end()
 
@@ -106,7 +106,7 @@
     "replies are sent before the write to disk": (
         run_crash_between_vote_and_decision,
         Instance,
-        "keep",
+        "persist",
         lambda self, action: [self.send(pending.to, pending.message) for pending in action.then_send],
     ),
     "an uncertain outcome is reported as a rejection": (
@@ -162,4 +162,4 @@
     model.all["i0"].propose(override_command(2))
     model.run(8)
     assert not model.all["i0"].ended["c2"].version
-    assert not model.all["i1"].versions.can_vote and model.all["i1"].versions.vote_suspension
+    assert not model.all["i1"].replica.can_vote and model.all["i1"].replica.vote_suspension
--- a/tests/fleet/replication/test_replica_stateful.py
+++ b/tests/fleet/replication/test_replica_stateful.py
@@ -45,7 +45,7 @@
     def stop_or_continue(self, number: int) -> None:
         instance = self.instance(number)
         if instance.up:
-            instance.go_on() if instance.stopped else instance.stop()
+            instance.resume() if instance.stopped else instance.stop()
 
     @precondition(lambda self: not self.model.cut)
     @rule(number=NUMBERS, both=st.booleans())
@@ -72,10 +72,12 @@
         self.model.heal()
         for instance in self.model.all.values():
             if instance.stopped:
-                instance.go_on()
+                instance.resume()
             if not instance.up:
                 instance.start()
-        assert self.model.until(lambda: self.model.agree() and self.model.open(), 15.0) is not None
+        assert (
+            self.model.until(lambda: self.model.states_agree() and self.model.all_may_act(), 15.0) is not None
+        )
         self.checked_invariants.check()
         self.checked_invariants.check_end()
 
--- a/tests/fleet/replication/test_restarts.py
+++ b/tests/fleet/replication/test_restarts.py
@@ -16,9 +16,9 @@
 def first_commands(model: StateModel) -> set[str]:
     """Return the commands that the instances hold for version 1."""
     return {
-        instance.versions.command_log[1].id
+        instance.replica.command_log[1].id
         for instance in model.all.values()
-        if 1 in instance.versions.command_log
+        if 1 in instance.replica.command_log
     }
 
 
@@ -77,7 +77,7 @@
     for sender, to, message in delayed:
         recorder.send(sender, to, message)
     model.run(0.1)
-    model.all["i1"].go_on()
+    model.all["i1"].resume()
     proposer.start()
     model.run(5)
 
@@ -85,7 +85,7 @@
     assert len(first_commands(model)) == 1
     completed = proposer.ended.get("c2")
     if completed is not None and completed.version:
-        assert proposer.versions.command_log[completed.version].id == "c2"
+        assert proposer.replica.command_log[completed.version].id == "c2"
 
 
 # Guards against the same if the voter's own promise was not on its disk yet when it crashed.
@@ -97,7 +97,7 @@
     do_later = proposer.do_later
 
     def delay_persist(wait: float, call: Any, *arguments: Any) -> None:
-        do_later(wait + (1.0 if call == proposer.keep else 0.0), call, *arguments)
+        do_later(wait + (1.0 if call == proposer.persist else 0.0), call, *arguments)
 
     proposer.do_later = delay_persist  # type: ignore[method-assign]
     recorder.delayed_sender = "i0"
@@ -112,7 +112,7 @@
     recorder.delayed_sender = ""
     proposer.propose(override_command(2))
     model.until(lambda: "c2" in proposer.ended, 2.0, 0.0005)
-    model.all["i1"].go_on()
+    model.all["i1"].resume()
     model.run(5)
 
     recorder.check()
@@ -132,8 +132,8 @@
     model.all["i1"].start()
     model.run(5)
 
-    assert model.all["i1"].versions.state.version == 1
-    assert model.all["i1"].fence.may_act(model.all["i1"].clock())
+    assert model.all["i1"].replica.state.version == 1
+    assert model.all["i1"].lease.may_act(model.all["i1"].clock())
 
 
 # Guards against a store that never votes because one registration found no majority.
@@ -153,7 +153,7 @@
     model.run(15)
     model.send = send  # type: ignore[method-assign]
 
-    assert model.until(lambda: model.all["i2"].versions.can_vote, 15.0) is not None
+    assert model.until(lambda: model.all["i2"].replica.can_vote, 15.0) is not None
     invariants.check()
 
 
@@ -182,8 +182,8 @@
         model.all["i0"].receive(sender, message)
 
     instance = model.all["i0"]
-    assert not instance.fence.may_act(instance.clock())
-    assert not instance.fence._first_readings
+    assert not instance.lease.may_act(instance.clock())
+    assert not instance.lease._first_readings
 
 
 # Guards against an instance that rejects requests for ten minutes because one datagram was late.
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -15,7 +15,7 @@
 import pytest
 from scenes import fleet, replicated_fleet, run, until_acting
 
-from emulator.herd import Herd, Measures
+from emulator.herd import MassRestart, Measures
 from loadbalancer.admin.snapshot import EndpointSnapshot, PoolSnapshot, Snapshot
 from loadbalancer.admin.snapshot_merge import merge_snapshots
 from loadbalancer.discovery.list_handoff import read, write
@@ -166,12 +166,12 @@
 
 def test_each_recovery_measure_improves_a_mass_start_in_the_emulator() -> None:
     """60 of 70 instances start in front of 80 members, with the same seed with and without each measure."""
-    shape: dict[str, Any] = {"proxies": 70, "members": 80, "comes": 60, "rate": 20.0}
-    with_all = Herd(1, Measures(), **shape).play(6.0)
+    shape: dict[str, Any] = {"proxies": 70, "members": 80, "restarted": 60, "rate": 20.0}
+    with_all = MassRestart(1, Measures(), **shape).play(6.0)
     assert len(with_all.full) == 60
-    no_lists = Herd(1, Measures(lists=False), **shape).play(6.0)
-    no_turns = Herd(1, Measures(turns=False), **shape).play(6.0)
-    no_lessons = Herd(1, Measures(lessons=False), **shape).play(6.0)
+    no_lists = MassRestart(1, Measures(peer_lists=False), **shape).play(6.0)
+    no_turns = MassRestart(1, Measures(stagger=False), **shape).play(6.0)
+    no_lessons = MassRestart(1, Measures(learned_state=False), **shape).play(6.0)
     assert max(with_all.full) < max(no_lists.full) and sum(with_all.late.values()) < sum(
         no_lists.late.values()
     )
--- a/tests/test_import_parsers.py
+++ b/tests/test_import_parsers.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.cli.__main__ import main
 from loadbalancer.importer import fates
-from loadbalancer.importer.httpd import Directive, Given, parse
+from loadbalancer.importer.httpd import Directive, HttpdEnvironment, parse
 from loadbalancer.importer.imports import Options, import_apache, import_jk
 from loadbalancer.importer.jk import parse_map, parse_workers
 from loadbalancer.importer.order import RouteMatch, Rule, RuleKind, arrange, matches
@@ -35,7 +35,7 @@
 
 
 def parse_text(text: str, **files: str) -> list[Directive]:
-    return parse(SourceReader(Texts(conf=text, **files)), "conf", Given(), {})[0]
+    return parse(SourceReader(Texts(conf=text, **files)), "conf", HttpdEnvironment(), {})[0]
 
 
 def active_directives(text: str, **files: str) -> list[str]:
@@ -109,7 +109,7 @@
 )
 def test_a_hostile_file_is_refused_in_bounded_time(data: bytes, message: str) -> None:
     with pytest.raises(SourceError) as caught:
-        parse(SourceReader(RawFile(data)), "conf", Given(), {})
+        parse(SourceReader(RawFile(data)), "conf", HttpdEnvironment(), {})
     assert message in str(caught.value)
     with pytest.raises(SourceError):
         parse_workers(SourceReader(RawFile(data)), "conf", {})
--- a/tests/test_import_samples.py
+++ b/tests/test_import_samples.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
-from loadbalancer.importer.httpd import Given, parse
+from loadbalancer.importer.httpd import HttpdEnvironment, parse
 from loadbalancer.importer.imports import Imported, Options, import_apache, import_jk
 from loadbalancer.importer.jk import parse_map, parse_workers
 from loadbalancer.importer.report import Outcome
@@ -67,7 +67,7 @@
             ("127.0.0.1:0",),
             {},
             {port: port for port in ports.values()},
-            Given(),
+            HttpdEnvironment(),
             variables,
         )
 
