--- a/emulator/charts.py
+++ b/emulator/charts.py
@@ -42,7 +42,7 @@
     axes.set_xscale("log")
     axes.set(
         xlabel="load, multiples of capacity",
-        ylabel="worth a second, of the best",
+        ylabel="worth per second, relative to the best",
         title=title,
         ylim=(0, 1.05),
     )
@@ -55,17 +55,17 @@
     """Draw the worth earned and requested in each second, and the shed level."""
     chart, axes = figure()
     seconds = range(len(result.series["earned"]))
-    axes.plot(seconds, result.series["possible"], label="worth asked for", color="grey")
+    axes.plot(seconds, result.series["possible"], label="worth requested", color="grey")
     axes.plot(seconds, result.series["earned"], label="worth earned")
     level_axes = axes.twinx()
-    level_axes.plot(seconds, result.series["level"], label="level of refusing", color="tab:red", alpha=0.5)
+    level_axes.plot(seconds, result.series["level"], label="shed level", color="tab:red", alpha=0.5)
     axes.set(
         xlabel="second",
-        ylabel="worth a second",
+        ylabel="worth per second",
         ylim=(0, None),
         title=f"{result.scenario}, seed {result.seed}, rule {result.rule}, build {result.build}",
     )
-    level_axes.set(ylabel="level", ylim=(0, None))
+    level_axes.set(ylabel="shed level", ylim=(0, None))
     axes.legend(loc="upper left")
     axes.grid(alpha=0.3)
     return chart
--- a/emulator/figures.py
+++ b/emulator/figures.py
@@ -40,9 +40,8 @@
     sent_for_each: float  # attempts per client request
     handshakes: int
     refused_share: float  # share of client requests refused at least once
-    rules: dict[
-        str, float
-    ]  # violations by rule; for cold_work the highest ratio of work to capacity of a cold member
+    # Violations by rule; for cold_work the highest ratio of work to capacity of a cold member.
+    rules: dict[str, float]
     series: dict[str, list[float]]  # by second
     rule: str = ""  # name of the shedding rule
     params: dict[str, Any] = {}
@@ -62,7 +61,7 @@
         self.handshakes = 0
         self.first_refused = 0
         self.times: list[list[float]] = [[] for _ in range(classes)]
-        self.broken: Counter[str] = Counter()
+        self.violations: Counter[str] = Counter()
 
     def record_request(self, cls: int, second: float) -> None:
         self.asked[cls, int(second)] += 1
@@ -103,7 +102,7 @@
             float(self.sent[begin:end].sum()) / max(1, asked_all),
             self.handshakes,
             self.first_refused / max(1, asked_all),
-            dict(self.broken),
+            dict(self.violations),
             {
                 "earned": earned.tolist(),
                 "possible": possible.tolist(),
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -22,9 +22,9 @@
         lines.append(f"  {name}: asked {part.asked}: {ends}; p50 {part.p50:.3f} s, p99 {part.p99:.3f} s")
     attempts = ", ".join(f"{name} {count}" for name, count in sorted(result.attempts.items()))
     lines.append(f"  attempts: {attempts}")
-    broken = {name: count for name, count in result.rules.items() if name != "cold_work" and count}
+    violations = {name: count for name, count in result.rules.items() if name != "cold_work" and count}
     lines.append(
-        f"  rules: {broken or 'kept'}; most work to a cold member {result.rules.get('cold_work', 0.0):.2f} "
+        f"  rules: {violations or 'kept'}; most work to a cold member {result.rules.get('cold_work', 0.0):.2f} "
         "of what it could do"
     )
     return "\n".join(lines)
--- a/emulator/rules.py
+++ b/emulator/rules.py
@@ -111,9 +111,9 @@
         if not math.isfinite(best):
             return
         gradient = max(0.5, min(1.0, 2.0 * best / max(response_time, 1e-6)))
-        wanted = self.limit * gradient + math.sqrt(self.limit)
-        if wanted < self.limit or self.in_flight > self.limit / 2:
-            self.limit += 0.05 * (wanted - self.limit) / max(1.0, self.limit / 10)
+        target_limit = self.limit * gradient + math.sqrt(self.limit)
+        if target_limit < self.limit or self.in_flight > self.limit / 2:
+            self.limit += 0.05 * (target_limit - self.limit) / max(1.0, self.limit / 10)
 
 
 class VegasShedding(LimitShedding):
--- a/emulator/world.py
+++ b/emulator/world.py
@@ -174,13 +174,13 @@
     def _count_final_violations(self) -> None:
         """Record the highest load of a cold member, and count the open requests that are past their deadline."""
         worst = max((member.peak_cold_load() for member in self.members.values()), default=0.0)
-        self.counts.broken["cold_work"] = worst  # type: ignore[assignment]
+        self.counts.violations["cold_work"] = worst  # type: ignore[assignment]
         for client_request in self.open_requests.values():
             if (
                 self.clock.now - client_request.started_at
                 > self.classes[client_request.cls].deadline + self.scenario.proxy.connect_timeout
             ):
-                self.counts.broken["lost"] += 1
+                self.counts.violations["lost"] += 1
 
     # Clients.
 
@@ -253,7 +253,7 @@
 
     def _request_served(self, client_request: ClientRequest) -> None:
         if client_request.done:
-            self.counts.broken["answered twice"] += 1
+            self.counts.violations["answered twice"] += 1
             return
         cls = self.classes[client_request.cls]
         self._record_end(
@@ -320,7 +320,7 @@
             self.clock.after(0.0, self._finish_attempt, key, AttemptResult.NOT_SENT)
             return
         if member.name in self.draining and self.clock.now > self.draining[member.name]:
-            self.counts.broken["drained"] += 1
+            self.counts.violations["drained"] += 1
         if member.down:
             self.clock.after(
                 self.scenario.proxy.connect_timeout, self._finish_attempt, key, AttemptResult.NO_CONNECTION
@@ -357,9 +357,9 @@
             and first_run < self.clock.now
             and (effect == "unsafe" or self.clock.now - first_run > window)
         ):
-            self.counts.broken["effect twice"] += 1
+            self.counts.violations["effect twice"] += 1
         elif sender != proxy_request and (effect == "unsafe" or self.clock.now - first_run > window):
-            self.counts.broken["run again by its client"] += 1
+            self.counts.violations["run again by its client"] += 1
 
     def _member_responded(self, member: Member, job: Job) -> None:
         if job.key in self.in_flight and not member.down:
--- a/loadbalancer/importer/httpd.py
+++ b/loadbalancer/importer/httpd.py
@@ -181,6 +181,7 @@
         return VARIABLE.sub(value, line)
 
     def _destination(self) -> list[Directive]:
+        """Return the list to which the next directive is added."""
         return self.open_sections[-1].destination if self.open_sections else self.roots
 
     def _inactive_reason(self) -> str:
@@ -254,6 +255,7 @@
         self.reader.count_directive(position)
 
     def _expand_macro(self, directive: Directive) -> None:
+        """Parse the lines of a macro with its parameters replaced by the arguments of a Use directive."""
         if not directive.args:
             raise SourceError(
                 directive.position, "Use takes the name of a macro and its arguments; no name is given"
--- a/loadbalancer/importer/jk.py
+++ b/loadbalancer/importer/jk.py
@@ -55,6 +55,7 @@
         return self.by_worker().get(worker, {})
 
     def by_worker(self) -> dict[str, dict[str, Property]]:
+        """Return the properties by worker and key: the last line of each, and lists with the values of all lines."""
         found: dict[str, dict[str, Property]] = {}
         for prop in self.properties:
             properties = found.setdefault(prop.worker, {})
--- a/loadbalancer/importer/jkmeaning.py
+++ b/loadbalancer/importer/jkmeaning.py
@@ -89,6 +89,7 @@
     # Workers.
 
     def translate(self, workers: WorkerProperties) -> None:
+        """Translate all workers into pools, and report each property."""
         self.by_worker = workers.by_worker()
         kinds = {name: self._value(name, "type") or "ajp13" for name in self.by_worker if name}
         member_names = {
@@ -141,6 +142,7 @@
         return found
 
     def _value(self, worker: str, key: str) -> str:
+        """Return the value of a property of a worker, or an empty string if there is none."""
         try:
             prop = self._resolved_properties(worker).get(key)
         except BadValueError:
@@ -157,6 +159,7 @@
         self.report.add(prop.position, prop.name, outcome, text)
 
     def _reject(self, worker: str, reason: str) -> None:
+        """Report all properties of a worker as having no equivalent."""
         for prop in self.by_worker[worker].values():
             self._report(prop, Outcome.NONE, reason)
 
--- a/loadbalancer/importer/workers.py
+++ b/loadbalancer/importer/workers.py
@@ -134,6 +134,7 @@
         return sticky_table(self.cookie, self.parameter, self.separator, self.bound) if self.cookie else None
 
     def finish(self) -> None:
+        """Store the sticky settings in the pool, once all parameters are known."""
         self.pool.sticky = self.sticky_settings()
 
 
