--- a/loadbalancer/daemon/retirement.py
+++ b/loadbalancer/daemon/retirement.py
@@ -45,7 +45,7 @@
 
     def retire_listener(self, listener: Listener) -> None:
         """Close a listener's socket immediately; its connections end after their current responses."""
-        listener.retire()
+        listener.begin_draining()
         listener.block()
         for _ in range(
             BACKLOG // ACCEPT_LEAST + 1
--- a/loadbalancer/proxy/idempotent_requests.py
+++ b/loadbalancer/proxy/idempotent_requests.py
@@ -20,7 +20,7 @@
     Answered,
     Begun,
     Disposition,
-    Ruling,
+    KeyDecision,
     answered,
     decide,
     decode,
@@ -36,12 +36,12 @@
 ANSWER_MARGIN_S = 0.02
 """Seconds before the client's deadline at which an answer that waits for the disk is sent."""
 SERVICE_UNAVAILABLE = 503
-STORE_HANDED_OVER = Ruling(
+STORE_HANDED_OVER = KeyDecision(
     Disposition.REFUSED, status=SERVICE_UNAVAILABLE, reason="another process takes over; it has not run"
 )
 """Answer while the store is handed over to another process, which will know of the key."""
-IN_PROGRESS = Ruling(Disposition.REFUSED, status=409, reason="a request with the key is in progress")
-SENT = (Disposition.FIRST, Disposition.AGAIN)
+IN_PROGRESS = KeyDecision(Disposition.REFUSED, status=409, reason="a request with the key is in progress")
+SENT = (Disposition.FIRST, Disposition.RETRY)
 """Dispositions of requests that are sent to an endpoint."""
 
 
@@ -139,7 +139,7 @@
             return
         self._ledger.store.submit(self._decide, self._on_decision)
 
-    def _decide(self, view: StoreView) -> Ruling:
+    def _decide(self, view: StoreView) -> KeyDecision:
         """Decide on the request by the key's entry, and record a new key as begun; runs in the store's thread.
 
         It may run twice, if the store retries a batch.
@@ -158,14 +158,14 @@
             self._ledger.in_progress[self._key] = self
         return decision
 
-    def _on_decision(self, decision: Ruling, problem: StoreError | None) -> None:
+    def _on_decision(self, decision: KeyDecision, problem: StoreError | None) -> None:
         if problem is not None:
             self._ledger.logger("keyed work refused", problem)
             self._answer_self(SERVICE_UNAVAILABLE, [], b"the key can't be remembered now; it has not run\n")
             return
         self._is_first = decision.disposition == Disposition.FIRST
         time_remaining = self._deadline - time.monotonic()
-        if decision.disposition == Disposition.AGAIN:
+        if decision.disposition == Disposition.RETRY:
             time_remaining = min(time_remaining, decision.time_remaining)
         is_sent = decision.disposition in SENT
         if self.client is None or (is_sent and time_remaining <= 0):
--- a/tests/daemon/test_reload_after_end.py
+++ b/tests/daemon/test_reload_after_end.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from administered import run, text
+from administered import daemon_configuration, run
 from daemons import requests_to, running_daemon
 
 from standins.member import Member
@@ -16,7 +16,7 @@
 def test_reload_during_shutdown_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         members = [Member("a")]
-        async with running_daemon(tmp_path, members, lambda: text(members)) as here:
+        async with running_daemon(tmp_path, members, lambda: daemon_configuration(members)) as here:
             client = await here.connect()
             await client.send(requests_to())
             assert (await client.read())[0] == 200
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, AsyncIterator, Callable, Sequence
 
-from peers import PATIENCE, Client, ScriptedBackend
+from peers import TIMEOUT_S, Client, ScriptedBackend
 
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
@@ -94,8 +94,8 @@
             await asyncio.sleep(0)
 
     async def until(self, condition: Callable[[], object]) -> None:
-        """Wait until the condition holds; fails after PATIENCE."""
-        async with asyncio.timeout(PATIENCE):
+        """Wait until the condition holds; fails after TIMEOUT_S."""
+        async with asyncio.timeout(TIMEOUT_S):
             while not condition():
                 await asyncio.sleep(0)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,7 +5,16 @@
 import asyncio
 from typing import Any
 
-from peers import OK, Client, ScriptedBackend, World, answering, play, request, world
+from peers import (
+    OK,
+    Client,
+    RunningProxy,
+    ScriptedBackend,
+    answering,
+    request,
+    run_with_timeout,
+    running_proxy,
+)
 
 from loadbalancer.admission.pressure import STEPS, TRIAL_INTERVAL
 from loadbalancer.frontends import listener as listener_module
@@ -39,7 +48,7 @@
     """Guards against a fault where clients with one request each kept their connections until all slots were used."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=256) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=256) as here:
             most = here.server.most
             clients, closed = [], 0
             for _ in range(5 * most):
@@ -54,14 +63,14 @@
             assert closed >= 4 * most and here.server.overflowing == 0
             assert len(here.server.connections) < 0.9 * most
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_burst_of_idle_readiness_checks_leaves_slots_for_requests() -> None:
     """Guards against the same fault with hundreds of concurrent readiness checks that keep their connections."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=256) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=256) as here:
             most = here.server.most
 
             async def ready() -> int:
@@ -79,12 +88,12 @@
             assert len(answers) == 5 * most + 50 and set(answers) <= {200, 503}
             assert [await asked() for _ in range(50)] == [200] * 50
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_reused_connection_stays_open_at_the_highest_pressure() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             record_reuse(here, True)
             good = await here.connect()
             for _ in range(2):
@@ -96,24 +105,24 @@
                 status, head = await send_request(good)
                 assert status == 200 and b"Connection: close" not in head
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_no_answer_closes_its_connection_while_slots_are_free() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=256) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=256) as here:
             record_reuse(here, False)
             for _ in range(10):
                 client = await here.connect()
                 assert b"Connection: close" not in (await send_request(client))[1]
             assert len(here.server.connections) == 10 and here.server.pressure.number == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_connection_used_once_is_evicted_before_a_reused_one() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             record_reuse(here, True)
             reused = await here.connect()
             for _ in range(2):
@@ -124,14 +133,14 @@
             assert await used_once[0].ended() == b""
             assert (await reused.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_new_connection_is_evicted_after_idle_ones_used_once() -> None:
     """Its first request may be in flight, and closing the connection would lose it."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             record_reuse(here, True)
             new_client = await here.connect()
             (connection,) = [await first_connection(here)]
@@ -144,10 +153,10 @@
             assert await used_once[0].ended() == b""
             assert (await new_client.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
-async def first_connection(here: World) -> Any:
+async def first_connection(here: RunningProxy) -> Any:
     while not here.server.connections:
         await asyncio.sleep(0)
     return next(iter(here.server.connections))
@@ -157,7 +166,7 @@
     """Closing would lose requests that were received whole."""
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             record_reuse(here, True)
             await fill_slots(here, 0.95)
             record_reuse(here, False)
@@ -167,12 +176,12 @@
             assert [status for status, _, _ in answers] == [200] * 5
             assert not any(b"Connection: close" in head for _, head, _ in answers)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_idle_timeout_shrinks_with_the_steps_and_lack_of_reuse_is_recorded_once() -> None:
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=128) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=128) as here:
             client = await here.connect()
             assert (await client.ask(request()))[0] == 200
             connection = await first_connection(here)
@@ -190,4 +199,4 @@
             connection.sweep(connection.since + STEPS[-1].idle_timeout_s + 0.01)
             assert await client.ended() == b""
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -6,7 +6,16 @@
 import socket
 
 import pytest
-from peers import OK, Client, ScriptedBackend, World, answering, play, request, world
+from peers import (
+    OK,
+    Client,
+    RunningProxy,
+    ScriptedBackend,
+    answering,
+    request,
+    run_with_timeout,
+    running_proxy,
+)
 
 from loadbalancer.frontends import listener as listener_module
 
@@ -15,7 +24,7 @@
 SOCKETS = 96
 
 
-async def connect_and_request(here: World, times: int) -> Client:
+async def connect_and_request(here: RunningProxy, times: int) -> Client:
     """Return a client whose open connection has carried this many requests and answers."""
     client = await here.connect()
     for _ in range(times):
@@ -23,7 +32,7 @@
     return client
 
 
-def connect_silently(here: World, count: int) -> list[socket.socket]:
+def connect_silently(here: RunningProxy, count: int) -> list[socket.socket]:
     """Open connections that send nothing, all of them before the listener accepts the first one."""
     return [socket.create_connection(here.address) for _ in range(count)]
 
@@ -42,14 +51,14 @@
     monkeypatch.setattr(listener_module, "RECENT_S", LONG_S, raising=False)
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
             client = await connect_and_request(here, times)
             for _ in range(2 * here.server.most):
                 await here.connect()
             assert here.server.taken <= here.server.most
             assert (await client.ask(request()))[0] == 200
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 # Guards against a request that is lost because its connection is evicted for one of many that connect at the same time.
@@ -60,7 +69,7 @@
     monkeypatch.setattr(listener_module, "RECENT_S", LONG_S, raising=False)
 
     async def scene() -> None:
-        async with world(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
+        async with running_proxy(ScriptedBackend("s", answering(OK)), sockets=SOCKETS) as here:
             client = await connect_and_request(here, times)
             silent_sockets = connect_silently(here, 2 * here.server.most)
             while here.server.taken < here.server.most:
@@ -68,4 +77,4 @@
             assert (await client.ask(request()))[0] == 200
             close_all(silent_sockets)
 
-    play(scene)
+    run_with_timeout(scene)
