--- a/benchmarks/fleetview.py
+++ b/benchmarks/fleetview.py
@@ -304,7 +304,7 @@
     async with eight() as fleet:
         alone = fleet.folder / "alone.toml"
         text = fleet.all[0].config.read_text().replace('socket = "s"', 'socket = "alone"')
-        port = fleet._place(99, "127.0.0.1", 99).port
+        port = fleet._make_instance(99, "127.0.0.1", 99).port
         head, _, rest = text.partition("[fleet]")
         rest = "[[class]]" + rest.partition("[[class]]")[2]
         # The number of instances decides which connections are kept, so both count with the same.
--- a/benchmarks/transfers.py
+++ b/benchmarks/transfers.py
@@ -14,7 +14,7 @@
 from statistics import median
 
 from benchmarks.scene import platform_proxy, process, read_line
-from standins.long import LONG, PART
+from standins.long import BODY_BYTES, CHUNK
 
 #: Answers of a turn, at once.
 AT_ONCE = 4
@@ -26,17 +26,17 @@
     """One request on a connection of its own, its answer read to the end. AssertionError where that is no 200."""
     host, port = address.rsplit(":", 1)
     lane, method = ("book", b"POST") if upload else ("track", b"GET")
-    framing = b"Content-Length: %d\r\n" % LONG if upload else b""
+    framing = b"Content-Length: %d\r\n" % BODY_BYTES if upload else b""
     head = b"%b / HTTP/1.1\r\nHost: a\r\nX-Txn: %d\r\nX-Lane: %b\r\nIdempotency-Key: %d\r\n%b\r\n"
     with socket.create_connection((host, int(port)), timeout=60) as sock:
         sock.sendall(head % (method, number, lane.encode(), number, framing))
-        for _ in range(LONG // len(PART) if upload else 0):
-            sock.sendall(PART)
+        for _ in range(BODY_BYTES // len(CHUNK) if upload else 0):
+            sock.sendall(CHUNK)
         room = bytearray(1 << 18)
         got = sock.recv_into(room)
         start = bytes(room[:got])
         assert start.startswith(b"HTTP/1.1 200"), start[:60]
-        left = LONG - (got - start.index(b"\r\n\r\n") - 4)
+        left = BODY_BYTES - (got - start.index(b"\r\n\r\n") - 4)
         while left > 0 and (got := sock.recv_into(room)):
             left -= got
         assert left == 0, f"{left} bytes are missing"
@@ -94,7 +94,7 @@
                     turns = [(relay, "relay"), (proxy, "proxy")][:: 1 if number % 2 else -1]
                     took = {name: numbers.crowd(address, AT_ONCE, False) for address, name in turns}
                     shares.append(took["relay"] / took["proxy"])
-                    rates.append(AT_ONCE * LONG / took["proxy"] / 1e6)
+                    rates.append(AT_ONCE * BODY_BYTES / took["proxy"] / 1e6)
                 print(
                     f"answers of 32 MB: {median(rates):.0f} MB/s, {median(shares):.2f} of a bare relay "
                     f"({min(shares):.2f} to {max(shares):.2f})"
--- a/benchmarks/weights.py
+++ b/benchmarks/weights.py
@@ -42,7 +42,7 @@
         clients, done = Clients(), asyncio.Event()
         count = 0
 
-        def note() -> None:
+        def count_request() -> None:
             nonlocal count
             count += 1
             if count >= total:
@@ -50,7 +50,7 @@
                 done.set()
 
         for member in fleet.members:
-            member.called = note
+            member.on_request = count_request
         requests = [plain_request("/")] * connections
         run = asyncio.ensure_future(clients.run(daemon.listeners["main"].address, requests, 3600.0, 0.0))
         await done.wait()
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins for what the proxy meets: one set, for tests, benchmarks and the embedded default. Loopback only."""
+"""Stand-ins for the members, clients, networks and disks around the proxy, used by tests, benchmarks and the demo.
+
+They use loopback addresses only.
+"""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Stand-in members as a process: prints their addresses as a line of JSON, ends when standard input does."""
+"""Run stand-in members as a process: print their addresses as a line of JSON, and exit when standard input closes."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
     parser.add_argument("--members", type=int, default=4)
     parser.add_argument("--delay", type=float, default=0.0, help="seconds before each answer")
     parser.add_argument("--fastcgi", action="store_true", help="speak FastCGI, not HTTP/1.1")
-    parser.add_argument("--hang", action="store_true", help="take requests and never answer")
+    parser.add_argument("--hang", action="store_true", help="accept requests and never answer")
     parser.add_argument(
-        "--body", type=int, help="bytes of each answer, instead of what a member says of itself"
+        "--body", type=int, help="size of each answer's body in bytes, instead of the default JSON body"
     )
     uvloop.run(_run(parser.parse_args()))
 
--- a/standins/apache.py
+++ b/standins/apache.py
@@ -1,8 +1,9 @@
-"""A model of how Apache splits requests among workers, after its documentation; for tests of imports.
+"""A model of how Apache distributes requests over workers, written from its documentation; for tests of imports.
 
 mod_proxy_balancer's byrequests (manual, mod_lbmethod_byrequests): each usable worker's lbstatus grows by its lbfactor,
-the one with the highest gets the request and pays the sum of all factors. mod_jk's method R comes to the same shares.
-Sets of workers by lbset (or distance): the lowest with a usable worker serves, its hot standbys before the next set.
+the worker with the highest lbstatus gets the request, and the sum of all factors is subtracted from its lbstatus.
+mod_jk's method R results in the same shares. Workers are grouped by lbset (or distance): the lowest set with a usable
+worker serves, and its hot standbys are used before the next set.
 """
 
 from __future__ import annotations
@@ -13,7 +14,10 @@
 
 @dataclass
 class Worker:
-    """`flags`: of D, S, N and H. `route`, `redirect`, `domain`: as sessions name them."""
+    """A worker of the balancer.
+
+    `flags` is any of D, S, N and H. `route`, `redirect` and `domain` are matched with a session's route.
+    """
 
     name: str
     factor: float = 1.0
@@ -27,64 +31,70 @@
 
     @classmethod
     def read(cls, text: str) -> Worker:
-        """`b 3 H set=1 route=x`."""
+        """Parse a description such as `b 3 H set=1 route=x`."""
         name, *words = text.split()
-        made = cls(name)
-        for word in words:
-            key, equals, value = word.partition("=")
+        worker = cls(name)
+        for field_text in words:
+            key, equals, value = field_text.partition("=")
             if equals and key == "set":
-                made.set = int(value)
+                worker.set = int(value)
             elif equals:
-                setattr(made, key, value)
-            elif word[0].isdigit():
-                made.factor = float(word)
+                setattr(worker, key, value)
+            elif field_text[0].isdigit():
+                worker.factor = float(field_text)
             else:
-                made.flags += word
-        return made
+                worker.flags += field_text
+        return worker
 
     def serves(self, session: bool) -> bool:
-        """Whether it takes a request; one that drains takes those of its own sessions."""
+        """Return whether the worker accepts a request; a draining one accepts only requests of its own sessions."""
         if self.dead or "D" in self.flags or "S" in self.flags:
             return False
         return session or "N" not in self.flags
 
 
 class Balancer:
-    """Workers, and which of them gets the next request."""
+    """Chooses the worker that gets the next request.
+
+    With `nofailover`, a request whose session names a known route is refused rather than sent to a worker of
+    another route.
+    """
 
-    def __init__(self, workers: list[Worker], bound: bool = False) -> None:
-        self.workers, self.bound = workers, bound
-        self.turns: Counter[str] = Counter()  # of sessions by route, which move no lbstatus
+    def __init__(self, workers: list[Worker], nofailover: bool = False) -> None:
+        self.workers, self.nofailover = workers, nofailover
+        # Requests with a session, by route; they leave lbstatus unchanged.
+        self.session_counts: Counter[str] = Counter()
 
     def choose(self, route: str = "") -> Worker | None:
-        """The worker that a request with this session route, or with none, goes to; None: it is refused."""
+        """Return the worker for a request with this session route (or with none); None means that it is refused."""
         if route:
-            named = [w for w in self.workers if route in (w.route, w.domain)]
-            found = self._in_turn(route, [w for w in named if w.serves(True)])
-            if found is None and named and named[0].redirect:
-                found = next(
-                    (w for w in self.workers if w.route == named[0].redirect and w.serves(True)), None
+            session_workers = [w for w in self.workers if route in (w.route, w.domain)]
+            chosen = self._choose_round_robin(route, [w for w in session_workers if w.serves(True)])
+            if chosen is None and session_workers and session_workers[0].redirect:
+                chosen = next(
+                    (w for w in self.workers if w.route == session_workers[0].redirect and w.serves(True)),
+                    None,
                 )
-            if found is not None or (named and self.bound):
-                return found
+            if chosen is not None or (session_workers and self.nofailover):
+                return chosen
         for number in sorted({w.set for w in self.workers}):
             for standby in (False, True):
-                mine = [
+                candidates = [
                     w
                     for w in self.workers
                     if w.set == number and ("H" in w.flags) == standby and w.serves(False)
                 ]
-                if mine:
-                    return self._best(mine)
+                if candidates:
+                    return self._choose_by_lbstatus(candidates)
         return None
 
-    def _in_turn(self, route: str, workers: list[Worker]) -> Worker | None:
-        """Of a domain's workers, whose factors are alike in the samples, each in its turn."""
-        self.turns[route] += 1
-        return workers[self.turns[route] % len(workers)] if workers else None
+    def _choose_round_robin(self, route: str, workers: list[Worker]) -> Worker | None:
+        """Choose a domain's workers in rotation: in the samples, their factors are equal."""
+        self.session_counts[route] += 1
+        return workers[self.session_counts[route] % len(workers)] if workers else None
 
     @staticmethod
-    def _best(workers: list[Worker]) -> Worker | None:
+    def _choose_by_lbstatus(workers: list[Worker]) -> Worker | None:
         if not workers:
             return None
         for worker in workers:
--- a/standins/askers.py
+++ b/standins/askers.py
@@ -1,6 +1,6 @@
-"""Clients that ask several proxies on and on, one request a connection, and count what they hear by proxy.
+"""Clients that send requests to several proxies continuously, one per connection, and count the results by proxy.
 
-python -m standins.askers SECONDS PORT ... does so in a process of its own, and writes the counts as JSON.
+`python -m standins.askers SECONDS PORT ...` runs them in a process of their own and prints the counts as JSON.
 """
 
 from __future__ import annotations
@@ -13,8 +13,10 @@
 
 
 class Askers:
-    """One client for each port. What it hears: a status, "closed" where nobody listens, "lost" where a request that was
-    taken has no answer."""
+    """Runs one client for each port and counts its results.
+
+    A result is a status, "closed" if the connection failed, or "lost" if a request was sent and not answered.
+    """
 
     def __init__(self, ports: Sequence[int], pause: float = 0.01) -> None:
         self.ports, self.pause = ports, pause
@@ -22,23 +24,23 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        self._tasks = [asyncio.ensure_future(self._run(port)) for port in self.ports]
+        self._tasks = [asyncio.ensure_future(self._poll(port)) for port in self.ports]
 
     async def stop(self) -> Counter[str]:
-        """All that was heard; what is under way is heard first."""
+        """Wait for requests in flight, then return the counts of all ports together."""
         tasks, self._tasks = self._tasks, []
         self.pause = -1.0
         await asyncio.gather(*tasks)
         return sum(self.ends.values(), Counter())
 
-    async def _run(self, port: int) -> None:
+    async def _poll(self, port: int) -> None:
         while self.pause >= 0:
             self.ends[port][await ask(port)] += 1
             await asyncio.sleep(max(0.0, self.pause))
 
 
 async def ask(port: int, method: str = "GET", path: str = "/", *lines: str) -> str:
-    """What one request hears."""
+    """Send one request and return its result, as `Askers` counts them."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -46,10 +48,10 @@
     try:
         head = "".join(f"{line}\r\n" for line in ("Host: h", "Connection: close", *lines))
         writer.write(f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode())
-        found = await reader.readuntil(b"\r\n\r\n")
-        length = found.lower().partition(b"content-length: ")[2].partition(b"\r")[0]
+        response_head = await reader.readuntil(b"\r\n\r\n")
+        length = response_head.lower().partition(b"content-length: ")[2].partition(b"\r")[0]
         await reader.readexactly(int(length or 0))
-        return found[9:12].decode()
+        return response_head[9:12].decode()
     except (OSError, asyncio.IncompleteReadError):
         return "lost"
     finally:
@@ -57,10 +59,10 @@
 
 
 async def _main(seconds: float, ports: Sequence[int]) -> None:
-    askers = Askers(ports, pause=0.0)
-    askers.start()
+    clients = Askers(ports, pause=0.0)
+    clients.start()
     await asyncio.sleep(seconds)
-    print(json.dumps(await askers.stop()))
+    print(json.dumps(await clients.stop()))
 
 
 if __name__ == "__main__":
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: connections that ask again as soon as they are answered, or at a rate; for benchmarks."""
+"""Stand-in clients for benchmarks: each connection sends its next request once answered, at once or after a pause."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from loadbalancer.fastcgi.webserver import encode_request
 
 
-class Caller(asyncio.Protocol):
-    """One connection; one request at a time."""
+class ClientConnection(asyncio.Protocol):
+    """A client connection that sends one request at a time."""
 
     def __init__(self, request: Callable[[], bytes], clients: Clients) -> None:
         self.request, self.clients = request, clients
@@ -28,30 +28,30 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.began = time.perf_counter()
         assert self.transport is not None
         self.transport.write(self.request())
 
     def on_message_complete(self) -> None:
-        self.answered(self.parser.get_status_code())
+        self.record_response(self.parser.get_status_code())
 
-    def answered(self, status: int) -> None:
+    def record_response(self, status: int) -> None:
         clients = self.clients
         clients.statuses[status] += 1
-        clients.times.append(time.perf_counter() - self.began)
+        clients.latencies.append(time.perf_counter() - self.began)
         if clients.stopped:
             return
         if clients.pause:
-            asyncio.get_running_loop().call_later(clients.pause, self._again)
+            asyncio.get_running_loop().call_later(clients.pause, self._send_next)
         else:
-            asyncio.get_running_loop().call_soon(self._again)
+            asyncio.get_running_loop().call_soon(self._send_next)
 
-    def _again(self) -> None:
+    def _send_next(self) -> None:
         if self.transport is not None and not self.transport.is_closing() and not self.clients.stopped:
-            self.ask()
+            self.send_request()
 
     def data_received(self, data: bytes) -> None:
         self.parser.feed_data(data)
@@ -60,10 +60,10 @@
         self.clients.lost += not self.clients.stopped
 
 
-class FreshCaller(Caller):
-    """A new connection for each request."""
+class SingleRequestConnection(ClientConnection):
+    """Opens a new connection for each request."""
 
-    def _again(self) -> None:
+    def _send_next(self) -> None:
         if self.transport is not None:
             self.transport.close()
             self.transport = None
@@ -74,8 +74,8 @@
         self.clients.lost += self.transport is not None and not self.clients.stopped
 
 
-class FcgiCaller(Caller):
-    """One connection of a web server; one request at a time, answers read record by record."""
+class FcgiClientConnection(ClientConnection):
+    """A web server's FastCGI connection that sends one request at a time and reads answers record by record."""
 
     def __init__(self, request: Callable[[], bytes], clients: Clients) -> None:
         super().__init__(request, clients)
@@ -89,60 +89,67 @@
             elif record.type == Type.END_REQUEST:
                 status = int(self.stdout[8:11]) if self.stdout.startswith(b"Status: ") else 0
                 self.stdout = b""
-                self.answered(status)
+                self.record_response(status)
 
 
 class Clients:
-    """Several callers; `pause` seconds between an answer and the next request of a connection."""
+    """Runs several connections and measures their answers.
 
-    def __init__(self, pause: float = 0.0, caller: type[Caller] = Caller) -> None:
-        self.pause, self.caller = pause, caller
+    `pause` is the time in seconds between an answer and the connection's next request.
+    """
+
+    def __init__(
+        self, pause: float = 0.0, connection_type: type[ClientConnection] = ClientConnection
+    ) -> None:
+        self.pause, self.connection_type = pause, connection_type
         self.statuses: Counter[int] = Counter()
-        self.times: list[float] = []
+        self.latencies: list[float] = []
         self.lost = 0
         self.stopped = False
         self.address = ("", 0)
-        self.opening: set[asyncio.Task[object]] = set()
+        self.connecting: set[asyncio.Task[object]] = set()
 
     def open(self, request: Callable[[], bytes]) -> None:
-        """One more connection."""
-        made = asyncio.get_running_loop().create_connection(lambda: self.caller(request, self), *self.address)
+        """Open one more connection."""
+        made = asyncio.get_running_loop().create_connection(
+            lambda: self.connection_type(request, self), *self.address
+        )
         task: asyncio.Task[object] = asyncio.get_running_loop().create_task(made)
-        self.opening.add(task)
-        task.add_done_callback(self.opening.discard)
+        self.connecting.add(task)
+        task.add_done_callback(self.connecting.discard)
 
     async def run(
         self, address: tuple[str, int], requests: list[Callable[[], bytes]], seconds: float, warm: float
     ) -> dict[str, object]:
-        """Ask for `warm` seconds and then for `seconds` that count."""
+        """Send requests for `warm` seconds that are not counted, then measure for `seconds`."""
         self.address = address
         for request in requests:
             self.open(request)
         await asyncio.sleep(warm)
         self.statuses.clear()
-        self.times.clear()
+        self.latencies.clear()
         print("warm", flush=True)
         began = time.perf_counter()
         await asyncio.sleep(seconds)
         took = time.perf_counter() - began
         self.stopped = True
-        times = sorted(self.times)
+        latencies = sorted(self.latencies)
 
-        def at(share: float) -> float:
-            return times[min(len(times) - 1, int(share * len(times)))] if times else 0.0
+        def percentile(share: float) -> float:
+            return latencies[min(len(latencies) - 1, int(share * len(latencies)))] if latencies else 0.0
 
         return {
-            "per_s": len(times) / took,
-            "count": len(times),
-            "p50": at(0.5),
-            "p99": at(0.99),
+            "per_s": len(latencies) / took,
+            "count": len(latencies),
+            "p50": percentile(0.5),
+            "p99": percentile(0.99),
             "lost": self.lost,
             "statuses": {str(status): count for status, count in self.statuses.items()},
         }
 
 
 def platform_request(number: int) -> Callable[[], bytes]:
-    """A `track` in the platform's dialect, with a new id each time."""
+    """Return a function that makes requests of class `track` in the platform's dialect, each with a new id."""
     count = 0
 
     def make() -> bytes:
@@ -162,8 +169,8 @@
     return lambda: data
 
 
-def behind_front(request: Callable[[], bytes]) -> Callable[[], bytes]:
-    """The request as a front sends it that hides where it came from; for connections that carry one alone."""
+def with_proxy_header(request: Callable[[], bytes]) -> Callable[[], bytes]:
+    """Prepend a PROXY protocol header, as a front-end proxy does; only for connections that carry a single request."""
     return lambda: b"PROXY TCP4 203.0.113.9 127.0.0.1 40000 80\r\n" + request()
 
 
@@ -189,21 +196,28 @@
     parser.add_argument("--pause", type=float, default=0.0)
     parser.add_argument("--platform", action="store_true")
     parser.add_argument("--fastcgi", action="store_true")
-    parser.add_argument("--fresh", action="store_true", help="a new connection for each request")
-    parser.add_argument("--proxy-header", action="store_true", help="a PROXY header ahead of each request")
+    parser.add_argument("--fresh", action="store_true", help="open a new connection for each request")
+    parser.add_argument(
+        "--proxy-header", action="store_true", help="send a PROXY protocol header before each request"
+    )
     parser.add_argument("--path", default="/api?x=1")
     parser.add_argument("--method", default="GET")
     options = parser.parse_args()
     host, _, port = options.address.rpartition(":")
-    plain = fastcgi_request if options.fastcgi else plain_request
+    make_request = fastcgi_request if options.fastcgi else plain_request
     requests = [
-        platform_request(n) if options.platform else plain(options.path, options.method)
+        platform_request(n) if options.platform else make_request(options.path, options.method)
         for n in range(options.connections)
     ]
     if options.proxy_header:
-        requests = [behind_front(request) for request in requests]
+        requests = [with_proxy_header(request) for request in requests]
     clients = Clients(
-        options.pause, FcgiCaller if options.fastcgi else FreshCaller if options.fresh else Caller
+        options.pause,
+        FcgiClientConnection
+        if options.fastcgi
+        else SingleRequestConnection
+        if options.fresh
+        else ClientConnection,
     )
     print(json.dumps(uvloop.run(clients.run((host, int(port)), requests, options.seconds, options.warm))))
     sys.stdout.flush()
--- a/standins/disks.py
+++ b/standins/disks.py
@@ -1,7 +1,8 @@
-"""Disks for the store's tests: in memory, with cuts of power, damage, and errors of each kind.
+"""Disks in memory for the store's tests, with power failures, damage and I/O errors.
 
-What a cut leaves follows what disks promise: bytes and names that were synced are there; of the rest any part may be,
-in any order (torn, reordered, dropped writes; a rename before its data). A seed draws which.
+After a power failure, the disk keeps what real disks guarantee: bytes and names that were synced are there; of the
+rest, any part may be there, in any order (torn, reordered or dropped writes; a rename before its data). A seeded
+random generator decides which.
 """
 
 from __future__ import annotations
@@ -12,57 +13,57 @@
 
 
 class CutError(Exception):
-    """The power is gone in the middle of a call."""
+    """Raised when the power fails in the middle of a call."""
 
 
 @dataclass
-class _Node:
-    """What a file holds, and what of it would be there after a cut."""
+class _FileContent:
+    """Holds a file's data, and the part of it that is guaranteed after a power failure."""
 
     data: bytearray = field(default_factory=bytearray)
     synced: bytes = b""
 
 
 class MemoryFile:
-    def __init__(self, disk: MemoryDisk, node: _Node) -> None:
-        self.disk, self.node = disk, node
+    def __init__(self, disk: MemoryDisk, content: _FileContent) -> None:
+        self.disk, self.content = disk, content
 
     def write(self, data: bytes) -> None:
         disk = self.disk
         disk.step()
         room = disk.room - disk.used()
         if len(data) > room:
-            self.node.data += data[: max(0, room)]
+            self.content.data += data[: max(0, room)]
             raise OSError(errno.ENOSPC, "No space left on device")
-        self.node.data += data
+        self.content.data += data
 
     def sync(self) -> None:
         self.disk.step()
         if self.disk.sync_fails > 0:
             self.disk.sync_fails -= 1
             raise OSError(errno.EIO, "Input/output error")
-        self.node.synced = bytes(self.node.data)
+        self.content.synced = bytes(self.content.data)
 
     def truncate(self, size: int) -> None:
         self.disk.step()
         if self.disk.cut_fails:
             raise OSError(errno.EIO, "Input/output error")
-        del self.node.data[size:]
+        del self.content.data[size:]
 
     def read_at(self, at: int, size: int) -> bytes:
-        return bytes(self.node.data[at : at + size])
+        return bytes(self.content.data[at : at + size])
 
     def close(self) -> None:
         self.disk.open_files -= 1
 
 
 class MemoryDisk:
-    """One folder. `calls` counts every call that changes anything; at call `cut_at` the power goes."""
+    """A folder on a disk. `calls` counts the calls that modify it; the power fails at call number `cut_at`."""
 
     def __init__(self, seed: int = 0) -> None:
         self.random = random.Random(seed)
-        self.now: dict[str, _Node] = {}  # names as the program sees them
-        self.kept: dict[str, _Node] = {}  # names as they were last synced
+        self.now: dict[str, _FileContent] = {}  # files by name, as the program sees them
+        self.synced_names: dict[str, _FileContent] = {}  # files by name, as of the last sync of the directory
         self.locked = False
         self.calls, self.cut_at = 0, -1
         self.room = 1 << 40
@@ -77,7 +78,7 @@
             raise CutError
 
     def used(self) -> int:
-        return sum(len(node.data) for node in self.now.values())
+        return sum(len(content.data) for content in self.now.values())
 
     def list_names(self) -> list[str]:
         return sorted(self.now)
@@ -91,9 +92,9 @@
         self.step()
         if name in self.now:
             raise FileExistsError(errno.EEXIST, "File exists")
-        node = self.now[name] = _Node()
+        content = self.now[name] = _FileContent()
         self.open_files += 1
-        return MemoryFile(self, node)
+        return MemoryFile(self, content)
 
     def open(self, name: str) -> MemoryFile:
         self.open_files += 1
@@ -109,7 +110,7 @@
 
     def sync_directory(self) -> None:
         self.step()
-        self.kept = dict(self.now)
+        self.synced_names = dict(self.now)
 
     def lock(self) -> None:
         if self.locked:
@@ -120,38 +121,40 @@
         self.locked = False
 
     def after_cut(self) -> MemoryDisk:
-        """The disk as the next process finds it."""
-        left = MemoryDisk(self.random.getrandbits(32))
-        names = dict(self.kept)
-        for name in sorted(self.now.keys() | self.kept.keys()):  # each change of a name is there or is not
+        """Return the disk as the next process finds it after a power failure."""
+        remaining = MemoryDisk(self.random.getrandbits(32))
+        remaining_names = dict(self.synced_names)
+        # Each unsynced creation, rename or removal is kept or lost.
+        for name in sorted(self.now.keys() | self.synced_names.keys()):
             if self.random.random() < 0.5:
                 if name in self.now:
-                    names[name] = self.now[name]
+                    remaining_names[name] = self.now[name]
                 else:
-                    names.pop(name, None)
-        for name, node in names.items():
-            data = self._survives(node)
-            left.now[name] = left.kept[name] = _Node(bytearray(data), data)
-        return left
-
-    def _survives(self, node: _Node) -> bytes:
-        """What was synced, and of the rest each page or not, cut anywhere."""
-        whole, synced = bytes(node.data), node.synced
-        if self.random.random() < 0.3 or len(whole) < len(
-            synced
-        ):  # a file cut short is as it was, or as it is
-            return synced if self.random.random() < 0.5 or not whole.startswith(synced) else whole
-        rest = bytearray(whole[len(synced) :])
-        del rest[self.random.randint(0, len(rest)) :]
+                    remaining_names.pop(name, None)
+        for name, content in remaining_names.items():
+            data = self._survives(content)
+            remaining.now[name] = remaining.synced_names[name] = _FileContent(bytearray(data), data)
+        return remaining
+
+    def _survives(self, content: _FileContent) -> bytes:
+        """Return the synced data and a random part of the unsynced data: cut at any byte, with some pages zeroed."""
+        data, synced = bytes(content.data), content.synced
+        # An unsynced truncation is kept or lost.
+        if self.random.random() < 0.3 or len(data) < len(synced):
+            return synced if self.random.random() < 0.5 or not data.startswith(synced) else data
+        unsynced = bytearray(data[len(synced) :])
+        del unsynced[self.random.randint(0, len(unsynced)) :]
         page = self.random.choice((1, 7, 64, 512))
-        for at in range(0, len(rest), page):
+        for at in range(0, len(unsynced), page):
             if self.random.random() < 0.3:
-                rest[at : at + page] = bytes(len(rest[at : at + page]))
-        return synced + bytes(rest)
+                unsynced[at : at + page] = bytes(len(unsynced[at : at + page]))
+        return synced + bytes(unsynced)
 
     def copy(self) -> MemoryDisk:
-        """The same, untouched by what happens to this one."""
-        made = MemoryDisk(1)
-        for name, node in self.now.items():
-            made.now[name] = made.kept[name] = _Node(bytearray(node.data), bytes(node.data))
-        return made
+        """Return a copy that later changes of this disk don't affect."""
+        copied = MemoryDisk(1)
+        for name, content in self.now.items():
+            copied.now[name] = copied.synced_names[name] = _FileContent(
+                bytearray(content.data), bytes(content.data)
+            )
+        return copied
--- a/standins/fastcgi.py
+++ b/standins/fastcgi.py
@@ -1,4 +1,4 @@
-"""Stand-ins that speak FastCGI: an application, and a web server that asks one. Scripted, record by record."""
+"""FastCGI stand-ins: an application that answers by scripts, and a web server that sends it requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class FcgiCall:
-    """A request that an application has been handed: its params are whole."""
+    """A request at an application whose params have been received completely."""
 
     number: int
     params: dict[bytes, bytes]
@@ -24,24 +24,25 @@
     whole: asyncio.Event = field(default_factory=asyncio.Event)  # STDIN has ended
 
     def raw(self, data: bytes) -> None:
-        """Any bytes, as they are."""
+        """Send bytes unchanged."""
         self.connection.write(data)
 
     def say(self, stdout: bytes, stderr: bytes = b"", status: int = 0) -> None:
-        """A whole answer."""
+        """Send a complete answer and end the request."""
         data = encode_stream(Type.STDERR, self.number, stderr)
         data += encode_stream(Type.STDOUT, self.number, stdout) + encode(Type.STDOUT, self.number)
         self.end(data, status)
 
-    def end(self, before: bytes = b"", status: int = 0, protocol: int = 0) -> None:
+    def end(self, leading_records: bytes = b"", status: int = 0, protocol: int = 0) -> None:
+        """Send END_REQUEST after the given records, and close the connection unless it is to be kept."""
         body = status.to_bytes(4, "big") + bytes((protocol, 0, 0, 0))
-        self.raw(before + encode(Type.END_REQUEST, self.number, body))
+        self.raw(leading_records + encode(Type.END_REQUEST, self.number, body))
         entry = self.connection.side.open.pop(self.number, None)
         if entry is not None and not entry.keep:
             self.connection.close()
 
     def die(self) -> None:
-        """As a process that is killed."""
+        """Abort the connection, as when the application's process is killed."""
         self.connection.abort()
 
 
@@ -68,7 +69,7 @@
         for event in self.side.feed(data):
             if isinstance(event, Begun):
                 call = self.calls[event.request] = FcgiCall(event.request, event.params, self)
-                self.application.begun(call)
+                self.application.on_begin(call)
             elif isinstance(event, Data):
                 self.calls[event.request].body += event.data
             elif isinstance(event, Ended):
@@ -82,7 +83,7 @@
             self.side.output.clear()
 
     def end_aborted(self, number: int) -> None:
-        """As an application that gives up at once; a script that still answers speaks of an id that has ended."""
+        """End an aborted request at once; what its script still sends then names a request id that has ended."""
         self.calls.pop(number, None)
         entry = self.side.open.get(number)
         if entry is not None:
@@ -102,14 +103,16 @@
 
 
 class Application:
-    """A FastCGI application; its scripts answer a request each, the last one goes on.
+    """A FastCGI application; each of its scripts answers one request, and the last one all that follow.
 
-    `early` hands a request to its script when the params are whole, as libfcgi does, else when STDIN is."""
+    With `early`, a request is passed to its script when the params are complete, as libfcgi does, otherwise when
+    STDIN is complete.
+    """
 
     def __init__(self, name: str, *scripts: Script, early: bool = False, requests_most: int = 1) -> None:
         self.name, self.scripts, self.early, self.requests_most = name, list(scripts), early, requests_most
-        self.calls: list[FcgiCall] = []  # handed to a script
-        self.calls_most = 100_000  # kept; the latest
+        self.calls: list[FcgiCall] = []  # passed to a script
+        self.max_recorded_calls = 100_000  # the oldest are dropped
         self.connections = 0
         self.open: set[FcgiConnection] = set()
         self.called = asyncio.Event()
@@ -118,7 +121,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, path: str | None = None) -> None:
-        """On a port that the kernel gives, or on a Unix socket."""
+        """Listen on a loopback port chosen by the kernel, or on a Unix socket."""
         loop = asyncio.get_running_loop()
         if path is not None:
             self._server = await loop.create_unix_server(lambda: FcgiConnection(self), path)
@@ -136,19 +139,19 @@
         for task in self._tasks:
             task.cancel()
 
-    def begun(self, call: FcgiCall) -> None:
+    def on_begin(self, call: FcgiCall) -> None:
         if self.early:
-            self._run(call)
+            self._run_script(call)
 
     def ended(self, call: FcgiCall) -> None:
         if not self.early:
-            self._run(call)
+            self._run_script(call)
         self.told()
 
-    def _run(self, call: FcgiCall) -> None:
+    def _run_script(self, call: FcgiCall) -> None:
         script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
         self.calls.append(call)
-        if len(self.calls) > self.calls_most:
+        if len(self.calls) > self.max_recorded_calls:
             del self.calls[0]
         task = asyncio.get_running_loop().create_task(cast("asyncio._CoroutineLike[None]", script(call)))
         self._tasks.add(task)
@@ -158,15 +161,16 @@
     def told(self) -> None:
         self.called.set()
 
-    async def until(self, true: Callable[[], object]) -> None:
+    async def until(self, condition: Callable[[], object]) -> None:
+        """Wait until the condition holds, checking it after each event."""
         async with asyncio.timeout(10):
-            while not true():
+            while not condition():
                 self.called.clear()
                 await self.called.wait()
 
 
 def saying(status: int, body: bytes, *lines: bytes) -> Script:
-    """Answers every request so."""
+    """Return a script that answers every request with this status, body and header lines."""
 
     async def script(call: FcgiCall) -> None:
         call.say(write_answer(status, b"Stand-in", list(lines), body))
@@ -174,30 +178,30 @@
     return script
 
 
-def describing(name: str) -> Script:
-    """Answers every request with what it was."""
+def description_script(name: str) -> Script:
+    """Return a script that answers every request with its method and target as JSON."""
 
     async def script(call: FcgiCall) -> None:
         params = call.params
-        says = {
+        description = {
             "member": name,
             "method": params.get(b"REQUEST_METHOD", b"").decode("latin-1"),
             "target": params.get(b"REQUEST_URI", b"").decode("latin-1"),
         }
-        body = json.dumps(says).encode() + b"\n"
+        body = json.dumps(description).encode() + b"\n"
         call.say(write_answer(200, b"Stand-in", [b"Content-Type: application/json\r\n"], body))
 
     return script
 
 
 class FastCgiFleet:
-    """Several applications that start and stop together."""
+    """Starts and stops several applications together."""
 
     def __init__(self, count: int, prefix: str = "m") -> None:
         names = [f"{prefix}{number + 1}" for number in range(count)]
-        self.members = [Application(name, describing(name)) for name in names]
+        self.members = [Application(name, description_script(name)) for name in names]
         for member in self.members:
-            member.calls_most = 100
+            member.max_recorded_calls = 100
 
     async def start(self) -> None:
         for member in self.members:
@@ -208,7 +212,7 @@
             await member.stop()
 
     def tables(self) -> str:
-        """The members as tables of a configuration."""
+        """Return the members as [[pool.member]] tables of a configuration file."""
         return "".join(f'[[pool.member]]\nid = "{m.name}"\naddress = "{m.address}"\n' for m in self.members)
 
 
@@ -217,17 +221,17 @@
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    protocol: int  # of END_REQUEST
+    protocol: int  # protocol status of END_REQUEST
     records: list[Record]
 
 
 class WebServer:
-    """A connection of a web server to an application; asks several requests at once."""
+    """A web server's connection to an application, which multiplexes requests."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.decoder = Decoder()
-        self.records: dict[int, list[Record]] = {}  # of requests that have not ended
+        self.records: dict[int, list[Record]] = {}  # of unfinished requests
         self.answers: dict[int, list[FcgiAnswer]] = {}
 
     @classmethod
@@ -245,7 +249,7 @@
         keep: bool = True,
         **params: str,
     ) -> bytes:
-        """A request's records; `params` besides the usual ones."""
+        """Encode a request's records; `params` are added to the default ones or replace them."""
         pairs = {
             "REQUEST_METHOD": method,
             "REQUEST_URI": target,
@@ -263,7 +267,7 @@
         await self.writer.drain()
 
     async def read(self, number: int) -> FcgiAnswer:
-        """The answer of a request; whatever comes of others is kept."""
+        """Read until this request is answered, storing records of other requests, and return the answer."""
         while not self.answers.get(number):
             data = await asyncio.wait_for(self.reader.read(65536), 10)
             if not data:
@@ -279,11 +283,11 @@
             return
         stdout = b"".join(r.content for r in records if r.type == Type.STDOUT)
         _, protocol = read_end(record.content)
-        found = find_end(stdout)
+        head_end = find_end(stdout)
         status, headers, body = 0, dict[bytes, bytes](), b""
-        if found is not None:
-            head = read_head(stdout[: found[0]])
-            status, headers, body = head.status, head.headers, stdout[found[1] :]
+        if head_end is not None:
+            head = read_head(stdout[: head_end[0]])
+            status, headers, body = head.status, head.headers, stdout[head_end[1] :]
         answer = FcgiAnswer(status, headers, body, protocol, records)
         self.answers.setdefault(record.request, []).append(answer)
         del self.records[record.request]
@@ -301,7 +305,7 @@
         return await self.read(number)
 
     async def ended(self) -> bytes:
-        """What is left until the application closes the connection."""
+        """Return the remaining bytes until the application closes the connection."""
         return await asyncio.wait_for(self.reader.read(), 10)
 
     def close(self) -> None:
--- a/standins/keyed.py
+++ b/standins/keyed.py
@@ -1,4 +1,4 @@
-"""Stand-in members that drop repeats of a key for a while, and remember what has really happened."""
+"""Stand-in members that deduplicate requests by key for a time window, and record which effects took place."""
 
 from __future__ import annotations
 
@@ -10,15 +10,18 @@
 
 
 class Effects:
-    """What has taken effect at all members together. `window`: seconds in which a repeat is dropped."""
+    """Records the effects of all members together.
+
+    `window` is the time in seconds within which a repeat of a key has no effect.
+    """
 
     def __init__(self, window: float, clock: Callable[[], float] = time.monotonic) -> None:
         self.window, self.clock = window, clock
         self.by_key: dict[str, list[float]] = {}
         self.answers: dict[str, bytes] = {}
 
-    def take(self, key: str) -> bytes:
-        """The answer to a request; one of a key that is remembered changes nothing."""
+    def apply(self, key: str) -> bytes:
+        """Return the answer to a request; a repeat within the window has no effect and gets the same answer."""
         times = self.by_key.setdefault(key, [])
         now = self.clock()
         if not times or now - times[-1] > self.window:
@@ -27,22 +30,23 @@
         return self.answers[key]
 
     def doubled(self) -> list[str]:
+        """Return the keys that took effect more than once."""
         return [key for key, times in self.by_key.items() if len(times) > 1]
 
 
 class KeyedMember(Member):
-    """A member whose effects are those of its fleet."""
+    """A member that records its effects together with the other members of its fleet."""
 
     def __init__(self, name: str, effects: Effects) -> None:
         super().__init__(name)
         self.effects, self.key = effects, ""
 
-    def note(self, key: bytes) -> None:
+    def record_request(self, key: bytes) -> None:
         self.key = key.decode("latin-1")
-        super().note(key)
+        super().record_request(key)
 
     def describe(self, method: bytes, url: bytes) -> bytes:
-        return self.effects.take(self.key) if self.key else super().describe(method, url)
+        return self.effects.apply(self.key) if self.key else super().describe(method, url)
 
 
 class KeyedFleet(Fleet):
--- a/standins/kills.py
+++ b/standins/kills.py
@@ -1,5 +1,7 @@
-"""A daemon that is killed at random under keyed load, by clients that repeat until they are answered; for tests of the
-ledger, short in CI and long in `benchmarks.store --kills`."""
+"""Crash tests of the ledger: a daemon is killed at random moments under keyed load.
+
+The clients repeat each request until it is answered. CI runs a short test, `benchmarks.store --kills` a long one.
+"""
 
 from __future__ import annotations
 
@@ -41,12 +43,12 @@
 
 @dataclass
 class Tally:
-    """What clients saw. `answers`: all different bodies that a key was answered 200 with."""
+    """Counts the clients' results. `answers` holds the distinct bodies of each key's 200 answers."""
 
     kills: int = 0
     acknowledged: int = 0
     repeated: int = 0
-    unresolved: int = 0  # keys that were told that nobody knows whether they ran
+    unresolved: int = 0  # keys answered 409: the proxy can't know whether they ran
     answers: dict[str, set[bytes]] = field(default_factory=dict)
     doubled: list[str] = field(default_factory=list)
 
@@ -56,7 +58,7 @@
 
 
 class Killing:
-    """`clients` book one key after another and repeat each until it is answered, while the daemon is killed."""
+    """Runs `clients` that book one key after another, repeating each until answered, while daemons are replaced."""
 
     def __init__(self, folder: Path, port: int, seed: int, clients: int = 8) -> None:
         self.folder, self.port, self.clients = folder, port, clients
@@ -72,7 +74,7 @@
         path.write_text(CONFIG.format(port=self.port) + fleet.tables())
         clients = [asyncio.ensure_future(self.book(number)) for number in range(self.clients)]
         for _ in range(kills):
-            await self.life(path)
+            await self.run_until_kill(path)
         daemon = await start(path)
         self.stopped = True
         await asyncio.gather(*clients)
@@ -83,11 +85,11 @@
         self.tally.doubled = self.effects.doubled()
         return self.tally
 
-    async def life(self, path: Path) -> None:
-        """One daemon, until some answers more have come; then it is killed in the middle of whatever it does."""
+    async def run_until_kill(self, path: Path) -> None:
+        """Start a daemon and kill it at a random moment, after a random number of further answers."""
         daemon = await start(path)
-        wanted = self.tally.acknowledged + self.random.randint(1, 60)
-        while self.tally.acknowledged < wanted:
+        target_count = self.tally.acknowledged + self.random.randint(1, 60)
+        while self.tally.acknowledged < target_count:
             await asyncio.sleep(0.002)
         await asyncio.sleep(self.random.random() * 0.01)
         daemon.kill()
@@ -95,7 +97,7 @@
         self.tally.kills += 1
 
     async def upgrades(self, count: int) -> Tally:
-        """The same, but each daemon hands over to the next, and none is killed."""
+        """Run the clients while each daemon hands over to its successor by a hot restart; none is killed."""
         fleet = KeyedFleet(3, self.effects)
         await fleet.start()
         path = self.folder / "micastand.toml"
@@ -104,8 +106,8 @@
         clients = [asyncio.ensure_future(self.book(number)) for number in range(self.clients)]
         last = first.pid
         for _ in range(count):
-            wanted = self.tally.acknowledged + self.random.randint(20, 60)
-            while self.tally.acknowledged < wanted:
+            target_count = self.tally.acknowledged + self.random.randint(20, 60)
+            while self.tally.acknowledged < target_count:
                 await asyncio.sleep(0.002)
             last = await self.upgrade(path)
         self.stopped = True
@@ -118,14 +120,14 @@
         return self.tally
 
     async def upgrade(self, path: Path) -> int:
-        """The number of the process that serves now."""
-        words = ("-m", "loadbalancer.cli", "upgrade", "-c", str(path), "--timeout", "30")
-        made = await asyncio.create_subprocess_exec(
-            sys.executable, *words, stdout=asyncio.subprocess.PIPE, cwd=Path(__file__).parent.parent
+        """Upgrade the daemon and return the process id of its successor."""
+        command = ("-m", "loadbalancer.cli", "upgrade", "-c", str(path), "--timeout", "30")
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, *command, stdout=asyncio.subprocess.PIPE, cwd=Path(__file__).parent.parent
         )
-        assert made.stdout is not None
-        out = await made.stdout.read()
-        assert await made.wait() == 0, out
+        assert process.stdout is not None
+        out = await process.stdout.read()
+        assert await process.wait() == 0, out
         return int(out.split()[1])
 
     async def book(self, client: int) -> None:
@@ -136,19 +138,19 @@
             while not self.stopped:
                 status, body = await self.ask(key)
                 if status == 200:
-                    self.note(key, body)
+                    self.record_answer(key, body)
                     break
                 if status == 409 and b"not resolved" in body:
                     self.tally.unresolved += 1
                     break
                 await asyncio.sleep(0.01)
 
-    def note(self, key: str, body: bytes) -> None:
+    def record_answer(self, key: str, body: bytes) -> None:
         self.tally.acknowledged += 1
         self.tally.answers.setdefault(key, set()).add(body)
 
     async def repeat_all(self) -> None:
-        """Each key that was answered is asked once more: the same answer, and no effect."""
+        """Send each answered key once more and record the answer, which must be the same and have no effect."""
         for key in list(self.tally.answers):
             status, body = await self.ask(key)
             assert status == 200, (key, status, body)
@@ -156,7 +158,7 @@
             self.tally.repeated += 1
 
     async def ask(self, key: str) -> tuple[int, bytes]:
-        """0 where the connection failed."""
+        """Send a booking and return its status and body; status 0 if the connection failed."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             try:
--- a/standins/member.py
+++ b/standins/member.py
@@ -1,4 +1,4 @@
-"""A stand-in member that speaks HTTP/1.1: quick enough to load a proxy, with a few ways to be ill."""
+"""A stand-in member that speaks HTTP/1.1: fast enough to load a proxy, with faults that can be switched on."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 @dataclass
 class Behaviour:
-    """What a member does with each request; may be changed while it runs."""
+    """Defines how a member answers each request; may be changed while the member runs."""
 
     delay: float = 0.0  # seconds before the answer
     status: int = 200
-    body: bytes | None = None  # instead of what it says of itself
-    headers: bytes = b""  # lines to add, each with its end
-    hangs: bool = False  # takes requests and never answers
-    resets: bool = False  # closes the connection on each request
+    body: bytes | None = None  # instead of the default JSON body
+    headers: bytes = b""  # additional header lines, each with its CRLF
+    hangs: bool = False  # accepts requests and never answers
+    resets: bool = False  # aborts the connection on each request
 
 
 @dataclass
 class Counts:
-    """What has happened at a member."""
+    """Counts a member's requests and connections."""
 
     requests: int = 0
-    connections: int = 0  # open now
-    connected: int = 0  # in all
-    by_key: dict[str, int] = field(default_factory=dict)  # requests of each Idempotency-Key
+    connections: int = 0  # currently open
+    connected: int = 0  # accepted since the start
+    by_key: dict[str, int] = field(default_factory=dict)  # requests by Idempotency-Key
 
 
 class _Connection(asyncio.Protocol):
@@ -64,7 +64,7 @@
 
     def on_message_complete(self) -> None:
         member = self.member
-        member.note(self.key)
+        member.record_request(self.key)
         behaviour = member.behaviour
         if behaviour.resets:
             assert self.transport is not None
@@ -97,12 +97,12 @@
 
 
 class Member:
-    """One member on a port that the kernel gives."""
+    """A member that listens on a loopback port chosen by the kernel."""
 
     def __init__(self, name: str, behaviour: Behaviour | None = None) -> None:
         self.name, self.behaviour, self.counts = name, behaviour or Behaviour(), Counts()
         self.open: set[_Connection] = set()
-        self.called: Callable[[], None] = lambda: None  # told of every request
+        self.on_request: Callable[[], None] = lambda: None  # called for every request
         self._server: asyncio.Server | None = None
         self.address = ""
 
@@ -113,7 +113,7 @@
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close the port and all connections, as a process that ends does."""
+        """Close the port and abort all connections, as when the process exits."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -121,20 +121,24 @@
             if connection.transport is not None:
                 connection.transport.abort()
 
-    def note(self, key: bytes) -> None:
+    def record_request(self, key: bytes) -> None:
         self.counts.requests += 1
         if key:
             text = key.decode("latin-1")
             self.counts.by_key[text] = self.counts.by_key.get(text, 0) + 1
-        self.called()
+        self.on_request()
 
     def describe(self, method: bytes, url: bytes) -> bytes:
-        says = {"member": self.name, "method": method.decode("latin-1"), "target": url.decode("latin-1")}
-        return json.dumps(says).encode() + b"\n"
+        description = {
+            "member": self.name,
+            "method": method.decode("latin-1"),
+            "target": url.decode("latin-1"),
+        }
+        return json.dumps(description).encode() + b"\n"
 
 
 class Fleet:
-    """Several members that start and stop together."""
+    """Starts and stops several members together."""
 
     def __init__(self, count: int, prefix: str = "m") -> None:
         self.members = [Member(f"{prefix}{number + 1}") for number in range(count)]
@@ -148,7 +152,7 @@
             await member.stop()
 
     def tables(self, weights: list[float] | None = None) -> str:
-        """The members as tables of a configuration."""
+        """Return the members as [[pool.member]] tables of a configuration file."""
         return "".join(
             f'[[pool.member]]\nid = "{m.name}"\naddress = "{m.address}"\n'
             + (f"weight = {weights[n]}\n" if weights else "")
--- a/standins/network.py
+++ b/standins/network.py
@@ -1,9 +1,9 @@
 """A relay between the addresses that instances bind and those that they advertise, for datagrams and TCP.
 
-It drops, delays, doubles, reorders, flips and cuts, by pair and direction, under a seed, and knows nothing of
-what passes.
+It drops, delays, duplicates, reorders and corrupts datagrams as a seeded random generator decides, and cuts chosen
+pairs of instances, separately for each direction. It doesn't parse what it relays.
 
-Who sends is told by the source address: each place has a host of its own in 127.0.0.0/8.
+It tells the sender from the source address: each instance has a host address of its own in 127.0.0.0/8.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 Address = tuple[str, int]
 
 
-class _Door(asyncio.DatagramProtocol):
-    """The advertised address of one place, for datagrams."""
+class _DatagramRelay(asyncio.DatagramProtocol):
+    """Receives the datagrams for the advertised address of one instance and forwards them."""
 
     def __init__(self, network: Network, number: int, target: Address) -> None:
         self.network, self.number, self.target = network, number, target
@@ -28,7 +28,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        self.network.pass_on(self, self.network.who(address[0]), data)
+        self.network.relay_datagram(self, self.network.find_sender(address[0]), data)
 
     def send(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -36,42 +36,48 @@
 
 
 class Network:
-    """Shares and seconds hold for all pairs; `cut` for pairs, from and to."""
+    """Relays between instances, with faults.
+
+    The shares of loss, duplication and corruption and the delays apply to all pairs. `cut` holds the pairs
+    (sender, receiver) that are disconnected.
+    """
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.loss = self.doubled = self.flipped = 0.0
         self.delay = self.jitter = 0.0
         self.cut: set[tuple[int, int]] = set()
-        self.late: dict[int, float] = {}  # seconds more for all that a place sends
+        self.late: dict[int, float] = {}  # additional seconds of delay by sender
         self.counts: Counter[str] = Counter()
-        self.caught: list[tuple[int, int, bytes]] = []  # from, to and datagram, while `catches`
+        self.caught: list[
+            tuple[int, int, bytes]
+        ] = []  # (sender, receiver, datagram), recorded while `catches` is set
         self.catches = False
         self._hosts: dict[str, int] = {}
-        self._doors: dict[int, _Door] = {}
+        self._relays: dict[int, _DatagramRelay] = {}
         self._servers: list[asyncio.Server] = []
         self._writers: dict[asyncio.StreamWriter, tuple[int, int]] = {}
 
     async def join(self, number: int, target: Address, advertised: Address) -> None:
-        """Relay what comes to `advertised` to `target`."""
+        """Relay datagrams and connections to `advertised` on to `target`."""
         loop = asyncio.get_running_loop()
         self._hosts[target[0]] = number
-        _, door = await loop.create_datagram_endpoint(
-            lambda: _Door(self, number, target), local_addr=advertised
+        _, relay = await loop.create_datagram_endpoint(
+            lambda: _DatagramRelay(self, number, target), local_addr=advertised
         )
-        self._doors[number] = door
+        self._relays[number] = relay
 
         async def accepted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await self._stream(number, target, reader, writer)
+            await self._relay_stream(number, target, reader, writer)
 
         self._servers.append(await asyncio.start_server(accepted, *advertised, reuse_address=True))
 
-    def who(self, host: str) -> int:
-        """The place that a source address is of; -1 for a stranger, whom no cut holds."""
+    def find_sender(self, host: str) -> int:
+        """Return the number of the instance with this source address; -1 if it is unknown, which no cut affects."""
         return self._hosts.get(host, -1)
 
     def part(self, *sides: Iterable[int]) -> None:
-        """Cut all ways between these sides, and heal all others."""
+        """Cut all pairs between these sides in both directions, and reconnect all others."""
         groups = [list(side) for side in sides]
         self.set_cut(
             {(a, b) for one in groups for other in groups if one is not other for a in one for b in other}
@@ -87,36 +93,40 @@
         self.set_cut(set())
 
     def inject(self, to: int, data: bytes) -> None:
-        """A datagram of a stranger."""
-        self._doors[to].send(data)
+        """Deliver a datagram from an unknown sender."""
+        self._relays[to].send(data)
 
-    def pass_on(self, door: _Door, source: int, data: bytes) -> None:
-        draw = self.random.random
+    def relay_datagram(self, relay: _DatagramRelay, source: int, data: bytes) -> None:
+        random_share = self.random.random
         self.counts["datagrams"] += 1
         if self.catches:
-            self.caught.append((source, door.number, data))
-        if (source, door.number) in self.cut:
+            self.caught.append((source, relay.number, data))
+        if (source, relay.number) in self.cut:
             self.counts["cut"] += 1
             return
-        for _ in range(2 if self.doubled and draw() < self.doubled else 1):
-            if self.loss and draw() < self.loss:
+        for _ in range(2 if self.doubled and random_share() < self.doubled else 1):
+            if self.loss and random_share() < self.loss:
                 self.counts["lost"] += 1
                 continue
-            if self.flipped and draw() < self.flipped:
+            if self.flipped and random_share() < self.flipped:
                 self.counts["flipped"] += 1
-                at = self.random.randrange(len(data))
-                data = data[:at] + bytes((data[at] ^ 1 << self.random.randrange(8),)) + data[at + 1 :]
-            wait = self.delay + self.jitter * draw() + self.late.get(source, 0.0)
-            if wait:
-                asyncio.get_running_loop().call_later(wait, door.send, data)
+                position = self.random.randrange(len(data))
+                data = (
+                    data[:position]
+                    + bytes((data[position] ^ 1 << self.random.randrange(8),))
+                    + data[position + 1 :]
+                )
+            delay_s = self.delay + self.jitter * random_share() + self.late.get(source, 0.0)
+            if delay_s:
+                asyncio.get_running_loop().call_later(delay_s, relay.send, data)
             else:
-                door.send(data)
+                relay.send(data)
 
-    async def _stream(
+    async def _relay_stream(
         self, number: int, target: Address, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """One connection; cut either way it comes to nothing."""
-        source = self.who(writer.get_extra_info("peername")[0])
+        """Relay one connection; abort it if the pair is cut in either direction."""
+        source = self.find_sender(writer.get_extra_info("peername")[0])
         pair = source, number
         self.counts["streams"] += 1
         if pair in self.cut or pair[::-1] in self.cut:
@@ -124,15 +134,15 @@
             writer.transport.abort()
             return
         try:
-            there, further = await asyncio.open_connection(*target)
+            upstream_reader, upstream_writer = await asyncio.open_connection(*target)
         except OSError:
             writer.transport.abort()
             return
-        self._writers[writer] = self._writers[further] = pair
+        self._writers[writer] = self._writers[upstream_writer] = pair
         try:
-            await asyncio.gather(self._pump(reader, further), self._pump(there, writer))
+            await asyncio.gather(self._pump(reader, upstream_writer), self._pump(upstream_reader, writer))
         finally:
-            for one in (writer, further):
+            for one in (writer, upstream_writer):
                 self._writers.pop(one, None)
                 one.transport.abort()
 
@@ -145,9 +155,9 @@
             writer.write_eof()
 
     def close(self) -> None:
-        for door in self._doors.values():
-            if door.transport is not None:
-                door.transport.close()
+        for relay in self._relays.values():
+            if relay.transport is not None:
+                relay.transport.close()
         for server in self._servers:
             server.close()
         for writer in list(self._writers):
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,8 +1,9 @@
-"""Several real processes of the program, with folders, logs and ports of their own: started, spoken to by their
-operators' sockets, killed, stopped and woken.
+"""Runs several real processes of the program, each with its own folder, log and ports.
 
-A *prelude* is Python that runs in a process before the program does: for clocks that are off, and for defects that a
-test has to find.
+Processes are started, called at their operators' sockets, killed, paused and resumed.
+
+A *prelude* is Python code that a process runs before the program: to skew its clock, or to inject a defect that a
+test has to detect.
 """
 
 from __future__ import annotations
@@ -21,91 +22,93 @@
 from standins.network import Network
 
 ROOT = Path(__file__).parent.parent
-#: Seconds after which a test that waits for an event gives up.
+#: Default timeout, in seconds, of a test that waits for an event.
 PATIENCE = 15.0
 RUN = "import sys; from loadbalancer.cli.__main__ import main; sys.exit(main(sys.argv[1:]))"
-_rigs = count()
+_fleet_numbers = count()
 
 
 async def start(
-    path: Path, *words: str, listeners: int = 1, prelude: str = "", log: Path | None = None
+    path: Path, *arguments: str, listeners: int = 1, prelude: str = "", log: Path | None = None
 ) -> asyncio.subprocess.Process:
-    """`micastand serve -c PATH`, once it has said of so many listeners that it listens. Its log goes to `log`, or
-    nowhere."""
+    """Run `micastand serve -c PATH` and return once it has reported this many listeners as listening.
+
+    Its log goes to `log`, or is discarded.
+    """
     with open(log or os.devnull, "ab") as errors:
-        made = await asyncio.create_subprocess_exec(
+        process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
             f"{prelude}\n{RUN}",
             "serve",
             "-c",
             str(path),
-            *words,
+            *arguments,
             stdout=asyncio.subprocess.PIPE,
             stderr=errors,
             cwd=ROOT,
         )
-    assert made.stdout is not None
+    assert process.stdout is not None
     for _ in range(listeners):
-        line = await asyncio.wait_for(made.stdout.readline(), PATIENCE)
+        line = await asyncio.wait_for(process.stdout.readline(), PATIENCE)
         if b"listens" not in line:
             raise RuntimeError(f"{path}: {line!r}; {log and log.read_text()[-800:]}")
-    return made
+    return process
 
 
 async def call(sock: Path, method: str, what: str, /, **body: Any) -> tuple[int, Any]:
-    """Status and what a daemon answers at its operators' socket; ConnectionError where it does not."""
+    """Call a daemon at its operators' socket and return status and body; raise ConnectionError if it doesn't answer."""
     data = json.dumps(body).encode() if body else b""
     reader, writer = await asyncio.open_unix_connection(str(sock))
     try:
         head = f"{method} /v1/{what} HTTP/1.1\r\nContent-Length: {len(data)}\r\n\r\n"
         writer.write(head.encode() + data)
-        found = await reader.read()
+        result = await reader.read()
     finally:
         writer.close()
-    if not found:
+    if not result:
         raise ConnectionError(f"{sock}: no answer")
-    return int(found[9:12]), json.loads(found.partition(b"\r\n\r\n")[2])
+    return int(result[9:12]), json.loads(result.partition(b"\r\n\r\n")[2])
 
 
-async def until(true: Callable[[], Awaitable[Any]], what: str, patience: float | None = None) -> Any:
-    """What it is once it is true; TimeoutError with `what` where that does not come."""
+async def until(condition: Callable[[], Awaitable[Any]], what: str, patience: float | None = None) -> Any:
+    """Poll a condition until its result is true and return that result; raise TimeoutError naming `what` otherwise."""
     try:
         async with asyncio.timeout(patience or PATIENCE):
             while True:
                 try:
-                    found = await true()
-                except (OSError, ValueError):  # a process that is just starting, or gone
-                    found = None
-                if found:
-                    return found
+                    result = await condition()
+                except (OSError, ValueError):  # the process is still starting, or has ended
+                    result = None
+                if result:
+                    return result
                 await asyncio.sleep(0.02)
     except TimeoutError:
         raise TimeoutError(f"not within {patience or PATIENCE:g} s: {what}") from None
 
 
-def _free(host: str, kept: list[socket.socket]) -> int:
-    """A port of the host that nobody listens at; kept bound, so that nobody else gets it."""
+def _reserve_port(host: str, reserved_sockets: list[socket.socket]) -> int:
+    """Return a free port of the host; the socket stays bound, so that no other process gets the port."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, 0))
-    kept.append(sock)
+    reserved_sockets.append(sock)
     return int(sock.getsockname()[1])
 
 
 @dataclass
 class One:
-    """One place of the fleet, with a process or without."""
+    """An instance of the fleet, whether or not its process is running."""
 
     number: int
     folder: Path
     host: str
-    port: int  # of clients
-    fleet: tuple[str, int]  # that the fleet's sockets are bound to
+    port: int  # for clients
+    fleet: tuple[str, int]  # the address that the fleet's sockets are bound to
     advertised: tuple[str, int]
     process: asyncio.subprocess.Process | None = None
     prelude: str = ""
-    words: list[str] = field(default_factory=list)
+    arguments: list[str] = field(default_factory=list)
 
     @property
     def name(self) -> str:
@@ -124,7 +127,9 @@
         return (self.folder / "log").read_text() if (self.folder / "log").exists() else ""
 
     async def start(self) -> None:
-        self.process = await start(self.config, *self.words, prelude=self.prelude, log=self.folder / "log")
+        self.process = await start(
+            self.config, *self.arguments, prelude=self.prelude, log=self.folder / "log"
+        )
 
     def send(self, number: int) -> None:
         assert self.process is not None
@@ -134,7 +139,7 @@
         await self.end(signal.SIGKILL)
 
     async def end(self, number: int = signal.SIGTERM) -> None:
-        """And wait until it is gone."""
+        """Send a signal and wait until the process has ended; resume it in case it is paused."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
             if number != signal.SIGKILL:
@@ -149,7 +154,7 @@
         return await call(self.sock, "POST", verb, **({"by": "test"} | body))
 
 
-#: What every instance's file begins with.
+#: Beginning of every instance's configuration file; the pool's tables follow.
 CONFIG = """\
 [management]
 socket = "s"
@@ -180,7 +185,7 @@
 
 
 class Fleet:
-    """`size` places under one configuration before the same members, the network between them in our hands."""
+    """A fleet of `size` instances with one configuration and the same members, connected by a `Network` with faults."""
 
     def __init__(
         self,
@@ -193,30 +198,38 @@
         seeds: Sequence[int] = (0, 1),
         fleet_more: str = "",
     ) -> None:
-        """`pool`: the tables of pool "p". `seeds`: places that all are told of."""
+        """Create the folders and reserve the ports.
+
+        `pool` is the tables of pool "p"; `seeds` are the numbers of the instances that all others are configured with.
+        """
         self.folder, self.pool, self.profile, self.config = folder, pool, profile, config
         self.seeds, self.fleet_more = seeds, fleet_more
         self.network = Network(seed)
-        self._kept: list[socket.socket] = []
+        self._reserved_sockets: list[socket.socket] = []
         self.key = folder / "key"
         self.write_keys("11" * 32)
-        pid, rig = os.getpid(), next(_rigs)
-        net = f"127.{1 + pid % 250}.{(pid // 250) % 250}"
-        self.all = [self._place(number, f"{net}.{1 + number}", rig) for number in range(size)]
+        pid, fleet_number = os.getpid(), next(_fleet_numbers)
+        network_prefix = f"127.{1 + pid % 250}.{(pid // 250) % 250}"
+        self.all = [
+            self._make_instance(number, f"{network_prefix}.{1 + number}", fleet_number)
+            for number in range(size)
+        ]
 
     def write_keys(self, *keys: str) -> None:
-        """As an operator should: whole, and for nobody else's eyes."""
+        """Write the key file as an operator should: atomically, and readable by its owner only."""
         new = self.key.with_suffix(".new")
         new.touch(0o600)
         new.write_text("\n".join(keys) + "\n")
         new.replace(self.key)
 
-    def _place(self, number: int, host: str, rig: int) -> One:
-        folder = self.folder / f"{rig}-{number}"
+    def _make_instance(self, number: int, host: str, fleet_number: int) -> One:
+        folder = self.folder / f"{fleet_number}-{number}"
         folder.mkdir(parents=True)
-        bound = host, _free(host, self._kept)
-        advertised = "127.0.0.1", _free("127.0.0.1", self._kept)
-        return One(number, folder, host, _free("127.0.0.1", self._kept), bound, advertised)
+        bound = host, _reserve_port(host, self._reserved_sockets)
+        advertised = "127.0.0.1", _reserve_port("127.0.0.1", self._reserved_sockets)
+        return One(
+            number, folder, host, _reserve_port("127.0.0.1", self._reserved_sockets), bound, advertised
+        )
 
     def write(self, one: One, **changes: str) -> None:
         values = {
@@ -233,20 +246,20 @@
         one.config.write_text(self.config.format(**(values | changes)) + self.pool)
 
     async def open(self, *numbers: int) -> None:
-        """Start the network, and these processes, or all."""
+        """Start the network and these processes, or all of them."""
         for one in self.all:
             self.write(one)
             await self.network.join(one.number, one.fleet, one.advertised)
         await self.start(*(numbers or range(len(self.all))))
 
     async def start(self, *numbers: int) -> None:
-        """All at once."""
+        """Start these processes concurrently."""
         await asyncio.gather(*(self.all[number].start() for number in numbers))
 
     async def close(self) -> None:
         await asyncio.gather(*(one.end(signal.SIGKILL) for one in self.all))
         self.network.close()
-        for sock in self._kept:
+        for sock in self._reserved_sockets:
             sock.close()
 
     async def __aenter__(self) -> Fleet:
@@ -263,22 +276,26 @@
         return list(await asyncio.gather(*(one.read("fleet/status") for one in among or self.up)))
 
     async def agree(self, among: Sequence[One], living: int) -> bool:
-        """Whether these hold one digest, in which so many live."""
-        found = await self.statuses(among)
-        return len({one["digest"] for one in found}) == 1 and all(
-            one["living"] == living and one["state"] == "member" for one in found
+        """Return whether these instances have the same digest and each counts `living` live ones."""
+        result = await self.statuses(among)
+        return len({one["digest"] for one in result}) == 1 and all(
+            one["living"] == living and one["state"] == "member" for one in result
         )
 
     async def settled(
         self, among: Sequence[One] | None = None, living: int | None = None, patience: float | None = None
     ) -> None:
-        """Wait until they agree; all that are up if nobody is named."""
+        """Wait until the instances in `among` agree; by default, all that are running."""
         chosen = among or self.up
-        wanted = len(chosen) if living is None else living
+        expected_living = len(chosen) if living is None else living
         names = ", ".join(one.name for one in chosen)
         try:
-            await until(lambda: self.agree(chosen, wanted), f"{names} agree on {wanted} living", patience)
+            await until(
+                lambda: self.agree(chosen, expected_living),
+                f"{names} agree on {expected_living} living",
+                patience,
+            )
         except TimeoutError as problem:
             keys = ("instance", "state", "living", "suspected", "dead", "digest", "counts")
-            seen = [{key: one[key] for key in keys} for one in await self.statuses(chosen)]
-            raise TimeoutError(f"{problem}: " + "\n".join(map(str, seen))) from None
+            statuses = [{key: one[key] for key in keys} for one in await self.statuses(chosen)]
+            raise TimeoutError(f"{problem}: " + "\n".join(map(str, statuses))) from None
