--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, a command each: `python -m benchmarks.NAME`. Ratios are within one run."""
+"""Benchmarks, each a command: `python -m benchmarks.NAME`. Ratios compare results of the same run."""
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,9 +1,9 @@
-"""What admission costs: `python -m benchmarks.admission`.
+"""Cost of admission: `python -m benchmarks.admission`.
 
-Four measures, each within one run: connections a second on one core (each with one request and its answer) without
-rules, with caps, and with caps behind the PROXY protocol; requests a second on kept connections without rules and with
-caps; when a flood hears that it is refused, and what known clients get meanwhile; bytes for a million addresses seen,
-with the table's bound and without one that matters.
+Four measurements, each within one run: connections per second on one core (each with one request and its answer)
+without rules, with caps, and with caps behind the PROXY protocol; requests per second on keep-alive connections without
+rules and with caps; how soon a flood of connections is refused, and how known clients are served meanwhile; memory for
+a million addresses, with the table bounded and with a bound that is never reached.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 requests_per_address = 1000
 """
 PROXY = 'proxy_protocol_from = ["127.0.0.0/8"]\n' + CAPS
-#: Addresses for the measure of memory.
-SEEN = 1_000_000
+#: Number of addresses for the measurement of memory.
+ADDRESSES_SEEN = 1_000_000
 
 
-def tell(rows: dict[str, list[dict[str, Any]]], what: str) -> None:
+def print_ratios(rows: dict[str, list[dict[str, Any]]], what: str) -> None:
     first = rows["none"]
     for name, results in rows.items():
         rate, work = ratios(results, first)
@@ -40,7 +40,7 @@
         )
 
 
-def rounds(
+def run_rounds(
     options: argparse.Namespace,
     addresses: dict[str, str],
     rules: dict[str, str],
@@ -51,7 +51,7 @@
     for _ in range(options.rounds):
         for name, text in rules.items():
             with daemon(1, one_pool(text) + tables(addresses)) as (listeners, pid):
-                asked = [
+                load_arguments = [
                     "--seconds",
                     str(options.seconds),
                     "--connections",
@@ -59,25 +59,25 @@
                     *load,
                     *extra.get(name, []),
                 ]
-                result = clients(3, listeners["main"], *asked, pid=pid)
+                result = clients(3, listeners["main"], *load_arguments, pid=pid)
             if set(result["statuses"]) != {"200"} or result["lost"]:
-                raise SystemExit(f"rules {name}: not all were served: {result}")
+                raise SystemExit(f"rules {name}: expected only status 200 and nothing lost, found {result}")
             rows[name].append(result)
     return rows
 
 
-FLOODED = """[listener.admission]
+FLOOD_CONFIGURATION = """[listener.admission]
 connections_per_address = 64
 known = ["127.1.0.0/16"]
 reserve = 0.25
 """
-#: Connections of the flood, and how many of them at a time.
-FLOOD, WAVE = 3000, 400
+#: Number of connections of the flood, and how many of them at a time.
+FLOOD_SIZE, FLOOD_CONCURRENCY = 3000, 400
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-async def told(host: str, port: int, source: str, data: bytes) -> tuple[int, float]:
-    """Status (0 for a close without one) and seconds from connecting until it came."""
+async def measure_answer(host: str, port: int, source: str, data: bytes) -> tuple[int, float]:
+    """Send data on a new connection; return the status (0 if it was closed without one) and the seconds until then."""
     began = time.perf_counter()
     status = 0
     try:
@@ -91,45 +91,49 @@
     return status, time.perf_counter() - began
 
 
-async def flooding(address: str) -> tuple[list[tuple[int, float]], list[tuple[int, float]]]:
-    """What the flood hears and what known clients do meanwhile."""
+async def run_flood(address: str) -> tuple[list[tuple[int, float]], list[tuple[int, float]]]:
+    """Run the flood and a known client concurrently; return the answers of each."""
     host, _, port = address.rpartition(":")
-    wave, flood = asyncio.Semaphore(WAVE), list[tuple[int, float]]()
+    concurrency, flood_results = asyncio.Semaphore(FLOOD_CONCURRENCY), list[tuple[int, float]]()
 
-    async def one(number: int) -> None:
-        async with wave:
-            flood.append(await told(host, int(port), "127.2.0.1", b"" if number % 2 else REQUEST))
+    async def flood_once(number: int) -> None:
+        async with concurrency:
+            flood_results.append(
+                await measure_answer(host, int(port), "127.2.0.1", b"" if number % 2 else REQUEST)
+            )
 
-    async def known() -> list[tuple[int, float]]:
+    async def run_known_client() -> list[tuple[int, float]]:
         answers = []
-        while len(flood) < FLOOD:
-            answers.append(await told(host, int(port), "127.1.0.1", REQUEST))
+        while len(flood_results) < FLOOD_SIZE:
+            answers.append(await measure_answer(host, int(port), "127.1.0.1", REQUEST))
         return answers
 
-    answers, *_ = await asyncio.gather(known(), *(one(number) for number in range(FLOOD)))
-    return flood, cast("list[tuple[int, float]]", answers)
+    answers, *_ = await asyncio.gather(
+        run_known_client(), *(flood_once(number) for number in range(FLOOD_SIZE))
+    )
+    return flood_results, cast("list[tuple[int, float]]", answers)
 
 
-def flood(addresses: dict[str, str]) -> None:
-    config = one_pool(FLOODED, descriptors=512)
+def measure_flood(addresses: dict[str, str]) -> None:
+    config = one_pool(FLOOD_CONFIGURATION, descriptors=512)
     with daemon(1, config + tables(addresses)) as (listeners, _):
-        heard, answers = asyncio.run(flooding(listeners["main"]))
-    refused = [seconds for status, seconds in heard if status in (0, 503)]
+        flood_answers, answers = asyncio.run(run_flood(listeners["main"]))
+    refused = [seconds for status, seconds in flood_answers if status in (0, 503)]
     times = sorted(seconds for _, seconds in answers)
     served = sum(status == 200 for status, _ in answers)
     print(
-        f"a flood of {FLOOD}, half of it silent: {len(refused)} refused, told after {max(refused):.2f} s at most; "
+        f"a flood of {FLOOD_SIZE}, half of it silent: {len(refused)} refused, told after {max(refused):.2f} s at most; "
         f"known clients meanwhile: {served} of {len(answers)} served, p50 {times[len(times) // 2] * 1e3:.0f} ms, "
         f"most {times[-1] * 1e3:.0f} ms",
         flush=True,
     )
 
 
-def memory(entries: int) -> None:
-    """Bytes after a million addresses, each in a /24 of its own for every 250."""
+def measure_memory(entries: int) -> None:
+    """Measure the memory of the address table after a million addresses, 250 in each /24."""
     tracemalloc.start()
     admission = Admission(Caps(connections=8, entries=entries))
-    for number in range(SEEN):
+    for number in range(ADDRESSES_SEEN):
         block, last = divmod(number, 250)
         admission.decide_connection(
             f"10.{block >> 8 & 255}.{block & 255}.{last}", number / 1000, Slots(1000, 0, 0)
@@ -138,7 +142,7 @@
     tracemalloc.stop()
     rows = len(admission.addresses) + len(admission.prefixes)
     print(
-        f"{SEEN} addresses seen, {entries} remembered: {held / 1e6:.1f} MB held ({most / 1e6:.1f} at most), "
+        f"{ADDRESSES_SEEN} addresses seen, {entries} remembered: {held / 1e6:.1f} MB held ({most / 1e6:.1f} at most), "
         f"{rows} entries, {held / rows:.0f} bytes each",
         flush=True,
     )
@@ -151,13 +155,15 @@
     options = parser.parse_args()
     with members(2, "--members", "4", "--body", "200") as addresses:
         rules = {"none": "", "caps": CAPS, "caps and PROXY": PROXY}
-        fresh = rounds(options, addresses, rules, {"caps and PROXY": ["--proxy-header"]}, "--fresh")
-        tell(fresh, "a connection for each request")
-        kept = rounds(options, addresses, {"none": "", "caps": CAPS}, {})
-        tell(kept, "kept connections")
-        flood(addresses)
-    memory(16384)
-    memory(SEEN + 1)
+        per_connection = run_rounds(
+            options, addresses, rules, {"caps and PROXY": ["--proxy-header"]}, "--fresh"
+        )
+        print_ratios(per_connection, "a connection for each request")
+        kept_alive = run_rounds(options, addresses, {"none": "", "caps": CAPS}, {})
+        print_ratios(kept_alive, "kept connections")
+        measure_flood(addresses)
+    measure_memory(16384)
+    measure_memory(ADDRESSES_SEEN + 1)
 
 
 if __name__ == "__main__":
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -1,10 +1,11 @@
-"""Cold members under the sum of what all proxies send: how many fall, and what is served meanwhile.
+"""Cold members under the combined load of all proxies: how many are overloaded, and how many requests are in time.
 
     python -m benchmarks.coldstart [--seeds 8] [--processes 4]
 
-The real decisions of 2 to 400 proxies in virtual time (tests/fleetscene.py), part of 16 members replaced in one moment
-and part of the proxies restarted in the same. A member falls where a window of the rules holds more than N + 2 roots of
-N + 2 requests of mean work, from the very first; here it goes on serving, so that all that is sent to it is seen.
+Runs the policy of 2 to 400 proxies in virtual time (tests/fleetscene.py); a share of 16 members is replaced at one
+moment, and a share of the proxies is restarted at the same time. A member counts as overloaded, from its first request
+on, when a window of the rules has more than N + 2 * sqrt(N) + 2 requests of mean work. Here it goes on serving, so that
+all requests sent to it are counted.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 from policy_scene import replace_members  # noqa: E402
 
-#: Proxies; share of members replaced; share of proxies restarted with them.
+#: Number of proxies; share of members replaced; share of proxies restarted at the same time.
 SCENES = ((2, 0.6, 0.0), (25, 0.6, 0.7), (200, 0.6, 0.0), (200, 0.6, 0.7), (200, 1.0, 0.0), (400, 0.6, 0.0))
 FACTORS = (1.6, 2.5, 4.0)
 COLD_FROM = (0.15, 0.4)
@@ -36,8 +37,8 @@
     seed: int
 
 
-def played(row: Row) -> tuple[Row, int, int, float]:
-    """Members that fell, of how many, and the share of requests that were served in time while they were cold."""
+def run_row(row: Row) -> tuple[Row, int, int, float]:
+    """Return overloaded and all new members, and the share of requests served in time while they were cold."""
     new = replace_members(row.proxies, row.factor, row.cold_from, row.part, row.restarted, row.seed)
     scene = new[0].scene
     asked = in_time = 0
@@ -60,12 +61,12 @@
         )
     ]
     with ProcessPoolExecutor(args.processes) as pool:
-        found = list(pool.map(played, rows))
+        found = list(pool.map(run_row, rows))
     print("proxies replaced restarted multiple cold: members that fell, of; in time while cold")
     for key in dict.fromkeys(row[:5] for row, *_ in found):
-        these = [one for one in found if one[0][:5] == key]
-        fell, of = sum(one[1] for one in these), sum(one[2] for one in these)
-        print(*key, f"{fell} of {of}, {sum(one[3] for one in these) / len(these):.2f}")
+        matching = [one for one in found if one[0][:5] == key]
+        overloaded, total = sum(one[1] for one in matching), sum(one[2] for one in matching)
+        print(*key, f"{overloaded} of {total}, {sum(one[3] for one in matching) / len(matching):.2f}")
     print(f"all: {sum(one[1] for one in found)} of {sum(one[2] for one in found)}")
 
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,4 @@
-"""What operators' calls and the log cost: calls a second and their wait beside load, and the log at info.
+"""Cost of operators' calls and of logging: rate and latency of calls under load, and of a log line at info.
 
 python -m benchmarks.control [--seconds 4]
 """
@@ -16,13 +16,13 @@
 
 import uvloop
 
-from benchmarks.scene import Quiet
+from benchmarks.scene import DiscardingLogger
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
 from loadbalancer.daemon.logs import StructuredLogger
 from standins.member import Fleet
 
-FILE = """\
+CONFIG = """\
 [management]
 socket = "s"
 [[listener]]
@@ -36,21 +36,21 @@
 name = "p"
 rules = { new_members = "warm" }
 """
-ASK = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-async def client(address: tuple[str, int], ends: float, times: list[float]) -> None:
+async def run_client(address: tuple[str, int], ends: float, times: list[float]) -> None:
     reader, writer = await asyncio.open_connection(*address)
     while time.perf_counter() < ends:
         began = time.perf_counter()
-        writer.write(ASK)
+        writer.write(REQUEST)
         head = await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0]))
         times.append(time.perf_counter() - began)
     writer.close()
 
 
-async def operator(path: str, ends: float, times: list[float]) -> None:
+async def run_operator(path: str, ends: float, times: list[float]) -> None:
     number = 0
     while time.perf_counter() < ends:
         began = time.perf_counter()
@@ -66,7 +66,7 @@
         number += 1
 
 
-def tail(times: list[float]) -> float:
+def p99(times: list[float]) -> float:
     return sorted(times)[int(0.99 * (len(times) - 1))]
 
 
@@ -75,28 +75,28 @@
     await fleet.start()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "c.toml"
-        path.write_text(FILE + fleet.tables())
-        daemon = Daemon(Quiet(), seed=1)
+        path.write_text(CONFIG + fleet.tables())
+        daemon = Daemon(DiscardingLogger(), seed=1)
         daemon.apply(load(path))
         address = daemon.listeners["main"].address
-        quiet: list[float] = []
-        beside: list[float] = []
+        alone: list[float] = []
+        busy: list[float] = []
         calls: list[float] = []
         for _ in range(3):
             ends = time.perf_counter() + seconds / 3
-            await asyncio.gather(*(client(address, ends, quiet) for _ in range(8)))
+            await asyncio.gather(*(run_client(address, ends, alone) for _ in range(8)))
             ends = time.perf_counter() + seconds / 3
             await asyncio.gather(
-                *(client(address, ends, beside) for _ in range(8)),
-                operator(str(Path(folder) / "s"), ends, calls),
+                *(run_client(address, ends, busy) for _ in range(8)),
+                run_operator(str(Path(folder) / "s"), ends, calls),
             )
         print(
-            f"requests' 99th: {1e3 * tail(quiet):.2f} ms alone, {1e3 * tail(beside):.2f} ms beside changes "
-            f"(ratio {tail(beside) / tail(quiet):.2f}); rate {len(beside) / len(quiet):.2f} of alone"
+            f"requests' 99th: {1e3 * p99(alone):.2f} ms alone, {1e3 * p99(busy):.2f} ms beside changes "
+            f"(ratio {p99(busy) / p99(alone):.2f}); rate {len(busy) / len(alone):.2f} of alone"
         )
         print(
             f"changes: {len(calls) / seconds:.0f} a second one after another beside full load, median "
-            f"{1e3 * statistics.median(calls):.1f} ms, 99th {1e3 * tail(calls):.1f} ms"
+            f"{1e3 * statistics.median(calls):.1f} ms, 99th {1e3 * p99(calls):.1f} ms"
         )
         daemon.close()
     await fleet.stop()
--- a/benchmarks/counted.py
+++ b/benchmarks/counted.py
@@ -1,7 +1,7 @@
-"""The platform's `run` with a count beside each decision: one JSON line each 5 s on standard error.
+"""The platform's `run` with counters of its decisions, written as a JSON line every 5 s to standard error.
 
-Stands in a deploy file in the place of `loadbalancer`, so that the program itself counts nothing more than it
-does for its operators. `benchmarks.fleetcount` adds up the lines of all proxies of a run.
+It replaces `loadbalancer` in a deploy file, so that the program itself needs no counters beyond those for its
+operators. `benchmarks.fleetcount` adds up the lines of all proxies of a run.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import orjson
 
-from benchmarks.fleetcount import MARK
+from benchmarks.fleetcount import LINE_PREFIX
 from loadbalancer.policy.actions import (
     Action,
     Fail,
@@ -34,30 +34,30 @@
 )
 from loadbalancer.proxy import proxy
 
-#: Utilization from which a member counts as busy, under which as idle.
-BUSY, IDLE = 0.9, 0.5
-#: Error share from which a member counts as sick.
-SICK = 0.4
-#: Seconds between two lines. What a line costs is said in docs/design/large-fleet.md, measured on the same seed.
-EVERY_S = 5
+#: Utilization above which a member counts as busy, and below which it counts as idle.
+BUSY_UTILIZATION, IDLE_UTILIZATION = 0.9, 0.5
+#: Error rate above which a member counts as sick.
+SICK_ERROR_RATE = 0.4
+#: Seconds between two lines. The cost of a line, measured on the same seed, is in docs/design/large-fleet.md.
+WRITE_INTERVAL_S = 5
 
 
-class CountedShedding(LoadShedding):
-    """Remembers why the last request was rejected."""
+class RecordingLoadShedding(LoadShedding):
+    """Records why the last request was rejected."""
 
-    why_refused = "placing"
+    rejection_reason = "placing"
 
     def rejects(self, event: Request, is_late: bool, now: float) -> bool:
         rejects = super().rejects(event, is_late, now)
-        self.why_refused = ("late" if is_late else "shed") if rejects else "placing"
+        self.rejection_reason = ("late" if is_late else "shed") if rejects else "placing"
         return rejects
 
 
-class Counted(Balancer):
-    """Counts what comes and what becomes of it, by class and by state of the member."""
+class CountingBalancer(Balancer):
+    """Counts requests, attempts and outcomes, by class and by state of the member."""
 
-    load_shedding: CountedShedding
-    load_shedding_type = CountedShedding
+    load_shedding: RecordingLoadShedding
+    load_shedding_type = RecordingLoadShedding
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -65,7 +65,7 @@
         self.second = 0
 
     def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
-        if int(now) >= self.second + EVERY_S:
+        if int(now) >= self.second + WRITE_INTERVAL_S:
             self.write(now)
         for event in events:
             if isinstance(event, Request):
@@ -101,15 +101,15 @@
             return
         for event in events:
             if isinstance(event, Request) and event.request == action.request:
-                self.count[f"{kind} {self.load_shedding.why_refused} {event.class_index}"] += 1
+                self.count[f"{kind} {self.load_shedding.rejection_reason} {event.class_index}"] += 1
 
     def state(self, server: Endpoint) -> str:
         if self.now - server.warming_since() < self.settings.rules.slow_start_duration:
             return "cold"
-        if linear_decay(server.error_rate, server.error_rate_at, self.now) > SICK:
+        if linear_decay(server.error_rate, server.error_rate_at, self.now) > SICK_ERROR_RATE:
             return "sick"
         util = linear_decay(server.utilization, server.utilization_at, self.now)
-        return "busy" if util > BUSY else "idle" if util < IDLE else "sound"
+        return "busy" if util > BUSY_UTILIZATION else "idle" if util < IDLE_UTILIZATION else "sound"
 
     def write(self, now: float) -> None:
         if self.second:
@@ -124,13 +124,15 @@
                 "usual": self.typical_latency,
                 "born": self.send_rate.started_at,
             }
-            sys.stderr.write(MARK + orjson.dumps(line).decode() + "\n")
-        self.second = int(now) // EVERY_S * EVERY_S  # the same moments for all proxies
+            sys.stderr.write(LINE_PREFIX + orjson.dumps(line).decode() + "\n")
+        self.second = (
+            int(now) // WRITE_INTERVAL_S * WRITE_INTERVAL_S
+        )  # aligned, so that all proxies write for the same spans
         self.count.clear()
 
 
 def main() -> None:
-    setattr(proxy, "Balancer", Counted)  # noqa: B010  # in the only caller of the module
+    setattr(proxy, "Balancer", CountingBalancer)  # noqa: B010  # in the only caller of the module
     from loadbalancer.platform.main import main as run
 
     run()
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,8 +1,8 @@
-"""Processor time of a request's decisions at 10, 60 and 270 members, in one run, and the ratios.
+"""Processor time of the policy's decisions per request with 10, 60 and 270 members, and the ratios in one run.
 
     python -m benchmarks.decisions [--root FOLDER]
 
-`--root`: another checkout, whose module is measured in place of this one; take turns to compare the two.
+`--root` is another checkout, whose code is measured instead of this one; alternate runs to compare the two.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 import sys
 import time
 
-PROXIES, RATE, REQUESTS, OPEN = 40, 200, 20_000, 20
+PROXIES, RATE, REQUESTS, MAX_IN_FLIGHT = 40, 200, 20_000, 20
 
 
 def microseconds(members: int) -> float:
-    """For each request: its arrival and its outcome, with some in flight."""
+    """Return the processor time per request, in microseconds, for its arrival and its outcome."""
     from loadbalancer.policy.actions import (
         Send,
     )
@@ -36,17 +36,17 @@
     entries = tuple(EndpointEntry(f"s{n}", kind=n % 2) for n in range(members))
     now = 100.0
     balancer.handle(now, [EndpointList(entries)])
-    out: list[tuple[int, str]] = []
+    in_flight: list[tuple[int, str]] = []
     began = time.process_time()
     for request in range(REQUESTS):
         now += 1 / RATE
         for action in balancer.handle(now, [Request(request, 0, 1.5)]):
             if isinstance(action, Send):
-                out.append((request, action.endpoint))
-        if len(out) > OPEN:
-            done, server = out.pop(0)
+                in_flight.append((request, action.endpoint))
+        if len(in_flight) > MAX_IN_FLIGHT:
+            done, endpoint = in_flight.pop(0)
             report = {"utilization": 0.6}
-            balancer.handle(now, [Outcome(done, 0, server, AttemptResult.SERVED, 0.1, True, report)])
+            balancer.handle(now, [Outcome(done, 0, endpoint, AttemptResult.SERVED, 0.1, True, report)])
     return (time.process_time() - began) / REQUESTS * 1e6
 
 
@@ -54,10 +54,12 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--root", default=".")
     sys.path.insert(0, parser.parse_args().root)
-    few = microseconds(10)
+    baseline = microseconds(10)
     for members in (10, 60, 270):
-        took = few if members == 10 else microseconds(members)
-        print(f"{members:4} members {took:6.1f} us a request, {took / few:.2f} of 10 members")
+        duration_us = baseline if members == 10 else microseconds(members)
+        print(
+            f"{members:4} members {duration_us:6.1f} us a request, {duration_us / baseline:.2f} of 10 members"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/emulated.py
+++ b/benchmarks/emulated.py
@@ -1,9 +1,9 @@
-"""The emulator beside sockets: the same small scene in both, service by class within five points of one another.
+"""The emulator compared with real sockets: service by class in the same small scene, to agree within five points.
 
 python -m benchmarks.emulated [--seconds 8]
 
-Members with one worker each, which take the log-normal times of the scenario one after the other; clients arrive by a
-Poisson process, try again and return as the scenario says. On sockets a daemon of ours stands between them.
+Members have one worker each, which takes the scenario's log-normal service times one after another; requests arrive as
+a Poisson process and are retried as the scenario says. On sockets, a daemon is the proxy between them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 import uvloop
 
-from benchmarks.scene import Quiet
+from benchmarks.scene import DiscardingLogger
 from emulator.draws import Draws
 from emulator.play import play
 from emulator.scenario import ClassPart, Scenario, at_times, build
@@ -56,18 +56,18 @@
 """
 
 
-class Worker:
-    """A member on a socket: one request at a time."""
+class SocketMember:
+    """A member on a socket that runs one request at a time."""
 
     def __init__(self, scenario: Scenario, seed: int, number: int) -> None:
         draws = Draws(seed)
         self.work = {
             c.name: (c.work, draws.work("work", c.name, number, spread=c.spread)) for c in scenario.class_
         }
-        self.turn = asyncio.Lock()
+        self.worker_lock = asyncio.Lock()
         self.busy, self.window = 0.0, (time.monotonic(), 0.0)
-        self.util = 0.0
-        self.ran = 0
+        self.utilization = 0.0
+        self.executed = 0
 
     async def start(self) -> str:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0, backlog=1024)
@@ -81,11 +81,11 @@
                 mean, draw = self.work["book" if head.startswith(b"POST") else "track"]
                 if head.startswith(b"POST"):
                     await reader.readexactly(1)
-                async with self.turn:
+                async with self.worker_lock:
                     if reader.at_eof():
                         return
                     spent = mean * draw()
-                    self.ran += 1
+                    self.executed += 1
                     await asyncio.sleep(spent)
                     self.busy += spent
                 writer.write(b"HTTP/1.1 200 OK\r\nX-Load: %b\r\nContent-Length: 2\r\n\r\nok" % self.report())
@@ -95,44 +95,48 @@
             writer.close()
 
     def report(self) -> bytes:
-        at, busy = self.window
+        window_start, busy = self.window
         now = time.monotonic()
-        if now - at >= 0.05:
-            self.util = min(1.0, (self.busy - busy) / (now - at))
+        if now - window_start >= 0.05:
+            self.utilization = min(1.0, (self.busy - busy) / (now - window_start))
             self.window = now, self.busy
-        return json.dumps({"utilization": round(self.util, 3)}).encode()
+        return json.dumps({"utilization": round(self.utilization, 3)}).encode()
 
 
 class Clients:
     def __init__(self, scenario: Scenario, seed: int, address: tuple[str, int]) -> None:
         self.scenario, self.address = scenario, address
         draws = Draws(seed)
-        self.gap, self.kind, self.wait = draws.exponential("a"), draws.uniform("c"), draws.uniform("w")
+        self.arrival_gap, self.kind, self.wait = (
+            draws.exponential("a"),
+            draws.uniform("c"),
+            draws.uniform("w"),
+        )
         self.ends: dict[str, Counter[str]] = {cls.name: Counter() for cls in scenario.class_}
-        self.kept: deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = deque()
+        self.idle_connections: deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = deque()
 
     async def run(self) -> None:
         tasks, began, due, number = set(), time.monotonic(), 0.0, 0
         while due < self.scenario.seconds:
-            due += self.gap() / self.scenario.clients.rate
+            due += self.arrival_gap() / self.scenario.clients.rate
             await asyncio.sleep(max(0.0, began + due - time.monotonic()))
             number += 1
             cls = self.scenario.class_[0 if self.kind() < 0.6 else 1]
             task = asyncio.ensure_future(
-                self.one(cls.name, cls.aim, cls.deadline, number, due >= self.scenario.ignore)
+                self.run_request(cls.name, cls.aim, cls.deadline, number, due >= self.scenario.ignore)
             )
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
 
-    async def one(self, name: str, aim: float, deadline: float, number: int, counts: bool) -> None:
+    async def run_request(self, name: str, aim: float, deadline: float, number: int, counts: bool) -> None:
         began, end = time.monotonic(), "given_up"
         for tries in range(self.scenario.clients.retries + 1):
-            left = began + deadline - time.monotonic()
-            if left <= 0:
+            remaining = began + deadline - time.monotonic()
+            if remaining <= 0:
                 break
             try:
-                status = await asyncio.wait_for(self.ask(name, number), left)
+                status = await asyncio.wait_for(self.send_request(name, number), remaining)
             except (TimeoutError, OSError, asyncio.IncompleteReadError):
                 break
             took = time.monotonic() - began
@@ -143,8 +147,12 @@
         if counts:
             self.ends[name][end] += 1
 
-    async def ask(self, name: str, number: int) -> int:
-        reader, writer = self.kept.pop() if self.kept else await asyncio.open_connection(*self.address)
+    async def send_request(self, name: str, number: int) -> int:
+        reader, writer = (
+            self.idle_connections.pop()
+            if self.idle_connections
+            else await asyncio.open_connection(*self.address)
+        )
         try:
             if name == "book":
                 writer.write(
@@ -161,27 +169,27 @@
         if b"connection: close" in head:
             writer.close()
         else:
-            self.kept.append((reader, writer))
+            self.idle_connections.append((reader, writer))
         return int(head[9:12])
 
 
-def table_of(part: ClassPart) -> str:
-    """A class as our configuration has it."""
+def class_table(part: ClassPart) -> str:
+    """Return a class as a table of a daemon's configuration file."""
     times = f'aim = "{part.aim}s"\ndeadline = "{part.deadline}s"\nworth = {part.worth}\nlate_share = 0.0\n'
     keyed = f'effect = "keyed"\ndedup_window = "{part.dedup_window}s"\n' if part.effect == "keyed" else ""
     return f'[[class]]\nname = "{part.name}"\n{times}{keyed}'
 
 
-async def on_sockets(scenario: Scenario, seed: int) -> dict[str, Counter[str]]:
-    workers = [Worker(scenario, seed, number) for number in range(scenario.member[0].count)]
-    tables = "".join(table_of(part) for part in scenario.class_)
+async def run_on_sockets(scenario: Scenario, seed: int) -> dict[str, Counter[str]]:
+    workers = [SocketMember(scenario, seed, number) for number in range(scenario.member[0].count)]
+    tables = "".join(class_table(part) for part in scenario.class_)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "c.toml"
         rows = [
             f'[[pool.member]]\nid = "m{n}"\naddress = "{await w.start()}"\n' for n, w in enumerate(workers)
         ]
         path.write_text(CONFIG.format(classes=tables) + "".join(rows))
-        daemon = Daemon(Quiet(), seed=seed)
+        daemon = Daemon(DiscardingLogger(), seed=seed)
         daemon.apply(load(path))
         clients = Clients(scenario, seed, daemon.listeners["main"].address)
         await clients.run()
@@ -198,16 +206,18 @@
     base = build({**SCENE, "seconds": seconds}, "scene")
     for multiple in (0.5, 0.8, 1.2, 2.0):
         scenario = at_times(base, multiple)
-        real = uvloop.run(on_sockets(scenario, 1))
+        real = uvloop.run(run_on_sockets(scenario, 1))
         runs = [play(scenario, seed) for seed in (1, 2, 3)]
         for cls in scenario.class_:
             ends = real[cls.name]
-            mine = ends["in_aim"] / max(1, sum(ends.values()))
-            modelled = [run.classes[cls.name].ends["in_aim"] / run.classes[cls.name].asked for run in runs]
-            mean = sum(modelled) / len(modelled)
+            in_aim_share = ends["in_aim"] / max(1, sum(ends.values()))
+            emulated_shares = [
+                run.classes[cls.name].ends["in_aim"] / run.classes[cls.name].asked for run in runs
+            ]
+            mean = sum(emulated_shares) / len(emulated_shares)
             print(
-                f"{multiple:.1f} of capacity, {cls.name:6} in aim: sockets {mine:.3f}, emulator {mean:.3f} "
-                f"({min(modelled):.3f} to {max(modelled):.3f}), {100 * (mean - mine):+.1f} points"
+                f"{multiple:.1f} of capacity, {cls.name:6} in aim: sockets {in_aim_share:.3f}, emulator {mean:.3f} "
+                f"({min(emulated_shares):.3f} to {max(emulated_shares):.3f}), {100 * (mean - in_aim_share):+.1f} points"
             )
 
 
--- a/benchmarks/fastcgi.py
+++ b/benchmarks/fastcgi.py
@@ -1,7 +1,7 @@
-"""Requests a second on one core for each combination of HTTP and FastCGI: `python -m benchmarks.fastcgi`.
+"""Requests per second on one core for each combination of HTTP and FastCGI: `python -m benchmarks.fastcgi`.
 
-The four play in turn, round by round, and ratios are to HTTP on both sides within a round. Also the memory that an
-idle and a busy connection hold, as the growth of the proxy's resident set over many of them.
+Each round runs the four combinations, and ratios are to HTTP on both sides in the same round. Also measures the memory
+of an idle and of a busy connection, as the growth of the proxy's resident set over many connections.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from benchmarks.scene import clients, daemon, members, one_pool, ratios, tables
 from standins.clients import fastcgi_request, plain_request
 
-FRONTS = ("http/1.1", "fastcgi")
+PROTOCOLS = ("http/1.1", "fastcgi")
 CONNECTIONS = 400
 
 
@@ -24,15 +24,17 @@
     return one_pool(f'protocol = "{front}"', f'protocol = "{member}"')
 
 
-def resident(pid: int) -> int:
-    """Bytes."""
+def read_resident_bytes(pid: int) -> int:
+    """Return the resident set of a process in bytes."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("VmRSS")).split()[1]) << 10
 
 
-async def held(address: str, pid: int, request: bytes, answered: bool) -> float:
-    """Bytes of the proxy for each of many connections, after an answer or while it is owed. As many stay open
-    before them, so that what grows once, and what could be used again, is not counted."""
+async def measure_connection(address: str, pid: int, request: bytes, answered: bool) -> float:
+    """Return the proxy's memory per connection in bytes, after an answer (`answered`) or while it is outstanding.
+
+    As many connections are opened first and stay open, so that one-time growth and reusable memory aren't counted.
+    """
     host, _, port = address.rpartition(":")
     writers: list[asyncio.StreamWriter] = []
     sizes = []
@@ -44,24 +46,29 @@
             if answered:
                 await reader.read(65536)
         await asyncio.sleep(0.3)
-        sizes.append(resident(pid))
+        sizes.append(read_resident_bytes(pid))
     for writer in writers:
         writer.close()
     return (sizes[1] - sizes[0]) / CONNECTIONS
 
 
-def memory(well: dict[str, str], hung: dict[str, str]) -> None:
-    for front in FRONTS:
+def memory(healthy: dict[str, str], hanging: dict[str, str]) -> None:
+    for front in PROTOCOLS:
         request = (plain_request if front == "http/1.1" else fastcgi_request)("/")()
-        for words, addresses, answered in (("idle", well, True), ("busy", hung, False)):
+        for kind, addresses, answered in (("idle", healthy, True), ("busy", hanging, False)):
             text = config(front, "http/1.1") + tables(addresses)
             with daemon(1, text) as (listeners, pid):
-                grown = asyncio.run(held(listeners["main"], pid, request, answered))
-                print(f"{front} front: {grown / 1024:.1f} KiB for one {words} connection", flush=True)
+                bytes_per_connection = asyncio.run(
+                    measure_connection(listeners["main"], pid, request, answered)
+                )
+                print(
+                    f"{front} front: {bytes_per_connection / 1024:.1f} KiB for one {kind} connection",
+                    flush=True,
+                )
 
 
-def fleet(stack: ExitStack, cores: Sequence[int], *arguments: str) -> dict[str, str]:
-    """Members on several cores: stand-ins in Python take longer over a request of FastCGI than the proxy does."""
+def start_members(stack: ExitStack, cores: Sequence[int], *arguments: str) -> dict[str, str]:
+    """Start members on several cores: the Python stand-ins need more time for a FastCGI request than the proxy."""
     addresses: dict[str, str] = {}
     for core in cores:
         command = ("--members", "4", "--body", "200", *arguments)
@@ -76,11 +83,11 @@
     parser.add_argument("--seconds", type=float, default=2.0)
     options = parser.parse_args()
     load = ["--seconds", str(options.seconds), "--connections", "16"]
-    rows: dict[tuple[str, str], list[dict[str, Any]]] = {(f, m): [] for f in FRONTS for m in FRONTS}
+    rows: dict[tuple[str, str], list[dict[str, Any]]] = {(f, m): [] for f in PROTOCOLS for m in PROTOCOLS}
     with ExitStack() as stack:
-        http = fleet(stack, (2, 4))
-        fcgi = fleet(stack, (5, 6), "--fastcgi")
-        hung = stack.enter_context(members(7, "--members", "4", "--hang"))
+        http = start_members(stack, (2, 4))
+        fcgi = start_members(stack, (5, 6), "--fastcgi")
+        hanging = stack.enter_context(members(7, "--members", "4", "--hang"))
         for _ in range(options.rounds):
             for front, member in rows:
                 addresses = http if member == "http/1.1" else fcgi
@@ -88,12 +95,14 @@
                     listeners,
                     pid,
                 ):
-                    speak = ["--fastcgi"] if front == "fastcgi" else []
-                    result = clients(3, listeners["main"], *load, *speak, pid=pid)
+                    protocol_arguments = ["--fastcgi"] if front == "fastcgi" else []
+                    result = clients(3, listeners["main"], *load, *protocol_arguments, pid=pid)
                 if set(result["statuses"]) != {"200"} or result["lost"]:
-                    raise SystemExit(f"{front} to {member}: not all were served: {result}")
+                    raise SystemExit(
+                        f"{front} to {member}: expected only status 200 and nothing lost, found {result}"
+                    )
                 rows[front, member].append(result)
-        first = rows[FRONTS[0], FRONTS[0]]
+        first = rows[PROTOCOLS[0], PROTOCOLS[0]]
         for (front, member), results in rows.items():
             rate, work = ratios(results, first)
             used = median(r["per_s"] * r["cpu_us"] / 1e4 for r in results)
@@ -104,7 +113,7 @@
                 f"wanted 0.8",
                 flush=True,
             )
-        memory(http, hung)
+        memory(http, hanging)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleetcount.py
+++ b/benchmarks/fleetcount.py
@@ -1,4 +1,4 @@
-"""Where a fleet's worth goes: adds up, by second, what `benchmarks.counted` wrote into the logs of a run.
+"""Adds up, by second, the counters that `benchmarks.counted` wrote into the logs of a run.
 
 python -m benchmarks.fleetcount LOGS [--every SECONDS]
 """
@@ -11,38 +11,43 @@
 
 import orjson
 
-#: What the lines begin with.
-MARK = "counted "
+#: Prefix of the lines.
+LINE_PREFIX = "counted "
 
 
 def read(folder: Path) -> dict[int, Counter[str]]:
-    """Counts by second since the first, of all proxies together."""
+    """Return the counts of all proxies together, by seconds since the first line."""
     seconds: dict[int, Counter[str]] = {}
     for path in sorted(folder.glob("*.log")):
         for line in path.read_text(errors="replace").splitlines():
-            if MARK not in line:
+            if LINE_PREFIX not in line:
                 continue
-            box = orjson.loads(line[line.index(MARK) + len(MARK) :])
-            count = seconds.setdefault(box["second"], Counter())
-            count.update(box["count"])
+            line_data = orjson.loads(line[line.index(LINE_PREFIX) + len(LINE_PREFIX) :])
+            count = seconds.setdefault(line_data["second"], Counter())
+            count.update(line_data["count"])
             count["proxies"] += 1
     first = min(seconds, default=0)
     return {second - first: seconds[second] for second in sorted(seconds)}
 
 
-def gather(seconds: dict[int, Counter[str]], every: int) -> list[tuple[int, Counter[str]]]:
+def group_by_span(seconds: dict[int, Counter[str]], span_s: int) -> list[tuple[int, Counter[str]]]:
     spans: dict[int, Counter[str]] = {}
     for second, count in seconds.items():
-        spans.setdefault(second // every * every, Counter()).update(count)
+        spans.setdefault(second // span_s * span_s, Counter()).update(count)
     return sorted(spans.items())
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("logs", type=Path)
-    parser.add_argument("--every", type=int, default=5, help="seconds, a multiple of what the tool writes by")
-    parsed = parser.parse_args()
-    spans = gather(read(parsed.logs), parsed.every)
+    parser.add_argument(
+        "--every",
+        type=int,
+        default=5,
+        help="length of a span in seconds, a multiple of the interval between lines",
+    )
+    options = parser.parse_args()
+    spans = group_by_span(read(options.logs), options.every)
     names = sorted({name for _, count in spans for name in count})
     print("second".ljust(24), *(f"{second:6}" for second, _ in spans))
     for name in names:
--- a/benchmarks/fleetview.py
+++ b/benchmarks/fleetview.py
@@ -1,16 +1,16 @@
-"""The view of the fleet, measured.
+"""Benchmarks of the fleet's membership view.
 
 python -m benchmarks.fleetview [model | processes | deaths | cost | half ...] [--seeds 1000] [--minutes 10]
 
-model: the state machine in virtual time (emulator/fleetview.py), eight instances over many seeds, then 40, 200 and
-    1,000: seconds until all agree after a start, a join, a crash, partitions and a stop; detection against false
-    suspicions at 0, 1 and 5 % loss; bytes an instance and second.
-processes: the same with eight real processes behind a relay; bytes and processor time an instance at 8, 16
+model: the state machine in virtual time (emulator/fleetview.py), eight instances with many seeds, then 40, 200 and
+    1,000: seconds until all agree after a start, a join, a crash, partitions and a pause; detection time and false
+    suspicions at 0, 1 and 5 % loss; bytes per instance and second.
+processes: the same with eight real processes behind a relay; bytes and processor time per instance with 8, 16
     and 40 idle ones.
-deaths: eight processes under full load and 1 % loss for so many minutes: how many were held dead, and suspected.
-cost: requests a second of one process with the fleet on beside off, in turns in one run.
-half: three and four of eight killed: connections that members are asked for, with the view's number beside one that
-    stands.
+deaths: eight processes under full load and 1 % loss for --minutes: how many were falsely declared dead or suspected.
+cost: requests per second of one process with the fleet enabled and disabled, alternating in one run.
+half: three and four of eight are killed: connections opened at members, with the instance count taken from the view
+    and with a constant one.
 """
 
 from __future__ import annotations
@@ -36,10 +36,10 @@
 from standins.processes import Fleet, One, start
 
 NEVER = 99.0
-#: Seconds of one turn of two that are compared.
+#: Duration, in seconds, of each of the two measurements of a pair.
 TURN_S = 1.0
 ROOT = Path(__file__).parent.parent
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def quantile(values: Sequence[float], part: float) -> float:
@@ -47,7 +47,7 @@
     return ordered[min(len(ordered) - 1, int(len(ordered) * part))]
 
 
-def show(name: str, values: Sequence[float]) -> None:
+def print_quantiles(name: str, values: Sequence[float]) -> None:
     late = sum(value >= NEVER for value in values)
     print(
         f"  {name:28} p50 {quantile(values, 0.5):6.2f}  p99 {quantile(values, 0.99):6.2f}  most {max(values):6.2f} s"
@@ -61,21 +61,21 @@
 EIGHT = tuple(range(8))
 
 
-def one_seed(seed: int) -> dict[str, float]:
-    """Seconds until all agree after each fault; the longest that an instance which is up was held dead."""
+def run_seed(seed: int) -> dict[str, float]:
+    """Return, for each fault, the seconds until all instances agree after it."""
     model = FleetModel(8, seed)
     model.net.loss = 0.01
     found: dict[str, float] = {"all at once": model.start_all() or NEVER}
 
-    def settles(name: str) -> None:
+    def record_settling(name: str) -> None:
         found[name] = model.until(model.settled, 60.0) or NEVER
         model.run(5)
 
     model.run(5)
     model.instances[3].kill()
-    settles("a crash")
+    record_settling("a crash")
     model.instances[3].start()
-    settles("a join")
+    record_settling("a join")
     partitions: tuple[tuple[str, float, list[tuple[int, ...]]], ...] = (
         ("halves, 60 s", 60, [EIGHT[:4], EIGHT[4:]]),
         ("1 against 7, 60 s", 60, [(2,), (0, 1, *EIGHT[3:])]),
@@ -86,26 +86,26 @@
         model.part(*sides)
         model.run(seconds)
         model.heal()
-        settles(name)
+        record_settling(name)
     model.net.cut = {(2, other) for other in EIGHT}
     model.run(20)
     model.heal()
-    settles("one way, 20 s")
+    record_settling("one way, 20 s")
     model.instances[5].stop()
     model.run(5)
     model.instances[5].go_on()
-    settles("stopped for 5 s")
+    record_settling("stopped for 5 s")
     for number in EIGHT[1:]:
         model.instances[number].kill()
     model.run(0.3)
     for number in EIGHT[1:]:
         model.instances[number].start()
-    settles("all but one started again")
+    record_settling("all but one started again")
     return found
 
 
-def one_size(work: tuple[int, int, float, float]) -> dict[str, float]:
-    """Of one fleet under a share of loss: bytes, suspicions of instances that are up, and how soon a crash is seen."""
+def run_size(work: tuple[int, int, float, float]) -> dict[str, float]:
+    """Measure a fleet under loss: bytes, false suspicions and deaths, and how soon a crash is detected."""
     size, seed, loss, seconds = work
     model = FleetModel(size, seed, weighs=True)
     began = model.start_all(240.0) or NEVER
@@ -115,9 +115,9 @@
     count = sum(one.counts["bytes"] for one in model.instances) - before
     suspected = sum(one.view.counters["suspected"] for one in model.instances)
     died = sum(one.view.counters["died"] for one in model.instances)
-    gone = model.instances[size // 2]
-    gone.kill()
-    name = gone.view.identity.name
+    killed_instance = model.instances[size // 2]
+    killed_instance.kill()
+    name = killed_instance.view.identity.name
     seen = (
         model.until(lambda: any(not one.view.table.peers[name].is_live for one in model.up), 60.0, 0.01)
         or NEVER
@@ -136,9 +136,9 @@
 def model_part(seeds: int) -> None:
     with ProcessPoolExecutor() as pool:
         print(f"model, 8 instances, 1 % loss, {seeds} seeds; seconds until all that live hold one digest:")
-        found = list(pool.map(one_seed, range(seeds), chunksize=10))
+        found = list(pool.map(run_seed, range(seeds), chunksize=10))
         for name in found[0]:
-            show(name, [one[name] for one in found])
+            print_quantiles(name, [one[name] for one in found])
         sizes = ((8, 200, 60.0), (40, 40, 30.0), (200, 4, 10.0), (1000, 1, 5.0))
         work = [
             (size, seed, loss, seconds)
@@ -146,7 +146,7 @@
             for loss in (0.0, 0.01, 0.05)
             for seed in range(runs)
         ]
-        rows = list(pool.map(one_size, reversed(work)))[::-1]
+        rows = list(pool.map(run_size, reversed(work)))[::-1]
     print(
         "model, by size and loss: a crash is first seen, and known to all, in seconds (p50, p99); bytes an instance\n"
         "and second; suspicions of living ones an instance and hour; false deaths; all begun at once"
@@ -156,14 +156,16 @@
     )
     for size, _, _ in sizes:
         for loss in (0.0, 0.01, 0.05):
-            mine = [row for item, row in zip(work, rows, strict=True) if item[0] == size and item[2] == loss]
-            seen, known = [row["seen"] for row in mine], [row["all"] for row in mine]
-            count = statistics.mean(r["bytes"] for r in mine)
+            matching = [
+                row for item, row in zip(work, rows, strict=True) if item[0] == size and item[2] == loss
+            ]
+            seen, known = [row["seen"] for row in matching], [row["all"] for row in matching]
+            count = statistics.mean(r["bytes"] for r in matching)
             print(
                 f"  {size:5} {loss:4.0%}  {quantile(seen, 0.5):5.2f}, {quantile(seen, 0.99):5.2f}  "
                 f"{quantile(known, 0.5):5.2f}, {quantile(known, 0.99):5.2f}  {count:6.0f}  "
-                f"{statistics.mean(r['suspected'] for r in mine):6.2f} {sum(r['died'] for r in mine):6.0f}  "
-                f"{quantile([r['began'] for r in mine], 0.5):5.2f}  {len(mine):4}",
+                f"{statistics.mean(r['suspected'] for r in matching):6.2f} {sum(r['died'] for r in matching):6.0f}  "
+                f"{quantile([r['began'] for r in matching], 0.5):5.2f}  {len(matching):4}",
                 flush=True,
             )
 
@@ -172,12 +174,12 @@
 
 
 def used(pid: int) -> float:
-    """Seconds of processor time that a process has used."""
+    """Return the processor time in seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def processor(one: One) -> float:
+def read_processor_time(one: One) -> float:
     assert one.process is not None
     return used(one.process.pid)
 
@@ -197,7 +199,7 @@
             await fleet.settled()
             fleet.network.loss = 0.01
 
-            async def settles(name: str) -> None:
+            async def record_settling(name: str) -> None:
                 began = time.perf_counter()
                 await fleet.settled()
                 found[name].append(time.perf_counter() - began)
@@ -205,9 +207,9 @@
             for number in range(rounds):
                 one = fleet.all[number % 8]
                 await one.kill()
-                await settles("a crash")
+                await record_settling("a crash")
                 await one.start()
-                await settles("a join")
+                await record_settling("a join")
                 if short:
                     continue
                 await asyncio.sleep(1)
@@ -215,12 +217,12 @@
                     fleet.network.part(side, set(range(8)) - set(side))
                     await asyncio.sleep(10)
                     fleet.network.heal()
-                    await settles(name)
+                    await record_settling(name)
                     await asyncio.sleep(1)
     print("8 processes behind a relay, 1 % loss; seconds until all hold one digest, asked each 20 ms:")
     for name, values in found.items():
         if values:
-            show(name, values)
+            print_quantiles(name, values)
     if short:
         await members.stop()
         return
@@ -233,12 +235,12 @@
                 await fleet.settled()
                 took = time.perf_counter() - began
                 before = [
-                    (status["wire"]["bytes out"], processor(one))
+                    (status["wire"]["bytes out"], read_processor_time(one))
                     for status, one in zip(await fleet.statuses(), fleet.all, strict=True)
                 ]
                 await asyncio.sleep(10)
                 after = [
-                    (processor(one), status["wire"]["bytes out"])
+                    (read_processor_time(one), status["wire"]["bytes out"])
                     for status, one in zip(await fleet.statuses(), fleet.all, strict=True)
                 ]
                 out = statistics.mean((b[1] - a[0]) / 10 for a, b in zip(before, after, strict=True))
@@ -251,8 +253,8 @@
 
 
 @asynccontextmanager
-async def eight() -> AsyncIterator[Fleet]:
-    """Eight processes that have settled, before four members."""
+async def start_eight() -> AsyncIterator[Fleet]:
+    """Yield eight processes that agree on their view, with four members."""
     members = Members(4)
     pool = await pool_of(members)
     with tempfile.TemporaryDirectory() as folder:
@@ -264,11 +266,11 @@
 
 
 async def deaths_part(minutes: float) -> None:
-    """Load comes of four further processes, so that all cores are taken."""
-    async with eight() as fleet:
+    """Count false deaths and suspicions while four further processes generate load, so that all cores are busy."""
+    async with start_eight() as fleet:
         fleet.network.loss = 0.01
         ports = [str(one.port) for one in fleet.all]
-        askers = [
+        load_clients = [
             await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -281,12 +283,14 @@
             )
             for _ in range(4)
         ]
-        before = [processor(one) for one in fleet.all]
+        before = [read_processor_time(one) for one in fleet.all]
         ends: Counter[str] = Counter()
-        for one in askers:
+        for one in load_clients:
             out, _ = await one.communicate()
             ends.update(json.loads(out))
-        used = [(processor(one) - b) / minutes / 60 for one, b in zip(fleet.all, before, strict=True)]
+        used = [
+            (read_processor_time(one) - b) / minutes / 60 for one, b in zip(fleet.all, before, strict=True)
+        ]
         found = [one["counts"] for one in await fleet.statuses()]
 
     def total(key: str) -> int:
@@ -300,14 +304,14 @@
 
 
 async def cost_part(pairs: int) -> None:
-    """One process of a fleet of eight beside one without [fleet], both counting with eight."""
-    async with eight() as fleet:
+    """Compare a process of a fleet of eight with one without [fleet], both configured for eight instances."""
+    async with start_eight() as fleet:
         alone = fleet.folder / "alone.toml"
         text = fleet.all[0].config.read_text().replace('socket = "s"', 'socket = "alone"')
         port = fleet._make_instance(99, "127.0.0.1", 99).port
         head, _, rest = text.partition("[fleet]")
         rest = "[[class]]" + rest.partition("[[class]]")[2]
-        # The number of instances decides which connections are kept, so both count with the same.
+        # The number of instances decides which connections are kept open, so both use the same.
         head = f"[process]\ninstances = {len(fleet.all)}\n" + head
         alone.write_text(head + rest.replace(str(fleet.all[0].port), str(port)))
         other = await start(alone)
@@ -319,15 +323,18 @@
 
 
 async def compare(name: str, one: tuple[int, int], other: tuple[int, int], pairs: int) -> None:
-    """Two processes, by number and port, in many short turns: requests a second of closed clients, and, since those
-    share the clients' and members' process and swing, requests for each second of the process's own processor time."""
+    """Compare two processes, given by process id and port, in many short alternating measurements.
+
+    Requests per second of closed-loop clients vary, as the clients and members run in one process. So requests per
+    second of the process's own processor time are compared too.
+    """
     speed, work = [], []
     for turn in range(pairs):
         found = {}
         for pid, port in (one, other) if turn % 2 else (other, one):
             before = used(pid)
             each = await rate(port, TURN_S)
-            found[port] = each, each * TURN_S / max(1 / TICKS, used(pid) - before)
+            found[port] = each, each * TURN_S / max(1 / CLOCK_TICKS_PER_S, used(pid) - before)
         speed.append(found[one[1]][0] / found[other[1]][0])
         work.append(found[one[1]][1] / found[other[1]][1])
     for what, ratios in (("requests a second", speed), ("requests for each second of processor time", work)):
@@ -358,17 +365,17 @@
 
 
 async def half_part() -> None:
-    """Eight instances, 12 members, 7 requests a second at each; then three, or four, are killed."""
+    """Kill three, then four, of eight instances with 12 members and 7 requests a second at each instance."""
     print(
         "of eight killed, 12 members, 7 requests a second at each: connections opened at members for each request,\n"
         "counted by them, before and in spans of 10 s after"
     )
-    stands = (
+    constant_size_prelude = (
         "from loadbalancer.fleet.orchestration.fleet_size import FleetSize; "
         "FleetSize._move = lambda self, now: None"
     )
     for killed in (3, 4):
-        for name, prelude in (("the view's number", ""), ("a number that stands", stands)):
+        for name, prelude in (("the view's number", ""), ("a number that stands", constant_size_prelude)):
             members = Members(12)
             pool = await pool_of(members)
             with tempfile.TemporaryDirectory() as folder:
@@ -377,21 +384,21 @@
                         one.prelude = prelude
                     await fleet.open()
                     await fleet.settled()
-                    askers = Askers([one.port for one in fleet.all], pause=1 / 7)
-                    askers.start()
+                    load_clients = Askers([one.port for one in fleet.all], pause=1 / 7)
+                    load_clients.start()
                     await asyncio.sleep(5)
-                    rows = [await span(members, 10)]
+                    rows = [await count_connections(members, 10)]
                     await asyncio.gather(*(one.kill() for one in fleet.all[8 - killed :]))
-                    rows += [await span(members, 10) for _ in range(3)]
+                    rows += [await count_connections(members, 10) for _ in range(3)]
                     counted = [one["counted_with"] for one in await fleet.statuses()]
-                    await askers.stop()
+                    await load_clients.stop()
             words = "  ".join(f"{opened:.2f} of {requests:.0f}/s" for opened, requests in rows)
             print(f"  {killed} killed, {name:21}{words}; counted with {counted[0]}", flush=True)
             await members.stop()
 
 
-async def span(members: Members, seconds: float) -> tuple[float, float]:
-    """Connections for each request, and requests a second, as the members count them."""
+async def count_connections(members: Members, seconds: float) -> tuple[float, float]:
+    """Return connections opened per request, and requests per second, as counted by the members."""
     before = (
         sum(m.counts.connected for m in members.members),
         sum(m.counts.requests for m in members.members),
@@ -414,7 +421,7 @@
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--minutes", type=float, default=10.0)
     parser.add_argument("--rounds", type=int, default=10)
-    parser.add_argument("--short", action="store_true", help="of processes: crashes and joins alone")
+    parser.add_argument("--short", action="store_true", help="in processes, only crashes and joins")
     parser.add_argument("--pairs", type=int, default=30)
     options: Any = parser.parse_args(arguments)
     if "model" in options.parts:
--- a/benchmarks/importing.py
+++ b/benchmarks/importing.py
@@ -1,4 +1,4 @@
-"""How long an import takes, by the number of members; and the largest memory that it held.
+"""Duration and peak memory of an import, by the number of members.
 
 python -m benchmarks.importing [--members 1000 2500 5000 10000]
 """
@@ -12,8 +12,8 @@
 from loadbalancer.importer.imports import Imported, Options, import_apache
 
 
-class Text:
-    """One file."""
+class SingleFile:
+    """A file source with a single file, whatever the path."""
 
     def __init__(self, text: str) -> None:
         self.data = text.encode()
@@ -25,7 +25,7 @@
         return []
 
 
-def conf(members: int) -> str:
+def make_configuration(members: int) -> str:
     lines = [
         f"  BalancerMember http://10.{n >> 14 & 127}.{n >> 7 & 127}.{n & 127}:8080 loadfactor={1 + n % 9} route=r{n}"
         for n in range(members)
@@ -34,35 +34,35 @@
     return f'Listen 80\n<Proxy "balancer://b">\n{body}\n</Proxy>\nProxyPass / balancer://b/ stickysession=S\n'
 
 
-def run(members: int) -> Imported:
-    made = import_apache(Text(conf(members)), "conf", Options())
-    assert made.text is not None
-    return made
+def run_import(members: int) -> Imported:
+    imported = import_apache(SingleFile(make_configuration(members)), "conf", Options())
+    assert imported.text is not None
+    return imported
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--members", type=int, nargs="+", default=[1000, 2500, 5000, 10000])
-    parsed = parser.parse_args()
-    run(100)
+    options = parser.parse_args()
+    run_import(100)
     base = 0.0
-    for members in parsed.members:
-        best = min(timed(members) for _ in range(3))
+    for members in options.members:
+        best = min(measure_import(members) for _ in range(3))
         base = base or best / members
         tracemalloc.start()
-        run(members)
+        run_import(members)
         peak = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
-        each = best / members
+        mean = best / members
         print(
-            f"{members:6} members  {best:6.2f} s  {1e6 * each:5.0f} us each ({each / base:.2f} of the first)  "
+            f"{members:6} members  {best:6.2f} s  {1e6 * mean:5.0f} us each ({mean / base:.2f} of the first)  "
             f"{peak / (1 << 20):5.1f} MiB"
         )
 
 
-def timed(members: int) -> float:
+def measure_import(members: int) -> float:
     began = time.perf_counter()
-    run(members)
+    run_import(members)
     return time.perf_counter() - began
 
 
--- a/benchmarks/isolation.py
+++ b/benchmarks/isolation.py
@@ -1,7 +1,7 @@
-"""What a pool that hangs does to another one: `python -m benchmarks.isolation`.
+"""Effect of a hanging pool on another one: `python -m benchmarks.isolation`.
 
-Clients of the good pool ask at an even pace, first alone, then while others ask a pool that takes requests and never
-answers; p99 of the good pool's answers, in pairs.
+Clients of the good pool send requests at an even rate, first alone, then while others send to a pool that accepts
+requests and never answers. Compares the p99 latency of the good pool's answers in pairs.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
     parser.add_argument("--hung-connections", type=int, default=150)
     options = parser.parse_args()
     seconds = str(options.seconds)
-    good = ["--path", "/good", "--connections", "20", "--pause", "0.02", "--seconds", seconds]
-    hung = [
+    good_load = ["--path", "/good", "--connections", "20", "--pause", "0.02", "--seconds", seconds]
+    hung_load = [
         "--path",
         "/hung",
         "--connections",
@@ -56,26 +56,31 @@
     ]
     ratios = []
     with (
-        members(2, "--members", "4", "--delay", "0.005") as well,
-        members(4, "--members", "4", "--hang") as ill,
+        members(2, "--members", "4", "--delay", "0.005") as healthy,
+        members(4, "--members", "4", "--hang") as hanging_members,
         ThreadPoolExecutor() as threads,
     ):
-        pools = '[[pool]]\nname = "good"\n' + tables(well) + '[[pool]]\nname = "hung"\n' + tables(ill)
+        pools = (
+            '[[pool]]\nname = "good"\n'
+            + tables(healthy)
+            + '[[pool]]\nname = "hung"\n'
+            + tables(hanging_members)
+        )
         for number in range(options.rounds):
             with daemon(1, CONFIG + pools) as (listeners, _):
-                alone = clients(3, listeners["main"], *good)
-                other = threads.submit(clients, 5, listeners["main"], *hung)
-                beside = clients(3, listeners["main"], *good)
-                hanging = other.result()
-            for result in (alone, beside):
+                alone = clients(3, listeners["main"], *good_load)
+                hanging_clients = threads.submit(clients, 5, listeners["main"], *hung_load)
+                during_load = clients(3, listeners["main"], *good_load)
+                hanging_result = hanging_clients.result()
+            for result in (alone, during_load):
                 if set(result["statuses"]) != {"200"} or result["lost"]:
-                    raise SystemExit(f"the good pool did not serve all: {result}")
-            if "200" in hanging["statuses"]:
-                raise SystemExit(f"the pool that hangs answered: {hanging}")
-            ratios.append(beside["p99"] / alone["p99"])
+                    raise SystemExit(f"good pool: expected only status 200 and nothing lost, found {result}")
+            if "200" in hanging_result["statuses"]:
+                raise SystemExit(f"hanging pool: expected no status 200, found {hanging_result}")
+            ratios.append(during_load["p99"] / alone["p99"])
             print(
-                f"round {number + 1}: p99 alone {alone['p99'] * 1e3:.2f} ms, beside {beside['p99'] * 1e3:.2f} ms, "
-                f"ratio {ratios[-1]:.2f}; the other got {hanging['statuses']}",
+                f"round {number + 1}: p99 alone {alone['p99'] * 1e3:.2f} ms, beside {during_load['p99'] * 1e3:.2f} ms, "
+                f"ratio {ratios[-1]:.2f}; the other got {hanging_result['statuses']}",
                 flush=True,
             )
     print(f"ratio: median {median(ratios):.2f} ({min(ratios):.2f} to {max(ratios):.2f}); wanted at most 1.2")
--- a/benchmarks/networks.py
+++ b/benchmarks/networks.py
@@ -1,4 +1,4 @@
-"""Whether an address is in a set of networks: the radix tree beside going through them one by one, in one run.
+"""Lookup of an address in a set of networks: the radix tree compared with a linear search, in one run.
 
 python -m benchmarks.networks
 """
@@ -15,38 +15,38 @@
 from loadbalancer.admission.networks import Networks
 
 ADDRESSES = 1000
-TURNS = 5
+ROUNDS = 5
 
 
-def time_of(question: Callable[[str], bool], peers: list[str]) -> float:
-    """Microseconds for each address."""
+def measure_lookup_us(contains: Callable[[str], bool], peers: list[str]) -> float:
+    """Return microseconds per lookup."""
     began = time.perf_counter()
     for peer in peers:
-        question(peer)
+        contains(peer)
     return (time.perf_counter() - began) / len(peers) * 1e6
 
 
 def measure(count: int) -> str:
-    draws = random.Random(count)
-    plain = [ipaddress.ip_network((draws.getrandbits(32) & ~0xFF, 24)) for _ in range(count)]
-    peers = [str(ipaddress.ip_address(draws.getrandbits(32))) for _ in range(ADDRESSES)]
+    random_source = random.Random(count)
+    networks = [ipaddress.ip_network((random_source.getrandbits(32) & ~0xFF, 24)) for _ in range(count)]
+    peers = [str(ipaddress.ip_address(random_source.getrandbits(32))) for _ in range(ADDRESSES)]
     tracemalloc.start()
-    tree = Networks(plain)
-    held = tracemalloc.get_traced_memory()[0]
+    tree = Networks(networks)
+    tree_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
 
     def one_by_one(peer: str) -> bool:
         address = ipaddress.ip_address(peer)
-        return any(address in network for network in plain)
+        return any(address in network for network in networks)
 
-    mine, theirs = [], []
-    for _ in range(TURNS):
-        mine.append(time_of(tree.__contains__, peers))
-        theirs.append(time_of(one_by_one, peers[: max(20, 20_000 // count)]))
-    a, b = statistics.median(mine), statistics.median(theirs)
+    tree_times, scan_times = [], []
+    for _ in range(ROUNDS):
+        tree_times.append(measure_lookup_us(tree.__contains__, peers))
+        scan_times.append(measure_lookup_us(one_by_one, peers[: max(20, 20_000 // count)]))
+    tree_us, scan_us = statistics.median(tree_times), statistics.median(scan_times)
     return (
-        f"{count:5} networks: tree {a:6.2f} us, one by one {b:8.2f} us, ratio {b / a:7.1f}; "
-        f"{held // 1024} KiB in Python"
+        f"{count:5} networks: tree {tree_us:6.2f} us, one by one {scan_us:8.2f} us, ratio {scan_us / tree_us:7.1f}; "
+        f"{tree_bytes // 1024} KiB in Python"
     )
 
 
--- a/benchmarks/scene.py
+++ b/benchmarks/scene.py
@@ -1,4 +1,4 @@
-"""Processes of a measurement: members, a proxy on one core, clients; each on a core of its own."""
+"""Runs the processes of a benchmark: members, a proxy and clients, each pinned to a core of its own."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 ROOT = Path(__file__).parent.parent
 
-#: Names of the proxy's package, the present one first: a revision to compare with may have the earlier one.
+#: Names of the proxy's package, the current one first: an older revision may have the earlier name.
 PACKAGE_NAMES = ("loadbalancer", "spokemast")
 
-#: Settings of a platform's configuration, enough for `run`.
+#: Minimal settings of a platform's configuration for `run`.
 PLATFORM: dict[str, Any] = {
     "me": 0, "n-instances": 2, "zones": ["a", "b"], "kinds": ["std"], "locality": 0, "registry-mode": "automatic",
     "classes": [
@@ -34,15 +34,15 @@
 }  # fmt: skip
 
 
-class Quiet(RateLimitedLogger):
-    """A log that says nothing."""
+class DiscardingLogger(RateLimitedLogger):
+    """A logger that discards everything."""
 
     def __call__(self, kind: str, text: object = "") -> None:
         pass
 
 
 def arguments(description: str | None, base: str, connections: int) -> argparse.Namespace:
-    """What a measurement of two builds takes: rounds, seconds, connections, and the build before."""
+    """Parse the options of a benchmark of two builds: rounds, seconds, connections, and the revision of the other."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=3.0)
@@ -57,7 +57,7 @@
 
 @contextmanager
 def process(core: int, *command: str, **options: Any) -> Iterator[subprocess.Popen[str]]:
-    """A child on one core; ended by its own id."""
+    """Run a child process pinned to one core; kill it at the end."""
     child = subprocess.Popen(
         [sys.executable, *command],
         cwd=options.pop("cwd", ROOT),
@@ -78,13 +78,13 @@
     assert child.stdout is not None
     line = child.stdout.readline()
     if not line:
-        raise SystemExit(f"a process of the measurement ended early: {child.args!r}")
+        raise SystemExit(f"a process ended before it wrote a line: {child.args!r}")
     return line
 
 
 @contextmanager
 def members(core: int, *arguments: str) -> Iterator[dict[str, str]]:
-    """Addresses of stand-in members by their names."""
+    """Run stand-in members and yield their addresses by name."""
     with process(core, "-m", "standins", *arguments) as child:
         yield json.loads(read_line(child))
 
@@ -96,7 +96,10 @@
 
 
 def platform_configuration(listen: str, addresses: dict[str, str], sockets: int) -> dict[str, Any]:
-    """Return a configuration of the platform's form: `addresses` of the endpoints by name, `sockets` at most."""
+    """Return a configuration of the platform's form.
+
+    `addresses` are the endpoints' addresses by name; `sockets` is the limit of sockets.
+    """
     entries = [
         {
             "id": name,
@@ -125,24 +128,27 @@
 def platform_proxy(
     core: int, addresses: dict[str, str], tree: Path = ROOT, management: str = ""
 ) -> Iterator[tuple[str, int]]:
-    """`run` of a checkout: its address and process id; `management`: where operators call, if they do."""
+    """Start `run` of a checkout and yield its address and process id.
+
+    `management` is the operators' address; empty for none.
+    """
     address = f"127.0.0.1:{free_port()}"
-    box = platform_configuration(address, addresses, sockets=1024)
+    document = platform_configuration(address, addresses, sockets=1024)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(box))
+        path.write_text(json.dumps(document))
         env = dict(os.environ, GW_CONFIG=str(path), PYTHONPATH=str(tree), GW_MANAGEMENT=management)
         with process(core, "-m", package_name(tree), cwd=tree, env=env, stderr=subprocess.PIPE) as child:
             assert child.stderr is not None
             while "listening" not in (line := child.stderr.readline()):
                 if not line:
-                    raise SystemExit(f"the proxy of {tree} did not start")
+                    raise SystemExit(f"the proxy of {tree} ended before it was listening")
             yield address, child.pid
 
 
 @contextmanager
 def daemon(core: int, text: str) -> Iterator[tuple[dict[str, str], int]]:
-    """`micastand serve` on a configuration: addresses of its listeners by name, and its process id."""
+    """Start `micastand serve` with a configuration; yield its listeners' addresses by name, and its process id."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "micastand.toml"
         path.write_text(text)
@@ -150,8 +156,8 @@
         with process(core, *command, stderr=subprocess.DEVNULL) as child:
             listeners = {}
             for _ in range(text.count("[[listener]]")):
-                words = read_line(child).split()
-                listeners[words[1]] = words[-1].removeprefix("http://").rstrip("/")
+                fields_of_line = read_line(child).split()
+                listeners[fields_of_line[1]] = fields_of_line[-1].removeprefix("http://").rstrip("/")
             yield listeners, child.pid
 
 
@@ -177,16 +183,21 @@
 
 
 def one_pool(listener: str = "", pool: str = "", descriptors: int = 4096) -> str:
-    """One listener, route and pool, with further lines of the first and the last; the pool's members follow."""
+    """Return a configuration of one listener, route and pool, to which the pool's members are to be appended.
+
+    `listener` and `pool` are further lines of these tables.
+    """
     return ONE_POOL.format(listener=listener, pool=pool, descriptors=descriptors)
 
 
 def ratios(
     results: Sequence[dict[str, Any]], first: Sequence[dict[str, Any]]
 ) -> tuple[list[float], list[float]]:
-    """Requests a second and by processor time, each to what came first in the same round."""
+    """Return the ratios to `first`, round by round: of requests per second, and of requests per processor time."""
     pairs = list(zip(results, first, strict=True))
-    return [a["per_s"] / b["per_s"] for a, b in pairs], [b["cpu_us"] / a["cpu_us"] for a, b in pairs]
+    return [result["per_s"] / baseline["per_s"] for result, baseline in pairs], [
+        baseline["cpu_us"] / result["cpu_us"] for result, baseline in pairs
+    ]
 
 
 def tables(addresses: dict[str, str], weights: Sequence[float] = ()) -> str:
@@ -198,10 +209,10 @@
 
 
 def clients(core: int, address: str, *arguments: str, pid: int | None = None) -> dict[str, Any]:
-    """Run stand-in clients to their end; with `pid`, also that process's seconds of processor a request."""
+    """Run stand-in clients to completion; with `pid`, also measure that process's processor time per request."""
     with process(core, "-m", "standins.clients", address, *arguments) as child:
         if read_line(child).strip() != "warm":
-            raise SystemExit("the clients did not start")
+            raise SystemExit(f"clients of {address} did not report that they are warm")
         before = cpu(pid) if pid is not None else 0.0
         result: dict[str, Any] = json.loads(read_line(child))
         if pid is not None and result["count"]:
@@ -210,7 +221,7 @@
 
 
 def cpu(pid: int) -> float:
-    """Seconds of processor that a process has used."""
+    """Return the processor time in seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,17 +1,19 @@
-"""A soak of real processes: clients use every open connection until the kill, signals come in series.
+"""A soak test of real processes: clients use every connection until the process is killed, amid series of signals.
 
 python -m benchmarks.soak [--seeds 50] [--first 1] [--seconds 6] [--side-by-side 2] [--hold-up 0.15] [--hang-at-end]
                           [--unread-log]
 
-Each seed is one run: a few lives of the platform's `run`, every fourth one of `serve`, over stand-ins of members and
-discovery. A life ends by SIGTERM, and by SIGKILL at the earliest that the platform allows. Members hang, are slow,
-drain, and close idle connections; in some runs a crowd of idle clients takes the descriptors. With --hold-up S the
-process is stopped for at most so long now and then, and over each step of its end; with --hang-at-end all members
-hang through each shutdown; with --unread-log the process's standard error is a full pipe that nobody reads.
-
-Checked: each request gets one answer, in time, made for it; what is unsafe runs once, what has a key only inside its
-window; a draining member gets nothing after its grace; no process ends before it is told to; no descriptor is left. A
-seed replays its schedule; the first broken rule is printed with what led there.
+Each seed is one run, which starts and ends a few processes one after another: the platform's `run`, for every fourth
+seed `serve`, with stand-in members and discovery. A process gets SIGTERM, and SIGKILL at the earliest moment that the
+platform allows. Members hang, are slow, drain, and close idle connections; in some runs many idle clients use up the
+descriptors. With --hold-up S the process is paused for at most S seconds at random moments and during each step of its
+shutdown; with --hang-at-end all members hang during each shutdown; with --unread-log the process's standard error is
+a full pipe that nobody reads.
+
+Rules that are checked: each request gets exactly one answer, its own, in time; an unsafe request runs once, one with
+a key repeatedly only inside its window; a draining member gets nothing after its grace period; no process ends before
+it is told to; no descriptor leaks. A seed replays its schedule; the first broken rule is printed with the events before
+it.
 """
 
 from __future__ import annotations
@@ -42,20 +44,21 @@
 DEADLINE_S = 1.5
 DRAIN_GRACE_S = 1.0
 KEY_WINDOW_S = 3.0
-#: Seconds after the longest deadline at which SIGKILL comes at the earliest.
-KILL_S = 0.7
-#: Seconds in which a process has to be ready.
-READY_S = 30.0
+#: Earliest time of SIGKILL, in seconds after the longest deadline.
+KILL_DELAY_S = 0.7
+#: Time limit, in seconds, for a process to accept connections.
+START_TIMEOUT_S = 30.0
 SOCKETS = 256
-#: Idle connections of a crowd: past what a process may hold.
-CROWD = 240
-#: Descriptors that a process may hold at rest beside those of its start: kept connections to members, discovery.
+#: Number of idle connections in runs with idle clients: more than a process may hold.
+IDLE_CLIENTS = 240
+#: Descriptors that a process may hold without clients, beside those held at its start: idle connections to members and
+#: connections to discovery.
 RESTING_DESCRIPTORS = 6 * MEMBERS + 4
-#: Seconds in which descriptors of clients that have left are given back.
-REST_S = 4.0
-#: Seconds in which the peers' connections end after the last process.
-PEERS_END_S = 0.1
-SERIES = (
+#: Time limit, in seconds, for the process to close the descriptors of clients that have disconnected.
+DESCRIPTOR_RELEASE_S = 4.0
+#: Seconds to wait for the peers' connections to close after the last process has ended.
+PEERS_CLOSE_S = 0.1
+SIGNAL_SERIES = (
     (signal.SIGHUP, signal.SIGTERM),
     (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM),
     (signal.SIGTERM, signal.SIGTERM),
@@ -83,7 +86,7 @@
               "overload-factor": 2.5, "fall-s": 2.0},
 }  # fmt: skip
 
-SERVE = """\
+SERVE_CONFIGURATION = """\
 [management]
 socket = "s"
 [[class]]
@@ -107,11 +110,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Disturbances:
-    """What is asked for beside the schedule of a seed.
+    """Disturbances in addition to the schedule of a seed.
 
     Attributes:
-        hold_up_s: How long a hold-up of the process takes at most; 0: there are none.
-        hangs_at_end: Whether all members hang through each shutdown.
+        hold_up_s: Longest time in seconds that the process is paused for; 0 disables pauses.
+        hangs_at_end: Whether all members hang during each shutdown.
         log_is_unread: Whether nobody reads what the process writes to its standard error.
     """
 
@@ -120,48 +123,48 @@
     log_is_unread: bool = False
 
 
-#: What CI plays.
+#: The default, used in CI.
 UNDISTURBED = Disturbances()
 
 
 @dataclass
 class Schedule:
-    """What a seed draws.
+    """The random decisions of one run, drawn from its seed.
 
     Attributes:
         is_daemon: Whether the process is `serve`.
-        has_crowd: Whether idle clients take the descriptors.
-        idle_close_s: When members close idle connections.
-        lives: Of each life: seconds until its series of signals, the series, and the seconds between two of them.
-        troubles: When which member begins and ends to hang or to be slow, or begins to drain.
+        has_idle_clients: Whether idle clients use up the descriptors.
+        idle_close_s: Seconds after which members close idle connections.
+        process_runs: For each process: seconds until its series of signals, the series, and seconds between signals.
+        faults: Start, end, member and kind of each fault: a member hangs or is slow, or starts to drain.
     """
 
     seed: int
     seconds: float
     is_daemon: bool = False
-    has_crowd: bool = False
+    has_idle_clients: bool = False
     idle_close_s: float = 5.0
-    lives: list[tuple[float, tuple[signal.Signals, ...], float]] = field(default_factory=list)
-    troubles: list[tuple[float, float, int, str]] = field(default_factory=list)
+    process_runs: list[tuple[float, tuple[signal.Signals, ...], float]] = field(default_factory=list)
+    faults: list[tuple[float, float, int, str]] = field(default_factory=list)
 
     @classmethod
-    def drawn(cls, seed: int, seconds: float) -> Schedule:
-        """The schedule of a seed."""
-        source = random.Random(seed)
-        schedule = cls(seed, seconds, seed % 4 == 0, seed % 5 == 3, source.choice((0.3, 1.0, 5.0)))
+    def from_seed(cls, seed: int, seconds: float) -> Schedule:
+        """Return the schedule of a seed."""
+        random_source = random.Random(seed)
+        schedule = cls(seed, seconds, seed % 4 == 0, seed % 5 == 3, random_source.choice((0.3, 1.0, 5.0)))
         for _ in range(2):
-            length_s = seconds / 2 * (0.7 + 0.6 * source.random())
-            series = (signal.SIGHUP,) * source.choice((0, 0, 1)) + source.choice(SERIES)
-            schedule.lives.append((length_s, series, source.choice((0.0, 0.02, 0.3))))
-        for _ in range(source.randrange(4)):
-            start_s = seconds * source.random()
-            trouble = source.choice(("hang", "slow", "drain"))
-            schedule.troubles.append((start_s, start_s + 1.0, source.randrange(MEMBERS), trouble))
+            duration_s = seconds / 2 * (0.7 + 0.6 * random_source.random())
+            series = (signal.SIGHUP,) * random_source.choice((0, 0, 1)) + random_source.choice(SIGNAL_SERIES)
+            schedule.process_runs.append((duration_s, series, random_source.choice((0.0, 0.02, 0.3))))
+        for _ in range(random_source.randrange(4)):
+            start_s = seconds * random_source.random()
+            fault = random_source.choice(("hang", "slow", "drain"))
+            schedule.faults.append((start_s, start_s + 1.0, random_source.randrange(MEMBERS), fault))
         return schedule
 
 
 class Soak:
-    """One run. It owns its processes, peers and tasks until `run` returns."""
+    """Runs one seed. It owns its processes, peers and tasks until `run` returns."""
 
     def __init__(self, schedule: Schedule, folder: Path, disturbances: Disturbances = UNDISTURBED) -> None:
         self.schedule = schedule
@@ -172,26 +175,26 @@
         self._members = [
             SoakMember(f"m{number}", self.journal, schedule.idle_close_s) for number in range(MEMBERS)
         ]
-        self._discoveries = [SoakDiscovery(self._told), SoakDiscovery(self._told)]
+        self._discoveries = [SoakDiscovery(self._on_drain_sent), SoakDiscovery(self._on_drain_sent)]
         self._hangs_at_end = disturbances.hangs_at_end
         self._log_is_unread = disturbances.log_is_unread
         self._unread_log: UnreadLog | None = None
         self._hold_ups = HoldUps(disturbances.hold_up_s, schedule.seed, DEADLINE_S, self.journal)
         self._current = 0
-        self._crowd: list[asyncio.StreamWriter] = []
+        self._idle_writers: list[asyncio.StreamWriter] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Play the schedule."""
+        """Run the schedule."""
         await self._open_peers()
-        self._spawn(self.journal.watch_lateness())
-        self._spawn(self._trouble_members())
+        self._start_task(self.journal.measure_loop_lag())
+        self._start_task(self._apply_faults())
         address = _free_address()
         if self._log_is_unread:
             self._unread_log = UnreadLog()
         try:
-            for number, (length_s, series, pause_s) in enumerate(self.schedule.lives):
-                await self._live(number, address, length_s, series, pause_s)
+            for number, (duration_s, series, pause_s) in enumerate(self.schedule.process_runs):
+                await self._run_process(number, address, duration_s, series, pause_s)
         finally:
             for task in self._tasks:
                 task.cancel()
@@ -201,10 +204,10 @@
                 discovery.stop()
             if self._unread_log is not None:
                 self._unread_log.close()
-            await asyncio.sleep(PEERS_END_S)
+            await asyncio.sleep(PEERS_CLOSE_S)
         self._check_effects()
 
-    def _spawn(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         self._tasks.append(asyncio.ensure_future(work))
 
     async def _open_peers(self) -> None:
@@ -221,10 +224,10 @@
 
     # The process.
 
-    def _write(self, address: Address) -> Path:
+    def _write_configuration(self, address: Address) -> Path:
         if self.schedule.is_daemon:
             path = self._folder / "soak.toml"
-            text = SERVE.format(deadline_ms=DEADLINE_S * 1000, address="{}:{}".format(*address))
+            text = SERVE_CONFIGURATION.format(deadline_ms=DEADLINE_S * 1000, address="{}:{}".format(*address))
             for member in self._members:
                 text += f'[[pool.member]]\nid = "{member.name}"\naddress = "{member.address}"\n'
             path.write_text(text)
@@ -246,7 +249,7 @@
         return path
 
     async def _start(self, number: int, address: Address) -> asyncio.subprocess.Process:
-        path = self._write(address)
+        path = self._write_configuration(address)
         words = ["-m", "loadbalancer"]
         if self.schedule.is_daemon:
             words = ["-m", "loadbalancer.cli", "serve", "-c", str(path)]
@@ -256,23 +259,23 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable, *words, cwd=ROOT, env=environment, stdout=log, stderr=errors
             )
-        self.journal.note(f"life {number}: process {process.pid} starts")
+        self.journal.record(f"life {number}: process {process.pid} starts")
         if self._random.random() < 0.3 and not self.schedule.is_daemon:
-            await self._hang_up_while_it_starts(process, address)
-        async with asyncio.timeout(READY_S):
+            await self._send_sighup_during_start(process, address)
+        async with asyncio.timeout(START_TIMEOUT_S):
             while not await _accepts(address):
                 if process.returncode is not None:
-                    self.journal.breaks(
+                    self.journal.record_violation(
                         "crash", f"life {number} ended with {process.returncode} at its start"
                     )
                     break
                 await asyncio.sleep(0.02)
         return process
 
-    async def _hang_up_while_it_starts(self, process: asyncio.subprocess.Process, address: Address) -> None:
-        """As soon as the program has said how it takes the signal: before, the system ends any process."""
-        async with asyncio.timeout(READY_S):
-            while process.returncode is None and not _heeds_hang_up(process.pid):
+    async def _send_sighup_during_start(self, process: asyncio.subprocess.Process, address: Address) -> None:
+        """Send SIGHUP once the program has installed its handler: before, the signal would terminate the process."""
+        async with asyncio.timeout(START_TIMEOUT_S):
+            while process.returncode is None and not _handles_sighup(process.pid):
                 await asyncio.sleep(0.002)
         await asyncio.sleep(0.2 * self._random.random())
         await self._send(process, signal.SIGHUP, address)
@@ -282,62 +285,67 @@
     ) -> None:
         if number == signal.SIGHUP and not self.schedule.is_daemon:
             self._current = 1 - self._current
-            self._write(address)
-        self.journal.note(f"{number.name}; {read_usage(process.pid)}")
+            self._write_configuration(address)
+        self.journal.record(f"{number.name}; {read_usage(process.pid)}")
         with suppress(ProcessLookupError):
             process.send_signal(number)
 
-    async def _live(
+    async def _run_process(
         self,
         number: int,
         address: Address,
-        length_s: float,
+        duration_s: float,
         series: tuple[signal.Signals, ...],
         pause_s: float,
     ) -> None:
         process = await self._start(number, address)
-        self._spawn(UsageRecord(process.pid, self.journal).watch())
+        self._start_task(UsageRecord(process.pid, self.journal).watch())
         self._hold_ups.begin(process)
         descriptors = _descriptors(process.pid)
-        clients = [self._client(number * CLIENTS + each, address) for each in range(CLIENTS)]
+        clients = [self._make_client(number * CLIENTS + each, address) for each in range(CLIENTS)]
         tasks = [asyncio.ensure_future(client.run()) for client in clients]
-        await self._crowd_in(address)
-        await asyncio.sleep(max(1.0, length_s))
-        if number == 0 and not self.schedule.has_crowd:
+        await self._open_idle_connections(address)
+        await asyncio.sleep(max(1.0, duration_s))
+        if number == 0 and not self.schedule.has_idle_clients:
             tasks = await self._check_descriptors(process, descriptors, clients, tasks)
         if process.returncode is not None:
-            self.journal.breaks("crash", f"life {number} ended with {process.returncode}")
-        self._hang(self._hangs_at_end)
-        await self._hold_ups.begin_end(process)
-        await self._end(process, series, pause_s, address)
+            self.journal.record_violation("crash", f"life {number} ended with {process.returncode}")
+        self._set_hanging(self._hangs_at_end)
+        await self._hold_ups.begin_shutdown(process)
+        await self._shut_down(process, series, pause_s, address)
         await self._hold_ups.close()
-        self._hang(False)
+        self._set_hanging(False)
         for client in clients:
             client.stopped = True
         await asyncio.gather(*tasks)
-        for writer in self._crowd:
+        for writer in self._idle_writers:
             writer.close()
-        self._crowd.clear()
+        self._idle_writers.clear()
         self._check_log(number)
 
-    def _client(self, number: int, address: Address) -> SoakClient:
-        source = random.Random(self.schedule.seed * 1000 + number)
-        has_crowd = self.schedule.has_crowd
-        return SoakClient(number, address, self.journal, source, DEADLINE_S, has_crowd, self.counts)
+    def _make_client(self, number: int, address: Address) -> SoakClient:
+        random_source = random.Random(self.schedule.seed * 1000 + number)
+        has_idle_clients = self.schedule.has_idle_clients
+        return SoakClient(
+            number, address, self.journal, random_source, DEADLINE_S, has_idle_clients, self.counts
+        )
 
-    async def _crowd_in(self, address: Address) -> None:
-        for _ in range(CROWD if self.schedule.has_crowd else 0):
+    async def _open_idle_connections(self, address: Address) -> None:
+        for _ in range(IDLE_CLIENTS if self.schedule.has_idle_clients else 0):
             with suppress(OSError):
-                self._crowd.append((await asyncio.open_connection(*address))[1])
+                self._idle_writers.append((await asyncio.open_connection(*address))[1])
 
-    async def _end(
+    async def _shut_down(
         self,
         process: asyncio.subprocess.Process,
         series: tuple[signal.Signals, ...],
         pause_s: float,
         address: Address,
     ) -> None:
-        """The series of signals; SIGKILL at its earliest. A second SIGTERM ends a daemon at once, as it is to."""
+        """Send the series of signals, and SIGKILL at its earliest time.
+
+        A daemon gets no second SIGTERM, as that would end it at once, by design.
+        """
         terminated_at = 0.0
         for number in series:
             if number == signal.SIGTERM and terminated_at and self.schedule.is_daemon:
@@ -346,41 +354,41 @@
             if number == signal.SIGTERM and not terminated_at:
                 terminated_at = time.monotonic()
             await asyncio.sleep(pause_s)
-        left_s = terminated_at + DEADLINE_S + KILL_S - time.monotonic()
+        left_s = terminated_at + DEADLINE_S + KILL_DELAY_S - time.monotonic()
         with suppress(TimeoutError):
             await asyncio.wait_for(process.wait(), left_s)
         if process.returncode is None:
-            self.journal.note(f"SIGKILL; {read_usage(process.pid)}; {describe_sockets(address)}")
-            self.journal.note(f"its threads: {describe_threads(process.pid)}")
+            self.journal.record(f"SIGKILL; {read_usage(process.pid)}; {describe_sockets(address)}")
+            self.journal.record(f"its threads: {describe_threads(process.pid)}")
             process.kill()
             await process.wait()
         elif process.returncode:
-            self.journal.breaks("crash", f"ended with {process.returncode} after SIGTERM")
-        self.journal.note("the process has ended")
+            self.journal.record_violation("crash", f"ended with {process.returncode} after SIGTERM")
+        self.journal.record("the process has ended")
 
-    # Troubles and checks.
+    # Faults and checks.
 
-    def _hang(self, hangs: bool) -> None:
+    def _set_hanging(self, hangs: bool) -> None:
         for member in self._members:
-            member.trouble = "hang" if hangs else ""
+            member.fault = "hang" if hangs else ""
 
-    def _told(self, name: str) -> None:
-        """The process has been sent that a member drains: from its grace on, nothing may come there."""
+    def _on_drain_sent(self, name: str) -> None:
+        """Set the deadline after which a member may get no request; the process has just been sent that it drains."""
         member = next(member for member in self._members if member.name == name)
-        member.drains_from = min(member.drains_from, time.monotonic() + DRAIN_GRACE_S)
+        member.drain_deadline = min(member.drain_deadline, time.monotonic() + DRAIN_GRACE_S)
 
-    async def _trouble_members(self) -> None:
-        for start_s, end_s, number, trouble in sorted(self.schedule.troubles):
-            await asyncio.sleep(max(0.0, self.journal.began + start_s - time.monotonic()))
+    async def _apply_faults(self) -> None:
+        for start_s, end_s, number, fault in sorted(self.schedule.faults):
+            await asyncio.sleep(max(0.0, self.journal.started_at + start_s - time.monotonic()))
             member = self._members[number]
-            self.journal.note(f"{member.name}: {trouble}")
-            if trouble == "drain" and not self.schedule.is_daemon:
+            self.journal.record(f"{member.name}: {fault}")
+            if fault == "drain" and not self.schedule.is_daemon:
                 for discovery in self._discoveries:
                     discovery.change(self._entry(member, "DRAINING"))
-            elif trouble != "drain":
-                member.trouble = trouble
+            elif fault != "drain":
+                member.fault = fault
                 await asyncio.sleep(end_s - start_s)
-                member.trouble = ""
+                member.fault = ""
 
     async def _check_descriptors(
         self,
@@ -389,14 +397,16 @@
         clients: list[SoakClient],
         tasks: list[asyncio.Task[None]],
     ) -> list[asyncio.Task[None]]:
-        """Let all clients leave, and look what is left; then they come again."""
+        """Stop all clients, check that the process releases their descriptors, and start the clients again."""
         for client in clients:
             client.stopped = True
         await asyncio.gather(*tasks)
-        end = time.monotonic() + REST_S
-        while (left := _descriptors(process.pid) - before) > RESTING_DESCRIPTORS:
+        end = time.monotonic() + DESCRIPTOR_RELEASE_S
+        while (excess := _descriptors(process.pid) - before) > RESTING_DESCRIPTORS:
             if time.monotonic() > end:
-                self.journal.breaks("descriptors", f"{left} more than at the start, with no client")
+                self.journal.record_violation(
+                    "descriptors", f"{excess} more than at the start, with no client"
+                )
                 break
             await asyncio.sleep(0.05)
         for client in clients:
@@ -407,23 +417,28 @@
     def _check_log(self, number: int) -> None:
         for line in (self._folder / f"log-{number}").read_text().splitlines():
             if "defect" in line or "Traceback" in line:
-                self.journal.breaks("defect", line)
+                self.journal.record_violation("defect", line)
 
     def _check_effects(self) -> None:
-        ran: dict[str, list[float]] = {}
+        executions: dict[str, list[float]] = {}
         for member in self._members:
-            for txn, times in member.ran.items():
-                ran.setdefault(txn, []).extend(times)
-        for txn, times in ran.items():
+            for txn, times in member.executions.items():
+                executions.setdefault(txn, []).extend(times)
+        for txn, times in executions.items():
             spread_s = max(times) - min(times)
-            is_safe = txn.startswith("safe")  # a GET: `serve` goes by the method, whatever the class says
+            # A GET: `serve` treats it as safe by its method, whatever the class's effect is.
+            is_safe = txn.startswith("safe")
             is_unsafe = txn.startswith("unsafe") or (txn and self.schedule.is_daemon and not is_safe)
             if is_safe and spread_s > DEADLINE_S + STALL_S:
-                self.journal.breaks("duplicate", f"{txn} ran again after {spread_s:.3f} s, past its deadline")
+                self.journal.record_violation(
+                    "duplicate", f"{txn} ran again after {spread_s:.3f} s, past its deadline"
+                )
             elif is_unsafe and len(times) > 1:
-                self.journal.breaks("duplicate", f"{txn} ran {len(times)} times, {spread_s:.3f} s apart")
+                self.journal.record_violation(
+                    "duplicate", f"{txn} ran {len(times)} times, {spread_s:.3f} s apart"
+                )
             elif txn.startswith("keyed") and spread_s > KEY_WINDOW_S:
-                self.journal.breaks("duplicate", f"{txn} ran again after {spread_s:.3f} s")
+                self.journal.record_violation("duplicate", f"{txn} ran again after {spread_s:.3f} s")
 
 
 def _free_address() -> Address:
@@ -442,8 +457,8 @@
     return True
 
 
-def _heeds_hang_up(pid: int) -> bool:
-    """Whether a process blocks SIGHUP, or has a handler for it."""
+def _handles_sighup(pid: int) -> bool:
+    """Return whether a process blocks SIGHUP or has a handler for it."""
     bit = 1 << (signal.SIGHUP - 1)
     try:
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -460,47 +475,47 @@
         return 0
 
 
-async def play(seed: int, seconds: float, disturbances: Disturbances = UNDISTURBED) -> Soak:
-    """Play one seed.
+async def run_soak(seed: int, seconds: float, disturbances: Disturbances = UNDISTURBED) -> Soak:
+    """Run one seed.
 
     Args:
-        seed: Of the schedule and the hold-ups.
-        seconds: That its lives take together.
-        disturbances: What is asked for beside the schedule.
+        seed: Seed of the schedule and the pauses.
+        seconds: Total running time of its processes.
+        disturbances: Disturbances in addition to the schedule.
 
     Returns:
-        The run, with its journal.
+        The completed run, with its journal.
     """
     with tempfile.TemporaryDirectory() as folder:
-        soak = Soak(Schedule.drawn(seed, seconds), Path(folder), disturbances)
+        soak = Soak(Schedule.from_seed(seed, seconds), Path(folder), disturbances)
         await soak.run()
         return soak
 
 
-async def _play_all(seeds: range, seconds: float, side_by_side: int, disturbances: Disturbances) -> int:
+async def _run_all(seeds: range, seconds: float, side_by_side: int, disturbances: Disturbances) -> int:
     slots = asyncio.Semaphore(side_by_side)
     failed = 0
 
-    async def one(seed: int) -> None:
+    async def run_one(seed: int) -> None:
         nonlocal failed
         async with slots:
-            soak = await play(seed, seconds, disturbances)
+            soak = await run_soak(seed, seconds, disturbances)
             kind = "serve" if soak.schedule.is_daemon else "run"
-            kind += ", crowd" if soak.schedule.has_crowd else ""
-            broken = soak.journal.broken
-            verdict = f"{broken[0]} (of {len(broken)})" if broken else "held"
+            kind += ", crowd" if soak.schedule.has_idle_clients else ""
+            violations = soak.journal.violations
+            verdict = f"{violations[0]} (of {len(violations)})" if violations else "held"
             print(f"seed {seed} ({kind}): {verdict}; {dict(sorted(soak.counts.items()))}", flush=True)
-            if broken:
+            if violations:
                 failed += 1
-                print("\n".join(f"    {event}" for event in soak.journal.led_there), flush=True)
+                print("\n".join(f"    {event}" for event in soak.journal.preceding_events), flush=True)
 
-    await asyncio.gather(*(one(seed) for seed in seeds))
+    await asyncio.gather(*(run_one(seed) for seed in seeds))
     print(f"{len(seeds)} seeds, {failed} with a broken rule")
     return failed
 
 
 def main() -> int:
-    """Play the seeds of the command line."""
+    """Run the seeds given on the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=1)
@@ -512,7 +527,7 @@
     options = parser.parse_args()
     disturbances = Disturbances(options.hold_up, options.hang_at_end, options.unread_log)
     seeds = range(options.first, options.first + options.seeds)
-    return 1 if asyncio.run(_play_all(seeds, options.seconds, options.side_by_side, disturbances)) else 0
+    return 1 if asyncio.run(_run_all(seeds, options.seconds, options.side_by_side, disturbances)) else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak_peers.py
+++ b/benchmarks/soak_peers.py
@@ -1,4 +1,4 @@
-"""The peers of a soak: members that count what they run, discovery, clients that use connections to their end."""
+"""The peers of a soak: members that record executed requests, discovery, and clients that reuse connections."""
 
 from __future__ import annotations
 
@@ -14,57 +14,57 @@
 
 Address = tuple[str, int]
 
-#: Seconds after its time until which an answer only earns nothing; one that comes later is lost.
+#: Seconds after its deadline in which an answer is only late; after that, it counts as lost.
 LATE_ANSWER_S = 0.5
-#: Seconds by which each limit in time is longer on sockets.
+#: Allowance, in seconds, added to each time limit for the delay of sockets.
 SOCKET_SLACK_S = 0.05
-#: Seconds that a process may be held up for.
+#: Allowance, in seconds, added to each time limit for a process that is kept from running.
 STALL_S = 0.15
-#: Seconds that a client rests between two requests on one connection, at most.
+#: Longest pause of a client, in seconds, between two requests on a connection.
 MAX_PAUSE_S = 0.05
-#: Seconds after which a client that was refused connects again.
+#: Seconds after which a client whose connection was refused reconnects.
 RECONNECT_S = 0.02
-#: Seconds between two empty lines of a watch.
+#: Seconds between two empty lines (heartbeats) of a watch.
 WATCH_INTERVAL_S = 2.0
-#: Events that are told beside a broken rule.
-TOLD_EVENTS = 30
+#: Number of events reported with a broken rule.
+MAX_REPORTED_EVENTS = 30
 
 
 @dataclass
 class Journal:
-    """What has happened, and which rules were broken."""
+    """Records the latest events of a run and the rules that were broken."""
 
-    began: float = field(default_factory=time.monotonic)
-    events: deque[str] = field(default_factory=lambda: deque(maxlen=TOLD_EVENTS))
-    broken: list[str] = field(default_factory=list)
-    led_there: list[str] = field(default_factory=list)
-    loop_lateness: float = 0.0
+    started_at: float = field(default_factory=time.monotonic)
+    events: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_REPORTED_EVENTS))
+    violations: list[str] = field(default_factory=list)
+    preceding_events: list[str] = field(default_factory=list)
+    loop_lag_s: float = 0.0
 
-    def note(self, event: str) -> None:
-        self.events.append(f"{time.monotonic() - self.began:7.3f} {event}")
+    def record(self, event: str) -> None:
+        self.events.append(f"{time.monotonic() - self.started_at:7.3f} {event}")
 
-    def breaks(self, rule: str, text: str) -> None:
-        self.note(f"BROKEN {rule}: {text}")
-        if not self.broken:
-            self.led_there = list(self.events)
-        self.broken.append(f"{rule}: {text}")
+    def record_violation(self, rule: str, text: str) -> None:
+        self.record(f"BROKEN {rule}: {text}")
+        if not self.violations:
+            self.preceding_events = list(self.events)
+        self.violations.append(f"{rule}: {text}")
 
-    async def watch_lateness(self) -> None:
-        """Measure by how much this process itself is held up, so that it is not counted as the proxy's."""
+    async def measure_loop_lag(self) -> None:
+        """Measure the lag of this process's own event loop, so that it is not attributed to the proxy."""
         while True:
             before = time.monotonic()
             await asyncio.sleep(0.01)
-            self.loop_lateness = max(self.loop_lateness, time.monotonic() - before - 0.01)
+            self.loop_lag_s = max(self.loop_lag_s, time.monotonic() - before - 0.01)
 
 
 class SoakMember:
-    """Runs each request, and answers with its identifier. `trouble`: "", "hang" or "slow"."""
+    """Records each request as executed and answers with its identifier. `fault` is "", "hang" or "slow"."""
 
     def __init__(self, name: str, journal: Journal, idle_close_s: float) -> None:
         self.name = name
-        self.trouble = ""
-        self.drains_from = float("inf")
-        self.ran: dict[str, list[float]] = defaultdict(list)
+        self.fault = ""
+        self.drain_deadline = float("inf")
+        self.executions: dict[str, list[float]] = defaultdict(list)
         self._journal = journal
         self._idle_close_s = idle_close_s
         self._server: asyncio.Server | None = None
@@ -84,34 +84,37 @@
                 async with asyncio.timeout(self._idle_close_s):
                     head = await reader.readuntil(b"\r\n\r\n")
                 txn = (re.search(rb"(?i)x-txn: *(\S+)", head) or [b"", b""])[1].decode()
-                self._run(txn)
-                if self.trouble == "hang":
+                self._record_execution(txn)
+                if self.fault == "hang":
                     await reader.read()
                     break
-                await asyncio.sleep(0.2 if self.trouble == "slow" else 0.003)
+                await asyncio.sleep(0.2 if self.fault == "slow" else 0.003)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(txn), txn.encode()))
                 await writer.drain()
         writer.close()
 
-    def _run(self, txn: str) -> None:
+    def _record_execution(self, txn: str) -> None:
         now = time.monotonic()
-        self.ran[txn].append(now)
-        if txn and now > self.drains_from + SOCKET_SLACK_S + STALL_S:
-            late_s = now - self.drains_from
-            self._journal.breaks("drain", f"{txn} at {self.name}, {late_s:.3f} s after its grace")
+        self.executions[txn].append(now)
+        if txn and now > self.drain_deadline + SOCKET_SLACK_S + STALL_S:
+            late_s = now - self.drain_deadline
+            self._journal.record_violation("drain", f"{txn} at {self.name}, {late_s:.3f} s after its grace")
 
 
 class SoakDiscovery:
-    """Lists, and watches of their changes. `on_written` is called with the name in each entry that a watch gets."""
+    """Serves the endpoint list and watches of its changes.
 
-    def __init__(self, on_written: Callable[[str], None]) -> None:
-        self._on_written = on_written
+    `on_entry_sent` is called with the name of each changed entry that has been written to a watch.
+    """
+
+    def __init__(self, on_entry_sent: Callable[[str], None]) -> None:
+        self._on_entry_sent = on_entry_sent
         self.version = 1
         self.entries: list[dict[str, Any]] = []
         self._changes: list[dict[str, Any]] = []
         self._changed = asyncio.Event()
         self._server: asyncio.Server | None = None
-        self._has_ended = False
+        self._is_stopped = False
         self.address = ""
 
     async def start(self) -> None:
@@ -121,14 +124,14 @@
     def stop(self) -> None:
         if self._server is not None:
             self._server.close()
-        self._has_ended = True
+        self._is_stopped = True
         self._changed.set()
 
     def list(self) -> dict[str, Any]:
         return {"version": self.version, "full": True, "servers": self.entries}
 
     def change(self, entry: dict[str, Any]) -> None:
-        """Tell another state of one entry."""
+        """Replace an entry and send the change to the watches."""
         self.version += 1
         self.entries = [entry if known["id"] == entry["id"] else known for known in self.entries]
         self._changes.append({"version": self.version, "full": False, "servers": [entry]})
@@ -145,30 +148,30 @@
                 await writer.drain()
             else:
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                await self._tell(writer, int(known[1]) if known else 0)
+                await self._stream_changes(writer, int(known[1]) if known else 0)
         writer.close()
 
-    async def _tell(self, writer: asyncio.StreamWriter, version: int) -> None:
-        while not self._has_ended:
+    async def _stream_changes(self, writer: asyncio.StreamWriter, version: int) -> None:
+        while not self._is_stopped:
             changed = self._changed
-            newer = [change for change in self._changes if change["version"] > version]
-            lines = newer if newer or version else [self.list()]
+            newer_changes = [change for change in self._changes if change["version"] > version]
+            lines = newer_changes if newer_changes or version else [self.list()]
             version = max(version, self.version)
             data = b"".join(json.dumps(line).encode() + b"\n" for line in lines) or b"\n"
             writer.write(b"%x\r\n%b\r\n" % (len(data), data))
             await writer.drain()
-            for change in newer:
-                self._on_written(change["servers"][0]["id"])
+            for change in newer_changes:
+                self._on_entry_sent(change["servers"][0]["id"])
             with suppress(TimeoutError):
                 await asyncio.wait_for(changed.wait(), WATCH_INTERVAL_S)
 
 
 @dataclass
 class SoakClient:
-    """One client: a request at a time, on one connection for as long as that stays open.
+    """A client that sends one request at a time and uses a connection for as long as it stays open.
 
     Attributes:
-        may_be_shut: New connections may be shut unread, as idle ones fill the descriptors.
+        may_be_closed_unread: Whether the proxy may close new connections unread, as idle ones use up the descriptors.
     """
 
     number: int
@@ -176,7 +179,7 @@
     journal: Journal
     random: random.Random
     deadline_s: float
-    may_be_shut: bool
+    may_be_closed_unread: bool
     counts: dict[str, int]
     stopped: bool = False
 
@@ -204,51 +207,51 @@
             except OSError:
                 await asyncio.sleep(RECONNECT_S)
                 continue
-            await self._use(reader, writer, requests)
+            await self._use_connection(reader, writer, requests)
             writer.close()
 
-    async def _use(
+    async def _use_connection(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         requests: Iterator[tuple[str, bytes]],
     ) -> None:
-        """Ask on one connection until it ends."""
-        is_first = True
+        """Send requests on a connection until it is closed."""
+        is_new_connection = True
         while not self.stopped:
             txn, data = next(requests)
             sent_at = time.monotonic()
             writer.write(data)
             try:
-                head, body = await asyncio.wait_for(_read_answer(reader), self._patience_s)
+                head, body = await asyncio.wait_for(_read_answer(reader), self._timeout_s)
             except TimeoutError:
-                self.journal.breaks("lost", f"{txn}: no answer in {self._patience_s:.2f} s")
+                self.journal.record_violation("lost", f"{txn}: no answer in {self._timeout_s:.2f} s")
                 return
             except (OSError, asyncio.IncompleteReadError) as problem:
-                if not (is_first and self.may_be_shut):
+                if not (is_new_connection and self.may_be_closed_unread):
                     waited_s = time.monotonic() - sent_at
-                    where = "new" if is_first else "kept"
-                    self.journal.breaks(
+                    where = "new" if is_new_connection else "kept"
+                    self.journal.record_violation(
                         "lost", f"{txn} on a {where} connection: {problem!r}, {waited_s:.3f} s"
                     )
                 return
-            self._judge(txn, head, body)
+            self._check_response(txn, head, body)
             if b"connection: close" in head.lower():
                 return
-            is_first = False
+            is_new_connection = False
             await asyncio.sleep(self.random.random() * MAX_PAUSE_S)
 
     @property
-    def _patience_s(self) -> float:
-        return self.deadline_s + LATE_ANSWER_S + SOCKET_SLACK_S + STALL_S + self.journal.loop_lateness
+    def _timeout_s(self) -> float:
+        return self.deadline_s + LATE_ANSWER_S + SOCKET_SLACK_S + STALL_S + self.journal.loop_lag_s
 
-    def _judge(self, txn: str, head: bytes, body: bytes) -> None:
+    def _check_response(self, txn: str, head: bytes, body: bytes) -> None:
         status = head[9:12].decode()
         self.counts[status] = self.counts.get(status, 0) + 1
         if status == "200" and body != txn.encode():
-            self.journal.breaks("wrong answer", f"{txn} got {body!r}")
+            self.journal.record_violation("wrong answer", f"{txn} got {body!r}")
         elif status not in ("200", "429", "502", "503", "504"):
-            self.journal.breaks("wrong answer", f"{txn} got {status}")
+            self.journal.record_violation("wrong answer", f"{txn} got {status}")
 
 
 async def _read_answer(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
--- a/benchmarks/soak_unread_log.py
+++ b/benchmarks/soak_unread_log.py
@@ -1,16 +1,16 @@
-"""A log that nobody reads: the pipe that a soak's process has as its standard error is full from its start."""
+"""A log that nobody reads: a pipe, full from the start, as the standard error of a soak's process."""
 
 from __future__ import annotations
 
 import os
 from contextlib import suppress
 
-#: Bytes written at once to fill the pipe.
+#: Bytes for each write while filling the pipe.
 FILLING_BYTES = 4096
 
 
 class UnreadLog:
-    """A full pipe. It owns both ends until `close`; a process that writes to it waits as long as it is open."""
+    """A full pipe. It owns both ends until `close`; a process that writes to it blocks while the read end is open."""
 
     def __init__(self) -> None:
         self._read_end: int | None
@@ -25,12 +25,12 @@
         os.set_blocking(self.write_end, True)
 
     def end_reading(self) -> None:
-        """Whoever waits to write fails from now on; the end that it writes to stays open."""
+        """Close the read end, so that writers fail from now on; the write end stays open."""
         if self._read_end is not None:
             os.close(self._read_end)
             self._read_end = None
 
     def close(self) -> None:
-        """Give the pipe back. Nobody in this process may write to it any more: its number is another's soon."""
+        """Close the pipe. This process may not write to it any more: its descriptor may be reused for another file."""
         self.end_reading()
         os.close(self.write_end)
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,9 +1,10 @@
-"""The store beside sqlite3 (WAL, synchronous=FULL) in one run, and what it costs.
+"""The store compared with sqlite3 (WAL, synchronous=FULL) in one run, and the cost of the store.
 
 python -m benchmarks.store [--seconds 2] [--keys 1000000] [--kills 200] [--folder FOLDER]
 
-Acknowledged appends a second with 1, 32 and 256 waiting, in turns; recovery and memory for many keys; the longest wait
-of an append while the store compacts; `--kills`: a daemon killed that often under load.
+Measures acknowledged appends per second with 1, 32 and 256 concurrent writers, the two stores alternating; recovery
+time and memory for many keys; the longest latency of an append during compaction. With `--kills`, a daemon is killed
+that often under load.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 import uvloop
 
-from benchmarks.scene import Quiet
+from benchmarks.scene import DiscardingLogger
 from loadbalancer.config.plan import load
 from loadbalancer.daemon.daemon import Daemon
 from loadbalancer.store.engine import Engine, Put, StoreBounds
@@ -36,11 +37,11 @@
 from standins.member import Fleet
 
 VALUE = b"v" * 200
-WIDE = StoreBounds(max_keys=10_000_000, max_bytes=4 << 30)
+LARGE_BOUNDS = StoreBounds(max_keys=10_000_000, max_bytes=4 << 30)
 
 
 class Sqlite:
-    """A writer's thread that commits all that wait in one transaction, as the store does."""
+    """Writes to sqlite3 in a thread that commits all waiting appends in one transaction, as the store does."""
 
     def __init__(self, folder: Path) -> None:
         self.loop = asyncio.get_running_loop()
@@ -50,10 +51,10 @@
         self.thread.start()
 
     def run(self) -> None:
-        base = sqlite3.connect(self.path, isolation_level=None)
-        base.execute("PRAGMA journal_mode=WAL")
-        base.execute("PRAGMA synchronous=FULL")
-        base.execute("CREATE TABLE kept (key BLOB PRIMARY KEY, value BLOB, expires REAL)")
+        connection = sqlite3.connect(self.path, isolation_level=None)
+        connection.execute("PRAGMA journal_mode=WAL")
+        connection.execute("PRAGMA synchronous=FULL")
+        connection.execute("CREATE TABLE kept (key BLOB PRIMARY KEY, value BLOB, expires REAL)")
         while (one := self.waiting.get()) is not None:
             batch = [one]
             while not self.waiting.empty() and len(batch) < 512:
@@ -62,16 +63,16 @@
                     self.waiting.put(None)
                     break
                 batch.append(more)
-            base.execute("BEGIN")
-            base.executemany(
+            connection.execute("BEGIN")
+            connection.executemany(
                 "INSERT OR REPLACE INTO kept VALUES (?, ?, ?)", [(k, VALUE, 0.0) for k, _ in batch]
             )
-            base.execute("COMMIT")
-            self.loop.call_soon_threadsafe(self.tell, [future for _, future in batch])
-        base.close()
+            connection.execute("COMMIT")
+            self.loop.call_soon_threadsafe(self.complete, [future for _, future in batch])
+        connection.close()
 
     @staticmethod
-    def tell(futures: list[asyncio.Future[None]]) -> None:
+    def complete(futures: list[asyncio.Future[None]]) -> None:
         for future in futures:
             if not future.done():
                 future.set_result(None)
@@ -86,8 +87,8 @@
         self.thread.join()
 
 
-class Ours:
-    def __init__(self, folder: Path, bounds: StoreBounds = WIDE) -> None:
+class StoreUnderTest:
+    def __init__(self, folder: Path, bounds: StoreBounds = LARGE_BOUNDS) -> None:
         self.engine = Engine(DiskFiles(folder / "store"), time.time, bounds)
         self.engine.open()
         self.store = Store(self.engine, lambda what, why: print("!", what, why))
@@ -102,10 +103,10 @@
         self.store.close()
 
 
-async def rate(
+async def measure_rate(
     put: Callable[[bytes], Awaitable[None]], waiting: int, seconds: float
 ) -> tuple[float, list[float]]:
-    """Acknowledged appends a second, and how long each took."""
+    """Return acknowledged appends per second, and the latency of each."""
     ends, times = time.perf_counter() + seconds, []
 
     async def one(number: int) -> None:
@@ -120,17 +121,17 @@
     return len(times) / seconds, times
 
 
-async def beside(folder: Path, seconds: float) -> None:
+async def compare_throughput(folder: Path, seconds: float) -> None:
     for waiting in (1, 32, 256):
         ratios, last = [], (0.0, 0.0)
         for _ in range(3):
             rates = []
-            for kind in (Ours, Sqlite):
-                place = Path(tempfile.mkdtemp(dir=folder))
-                made: Any = kind(place)
-                rates.append((await rate(made.put, waiting, seconds))[0])
-                made.close()
-                shutil.rmtree(place)
+            for kind in (StoreUnderTest, Sqlite):
+                run_folder = Path(tempfile.mkdtemp(dir=folder))
+                backend: Any = kind(run_folder)
+                rates.append((await measure_rate(backend.put, waiting, seconds))[0])
+                backend.close()
+                shutil.rmtree(run_folder)
             ratios.append(rates[0] / rates[1])
             last = rates[0], rates[1]
         print(
@@ -139,7 +140,7 @@
         )
 
 
-LATENCY = """\
+BOOKING_CONFIGURATION = """\
 {store}[[class]]
 name = "book"
 aim = "1s"
@@ -160,38 +161,39 @@
 """
 
 
-async def bookings(folder: Path, seconds: float) -> None:
-    """What the ledger adds to a booking: eight clients one after another, with and without it, in turns."""
+async def measure_bookings(folder: Path, seconds: float) -> None:
+    """Measure the latency that the ledger adds to a booking: eight clients, rounds with and without it alternating."""
     fleet = Fleet(4)
     await fleet.start()
     medians: dict[bool, list[float]] = {True: [], False: []}
     tails: dict[bool, list[float]] = {True: [], False: []}
     for turn in range(6):
-        kept = turn % 2 == 0
+        remembered = turn % 2 == 0
         path = folder / f"book-{turn}.toml"
-        store = f'[store]\nfolder = "book-{turn}"\n' if kept else ""
+        store = f'[store]\nfolder = "book-{turn}"\n' if remembered else ""
         path.write_text(
-            LATENCY.format(store=store, remember='remember = "1h"\n' if kept else "") + fleet.tables()
+            BOOKING_CONFIGURATION.format(store=store, remember='remember = "1h"\n' if remembered else "")
+            + fleet.tables()
         )
-        daemon = Daemon(Quiet(), seed=1)
+        daemon = Daemon(DiscardingLogger(), seed=1)
         daemon.apply(load(path))
-        times = await book(daemon.listeners["main"].address, turn, seconds)
+        times = await run_bookings(daemon.listeners["main"].address, turn, seconds)
         daemon.close()
         times.sort()
-        medians[kept].append(times[len(times) // 2])
-        tails[kept].append(times[int(0.99 * len(times))])
+        medians[remembered].append(times[len(times) // 2])
+        tails[remembered].append(times[int(0.99 * len(times))])
     await fleet.stop()
     print(
         "a booking: "
         + ", ".join(
-            f"{word} median {1e3 * statistics.median(medians[kept]):.2f} ms, "
-            f"99th {1e3 * statistics.median(tails[kept]):.2f} ms"
-            for word, kept in (("plain", False), ("remembered", True))
+            f"{word} median {1e3 * statistics.median(medians[remembered]):.2f} ms, "
+            f"99th {1e3 * statistics.median(tails[remembered]):.2f} ms"
+            for word, remembered in (("plain", False), ("remembered", True))
         )
     )
 
 
-async def book(address: tuple[str, int], turn: int, seconds: float) -> list[float]:
+async def run_bookings(address: tuple[str, int], turn: int, seconds: float) -> list[float]:
     ends, times = time.perf_counter() + seconds, []
 
     async def client(number: int) -> None:
@@ -213,7 +215,7 @@
     return times
 
 
-def fill(folder: Path, keys: int) -> None:
+def fill_store(folder: Path, keys: int) -> None:
     engine = Engine(DiskFiles(folder / "many"), time.time, StoreBounds(max_keys=keys + 1, max_bytes=8 << 30))
     engine.open()
     for begin in range(0, keys, 5000):
@@ -237,14 +239,14 @@
 """
 
 
-async def stalls(folder: Path, seconds: float) -> None:
-    """Appends of which most write over the same keys, while the store compacts beside them."""
-    ours = Ours(folder, StoreBounds(segment_bytes=1 << 20, max_keys=10_000_000, max_bytes=4 << 30))
+async def measure_compaction(folder: Path, seconds: float) -> None:
+    """Measure the latency of appends that overwrite the same keys, while the store compacts concurrently."""
+    ours = StoreUnderTest(folder, StoreBounds(segment_bytes=1 << 20, max_keys=10_000_000, max_bytes=4 << 30))
 
     async def put(key: bytes) -> None:
         await ours.put(key[-3:])
 
-    _, times = await rate(put, 32, seconds)
+    _, times = await measure_rate(put, 32, seconds)
     times.sort()
     dropped = next(iter(ours.engine.log.segments))
     print(
@@ -260,17 +262,17 @@
     parser.add_argument("--keys", type=int, default=1_000_000)
     parser.add_argument("--kills", type=int, default=0)
     parser.add_argument("--folder", type=Path, default=Path(tempfile.gettempdir()))
-    parsed = parser.parse_args()
-    folder = Path(tempfile.mkdtemp(dir=parsed.folder))
+    options = parser.parse_args()
+    folder = Path(tempfile.mkdtemp(dir=options.folder))
     try:
-        asyncio.run(beside(folder, parsed.seconds))
-        asyncio.run(stalls(folder, 2 * parsed.seconds))
-        uvloop.run(bookings(folder, parsed.seconds))
-        if parsed.keys:
-            fill(folder, parsed.keys)
+        asyncio.run(compare_throughput(folder, options.seconds))
+        asyncio.run(measure_compaction(folder, 2 * options.seconds))
+        uvloop.run(measure_bookings(folder, options.seconds))
+        if options.keys:
+            fill_store(folder, options.keys)
             subprocess.run([sys.executable, "-c", RECOVER, str(folder / "many")], check=True)
-        if parsed.kills:
-            kills(folder, parsed.kills)
+        if options.kills:
+            kills(folder, options.kills)
         print(f"peak of this process: {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10} MiB")
     finally:
         shutil.rmtree(folder)
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,7 +1,7 @@
-"""Requests a second on one core: the platform's path now and as it was, and the dialect of ordinary clients.
+"""Requests per second on one core: the platform's `run` now and before, and `serve` with plain HTTP clients.
 
-`python -m benchmarks.throughput` plays the three in turn, several rounds, and prints the ratios round by round; the
-machine's speed drifts, so only these count.
+`python -m benchmarks.throughput` alternates the three for several rounds and compares them within each round: the
+machine's speed drifts, so only these ratios are meaningful.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 #: The last revision with one listener, one pool and one dialect.
 BASE = "dba2df7"
 
-HTTP = """[[class]]
+HTTP_CONFIGURATION = """[[class]]
 name = "track"
 aim = "2s"
 deadline = "4s"
@@ -41,14 +41,16 @@
                 rows["before"].append(clients(3, address, "--platform", *load, pid=pid))
             with platform_proxy(1, addresses) as (address, pid):
                 rows["platform"].append(clients(3, address, "--platform", *load, pid=pid))
-            with daemon(1, HTTP + tables(addresses)) as (listeners, pid):
+            with daemon(1, HTTP_CONFIGURATION + tables(addresses)) as (listeners, pid):
                 rows["http"].append(clients(3, listeners["main"], *load, pid=pid))
             for name, results in rows.items():
                 last = results[-1]
                 if set(last["statuses"]) != {"200"} or last["lost"]:
-                    raise SystemExit(f"{name}: not all were served: {last}")
-            said = [f"{name} {r[-1]['per_s']:.0f}/s at {r[-1]['cpu_us']:.0f} us" for name, r in rows.items()]
-            print(f"round {number + 1}: {', '.join(said)}", flush=True)
+                    raise SystemExit(f"{name}: expected only status 200 and nothing lost, found {last}")
+            summaries = [
+                f"{name} {r[-1]['per_s']:.0f}/s at {r[-1]['cpu_us']:.0f} us" for name, r in rows.items()
+            ]
+            print(f"round {number + 1}: {', '.join(summaries)}", flush=True)
     for name, other, wanted in (("platform", "before", 1.0), ("http", "platform", 0.9)):
         pairs = list(zip(rows[name], rows[other], strict=True))
         rate = [a["per_s"] / b["per_s"] for a, b in pairs]
--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -1,8 +1,8 @@
-"""TLS beside plain, in one run: requests, handshakes, known clients beside strangers' handshakes, memory, rotation.
+"""TLS compared with plain HTTP: requests, handshakes, known clients during a handshake flood, memory, key rotation.
 
 python -m benchmarks.tls [--seconds 2] [--rotations 200] [--idle 1000] [--hanging 2000]
 
-One daemon in a process of its own with a plain and a TLS listener over the same members; clients in another.
+A daemon in a process of its own has a plain and a TLS listener for the same members; the clients run in another.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 name = "p"
 rules = {{ new_members = "warm" }}
 """
-ASK = b"GET / HTTP/1.1\r\nHost: shop.test\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: shop.test\r\n\r\n"
 CLIENTS = 16
 
 
@@ -59,15 +59,17 @@
     return ssl.create_default_context(cadata=authority.pem.decode())
 
 
-async def shake(port: int, authority: Authority) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A new connection, by a full handshake."""
+async def open_with_handshake(
+    port: int, authority: Authority
+) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """Open a new connection with a full handshake."""
     return await asyncio.open_connection(
         "127.0.0.1", port, ssl=context(authority), server_hostname="shop.test"
     )
 
 
-async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    writer.write(ASK)
+async def send_request(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    writer.write(REQUEST)
     head = await reader.readuntil(b"\r\n\r\n")
     await reader.readexactly(int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0]))
 
@@ -75,7 +77,7 @@
 async def requests(
     port: int, seconds: float, secure: ssl.SSLContext | None, clients: int = CLIENTS
 ) -> list[float]:
-    """Times of requests on kept connections."""
+    """Return the latencies of requests on keep-alive connections."""
     times: list[float] = []
     ends = time.perf_counter() + seconds
 
@@ -84,7 +86,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port, **more)
         while time.perf_counter() < ends:
             began = time.perf_counter()
-            await one(reader, writer)
+            await send_request(reader, writer)
             times.append(time.perf_counter() - began)
         writer.transport.abort()
 
@@ -92,14 +94,14 @@
     return times
 
 
-def used(pid: int) -> float:
-    """Seconds of processor that a process has taken."""
+def read_processor_time(pid: int) -> float:
+    """Return the processor time in seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def shakes(port: int, seconds: float, authority: Authority, ask: bool) -> int:
-    """Handshakes in a row on each of several connections, full ones; with `ask`, a request on each."""
+async def run_handshakes(port: int, seconds: float, authority: Authority, with_request: bool) -> int:
+    """Return the number of full handshakes by several concurrent clients; with `with_request`, each sends a request."""
     done, ends = 0, time.perf_counter() + seconds
 
     async def client() -> None:
@@ -108,8 +110,8 @@
             found = await asyncio.open_connection(
                 "127.0.0.1", port, ssl=context(authority), server_hostname="shop.test"
             )
-            if ask:
-                await one(*found)
+            if with_request:
+                await send_request(*found)
             found[1].transport.abort()
             done += 1
 
@@ -117,8 +119,8 @@
     return done
 
 
-def echo(port: int, pair: Issued) -> None:
-    """A bare TLS server of the same library on the same loop."""
+def serve_bare(port: int, pair: Issued) -> None:
+    """Run a bare TLS server with the same TLS library and event loop, as a baseline."""
 
     async def serve() -> None:
         made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -140,10 +142,10 @@
     uvloop.run(serve())
 
 
-def strangers(port: int, seconds: float, rate: float, pem: bytes) -> None:
-    """Handshakes of others, so many a second, from addresses that nobody knows."""
+def run_unknown_clients(port: int, seconds: float, rate: float, pem: bytes) -> None:
+    """Open `rate` handshakes a second from addresses that aren't known clients."""
 
-    async def shake(number: int) -> None:
+    async def open_with_handshake(number: int) -> None:
         try:
             _, writer = await asyncio.open_connection(
                 "127.0.0.1",
@@ -160,7 +162,7 @@
         began, number, tasks = time.perf_counter(), 0, set()
         while (now := time.perf_counter() - began) < seconds:
             while number < now * rate:
-                task = asyncio.ensure_future(shake(number))
+                task = asyncio.ensure_future(open_with_handshake(number))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
                 number += 1
@@ -209,7 +211,7 @@
     return made, plain, tls, fleet
 
 
-def tail(times: list[float]) -> float:
+def percentile_99(times: list[float]) -> float:
     return sorted(times)[int(0.99 * (len(times) - 1))]
 
 
@@ -218,9 +220,9 @@
     for _ in range(3):
         figures = []
         for port, secure in ((plain, None), (tls, context(authority))):
-            before = used(pid)
+            before = read_processor_time(pid)
             count = len(await requests(port, seconds, secure))
-            figures.append((count / seconds, (used(pid) - before) / count * 1e6))
+            figures.append((count / seconds, (read_processor_time(pid) - before) / count * 1e6))
         ratios.append(figures[1][0] / figures[0][0])
         costs.append(figures[0][1] / figures[1][1])
     spread = f"{statistics.median(ratios):.2f} ({min(ratios):.2f} to {max(ratios):.2f})"
@@ -232,41 +234,41 @@
 
 async def handshakes(pid: int, tls: int, seconds: float, authority: Authority, pair: Issued) -> None:
     (port,) = free_ports(1)
-    bare = multiprocessing.get_context("spawn").Process(target=echo, args=(port, pair), daemon=True)
+    bare = multiprocessing.get_context("spawn").Process(target=serve_bare, args=(port, pair), daemon=True)
     bare.start()
     assert bare.pid is not None
     while True:
         try:
-            await shakes(port, 0.1, authority, False)
+            await run_handshakes(port, 0.1, authority, False)
             break
         except OSError:
             await asyncio.sleep(0.1)
-    for ask, words in ((False, "handshakes"), (True, "handshakes with a request each")):
+    for with_request, words in ((False, "handshakes"), (True, "handshakes with a request each")):
         ratios = []
         for _ in range(3):
             costs = []
             for where, process in ((tls, pid), (port, bare.pid)):
-                before = used(process)
-                count = await shakes(where, seconds, authority, ask)
-                costs.append((used(process) - before) / count * 1e6)
+                before = read_processor_time(process)
+                count = await run_handshakes(where, seconds, authority, with_request)
+                costs.append((read_processor_time(process) - before) / count * 1e6)
             ratios.append(costs[1] / costs[0])
         ratio = f"{statistics.median(ratios):.2f} of a bare server's rate ({min(ratios):.2f} to {max(ratios):.2f})"
         print(f"full {words}: {costs[0]:.0f} us of processor each, {ratio}")
     bare.kill()
 
 
-async def beside(tls: int, seconds: float, authority: Authority) -> None:
+async def measure_known_clients(tls: int, seconds: float, authority: Authority) -> None:
     quiet = await requests(tls, seconds, context(authority), 4)
     other = multiprocessing.get_context("spawn").Process(
-        target=strangers, args=(tls, seconds + 2.0, 500.0, authority.pem), daemon=True
+        target=run_unknown_clients, args=(tls, seconds + 2.0, 500.0, authority.pem), daemon=True
     )
     other.start()
     await asyncio.sleep(1.5)
     busy = await requests(tls, seconds, context(authority), 4)
     other.join()
     print(
-        f"a known client's 99th beside 500 handshakes a second of strangers: {1e3 * tail(busy):.1f} ms, quiet "
-        f"{1e3 * tail(quiet):.1f} ms, ratio {tail(busy) / tail(quiet):.2f}"
+        f"a known client's 99th beside 500 handshakes a second of strangers: {1e3 * percentile_99(busy):.1f} ms, quiet "
+        f"{1e3 * percentile_99(quiet):.1f} ms, ratio {percentile_99(busy) / percentile_99(quiet):.2f}"
     )
 
 
@@ -278,7 +280,7 @@
                 {"ssl": secure, "server_hostname": "shop.test"} if secure is not None else {}
             )
             found = await asyncio.open_connection("127.0.0.1", port, **more)
-            await one(*found)
+            await send_request(*found)
             held.append(found[1])
         print(f"{idle} idle {words} connections: {(resident(pid) - before) / idle / 1024:.1f} KiB each")
         for writer in held:
@@ -287,7 +289,7 @@
 
 
 async def hanging(tls: int, count: int, authority: Authority) -> None:
-    """Handshakes that are begun and never finished, and a known client among them."""
+    """Measure how soon a known client is served beside handshakes that are started and never finished."""
     held = []
     for number in range(count):
         _, writer = await asyncio.open_connection(
@@ -298,7 +300,7 @@
     found = await asyncio.open_connection(
         "127.0.0.1", tls, ssl=context(authority), server_hostname="shop.test"
     )
-    await one(*found)
+    await send_request(*found)
     print(
         f"beside {count} handshakes that are never finished a known client is served in "
         f"{1e3 * (time.perf_counter() - began):.0f} ms"
@@ -308,8 +310,10 @@
 
 
 async def rotate(tls: int, folder: Path, count: int, authority: Authority) -> None:
-    """A key replaced so often under load, both files one after the other; new connections on the new key within a
-    second."""
+    """Replace the key `count` times under load, one file after the other, and measure when new connections use it.
+
+    New connections should use the new key within a second.
+    """
     lost: list[str] = []
     served, stopped, took = 0, False, []
 
@@ -321,7 +325,7 @@
                     "127.0.0.1", tls, ssl=context(authority), server_hostname="shop.test"
                 )
                 for _ in range(kept):
-                    await one(*found)
+                    await send_request(*found)
                     served += 1
                 found[1].transport.abort()
             except (OSError, asyncio.IncompleteReadError) as problem:
@@ -333,14 +337,14 @@
         write_private(folder / "a.pem", issued.chain)
         write_private(folder / "a.key", issued.key)
         began = time.perf_counter()
-        wanted = ssl.PEM_cert_to_DER_cert(issued.chain.decode())
+        expected_certificate = ssl.PEM_cert_to_DER_cert(issued.chain.decode())
         while True:
             found = await asyncio.open_connection(
                 "127.0.0.1", tls, ssl=context(authority), server_hostname="shop.test"
             )
-            mine = found[1].get_extra_info("ssl_object").getpeercert(True)
+            found_certificate = found[1].get_extra_info("ssl_object").getpeercert(True)
             found[1].transport.abort()
-            if mine == wanted:
+            if found_certificate == expected_certificate:
                 break
             await asyncio.sleep(0.02)
         took.append(time.perf_counter() - began)
@@ -362,7 +366,7 @@
         try:
             await throughput(daemon.pid, plain, tls, options.seconds, authority)
             await handshakes(daemon.pid, tls, options.seconds, authority, pair)
-            await beside(tls, options.seconds, authority)
+            await measure_known_clients(tls, options.seconds, authority)
             await memory(daemon.pid, plain, tls, options.idle, authority)
             await hanging(tls, options.hanging, authority)
             await rotate(tls, folder, options.rotations, authority)
--- a/benchmarks/upgrading.py
+++ b/benchmarks/upgrading.py
@@ -1,12 +1,12 @@
-"""Upgrades of a daemon and changes by operators under load, at random under a seed: what clients and members count.
+"""Upgrades of a daemon and operators' changes under load, at seeded random moments, as seen by clients and members.
 
 python -m benchmarks.upgrading [--upgrades 100] [--changes 500] [--connections 10000] [--seed 1]
 
-Closed clients, some on kept connections and some on new ones, one key for each booking; three members, of which one
-fails throughout. Counted: requests without an answer, answers but 200 and the failing member's, keys that ran twice,
-traffic to members that are out half a second after the answer, processes and descriptors left over. Measured: the 99th
-answer within upgrades over that between them, the failing member's share right after an upgrade, and how long a daemon
-with many idle connections takes to hand over.
+Closed-loop clients, some on keep-alive connections and some on new ones; three members, of which one always fails.
+Counted: requests without an answer, answers by status, traffic to a member from half a second after the answer to its
+cordon, processes and files left over. Measured: the 99th percentile latency during upgrades, divided by that between
+them; the failing member's share right after an upgrade; and how long a daemon with many idle connections takes to hand
+over.
 """
 
 from __future__ import annotations
@@ -53,34 +53,36 @@
 name = "p"
 rules = {{ new_members = "warm", cold_time = "100ms" }}
 """
-#: Seconds after the answer to a call from which a member that is out may get nothing.
-OUT_S = 0.5
+#: Seconds after the answer to a cordon from which the member may get no request.
+CORDON_EFFECT_S = 0.5
 CLIENTS = 8
 
 
 class Load:
-    """Clients and what they saw. `marks`: begin, end and whether an upgrade was under way."""
+    """Runs clients and records their results; latencies during upgrades are recorded separately."""
 
     def __init__(self, port: int) -> None:
         self.port, self.stopped, self.upgrading = port, False, False
         self.ends: Counter[str] = Counter()
         self.times: dict[bool, list[float]] = {True: [], False: []}
-        self.by_member: list[tuple[float, str]] = []  # when an answer came, and whose
+        self.by_member: list[tuple[float, str]] = []  # time and member of each answer
 
-    async def client(self, kept: int) -> None:
-        """Ask on, `kept` requests on each connection."""
+    async def client(self, requests_per_connection: int) -> None:
+        """Send requests until stopped, at most `requests_per_connection` on each connection."""
         while not self.stopped:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             except OSError:
                 self.ends["a closed door"] += 1
                 continue
-            for number in range(kept):
-                if self.stopped or not await self.one(reader, writer, number):
+            for number in range(requests_per_connection):
+                if self.stopped or not await self.send_request(reader, writer, number):
                     break
             writer.close()
 
-    async def one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> bool:
+    async def send_request(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int
+    ) -> bool:
         began, upgrading = time.perf_counter(), self.upgrading
         try:
             writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -111,16 +113,16 @@
     return int(head[9:12]), json.loads(rest)
 
 
-class Changes:
-    """Cordons and their ends at random; a member that is out half a second after the answer must get nothing."""
+class CordonChanges:
+    """Cordons members at random; from half a second after the answer, a cordoned member must get no request."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder, self.random = folder, random.Random(seed)
-        self.out: list[tuple[float, float, str]] = []  # from, to, member
+        self.out: list[tuple[float, float, str]] = []  # start, end and member of each cordon
         self.done = self.failed = 0
 
     async def run(self, count: int, load: Load) -> None:
-        """One member out at a time, for a part of a second to two."""
+        """Cordon one member at a time, each for 0.05 s to 1 s, until `count` changes are done."""
         while self.done < count and not load.stopped:
             member = self.random.choice(("m1", "m2"))
             if not await self.change("cordon", member):
@@ -130,12 +132,11 @@
             until = time.time()
             while not await self.change("uncordon", member):
                 until = time.time()
-            self.out.append((since + OUT_S, until, member))
+            self.out.append((since + CORDON_EFFECT_S, until, member))
             await asyncio.sleep(self.random.uniform(0.0, 0.3))
 
     async def change(self, verb: str, member: str) -> bool:
-        """Whether it was answered with yes; a daemon that is just being replaced may hang up, and the call is
-        repeated."""
+        """Return whether the change succeeded; count a connection closed by a daemon that is being replaced."""
         try:
             status, _ = await call(self.folder, verb, member=member)
         except (OSError, ValueError):
@@ -145,7 +146,7 @@
         self.done += 1
         return status == 200
 
-    def broken(self, load: Load) -> int:
+    def count_violations(self, load: Load) -> int:
         return sum(
             since < at < until and name == member
             for at, name in load.by_member
@@ -170,18 +171,18 @@
     )
     assert made.stdout is not None
     out = await made.stdout.read()
-    good = await made.wait() == 0
+    is_ok = await made.wait() == 0
     took = time.perf_counter() - began
     await asyncio.sleep(0.2)
     load.upgrading = False
-    return good, took, int(out.split()[1]) if good else 0
+    return is_ok, took, int(out.split()[1]) if is_ok else 0
 
 
-def tail(times: list[float]) -> float:
+def percentile_99(times: list[float]) -> float:
     return sorted(times)[int(0.99 * (len(times) - 1))]
 
 
-def alive(pid: int) -> bool:
+def is_running(pid: int) -> bool:
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
@@ -196,80 +197,80 @@
     return made
 
 
-def configured(folder: Path, those: list[Member]) -> tuple[Path, int]:
+def write_configuration(folder: Path, stand_ins: list[Member]) -> tuple[Path, int]:
     import socket
 
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port = sock.getsockname()[1]
     path = folder / "c.toml"
-    rows = "".join(f'[[pool.member]]\nid = "{m.name}"\naddress = "{m.address}"\n' for m in those)
+    rows = "".join(f'[[pool.member]]\nid = "{m.name}"\naddress = "{m.address}"\n' for m in stand_ins)
     path.write_text(
         CONFIG.format(port=port, descriptors=resource.getrlimit(resource.RLIMIT_NOFILE)[0]) + rows
     )
     return path, port
 
 
-async def many(upgrades: int, changes: int, seed: int) -> None:
+async def run_upgrades(upgrades: int, changes: int, seed: int) -> None:
     draws = random.Random(seed)
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        those = await members()
-        path, port = configured(folder, those)
+        stand_ins = await members()
+        path, port = write_configuration(folder, stand_ins)
         first = await start(path)
-        load, changing = Load(port), Changes(folder, seed)
+        load, cordons = Load(port), CordonChanges(folder, seed)
         tasks = [asyncio.ensure_future(load.client(1 if number % 2 else 50)) for number in range(CLIENTS)]
         await asyncio.sleep(2.0)
-        moving = asyncio.ensure_future(changing.run(changes, load))
-        pids, took, sick = [first.pid], [], [0, 0]
+        change_task = asyncio.ensure_future(cordons.run(changes, load))
+        pids, took, after = [first.pid], [], [0, 0]
         for _ in range(upgrades):
             await asyncio.sleep(draws.uniform(0.2, 1.5))
-            good, seconds, pid = await upgrade(path, load)
-            if not good:
+            is_ok, seconds, pid = await upgrade(path, load)
+            if not is_ok:
                 load.ends["an upgrade that failed"] += 1
                 continue
             pids.append(pid)
             took.append(seconds)
-            right = [member for at, member in load.by_member if at > time.time() - 0.2]
-            sick[0] += right.count("sick")
-            sick[1] += len(right)
+            latest = [member for at, member in load.by_member if at > time.time() - 0.2]
+            after[0] += latest.count("sick")
+            after[1] += len(latest)
         before = [member for at, member in load.by_member[: len(load.by_member) // 4]]
-        even = [before.count("sick"), len(before)]
-        await moving
+        at_start = [before.count("sick"), len(before)]
+        await change_task
         load.stopped = True
         await asyncio.gather(*tasks)
         os.kill(pids[-1], signal.SIGTERM)
         await first.wait()
-        while any(alive(pid) for pid in pids):
+        while any(is_running(pid) for pid in pids):
             await asyncio.sleep(0.05)
         left = sorted(path.name for path in folder.iterdir() if path.name != "c.toml")
-        for member in those:
+        for member in stand_ins:
             await member.stop()
     asked = sum(load.ends.values())
     print(
-        f"{len(took)} upgrades of {sum(took) / len(took):.2f} s each, {changing.done} changes, {asked} requests: "
+        f"{len(took)} upgrades of {sum(took) / len(took):.2f} s each, {cordons.done} changes, {asked} requests: "
         f"{dict(load.ends)}"
     )
     print(
-        f"calls that met a daemon going: {changing.failed}; answers of members that were out: "
-        f"{changing.broken(load)}; files left: {left}; processes left: 0"
+        f"calls that met a daemon going: {cordons.failed}; answers of members that were out: "
+        f"{cordons.count_violations(load)}; files left: {left}; processes left: 0"
     )
-    within, between = tail(load.times[True]), tail(load.times[False])
+    within, between = percentile_99(load.times[True]), percentile_99(load.times[False])
     print(
         f"99th answer within upgrades {1e3 * within:.1f} ms, between them {1e3 * between:.1f} ms: "
         f"{within / between:.2f}"
     )
     print(
-        f"the failing member's share right after an upgrade {sick[0] / max(1, sick[1]):.3f}, in the first quarter "
-        f"of all {even[0] / max(1, even[1]):.3f} (even: 0.333)"
+        f"the failing member's share right after an upgrade {after[0] / max(1, after[1]):.3f}, in the first quarter "
+        f"of all {at_start[0] / max(1, at_start[1]):.3f} (even: 0.333)"
     )
 
 
-async def idle(count: int) -> None:
+async def measure_idle_handover(count: int) -> None:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        those = await members()
-        path, port = configured(folder, those)
+        stand_ins = await members()
+        path, port = write_configuration(folder, stand_ins)
         old = await start(path)
         held = []
         for _ in range(count):
@@ -278,17 +279,17 @@
             await reader.readuntil(b"\r\n\r\n")
             held.append(writer)
         load = Load(port)
-        good, took, pid = await upgrade(path, load)
+        is_ok, took, pid = await upgrade(path, load)
         began = time.perf_counter()
         await old.wait()
         print(
-            f"{count} idle connections: handed over in {took:.2f} s ({'good' if good else 'failed'}), the old daemon "
+            f"{count} idle connections: handed over in {took:.2f} s ({'good' if is_ok else 'failed'}), the old daemon "
             f"had ended {time.perf_counter() - began:.1f} s after that"
         )
         os.kill(pid, signal.SIGTERM)
-        while alive(pid):
+        while is_running(pid):
             await asyncio.sleep(0.05)
-        for member in those:
+        for member in stand_ins:
             await member.stop()
 
 
@@ -301,9 +302,9 @@
     parsed = parser.parse_args()
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     if parsed.upgrades:
-        uvloop.run(many(parsed.upgrades, parsed.changes, parsed.seed))
+        uvloop.run(run_upgrades(parsed.upgrades, parsed.changes, parsed.seed))
     if parsed.connections:
-        uvloop.run(idle(parsed.connections))
+        uvloop.run(measure_idle_handover(parsed.connections))
 
 
 if __name__ == "__main__":
--- a/benchmarks/weights.py
+++ b/benchmarks/weights.py
@@ -1,4 +1,4 @@
-"""Split of 20,000 requests over members weighted 1:2:5: `python -m benchmarks.weights`, for several loads."""
+"""Distribution of 20,000 requests over members weighted 1:2:5, under several loads: `python -m benchmarks.weights`."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 """
 
 
-async def split(connections: int, delay: float, total: int = REQUESTS) -> list[int]:
-    """Requests that each member got."""
+async def count_requests(connections: int, delay: float, total: int = REQUESTS) -> list[int]:
+    """Return the number of requests that each member received."""
     fleet = Fleet(len(WEIGHTS))
     for member in fleet.members:
         member.behaviour = Behaviour(delay=delay)
@@ -52,26 +52,29 @@
         for member in fleet.members:
             member.on_request = count_request
         requests = [plain_request("/")] * connections
-        run = asyncio.ensure_future(clients.run(daemon.listeners["main"].address, requests, 3600.0, 0.0))
+        load_task = asyncio.ensure_future(
+            clients.run(daemon.listeners["main"].address, requests, 3600.0, 0.0)
+        )
         await done.wait()
-        run.cancel()
+        load_task.cancel()
         daemon.close()
         await fleet.stop()
     return [member.counts.requests for member in fleet.members]
 
 
 def main() -> None:
-    whole = sum(WEIGHTS)
+    weight_sum = sum(WEIGHTS)
     for connections, delay in ((1, 0.0), (8, 0.001), (32, 0.002), (64, 0.005)):
-        got = uvloop.run(split(connections, delay))
-        total = sum(got)
-        shares = [count / total for count in got]
-        errors = [share - weight / whole for share, weight in zip(shares, WEIGHTS, strict=True)]
+        counts = uvloop.run(count_requests(connections, delay))
+        total = sum(counts)
+        shares = [count / total for count in counts]
+        errors = [share - weight / weight_sum for share, weight in zip(shares, WEIGHTS, strict=True)]
         print(
             f"{connections:3} connections, {delay * 1e3:g} ms: "
             + ", ".join(f"{share:.4f}" for share in shares)
             + f"; furthest from its share by {max(map(abs, errors)) * 100:.2f} points "
-            f"({max(abs(e) / (w / whole) for e, w in zip(errors, WEIGHTS, strict=True)) * 100:.1f} % of it); wanted 2",
+            f"({max(abs(e) / (w / weight_sum) for e, w in zip(errors, WEIGHTS, strict=True)) * 100:.1f} "
+            "% of it); wanted 2",
             flush=True,
         )
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with fixed seeds; `python -m benchmarks.soak` plays more, and longer ones."""
+"""Short soaks with fixed seeds; `python -m benchmarks.soak` runs more seeds for longer."""
 
 from __future__ import annotations
 
@@ -6,50 +6,57 @@
 
 import pytest
 
-from benchmarks.soak import Disturbances, Schedule, play
+from benchmarks.soak import Disturbances, Schedule, run_soak
 
-SECONDS = 4.0
-LONGER_S = 6.0
+SHORT_RUN_S = 4.0
+LONG_RUN_S = 6.0
 
 
-# Guards against requests, effects and descriptors that are lost around signals, kills and crowds.
+# Guards against lost requests, duplicated effects and leaked descriptors around signals, kills and many idle clients.
 @pytest.mark.parametrize(
     ("seed", "seconds"),
     [
-        pytest.param(1, SECONDS, id="run"),
-        pytest.param(3, SECONDS, id="run-with-a-crowd"),
-        pytest.param(4, SECONDS, id="serve"),
-        pytest.param(52, LONGER_S, id="serve-seed-52"),
-        pytest.param(56, LONGER_S, id="serve-seed-56"),
-        pytest.param(73, LONGER_S, id="run-with-a-crowd-seed-73"),
+        pytest.param(1, SHORT_RUN_S, id="run"),
+        pytest.param(3, SHORT_RUN_S, id="run-with-a-crowd"),
+        pytest.param(4, SHORT_RUN_S, id="serve"),
+        pytest.param(52, LONG_RUN_S, id="serve-seed-52"),
+        pytest.param(56, LONG_RUN_S, id="serve-seed-56"),
+        pytest.param(73, LONG_RUN_S, id="run-with-a-crowd-seed-73"),
     ],
 )
-def test_no_rule_is_broken_up_to_the_earliest_kill(seed: int, seconds: float) -> None:
-    soak = asyncio.run(play(seed, seconds))
+def test_no_rule_is_broken_before_earliest_kill(seed: int, seconds: float) -> None:
+    soak = asyncio.run(run_soak(seed, seconds))
 
     assert soak.counts["200"] > 100
-    assert not soak.journal.broken, "\n".join((soak.journal.broken[0], *soak.journal.led_there))
+    assert not soak.journal.violations, "\n".join(
+        (soak.journal.violations[0], *soak.journal.preceding_events)
+    )
 
 
-def test_a_seed_replays_its_schedule() -> None:
-    assert Schedule.drawn(7, SECONDS) == Schedule.drawn(7, SECONDS)
+def test_seed_always_gives_same_schedule() -> None:
+    assert Schedule.from_seed(7, SHORT_RUN_S) == Schedule.from_seed(7, SHORT_RUN_S)
     kinds = {
-        (Schedule.drawn(seed, SECONDS).is_daemon, Schedule.drawn(seed, SECONDS).has_crowd)
+        (
+            Schedule.from_seed(seed, SHORT_RUN_S).is_daemon,
+            Schedule.from_seed(seed, SHORT_RUN_S).has_idle_clients,
+        )
         for seed in range(40)
     }
     assert len(kinds) == 4
 
 
-# Guards against an event loop that waits until its log is read: every client would wait as long.
+# Guards against an event loop that blocks until its log is read, which would delay every client as long.
 @pytest.mark.parametrize(
     ("seed", "seconds"),
     [
-        pytest.param(1, SECONDS, id="run"),
-        pytest.param(52, LONGER_S, id="serve-seed-52"),
+        pytest.param(1, SHORT_RUN_S, id="run"),
+        pytest.param(52, LONG_RUN_S, id="serve-seed-52"),
     ],
 )
-def test_a_log_that_nobody_reads_holds_up_no_request(seed: int, seconds: float) -> None:
-    soak = asyncio.run(play(seed, seconds, Disturbances(log_is_unread=True)))
+def test_unread_log_delays_no_request(seed: int, seconds: float) -> None:
+    soak = asyncio.run(run_soak(seed, seconds, Disturbances(log_is_unread=True)))
 
     assert soak.counts["200"] > 100
-    assert not soak.journal.broken, "\n".join((soak.journal.broken[0], *soak.journal.led_there))
+    assert not soak.journal.violations, "\n".join(
+        (soak.journal.violations[0], *soak.journal.preceding_events)
+    )
