--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -66,7 +66,7 @@
 
     def __init__(self, ports: Sequence[int]) -> None:
         # Time sent, port, result and latency of each request.
-        self.ends: list[tuple[float, int, str, float]] = []
+        self.results: list[tuple[float, int, str, float]] = []
         self._in_flight: set[asyncio.Task[None]] = set()
         self._clients = [
             asyncio.ensure_future(self._client(port, n)) for port in ports for n in range(CLIENTS_PER_DAEMON)
@@ -96,7 +96,7 @@
                 pass
             finally:
                 writer.close()
-        self.ends.append((began, port, result, time.perf_counter() - began))
+        self.results.append((began, port, result, time.perf_counter() - began))
 
     async def stop(self) -> None:
         for client in self._clients:
@@ -134,7 +134,7 @@
     Only requests to `ports` count; 99 means that there are no such spans.
     """
     spans: dict[int, Counter[bool]] = {}
-    for sent, port, result, _ in load.ends:
+    for sent, port, result, _ in load.results:
         if port in ports and sent >= began:
             spans.setdefault(int((sent - began) / SPAN_S), Counter())[result in ("200", "500")] += 1
     run = 0
@@ -191,11 +191,11 @@
             found = await until(check_all_full, "all say that they are full", 45)
             await load.stop()
             connection_counter.stop()
-            survivor = [end for end in load.ends if end[1] == fleet.all[0].port]
+            survivor = [end for end in load.results if end[1] == fleet.all[0].port]
             after = [end for end in survivor if began <= end[0] < began + 4]
             earlier = [end for end in survivor if killed_at - 4 <= end[0] < killed_at]
             ports = [fleet.all[n].port for n in numbers]
-            late = [end for end in load.ends if end[0] >= began and end[1] in ports]
+            late = [end for end in load.results if end[0] >= began and end[1] in ports]
     for member in members:
         await member.stop()
     return {
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -39,9 +39,9 @@
 REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-async def run_client(address: tuple[str, int], ends: float, times: list[float]) -> None:
+async def run_client(address: tuple[str, int], end_time: float, times: list[float]) -> None:
     reader, writer = await asyncio.open_connection(*address)
-    while time.perf_counter() < ends:
+    while time.perf_counter() < end_time:
         began = time.perf_counter()
         writer.write(REQUEST)
         head = await reader.readuntil(b"\r\n\r\n")
@@ -50,9 +50,9 @@
     writer.close()
 
 
-async def run_operator(path: str, ends: float, times: list[float]) -> None:
+async def run_operator(path: str, end_time: float, times: list[float]) -> None:
     number = 0
-    while time.perf_counter() < ends:
+    while time.perf_counter() < end_time:
         began = time.perf_counter()
         reader, writer = await asyncio.open_unix_connection(path)
         verb = "cordon" if number % 2 else "uncordon"
@@ -83,12 +83,12 @@
         busy: list[float] = []
         calls: list[float] = []
         for _ in range(3):
-            ends = time.perf_counter() + seconds / 3
-            await asyncio.gather(*(run_client(address, ends, alone) for _ in range(8)))
-            ends = time.perf_counter() + seconds / 3
+            end_time = time.perf_counter() + seconds / 3
+            await asyncio.gather(*(run_client(address, end_time, alone) for _ in range(8)))
+            end_time = time.perf_counter() + seconds / 3
             await asyncio.gather(
-                *(run_client(address, ends, busy) for _ in range(8)),
-                run_operator(str(Path(folder) / "s"), ends, calls),
+                *(run_client(address, end_time, busy) for _ in range(8)),
+                run_operator(str(Path(folder) / "s"), end_time, calls),
             )
         print(
             f"requests' 99th: {1e3 * p99(alone):.2f} ms alone, {1e3 * p99(busy):.2f} ms beside changes "
--- a/benchmarks/fleetview.py
+++ b/benchmarks/fleetview.py
@@ -284,10 +284,10 @@
             for _ in range(4)
         ]
         before = [read_processor_time(one) for one in fleet.all]
-        ends: Counter[str] = Counter()
+        results: Counter[str] = Counter()
         for one in load_clients:
             out, _ = await one.communicate()
-            ends.update(json.loads(out))
+            results.update(json.loads(out))
         used = [
             (read_processor_time(one) - b) / minutes / 60 for one, b in zip(fleet.all, before, strict=True)
         ]
@@ -297,7 +297,7 @@
         return sum(counts.get(key, 0) for counts in found)
 
     print(
-        f"deaths: {minutes:g} minutes, 8 processes, 1 % loss, {sum(ends.values())} requests {dict(ends)}, "
+        f"deaths: {minutes:g} minutes, 8 processes, 1 % loss, {sum(results.values())} requests {dict(results)}, "
         f"{statistics.mean(used):.2f} of a core each: held dead {total('died')}, suspected {total('suspected')}, "
         f"refuted {total('refuted')}"
     )
@@ -348,12 +348,12 @@
 
 
 async def rate(port: int, seconds: float, clients: int = 16) -> float:
-    ends = time.perf_counter() + seconds
+    end_time = time.perf_counter() + seconds
     counts = [0] * clients
 
     async def client(number: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        while time.perf_counter() < ends:
+        while time.perf_counter() < end_time:
             writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
             head = await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0]))
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -107,11 +107,11 @@
     put: Callable[[bytes], Awaitable[None]], waiting: int, seconds: float
 ) -> tuple[float, list[float]]:
     """Return acknowledged appends per second, and the latency of each."""
-    ends, times = time.perf_counter() + seconds, []
+    end_time, times = time.perf_counter() + seconds, []
 
     async def one(number: int) -> None:
         count = 0
-        while time.perf_counter() < ends:
+        while time.perf_counter() < end_time:
             began = time.perf_counter()
             await put(b"%d-%d-%d" % (waiting, number, count))
             times.append(time.perf_counter() - began)
@@ -194,12 +194,12 @@
 
 
 async def run_bookings(address: tuple[str, int], turn: int, seconds: float) -> list[float]:
-    ends, times = time.perf_counter() + seconds, []
+    end_time, times = time.perf_counter() + seconds, []
 
     async def client(number: int) -> None:
         reader, writer = await asyncio.open_connection(*address)
         count = 0
-        while time.perf_counter() < ends:
+        while time.perf_counter() < end_time:
             count += 1
             began = time.perf_counter()
             writer.write(
--- a/benchmarks/tls.py
+++ b/benchmarks/tls.py
@@ -79,12 +79,12 @@
 ) -> list[float]:
     """Return the latencies of requests on keep-alive connections."""
     times: list[float] = []
-    ends = time.perf_counter() + seconds
+    end_time = time.perf_counter() + seconds
 
     async def client() -> None:
         more: dict[str, Any] = {"ssl": secure, "server_hostname": "shop.test"} if secure is not None else {}
         reader, writer = await asyncio.open_connection("127.0.0.1", port, **more)
-        while time.perf_counter() < ends:
+        while time.perf_counter() < end_time:
             began = time.perf_counter()
             await send_request(reader, writer)
             times.append(time.perf_counter() - began)
@@ -102,11 +102,11 @@
 
 async def run_handshakes(port: int, seconds: float, authority: Authority, with_request: bool) -> int:
     """Return the number of full handshakes by several concurrent clients; with `with_request`, each sends a request."""
-    done, ends = 0, time.perf_counter() + seconds
+    done, end_time = 0, time.perf_counter() + seconds
 
     async def client() -> None:
         nonlocal done
-        while time.perf_counter() < ends:
+        while time.perf_counter() < end_time:
             found = await asyncio.open_connection(
                 "127.0.0.1", port, ssl=context(authority), server_hostname="shop.test"
             )
--- a/benchmarks/upgrading.py
+++ b/benchmarks/upgrading.py
@@ -63,7 +63,7 @@
 
     def __init__(self, port: int) -> None:
         self.port, self.stopped, self.upgrading = port, False, False
-        self.ends: Counter[str] = Counter()
+        self.results: Counter[str] = Counter()
         self.times: dict[bool, list[float]] = {True: [], False: []}
         self.by_member: list[tuple[float, str]] = []  # time and member of each answer
 
@@ -73,7 +73,7 @@
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             except OSError:
-                self.ends["a closed door"] += 1
+                self.results["a closed door"] += 1
                 continue
             for number in range(requests_per_connection):
                 if self.stopped or not await self.send_request(reader, writer, number):
@@ -91,9 +91,9 @@
                 int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
             )
         except (OSError, asyncio.IncompleteReadError):
-            self.ends["crossed a close" if number else "lost"] += 1
+            self.results["crossed a close" if number else "lost"] += 1
             return False
-        self.ends[head[9:12].decode()] += 1
+        self.results[head[9:12].decode()] += 1
         self.times[upgrading].append(time.perf_counter() - began)
         if head[9:12] == b"200":
             self.by_member.append((time.time(), json.loads(body)["member"]))
@@ -227,7 +227,7 @@
             await asyncio.sleep(draws.uniform(0.2, 1.5))
             is_ok, seconds, pid = await upgrade(path, load)
             if not is_ok:
-                load.ends["an upgrade that failed"] += 1
+                load.results["an upgrade that failed"] += 1
                 continue
             pids.append(pid)
             took.append(seconds)
@@ -246,10 +246,10 @@
         left = sorted(path.name for path in folder.iterdir() if path.name != "c.toml")
         for member in stand_ins:
             await member.stop()
-    asked = sum(load.ends.values())
+    asked = sum(load.results.values())
     print(
         f"{len(took)} upgrades of {sum(took) / len(took):.2f} s each, {cordons.done} changes, {asked} requests: "
-        f"{dict(load.ends)}"
+        f"{dict(load.results)}"
     )
     print(
         f"calls that met a daemon going: {cordons.failed}; answers of members that were out: "
--- a/standins/askers.py
+++ b/standins/askers.py
@@ -20,7 +20,7 @@
 
     def __init__(self, ports: Sequence[int], pause: float = 0.01) -> None:
         self.ports, self.pause = ports, pause
-        self.ends: dict[int, Counter[str]] = {port: Counter() for port in ports}
+        self.results: dict[int, Counter[str]] = {port: Counter() for port in ports}
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
@@ -31,11 +31,11 @@
         tasks, self._tasks = self._tasks, []
         self.pause = -1.0
         await asyncio.gather(*tasks)
-        return sum(self.ends.values(), Counter())
+        return sum(self.results.values(), Counter())
 
     async def _poll(self, port: int) -> None:
         while self.pause >= 0:
-            self.ends[port][await ask(port)] += 1
+            self.results[port][await ask(port)] += 1
             await asyncio.sleep(max(0.0, self.pause))
 
 
--- a/standins/network.py
+++ b/standins/network.py
@@ -49,9 +49,8 @@
         self.cut: set[tuple[int, int]] = set()
         self.late: dict[int, float] = {}  # additional seconds of delay by sender
         self.counts: Counter[str] = Counter()
-        self.caught: list[
-            tuple[int, int, bytes]
-        ] = []  # (sender, receiver, datagram), recorded while `catches` is set
+        # (sender, receiver, datagram), recorded while `catches` is set.
+        self.caught: list[tuple[int, int, bytes]] = []
         self.catches = False
         self._hosts: dict[str, int] = {}
         self._relays: dict[int, _DatagramRelay] = {}
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -52,7 +52,9 @@
     for _ in range(listeners):
         line = await asyncio.wait_for(process.stdout.readline(), PATIENCE)
         if b"listens" not in line:
-            raise RuntimeError(f"{path}: {line!r}; {log and log.read_text()[-800:]}")
+            raise RuntimeError(
+                f"{path}: expected a line that says 'listens', found {line!r}; log: {log and log.read_text()[-800:]}"
+            )
     return process
 
 
