--- a/benchmarks/fleetview.py
+++ b/benchmarks/fleetview.py
@@ -31,9 +31,9 @@
 from typing import Any, AsyncIterator, Sequence
 
 from emulator.fleetview import FleetModel
-from standins.askers import Askers
+from standins.askers import PollingClients
 from standins.member import Fleet as Members
-from standins.processes import Fleet, One, start
+from standins.processes import Fleet, Instance, start
 
 NEVER = 99.0
 #: Duration, in seconds, of each of the two measurements of a pair.
@@ -179,7 +179,7 @@
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def read_processor_time(one: One) -> float:
+def read_processor_time(one: Instance) -> float:
     assert one.process is not None
     return used(one.process.pid)
 
@@ -384,7 +384,7 @@
                         one.prelude = prelude
                     await fleet.open()
                     await fleet.settled()
-                    load_clients = Askers([one.port for one in fleet.all], pause=1 / 7)
+                    load_clients = PollingClients([one.port for one in fleet.all], pause=1 / 7)
                     load_clients.start()
                     await asyncio.sleep(5)
                     rows = [await count_connections(members, 10)]
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -33,7 +33,7 @@
 from loadbalancer.store.engine import Engine, Put, StoreBounds
 from loadbalancer.store.files import DiskFiles
 from loadbalancer.store.keeper import Store, StoreView
-from standins.kills import Killing
+from standins.kills import KillTest
 from standins.member import Fleet
 
 VALUE = b"v" * 200
@@ -283,7 +283,7 @@
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
     began = time.perf_counter()
-    tally = asyncio.run(Killing(folder, port, seed=1).run(count))
+    tally = asyncio.run(KillTest(folder, port, seed=1).run(count))
     wrong = [key for key in tally.doubled if key in tally.answers]
     print(
         f"{tally.kills} kills in {time.perf_counter() - began:.0f} s: {tally.acknowledged} bookings answered, "
--- a/standins/askers.py
+++ b/standins/askers.py
@@ -12,7 +12,7 @@
 from typing import Sequence
 
 
-class Askers:
+class PollingClients:
     """Runs one client for each port and counts its results.
 
     A result is a status, "closed" if the connection failed, or "lost" if a request was sent and not answered.
@@ -40,7 +40,7 @@
 
 
 async def ask(port: int, method: str = "GET", path: str = "/", *lines: str) -> str:
-    """Send one request and return its result, as `Askers` counts them."""
+    """Send one request and return its result, as `PollingClients` counts them."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -59,7 +59,7 @@
 
 
 async def _main(seconds: float, ports: Sequence[int]) -> None:
-    clients = Askers(ports, pause=0.0)
+    clients = PollingClients(ports, pause=0.0)
     clients.start()
     await asyncio.sleep(seconds)
     print(json.dumps(await clients.stop()))
--- a/standins/disks.py
+++ b/standins/disks.py
@@ -46,7 +46,7 @@
 
     def truncate(self, size: int) -> None:
         self.disk.step()
-        if self.disk.cut_fails:
+        if self.disk.truncate_fails:
             raise OSError(errno.EIO, "Input/output error")
         del self.content.data[size:]
 
@@ -62,13 +62,13 @@
 
     def __init__(self, seed: int = 0) -> None:
         self.random = random.Random(seed)
-        self.now: dict[str, _FileContent] = {}  # files by name, as the program sees them
-        self.synced_names: dict[str, _FileContent] = {}  # files by name, as of the last sync of the directory
+        self.files: dict[str, _FileContent] = {}  # files by name, as the program sees them
+        self.synced_files: dict[str, _FileContent] = {}  # files by name, as of the last sync of the directory
         self.locked = False
         self.calls, self.cut_at = 0, -1
         self.room = 1 << 40
         self.sync_fails = 0
-        self.cut_fails = False
+        self.truncate_fails = False
         self.unreadable: set[str] = set()
         self.open_files = 0
 
@@ -78,39 +78,39 @@
             raise CutError
 
     def used(self) -> int:
-        return sum(len(content.data) for content in self.now.values())
+        return sum(len(content.data) for content in self.files.values())
 
     def list_names(self) -> list[str]:
-        return sorted(self.now)
+        return sorted(self.files)
 
     def read(self, name: str) -> bytes:
         if name in self.unreadable:
             raise OSError(errno.EIO, "Input/output error")
-        return bytes(self.now[name].data)
+        return bytes(self.files[name].data)
 
     def create(self, name: str) -> MemoryFile:
         self.step()
-        if name in self.now:
+        if name in self.files:
             raise FileExistsError(errno.EEXIST, "File exists")
-        content = self.now[name] = _FileContent()
+        content = self.files[name] = _FileContent()
         self.open_files += 1
         return MemoryFile(self, content)
 
     def open(self, name: str) -> MemoryFile:
         self.open_files += 1
-        return MemoryFile(self, self.now[name])
+        return MemoryFile(self, self.files[name])
 
     def replace(self, old: str, new: str) -> None:
         self.step()
-        self.now[new] = self.now.pop(old)
+        self.files[new] = self.files.pop(old)
 
     def remove(self, name: str) -> None:
         self.step()
-        del self.now[name]
+        del self.files[name]
 
     def sync_directory(self) -> None:
         self.step()
-        self.synced_names = dict(self.now)
+        self.synced_files = dict(self.files)
 
     def lock(self) -> None:
         if self.locked:
@@ -123,17 +123,17 @@
     def after_cut(self) -> MemoryDisk:
         """Return the disk as the next process finds it after a power failure."""
         remaining = MemoryDisk(self.random.getrandbits(32))
-        remaining_names = dict(self.synced_names)
+        remaining_files = dict(self.synced_files)
         # Each unsynced creation, rename or removal is kept or lost.
-        for name in sorted(self.now.keys() | self.synced_names.keys()):
+        for name in sorted(self.files.keys() | self.synced_files.keys()):
             if self.random.random() < 0.5:
-                if name in self.now:
-                    remaining_names[name] = self.now[name]
+                if name in self.files:
+                    remaining_files[name] = self.files[name]
                 else:
-                    remaining_names.pop(name, None)
-        for name, content in remaining_names.items():
+                    remaining_files.pop(name, None)
+        for name, content in remaining_files.items():
             data = self._survives(content)
-            remaining.now[name] = remaining.synced_names[name] = _FileContent(bytearray(data), data)
+            remaining.files[name] = remaining.synced_files[name] = _FileContent(bytearray(data), data)
         return remaining
 
     def _survives(self, content: _FileContent) -> bytes:
@@ -153,8 +153,8 @@
     def copy(self) -> MemoryDisk:
         """Return a copy that later changes of this disk don't affect."""
         copied = MemoryDisk(1)
-        for name, content in self.now.items():
-            copied.now[name] = copied.synced_names[name] = _FileContent(
+        for name, content in self.files.items():
+            copied.files[name] = copied.synced_files[name] = _FileContent(
                 bytearray(content.data), bytes(content.data)
             )
         return copied
--- a/standins/fastcgi.py
+++ b/standins/fastcgi.py
@@ -21,7 +21,7 @@
     params: dict[bytes, bytes]
     connection: FcgiConnection
     body: bytearray = field(default_factory=bytearray)
-    whole: asyncio.Event = field(default_factory=asyncio.Event)  # STDIN has ended
+    body_received: asyncio.Event = field(default_factory=asyncio.Event)  # STDIN has ended
 
     def raw(self, data: bytes) -> None:
         """Send bytes unchanged."""
@@ -63,7 +63,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.application.open.discard(self)
-        self.application.told()
+        self.application.notify()
 
     def data_received(self, data: bytes) -> None:
         for event in self.side.feed(data):
@@ -74,7 +74,7 @@
                 self.calls[event.request].body += event.data
             elif isinstance(event, Ended):
                 call = self.calls.pop(event.request)
-                call.whole.set()
+                call.body_received.set()
                 self.application.ended(call)
             elif isinstance(event, Aborted):
                 self.end_aborted(event.request)
@@ -146,7 +146,7 @@
     def ended(self, call: FcgiCall) -> None:
         if not self.early:
             self._run_script(call)
-        self.told()
+        self.notify()
 
     def _run_script(self, call: FcgiCall) -> None:
         script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
@@ -156,9 +156,9 @@
         task = asyncio.get_running_loop().create_task(cast("asyncio._CoroutineLike[None]", script(call)))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        self.told()
+        self.notify()
 
-    def told(self) -> None:
+    def notify(self) -> None:
         self.called.set()
 
     async def until(self, condition: Callable[[], object]) -> None:
--- a/standins/keyed.py
+++ b/standins/keyed.py
@@ -29,7 +29,7 @@
             self.answers[key] = json.dumps({"booked": key, "number": len(times)}).encode()
         return self.answers[key]
 
-    def doubled(self) -> list[str]:
+    def find_duplicates(self) -> list[str]:
         """Return the keys that took effect more than once."""
         return [key for key, times in self.by_key.items() if len(times) > 1]
 
--- a/standins/kills.py
+++ b/standins/kills.py
@@ -57,7 +57,7 @@
         return [key for key, bodies in self.answers.items() if len(bodies) > 1]
 
 
-class Killing:
+class KillTest:
     """Runs `clients` that book one key after another, repeating each until answered, while daemons are replaced."""
 
     def __init__(self, folder: Path, port: int, seed: int, clients: int = 8) -> None:
@@ -82,7 +82,7 @@
         daemon.send_signal(signal.SIGTERM)
         await daemon.wait()
         await fleet.stop()
-        self.tally.doubled = self.effects.doubled()
+        self.tally.doubled = self.effects.find_duplicates()
         return self.tally
 
     async def run_until_kill(self, path: Path) -> None:
@@ -116,7 +116,7 @@
         os.kill(last, signal.SIGTERM)
         await first.wait()
         await fleet.stop()
-        self.tally.doubled = self.effects.doubled()
+        self.tally.doubled = self.effects.find_duplicates()
         return self.tally
 
     async def upgrade(self, path: Path) -> int:
--- a/standins/network.py
+++ b/standins/network.py
@@ -49,9 +49,9 @@
         self.cut: set[tuple[int, int]] = set()
         self.late: dict[int, float] = {}  # additional seconds of delay by sender
         self.counts: Counter[str] = Counter()
-        # (sender, receiver, datagram), recorded while `catches` is set.
-        self.caught: list[tuple[int, int, bytes]] = []
-        self.catches = False
+        # (sender, receiver, datagram), recorded while `is_capturing` is set.
+        self.captured: list[tuple[int, int, bytes]] = []
+        self.is_capturing = False
         self._hosts: dict[str, int] = {}
         self._relays: dict[int, _DatagramRelay] = {}
         self._servers: list[asyncio.Server] = []
@@ -98,8 +98,8 @@
     def relay_datagram(self, relay: _DatagramRelay, source: int, data: bytes) -> None:
         random_share = self.random.random
         self.counts["datagrams"] += 1
-        if self.catches:
-            self.caught.append((source, relay.number, data))
+        if self.is_capturing:
+            self.captured.append((source, relay.number, data))
         if (source, relay.number) in self.cut:
             self.counts["cut"] += 1
             return
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -99,7 +99,7 @@
 
 
 @dataclass
-class One:
+class Instance:
     """An instance of the fleet, whether or not its process is running."""
 
     number: int
@@ -224,16 +224,16 @@
         new.write_text("\n".join(keys) + "\n")
         new.replace(self.key)
 
-    def _make_instance(self, number: int, host: str, fleet_number: int) -> One:
+    def _make_instance(self, number: int, host: str, fleet_number: int) -> Instance:
         folder = self.folder / f"{fleet_number}-{number}"
         folder.mkdir(parents=True)
         bound = host, _reserve_port(host, self._reserved_sockets)
         advertised = "127.0.0.1", _reserve_port("127.0.0.1", self._reserved_sockets)
-        return One(
+        return Instance(
             number, folder, host, _reserve_port("127.0.0.1", self._reserved_sockets), bound, advertised
         )
 
-    def write(self, one: One, **changes: str) -> None:
+    def write(self, one: Instance, **changes: str) -> None:
         values = {
             "name": one.name,
             "fleet": "{}:{}".format(*one.fleet),
@@ -271,13 +271,13 @@
         await self.close()
 
     @property
-    def up(self) -> list[One]:
+    def up(self) -> list[Instance]:
         return [one for one in self.all if one.process is not None]
 
-    async def statuses(self, among: Sequence[One] | None = None) -> list[dict[str, Any]]:
+    async def statuses(self, among: Sequence[Instance] | None = None) -> list[dict[str, Any]]:
         return list(await asyncio.gather(*(one.read("fleet/status") for one in among or self.up)))
 
-    async def agree(self, among: Sequence[One], living: int) -> bool:
+    async def agree(self, among: Sequence[Instance], living: int) -> bool:
         """Return whether these instances have the same digest and each counts `living` live ones."""
         result = await self.statuses(among)
         return len({one["digest"] for one in result}) == 1 and all(
@@ -285,7 +285,10 @@
         )
 
     async def settled(
-        self, among: Sequence[One] | None = None, living: int | None = None, patience: float | None = None
+        self,
+        among: Sequence[Instance] | None = None,
+        living: int | None = None,
+        patience: float | None = None,
     ) -> None:
         """Wait until the instances in `among` agree; by default, all that are running."""
         chosen = among or self.up
--- a/tests/daemon/test_hot_restart.py
+++ b/tests/daemon/test_hot_restart.py
@@ -30,7 +30,7 @@
 from loadbalancer.store.files import DiskFiles
 from standins.keyed import Effects, KeyedFleet
 from standins.kills import CONFIG as KEYED
-from standins.kills import Killing
+from standins.kills import KillTest
 from standins.member import Fleet, Member
 from standins.processes import start
 
@@ -233,7 +233,7 @@
 
 def test_upgrades_under_keyed_load_execute_no_key_twice(tmp_path: Path) -> None:
     async def scenario() -> None:
-        tally = await Killing(tmp_path, kept_port(), seed=3, clients=4).upgrades(3)
+        tally = await KillTest(tmp_path, kept_port(), seed=3, clients=4).upgrades(3)
         assert tally.acknowledged >= 60 and not tally.differ and not tally.doubled
         assert tally.repeated == len(tally.answers)
 
@@ -251,7 +251,7 @@
         port = kept_port()
         path = tmp_path / "micastand.toml"
         path.write_text('[management]\nsocket = "s"\n' + KEYED.format(port=port) + fleet.tables())
-        killing = Killing(tmp_path, port, seed=1)
+        killing = KillTest(tmp_path, port, seed=1)
         old = await start(path)
         loop = asyncio.get_running_loop()
         assert (await killing.ask("one"))[0] == 200
@@ -271,7 +271,7 @@
         while (await killing.ask("two"))[0] != 200:
             await asyncio.sleep(0.01)
         first, again = await killing.ask("one"), await killing.ask("two")
-        assert first[0] == again[0] == 200 and not effects.doubled()
+        assert first[0] == again[0] == 200 and not effects.find_duplicates()
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         await fleet.stop()
--- a/tests/fleet/scenes.py
+++ b/tests/fleet/scenes.py
@@ -8,7 +8,7 @@
 from typing import Any, AsyncIterator, Awaitable, Callable, Sequence
 
 from standins.member import Fleet as Members
-from standins.processes import CONFIG, Fleet, One, until
+from standins.processes import CONFIG, Fleet, Instance, until
 
 #: Time limit of one test, also on a busy machine.
 TEST_TIMEOUT_S = 150.0
@@ -80,12 +80,12 @@
         yield started
 
 
-async def replication_status(instance: One) -> dict[str, Any]:
+async def replication_status(instance: Instance) -> dict[str, Any]:
     """Return an instance's status of the replicated state."""
     return dict((await instance.read("fleet/status"))["agreed"])
 
 
-async def until_acting(instances: Sequence[One], version: int = 0) -> None:
+async def until_acting(instances: Sequence[Instance], version: int = 0) -> None:
     """Wait until all of these instances may act on this version or a later one."""
 
     async def all_act() -> bool:
@@ -99,7 +99,7 @@
     await until(all_act, f"{names} act on version {version}")
 
 
-async def until_version(instance: One, version: int) -> None:
+async def until_version(instance: Instance, version: int) -> None:
     """Wait until an instance acts on this version or a later one."""
 
     async def is_reached() -> bool:
--- a/tests/fleet/test_comeback.py
+++ b/tests/fleet/test_comeback.py
@@ -28,7 +28,7 @@
 from loadbalancer.upstreams.dialect import Dialect
 from loadbalancer.upstreams.http1 import Http1UpstreamConnection
 from loadbalancer.upstreams.pacing import BURST, Pacer
-from standins.askers import Askers, ask
+from standins.askers import PollingClients, ask
 from standins.member import Behaviour, Member
 from standins.member import Fleet as Members
 from standins.processes import Fleet, until
@@ -257,7 +257,7 @@
         async with replicated_fleet(tmp_path, 3, voters=3) as processes:
             await until_full(processes, [0, 1, 2])
             pids_before = [(await instance.read("status"))["pid"] for instance in processes.all]
-            askers = Askers([instance.port for instance in processes.all])
+            askers = PollingClients([instance.port for instance in processes.all])
             askers.start()
             status, _ = await processes.all[1].say("fleet/restart")
             assert status == 200
@@ -303,7 +303,7 @@
         members = Members(6)
         members.members[0] = failing = Member("m1", Behaviour(status=500))
         async with replicated_fleet(tmp_path, 8, members=members) as processes:
-            askers = Askers([processes.all[0].port])
+            askers = PollingClients([processes.all[0].port])
             askers.start()
             _, cordon = await processes.all[1].say("cordon", pool="p", member="m2", wait="20s")
             assert cordon["holds"]
--- a/tests/fleet/test_rollout_processes.py
+++ b/tests/fleet/test_rollout_processes.py
@@ -10,7 +10,7 @@
 from scenes import replicated_fleet, run
 
 from loadbalancer.daemon.rollout import merged
-from standins.askers import Askers
+from standins.askers import PollingClients
 from standins.member import Fleet as Members
 from standins.processes import Fleet, until
 
@@ -54,7 +54,7 @@
 def test_valid_file_reaches_all_instances_and_invalid_file_none_under_load(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with replicated_fleet(tmp_path, 4, voters=3, members=Members(3)) as fleet:
-            askers = Askers([instance.port for instance in fleet.all])
+            askers = PollingClients([instance.port for instance in fleet.all])
             askers.start()
             good = write_changed_config(fleet, 'deadline = "3s"', 'deadline = "4s"')
             status, _ = await fleet.all[3].say("fleet/rollout", path=str(good), until="300ms")
--- a/tests/fleet/test_versions_processes.py
+++ b/tests/fleet/test_versions_processes.py
@@ -10,10 +10,10 @@
 
 from scenes import replicated_fleet, replication_status, run, until_acting, until_version
 
-from standins.askers import Askers, ask
+from standins.askers import PollingClients, ask
 from standins.member import Fleet as Members
 from standins.member import Member
-from standins.processes import Fleet, One, until
+from standins.processes import Fleet, Instance, until
 
 
 async def request_count(member: Member) -> int:
@@ -24,7 +24,7 @@
     return member.counts.requests
 
 
-async def drain_m1(instance: One, wait: str = "20s", **arguments: Any) -> dict[str, Any]:
+async def drain_m1(instance: Instance, wait: str = "20s", **arguments: Any) -> dict[str, Any]:
     status, result = await instance.say("drain", pool="p", member="m1", wait=wait, **arguments)
     assert status == 200 and "error" not in result, result
     return dict(result)
@@ -36,7 +36,7 @@
     async def scenario() -> None:
         members = Members(3)
         async with replicated_fleet(tmp_path, 8, members=members) as fleet:
-            askers = Askers([instance.port for instance in fleet.all for _ in range(2)])
+            askers = PollingClients([instance.port for instance in fleet.all for _ in range(2)])
             askers.start()
             source = random.Random(1)
             for turn in range(3):
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -14,7 +14,7 @@
 from loadbalancer.fleet import wire
 from loadbalancer.fleet.keys import key_number
 from loadbalancer.fleet.wire import Packet, Sealer
-from standins.askers import Askers
+from standins.askers import PollingClients
 from standins.processes import Fleet, until
 
 KEY = b"\x11" * 32
@@ -23,7 +23,7 @@
 def test_fleet_settles_after_one_half_and_all_but_one_are_killed_and_restarted(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, 8) as processes:
-            clients = Askers([processes.all[0].port])
+            clients = PollingClients([processes.all[0].port])
             clients.start()
             await processes.all[3].kill()
             await processes.settled()
@@ -51,7 +51,7 @@
         async with fleet(tmp_path, 8, seeds=(0,)) as processes:
             await processes.all[0].kill()
             await processes.settled()
-            clients = Askers([instance.port for instance in processes.up])
+            clients = PollingClients([instance.port for instance in processes.up])
             clients.start()
             for sides in (((1, 2, 3), (4, 5, 6, 7)), ((1,), (2, 3, 4, 5, 6, 7)), ((1, 2), (3, 4), (5, 6, 7))):
                 processes.network.part(*sides)
@@ -196,7 +196,7 @@
         async with fleet(tmp_path, 4, 1, 2, 3, seeds=(0,)) as processes:
             for number in (1, 2, 3):
                 await processes.settled([processes.all[number]])
-            clients = Askers([instance.port for instance in processes.up])
+            clients = PollingClients([instance.port for instance in processes.up])
             clients.start()
             await processes.start(0)
             await processes.settled()
@@ -210,13 +210,13 @@
     async def scenario() -> None:
         async with fleet(tmp_path, 3) as processes:
             instance, net = processes.all[0], processes.network
-            net.catches = True
+            net.is_capturing = True
             await processes.all[2].kill()
             await processes.settled()
             await processes.start(2)  # packets of its previous process are of an ended generation
             await processes.settled()
-            net.catches = False
-            caught = [data for _, to, data in net.caught if to == 0]
+            net.is_capturing = False
+            caught = [data for _, to, data in net.captured if to == 0]
             before = await instance.read("fleet/status")
             forged = Sealer([b"x" * 32]).seal(Packet("i1", 1, 1, 1, wire.GossipReply()))
             for number in range(1500):
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -85,7 +85,7 @@
                 if bad == data:
                     continue
                 one = whole.copy()
-                one.now[name].data[:] = bad
+                one.files[name].data[:] = bad
                 again = engine(one)
                 found = again.open()
                 assert found.is_intact and contents(again) == truth
@@ -108,7 +108,7 @@
     whole = disk.copy()
     for number in range(last.number + 1):
         names = [f"{number:016x}.{copy}" for copy in "ab"]
-        if names[0] not in whole.now:
+        if names[0] not in whole.files:
             continue
         data = whole.read(names[0])
         for at in range(len(data)):
@@ -117,7 +117,7 @@
                     continue
                 one = whole.copy()
                 for name in names:
-                    one.now[name].data[:] = bad
+                    one.files[name].data[:] = bad
                 again = engine(one)
                 found = again.open()
                 got = contents(again)
@@ -164,8 +164,8 @@
     strange.commit([Put(b"k1", b"of another store")])
     strange.close()
     names = [name for name in disk.list_names() if name.endswith(".b")]
-    disk.now[names[0]].data[:] = other.read(f"{0:016x}.a")
-    disk.now[names[1]].data[:] = disk.read(names[2])  # doubled
+    disk.files[names[0]].data[:] = other.read(f"{0:016x}.a")
+    disk.files[names[1]].data[:] = disk.read(names[2])  # doubled
     again = engine(disk)
     found = again.open()
     assert found.is_intact and contents(again) == truth
@@ -178,7 +178,7 @@
     store.commit([Put(b"a", b"b")])
     store.close()
     for name in disk.list_names():
-        disk.now[name].data[0] ^= 1
+        disk.files[name].data[0] ^= 1
     assert engine(disk).open().is_intact is False
 
 
@@ -197,9 +197,9 @@
     disk = MemoryDisk()
     store = opened(disk)
     store.commit([Put(b"a", b"value")])
-    disk.now[f"{0:016x}.a"].data[-3] ^= 1
+    disk.files[f"{0:016x}.a"].data[-3] ^= 1
     assert store.get(b"a") == b"value"  # of the other copy
-    disk.now[f"{0:016x}.b"].data[-3] ^= 1
+    disk.files[f"{0:016x}.b"].data[-3] ^= 1
     with pytest.raises(StoreError, match="neither copy"):
         store.get(b"a")
 
@@ -273,7 +273,7 @@
     store, truth = filled(disk)
     store.close()
     name = next(name for name in disk.list_names() if name.endswith(".a"))
-    disk.now[name].data[40] ^= 1
+    disk.files[name].data[40] ^= 1
     for at in range(1, 60):
         one = disk.copy()
         one.cut_at = at
@@ -318,7 +318,7 @@
 def test_a_refused_batch_that_can_not_be_cut_off_ends_the_writing() -> None:
     disk = MemoryDisk()
     store = opened(disk, StoreBounds(segment_bytes=1 << 20))
-    disk.room, disk.cut_fails = disk.used() + 10, True
+    disk.room, disk.truncate_fails = disk.used() + 10, True
     with pytest.raises(ReadOnlyError, match="could not be taken back"):
         store.commit([Put(b"b", b"2" * 100)])
 
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -34,7 +34,7 @@
     scope,
 )  # fmt: skip
 from standins.disks import MemoryDisk
-from standins.kills import Killing
+from standins.kills import KillTest
 from standins.member import Member
 
 ONE, OTHER = digest(b"POST", b"/a", b"x"), digest(b"POST", b"/a", b"y")
@@ -384,7 +384,7 @@
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
-    tally = run(lambda: Killing(tmp_path, port, seed=5).run(5))
+    tally = run(lambda: KillTest(tmp_path, port, seed=5).run(5))
     assert tally.kills == 5 and tally.acknowledged >= 5 and tally.repeated == len(tally.answers)
     assert tally.differ == []
     assert not [key for key in tally.doubled if key in tally.answers]
--- a/tests/test_fastcgi_multiplex.py
+++ b/tests/test_fastcgi_multiplex.py
@@ -39,7 +39,7 @@
 
     async def __call__(self, call: FcgiCall) -> None:
         self.calls[bytes(call.body)] = call
-        call.connection.application.told()
+        call.connection.application.notify()
 
     def let(self, body: bytes) -> None:
         self.calls[body].say(write_answer(200, b"OK", [], body))
--- a/tests/test_fastcgi_random.py
+++ b/tests/test_fastcgi_random.py
@@ -114,7 +114,7 @@
     effects: dict[bytes, int] = {}
 
     async def mad(call: FcgiCall) -> None:
-        await call.whole.wait()
+        await call.body_received.wait()
         effects[bytes(call.body)] = effects.get(bytes(call.body), 0) + 1
         for _ in range(chance.randrange(4)):
             data = noise(chance, call.number)
