--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -91,7 +91,7 @@
                 if bad == data:
                     continue
                 damaged_disk = whole.copy()
-                damaged_disk.now[name].data[:] = bad
+                damaged_disk.files[name].data[:] = bad
                 reopened = engine(damaged_disk)
                 found = reopened.open()
                 assert found.is_intact and contents(reopened) == expected
@@ -117,7 +117,7 @@
     whole = disk.copy()
     for number in range(last.number + 1):
         names = [f"{number:016x}.{copy}" for copy in "ab"]
-        if names[0] not in whole.now:
+        if names[0] not in whole.files:
             continue
         data = whole.read(names[0])
         for at in range(len(data)):
@@ -126,7 +126,7 @@
                     continue
                 damaged_disk = whole.copy()
                 for name in names:
-                    damaged_disk.now[name].data[:] = bad
+                    damaged_disk.files[name].data[:] = bad
                 reopened = engine(damaged_disk)
                 found = reopened.open()
                 got = contents(reopened)
@@ -173,8 +173,8 @@
     other_store.commit([Put(b"k1", b"of another store")])
     other_store.close()
     names = [name for name in disk.list_names() if name.endswith(".b")]
-    disk.now[names[0]].data[:] = other.read(f"{0:016x}.a")
-    disk.now[names[1]].data[:] = disk.read(names[2])  # a copy of another segment
+    disk.files[names[0]].data[:] = other.read(f"{0:016x}.a")
+    disk.files[names[1]].data[:] = disk.read(names[2])  # a copy of another segment
     reopened = engine(disk)
     found = reopened.open()
     assert found.is_intact and contents(reopened) == expected
@@ -187,7 +187,7 @@
     store.commit([Put(b"a", b"b")])
     store.close()
     for name in disk.list_names():
-        disk.now[name].data[0] ^= 1
+        disk.files[name].data[0] ^= 1
     assert engine(disk).open().is_intact is False
 
 
@@ -206,9 +206,9 @@
     disk = MemoryDisk()
     store = opened_engine(disk)
     store.commit([Put(b"a", b"value")])
-    disk.now[f"{0:016x}.a"].data[-3] ^= 1
+    disk.files[f"{0:016x}.a"].data[-3] ^= 1
     assert store.get(b"a") == b"value"  # read from the other copy
-    disk.now[f"{0:016x}.b"].data[-3] ^= 1
+    disk.files[f"{0:016x}.b"].data[-3] ^= 1
     with pytest.raises(StoreError, match="neither copy"):
         store.get(b"a")
 
@@ -284,7 +284,7 @@
     store, expected = filled_engine(disk)
     store.close()
     name = next(name for name in disk.list_names() if name.endswith(".a"))
-    disk.now[name].data[40] ^= 1
+    disk.files[name].data[40] ^= 1
     for at in range(1, 60):
         interrupted = disk.copy()
         interrupted.cut_at = at
@@ -329,7 +329,7 @@
 def test_a_rejected_batch_that_cannot_be_truncated_makes_the_store_read_only() -> None:
     disk = MemoryDisk()
     store = opened_engine(disk, StoreBounds(segment_bytes=1 << 20))
-    disk.room, disk.cut_fails = disk.used() + 10, True
+    disk.room, disk.truncate_fails = disk.used() + 10, True
     with pytest.raises(ReadOnlyError, match="could not be taken back"):
         store.commit([Put(b"b", b"2" * 100)])
 
--- a/tests/test_fastcgi_random.py
+++ b/tests/test_fastcgi_random.py
@@ -116,7 +116,7 @@
     effects: dict[bytes, int] = {}
 
     async def send_random_records(call: FcgiCall) -> None:
-        await call.whole.wait()
+        await call.body_received.wait()
         effects[bytes(call.body)] = effects.get(bytes(call.body), 0) + 1
         for _ in range(chance.randrange(4)):
             data = random_record(chance, call.number)
