--- a/loadbalancer/daemon/admin_server.py
+++ b/loadbalancer/daemon/admin_server.py
@@ -46,7 +46,7 @@
     Attributes:
         table: The configuration's `[management]`.
         state: Overrides and migrations in force.
-        predecessor: Notifies the daemon that this one has replaced of operators' overrides.
+        predecessor: Sends operators' overrides to the daemon that this one has replaced.
         hot_restart: Offers this daemon's state to a successor.
         replicated: Applies the overrides and migrations of the fleet's replicated state.
     """
@@ -63,7 +63,7 @@
         self._daemon = daemon
         self._logger = daemon.logger
         self._base = base
-        self._has_predecessor = False  # another daemon serves until this one does
+        self._has_predecessor = False  # a predecessor serves until this daemon does
         self._servers: list[ManagementServer] = []
         self._tcp_server: ManagementServer | None = None
         self._socket_files: list[UnixSocketFile] = []
--- a/loadbalancer/daemon/recovery.py
+++ b/loadbalancer/daemon/recovery.py
@@ -82,7 +82,7 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._connections_per_endpoint_s = 0.0  # the pace, 0 without one
+        self._connections_per_endpoint_s = 0.0  # limit on new connections; 0 without one
         self._ended = False
 
     @property
--- a/loadbalancer/frontends/connection.py
+++ b/loadbalancer/frontends/connection.py
@@ -21,7 +21,7 @@
 
 #: Time limit for receiving a complete request; on a new connection it counts from connecting. Guards against clients
 #: that send nothing and against heads and bodies that never end: a bad client must get an answer or a close within
-#: 3 s. Harm: a well-behaved client that is slower than this must send its request again.
+#: 3 s. The cost: a well-behaved client that is slower than this must send its request again.
 REQUEST_S = 2.5
 
 
@@ -31,9 +31,9 @@
     IDLE = 0
     HEAD = 1
     BODY = 2
-    WHOLE = 3
+    WHOLE = 3  # a request is being served
     LINGER = 4  # the last answer has been written
-    TUNNEL = 5  # it has been upgraded to another protocol
+    TUNNEL = 5  # the connection has been upgraded to another protocol
 
 
 class FrontConnection(asyncio.Protocol):
@@ -51,7 +51,7 @@
     blocked_since: float = 0.0  # monotonic time since which the client has not read its answer; 0 if it reads
     secure: bool = False  # over TLS
     certificate_names: tuple[str, ...] = ()  # subject names in the client's certificate
-    _charged: int = 0  # bytes charged to the budget below
+    _charged: int = 0  # bytes charged to `_charged_to`
     _charged_to: BufferBudget | None = None
     _last_buffer_size: int = 0  # size of the write buffer at the last check, in bytes
 
@@ -83,7 +83,7 @@
         """Return whether the client has closed its side, read or not; if so, cancel its requests.
 
         Guards against attempts for clients that left while the process was busy or reading was paused: the end of the
-        stream is then in the kernel, possibly behind unread bytes. Harm: a system call for each attempt.
+        stream is then in the kernel, possibly behind unread bytes. The cost is a system call for each attempt.
         """
         unread = self._peek()
         if unread is None or (unread and not self._ends_behind_bytes()):
@@ -93,6 +93,7 @@
         return True
 
     def _ends_behind_bytes(self) -> bool:
+        """Return whether the client has closed its sending direction, even if bytes before the end are unread."""
         poller = select.poll()
         poller.register(self.sock, select.POLLRDHUP)
         return bool(poller.poll(0))
@@ -118,6 +119,7 @@
             self.transport.close()
 
     def abort(self) -> None:
+        """Close the connection at once, without sending what is still in the write buffer."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -137,6 +139,7 @@
         return self._last_buffer_size < before
 
     def uncharge(self) -> None:
+        """Release the charge of `charge`, once the client reads again or the connection has ended."""
         self.blocked_since = 0.0
         if self._charged_to is not None:
             self._charged_to.release(self._charged)
--- a/loadbalancer/frontends/listener.py
+++ b/loadbalancer/frontends/listener.py
@@ -147,7 +147,7 @@
     def _refuse_with_spare(self) -> None:
         """Accept waiting connections on reserve descriptors, tell each client to retry later, and close them.
 
-        Guards against clients that hang in the kernel's queue while there is no descriptor for them. Harm: a client
+        Guards against clients that hang in the kernel's queue while there is no descriptor for them. The cost: a client
         must come back although a descriptor might soon have been free.
         """
         if self.spares is None or self._sock is None:
@@ -435,8 +435,8 @@
 async def _wait_for_last_answers(listeners: Sequence[Listener], until: float) -> None:
     """Wait until connections end with their next answer, and close those that have long been idle.
 
-    Closing an idle connection loses a request whenever the client sends one at the same time. Harm: the process ends
-    some seconds later than it could.
+    Closing an idle connection loses a request whenever the client sends one at the same time. The cost: the process
+    ends some seconds later than it could.
     """
     while time.monotonic() < until and any(listener.is_busy(HANDOVER_IDLE_S) for listener in listeners):
         await asyncio.sleep(0.02)
